--- a/tests/golden/files/write.py
+++ b/tests/golden/files/write.py
@@ -2,8 +2,8 @@
 
     python tests/golden/files/write.py FOLDER [PART ...]
 
-PART is `versions`, `load`, `access`, `directives` or `control`; all of them without one.  The golden files
-themselves are never written anew: FOLDER is another one, to be compared with them."""
+PART is `versions`, `load`, `access`, `directives`, `control` or `commands`; all of them without one.  The
+golden files themselves are never written anew: FOLDER is another one, to be compared with them."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 def main(folder: str, parts: list[str]) -> None:
     sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
     import golden_files_access as access
+    import golden_files_commands as commands
     import golden_files_control as control
     import golden_files_directives as directives
     import golden_files_load as load
@@ -27,6 +28,7 @@
         "load": load.made,
         "directives": directives.made,
         "control": control.made,
+        "commands": commands.made,
     }
     for part in parts or makers:
         for name, data in makers[part]().items():
