--- a/indigohitch/load/command.py
+++ b/indigohitch/load/command.py
@@ -13,7 +13,7 @@
 from .timeline import RULES
 
 
-@click.group()
+@click.group("load")
 def load() -> None:
     """HAR files and access logs as load."""
 
@@ -79,7 +79,7 @@
         )
 
 
-@load.command()
+@load.command("show")
 @click.argument("trace", type=click.Path(dir_okay=False))
 def show(trace: str) -> None:
     """What TRACE holds."""
@@ -96,7 +96,7 @@
     )
 
 
-@load.command()
+@load.command("shape")
 @click.argument("trace", type=click.Path(dir_okay=False))
 def shape(trace: str) -> None:
     """Rates, popularity of keys, times between requests and sizes of TRACE, by RPC."""
@@ -107,7 +107,7 @@
     click.echo(orjson.dumps(found, option=orjson.OPT_INDENT_2).decode())
 
 
-@load.command()
+@load.command("scale")
 @click.argument("trace", type=click.Path(dir_okay=False))
 @click.option("--times", required=True, type=float, help="The rate, times that of TRACE.")
 @click.option("--out", "-o", required=True, type=click.Path(dir_okay=False), help="The new trace.")
@@ -135,7 +135,7 @@
 load.add_command(replay)
 
 
-@load.command()
+@load.command("page")
 @click.argument("saved", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @click.option("--out", "-o", required=True, type=click.Path(dir_okay=False), help="The page, HTML.")
 @click.option("--title", default="Replay", show_default=True)
@@ -159,7 +159,7 @@
         file.write(text)
 
 
-@load.command()
+@load.command("har")
 @click.argument("sources", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @click.option("--out", "-o", required=True, type=click.Path(dir_okay=False), help="The HAR file.")
 @click.option("--format", "form", default="", help="As for `compile`.")
--- a/indigohitch/load/replay/command.py
+++ b/indigohitch/load/replay/command.py
@@ -39,7 +39,7 @@
             self.fail(str(bad), param, ctx)
 
 
-@click.command()
+@click.command("replay")
 @click.argument("trace", type=click.Path(dir_okay=False))
 @click.argument("target", type=Address())
 @click.option("--speed", default=1.0, show_default=True, help="Times as fast as the trace.")
--- a/indigohitch/load/replay/running.py
+++ b/indigohitch/load/replay/running.py
@@ -91,8 +91,7 @@
     may_begin(wanted.to[0], proven, wanted.allowed, bool(wanted.journal), unsafe, trace.head.sources)
     journal = None
     if wanted.journal and unsafe is not None:
-        part = f"{plan.start}-{plan.end}-{plan.filters}-{plan.shard}/{plan.shards}"
-        journal = Journal(wanted.journal, trace.identity, part)
+        journal = Journal(wanted.journal, trace.identity, plan.text())
         if journal.open_ones():
             time.sleep(SETTLE)
             settle(journal, wanted.servers, name)
--- a/indigohitch/load/replay/schedule.py
+++ b/indigohitch/load/replay/schedule.py
@@ -52,6 +52,10 @@
         if not 0 <= self.shard < self.shards:
             raise Unfit(f"shard {self.shard + 1} of {self.shards}")
 
+    def text(self) -> str:
+        """Of which part of a trace a journal is: stored in its head."""
+        return f"{self.start}-{self.end}-{self.filters}-{self.shard}/{self.shards}"
+
     def due(self, requests: Iterable[tuple[int, Request]]) -> Iterator[tuple[int, int, Request]]:
         """(due, number, request) in order.  Gaps are cut before the shards part: all keep one time."""
         cut, before = self.start, self.start
--- a/indigohitch/load/trace.py
+++ b/indigohitch/load/trace.py
@@ -32,12 +32,14 @@
 
 
 class Head(msgspec.Struct):
-    began: int  # Unix time of the first request, tenths of a ms
-    count: int
-    span: int  # from the first request to the last
-    sources: list[str]
-    counts: dict[str, int]  # repairs and what was not read
-    unsafe: int
+    """Stored as a map, and shown by `load show`: `name` is the name there, whatever the field is called."""
+
+    began: int = msgspec.field(name="began")  # Unix time of the first request, tenths of a ms
+    count: int = msgspec.field(name="count")
+    span: int = msgspec.field(name="span")  # from the first request to the last
+    sources: list[str] = msgspec.field(name="sources")
+    counts: dict[str, int] = msgspec.field(name="counts")  # repairs and what was not read
+    unsafe: int = msgspec.field(name="unsafe")
 
 
 class Block(msgspec.Struct, array_like=True):
@@ -48,8 +50,10 @@
 
 
 class Index(msgspec.Struct):
-    head: Head
-    blocks: list[Block]
+    """Stored as a map, as Head."""
+
+    head: Head = msgspec.field(name="head")
+    blocks: list[Block] = msgspec.field(name="blocks")
 
 
 def _packed(data: bytes) -> bytes:
--- a/indigohitch/versions/checks.py
+++ b/indigohitch/versions/checks.py
@@ -121,14 +121,24 @@
 
 
 Rule = Callable[[Root, Root, Facts], Iterator[Fault]]
-RULES: tuple[Rule, ...] = (owner, listed, gone, draining, size, cold, blast, repeats)
+# By the name that faults carry and by which operators set one aside, whatever its function is called.
+RULES: dict[str, Rule] = {
+    "owner": owner,
+    "listed": listed,
+    "gone": gone,
+    "draining": draining,
+    "size": size,
+    "cold": cold,
+    "blast": blast,
+    "repeats": repeats,
+}
 
 
 def faults(was: Root, now: Root, facts: Facts, but: frozenset[str] = frozenset()) -> list[Fault]:
     """Empty: it may leave.  `but`: rules that an operator sets aside for this one version, by name; no one
     can set aside what harms RPCs (`owner`, `listed`, `gone`, `repeats`)."""
     aside = but & {"blast", "size"}
-    return [fault for rule in RULES if rule.__name__ not in aside for fault in rule(was, now, facts)]
+    return [fault for name, rule in RULES.items() if name not in aside for fault in rule(was, now, facts)]
 
 
 def weights(lines: Mapping[int, Mapping[str, object]]) -> list[Fault]:
--- a/tests/test_golden_files_load.py
+++ b/tests/test_golden_files_load.py
@@ -23,6 +23,7 @@
 from indigohitch.load.export import exported
 from indigohitch.load.replay.figures import Figures
 from indigohitch.load.replay.journal import Journal
+from indigohitch.load.replay.schedule import Plan
 
 
 def kept(tmp_path, name):
@@ -75,6 +76,12 @@
     assert (tmp_path / "again").read_bytes() == golden("load/journal")
 
 
+def test_a_journal_names_the_part_of_the_trace_that_it_is_of():
+    assert Plan(filters=(("rpc", "place-*"),)).text() == PLAN
+    plan = Plan(2.0, 5, 70_000, (("path", "/a"), ("status", "2*")), 10, 1, 3)
+    assert plan.text() == "5-70000-(('path', '/a'), ('status', '2*'))-1/3"
+
+
 def test_figures_of_a_replay_are_read_and_written():
     saved = orjson.loads(golden("load/figures"))
     read = Figures(saved["figures"]["span"])
