--- a/tests/golden/files/write.py
+++ b/tests/golden/files/write.py
@@ -2,7 +2,7 @@
 
     python tests/golden/files/write.py FOLDER [PART ...]
 
-PART is `versions`, `load`, `access`, `directives`, `control` or `commands`; all of them without one.  The
+PART is `versions`, `load`, `access`, `directives`, `control`, `commands` or `running`; all without one.  The
 golden files themselves are never written anew: FOLDER is another one, to be compared with them."""
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
     import golden_files_control as control
     import golden_files_directives as directives
     import golden_files_load as load
+    import golden_files_running as running
     import golden_files_versions_made as versions
 
     makers = {
@@ -29,6 +30,7 @@
         "directives": directives.made,
         "control": control.made,
         "commands": commands.made,
+        "running": running.made,
     }
     for part in parts or makers:
         for name, data in makers[part]().items():
