--- /dev/null
+++ b/tests/golden_platform.py
@@ -0,0 +1,185 @@
+"""The platform's wires as golden files hold them: lines, news, calls, answers, lists and requests."""
+
+import os
+from types import SimpleNamespace
+from unittest import mock
+
+import orjson
+from pytest import MonkeyPatch
+
+from collector_room import Hall
+from golden_wire import order, plain
+from indigohitch.log import Log
+from indigohitch.net.clock import SECOND
+from indigohitch.net.exchange import Answer
+from indigohitch.net.http import form as http_form
+from indigohitch.net.loop import Loop
+from indigohitch.platformlink import call_queue, discovery, doubt, news, probes
+from indigohitch.platformlink.calls import FORM, encode, form, read_answer
+from indigohitch.platformlink.doubt import Evidence, Inquiry
+from indigohitch.platformlink.news import EventStream, event_of
+from listroom import Hands
+from relay_room import Room
+
+METHODS = ["search", "reserve"]
+TO = ("127.0.0.1", 7070)
+
+
+def collector(given: str) -> dict:
+    """What one who connects says: what it is answered, what is heard, and what is counted."""
+    hall = Hall()
+    try:
+        sock = hall.call(given.encode("latin-1"))
+        for _ in range(8):
+            hall.loop.after(5, lambda: None)
+            hall.loop.turn()
+        try:
+            said = sock.recv(4096)
+        except OSError:
+            said = b""
+        return {
+            "answer": said.decode("latin-1"),
+            "hears": [plain(event) for event in hall.heard],
+            "counts": dict(sorted(hall.log.counts.items())),
+        }
+    finally:
+        hall.close()
+
+
+def stream(given: str) -> dict:
+    """The relay's stream of events: each with what it reads as, and how many signs of life came."""
+    found, alive = [], []
+
+    def said(kind: str, data: str) -> None:
+        event = event_of(kind, data)
+        found.append({"kind": kind, "reads": None if event is None else plain(event)})
+
+    try:
+        EventStream(said, lambda: alive.append(1)).feed(given.encode("latin-1"))
+    except ValueError:
+        return {"refused": True, "before": found}
+    return {"news": found, "signs_of_life": len(alive)}
+
+
+def call(given: list) -> dict:
+    """Orders as the body of a call to the relay, and as the request that carries it."""
+    body = form(";".join(encode(order(one), METHODS) for one in given))
+    request = http_form("POST", "/", "127.0.0.1:7070", body, FORM)
+    return {"body": body.decode("latin-1"), "request": request.decode("latin-1")}
+
+
+def answer(given: dict) -> dict:
+    """What the relay's answer says."""
+    try:
+        said = read_answer(Answer(given["outcome"], given["status"], given["body"].encode("latin-1")))
+    except ValueError:
+        return {"refused": True}
+    return {"taken": said} if isinstance(said, int) else {"error": said}
+
+
+def registry(given: dict) -> dict:
+    """A list of discovery's, and the addresses in it."""
+    try:
+        found, addresses = discovery.read_list(orjson.loads(given["body"]), given["remembered"])
+    except ValueError:
+        return {"refused": True}
+    return plain(found) | {"addresses": addresses}
+
+
+class Recorder:
+    """In the client's place: keeps each request as bytes, and who waits for its answer."""
+
+    asked: list
+
+    def __init__(self, loop: Loop, to: tuple[str, int], *spans: int, **more: int) -> None:
+        self.to, self.asked, self.done = to, Recorder.asked, None
+
+    def request(self, method, target, span, done, body=b"", kind="", stream=None) -> SimpleNamespace:
+        data = http_form(method, target, f"{self.to[0]}:{self.to[1]}", body, kind).decode("latin-1")
+        self.asked.append({"request": data, "streams": stream is not None})
+        Recorder.done = done
+        return SimpleNamespace(drop=lambda: None, connection=None)
+
+    def close(self) -> None:
+        pass
+
+
+class Desk:
+    """A loop and a log with a clock that stands; clients of `module` are recorders."""
+
+    def __init__(self, module) -> None:
+        self.module, Recorder.asked = module, []
+
+    def __enter__(self) -> "Desk":
+        self.defects: list = []
+        self.loop = Loop(Hands(), self.defects.append)
+        self.out = os.open(os.devnull, os.O_WRONLY)
+        self.log = Log(self.loop.clock, "n0", self.out)
+        self.patch = mock.patch.object(self.module, "Client", Recorder)
+        self.patch.start()
+        return self
+
+    def __exit__(self, *why) -> None:
+        self.patch.stop()
+        self.loop.close()
+        os.close(self.out)
+        assert not self.defects
+
+    def answered(self, status: int, body: str, outcome: str = "answered", duration: int = 0) -> None:
+        Recorder.done(Answer(outcome, status, body.encode("latin-1"), duration))
+
+
+def probe(given: dict) -> dict:
+    """The request of a probe, and what its answer tells."""
+    with Desk(probes) as desk:
+        told: list = []
+        sender = probes.Probes(desk.loop, desk.log, given["reports"], 8, told.append)
+        sender.send("b1", given["at"])
+        if Recorder.asked:
+            desk.answered(given["status"], given["body"], given["outcome"], given["duration"])
+        counts = dict(sorted(desk.log.counts.items()))
+        return {"asks": Recorder.asked, "tells": [plain(event) for event in told], "counts": counts}
+
+
+def _watches(bodies: list[str]) -> list[dict]:
+    with Desk(discovery) as desk, mock.patch.object(discovery.Discovery, "HOLD", 2 * SECOND):
+        found = discovery.Discovery(desk.loop, desk.log, TO, 41, lambda news, addresses: None)
+        found.subscribe(True)
+        for body in bodies:
+            desk.answered(200, body)
+        found.fetch()
+        return Recorder.asked
+
+
+def _news(_: list[str]) -> list[dict]:
+    with Desk(news) as desk:
+        hearer = SimpleNamespace(news_asked=lambda: None, news_alive=lambda: None)
+        news.News(desk.loop, desk.log, TO, hearer).open()
+        return Recorder.asked
+
+
+def _inquiry(_: list[str]) -> list[dict]:
+    with Desk(doubt) as desk:
+        inquiry = Inquiry(desk.loop, lambda effect, proved: None)
+        inquiry.open(TO, desk.loop.clock.now() - SECOND, Evidence({}, []), False)
+        desk.loop.turn()
+        return Recorder.asked
+
+
+def _relay(_: list[str]) -> list[dict]:
+    with MonkeyPatch.context() as patch:
+        Recorder.asked = []
+        room = Room(patch)
+        patch.setattr(call_queue, "Client", Recorder)
+        room.relay.client = Recorder(room.loop, TO)
+        room.order(1.0, 2.5)
+        room.loop.close()
+        return Recorder.asked
+
+
+ASKS = {"discovery": _watches, "news": _news, "inquiry": _inquiry, "relay": _relay}
+
+
+def requests(given: dict) -> list[dict]:
+    """The requests that a part sends, as bytes and in order."""
+    return ASKS[given["part"]](given["answers"])
--- /dev/null
+++ b/tests/golden_settings.py
@@ -0,0 +1,147 @@
+"""The configuration as golden files hold it: settings to the module's values, by their paths on the wire."""
+
+import json
+import os
+import tempfile
+
+from golden_wire import plain
+from indigohitch import service
+from indigohitch.bootstrap import bootstrap, load_report
+from indigohitch.platformlink.front import Front
+
+# Path on the wire: the name that the module asks its value by.
+READ_AS = {
+    "balancers": "coordinators",
+    "slot-no": "own_number",
+    "zone": "zone",
+    "failure-domains": "zones",
+    "kinds": "kinds",
+    "period": "batch_gap",
+    "discovery": "discovery",
+    "weight-kind": "weight_kind",
+    "value-by": "value_by",
+    "service-type": "service_kind",
+    "bounds.connect-timeout": "connect_timeout",
+    "bounds.cpu-us-per-s": "cpu_us_per_s",
+    "bounds.keepalive": "keepalive",
+    "bounds.max-streams": "max_streams",
+    "bounds.may-probe": "may_probe",
+    "bounds.may-tell": "may_tell",
+    "rules.cold-from": "cold_from",
+    "rules.warm-within": "warm_within",
+    "rules.drain-grace": "drain_grace",
+    "rules.fall-multiple": "fall_multiple",
+    "rules.overload-for": "overload_for",
+    "rules.must-ask-in": "must_ask_in",
+    "rules.full-may-have-run": "full_may_have_run",
+    "rules.dropped-stay-open": "dropped_stay_open",
+    "report.how": "load_comes",
+    "family-info.admission": "admission",
+    "family-info.queue-cap": "queue_cap",
+    "family-info.empty-for": "bare_limit",
+    "family-info.homed-by-zone": "homed_by_zone",
+    "family-info.class-own-zone": "method_own_zone",
+    "family-info.class-writes": "method_writes",
+    "family-info.cost-per-line": "line_price",
+    "family-info.counted-over": "counted_over",
+    "family-info.data-plane-size": "proxies",
+    "family-info.default-retry": "default_tries",
+    "family-info.egress-per-s": "lines_per_s",
+    "family-info.envelope": "envelope",
+    "family-info.exclusive": "exclusive",
+    "family-info.fails-to-eject": "fails_to_eject",
+    "family-info.initial-set": "standing_set",
+    "family-info.keeps-writing": "keeps_writing",
+    "family-info.key-ranges": "slices",
+    "family-info.lb-method": "pick",
+    "family-info.messages-most": "messages_most",
+    "family-info.push-delay-max": "transit_most",
+    "family-info.transit": "transit",
+    "family-info.reassign-price": "move_price",
+    "family-info.report-every": "report_every",
+    "family-info.reports-per-s": "reports_per_s",
+    "family-info.settle": "settle",
+    "family-info.sockets-min": "sockets_min",
+    "family-info.try-aims": "try_soft_deadlines",
+    "family-info.waits-for-table": "waits_for_table",
+    "family-info.warm-keys": "warm_keys",
+    "penalties.connection": "connection_price",
+    "penalties.cross-zone": "cross_zone_price",
+    "penalties.discovery": "discovery_price",
+    "penalties.handshake": "handshake_price",
+    "penalties.late-fail": "late_abort_price",
+    "penalties.peer": "peer_price",
+    "penalties.probe": "probe_price",
+    "penalties.waste": "waste_price",
+    "result-mix.tail": "tail_weight",
+    "result-mix.tail-miss": "tail_miss",
+    "result-mix.whole": "whole_weight",
+    "result-mix.worst-class": "worst_method_weight",
+    "result-mix.worst-window": "worst_window_weight",
+}
+
+
+def _method(m) -> dict:
+    return {
+        "name": m.name,
+        "soft deadline": m.soft_deadline,
+        "deadline": m.deadline,
+        "criticality": m.criticality,
+        "repeat": m.repeat,
+        "dedup scope": m.dedup_scope,
+        "memory span": m.memory_span,
+    }
+
+
+def settings(given: dict) -> dict:
+    """The start settings: each value by its path on the wire, the methods and the report's columns."""
+    try:
+        found, columns = bootstrap(given)
+    except ValueError:
+        return {"refused": True}
+    assert found.keys() <= {*READ_AS.values(), "methods"}
+    return {
+        "values": {path: found[name] for path, name in READ_AS.items() if name in found},
+        "methods": [_method(method) for method in found["methods"]],
+        "columns": columns,
+    }
+
+
+def load(given: list) -> dict:
+    """A load report out of its pairs of name and value."""
+    return load_report(given)
+
+
+class Watched(dict):
+    """Knows which of its keys were asked for."""
+
+    def __init__(self, found: dict) -> None:
+        super().__init__(found)
+        self.read: set[str] = set()
+
+    def __getitem__(self, key: str) -> object:
+        self.read.add(key)
+        return super().__getitem__(key)
+
+
+def configuration(given: dict) -> dict:
+    """The file of BALANCER_CONFIG and the variables beside it, up to what the front takes from them."""
+    with tempfile.TemporaryDirectory() as folder:
+        path = os.path.join(folder, "c.json")
+        with open(path, "w", encoding="ascii") as file:
+            json.dump(given["file"], file)
+        environ = given["environ"] | {"BALANCER_CONFIG": path}
+        found = service.configuration(environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY")
+    found["limits"] = Watched(found["limits"])
+    seed, _, boot, columns, known, addresses, store, discovery = Front._read(found)
+    return {
+        "listen": found["listen"],
+        "seed": seed,
+        "limits read": sorted(found["limits"].read),
+        "discovery asked": boot[READ_AS["discovery"]],
+        "columns": columns,
+        "known": plain(known),
+        "addresses": addresses,
+        "store": list(store),
+        "discovery": list(discovery),
+    }
