--- a/indigohitch/platformlink/calls.py
+++ b/indigohitch/platformlink/calls.py
@@ -11,6 +11,7 @@
 
 BYTES = 60_000  # of orders that a call may carry, says the protocol
 FORM = "application/x-www-form-urlencoded"
+NO_CALL = {face.Bind: "Bind", face.TellPeer: "TellPeer"}  # orders without a word; the log's names for them
 
 
 def form(orders: str) -> bytes:
--- a/indigohitch/platformlink/doubt.py
+++ b/indigohitch/platformlink/doubt.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
-from enum import Enum, auto
+from enum import Enum
 
 from .. import interface as face
 from ..net.clock import SECOND
@@ -49,11 +49,11 @@
 
 
 class Effect(Enum):
-    """What became of a call."""
+    """What became of a call; the log tells the value."""
 
-    NONE = auto()  # it was not carried out
-    STANDS = auto()  # up to the last order that shows
-    UNKNOWN = auto()
+    NONE = "none"  # it was not carried out
+    STANDS = "stands"  # up to the last order that shows
+    UNKNOWN = "unknown"
 
 
 @dataclass(slots=True, frozen=True)
--- a/indigohitch/platformlink/front.py
+++ b/indigohitch/platformlink/front.py
@@ -18,6 +18,7 @@
 from ..net.loop import Loop
 from ..net.ring import Pool
 from .backlog import Backlog
+from .calls import NO_CALL
 from .collectors import Collectors
 from .discovery import Discovery, read_list
 from .drains import DrainWatch
@@ -198,7 +199,7 @@
                 case face.LogLine(text):
                     self.log.event("decision", text=text)
                 case _:  # Bind, TellPeer: the protocol has no word for them
-                    self.log.trouble("order_without_a_call", order=type(order).__name__)
+                    self.log.trouble("order_without_a_call", order=NO_CALL.get(type(order), "unknown"))
         if call:
             self.log.count("orders", len(call))
             self.relay.order(call)
--- a/indigohitch/platformlink/relay.py
+++ b/indigohitch/platformlink/relay.py
@@ -82,7 +82,7 @@
         if effect is Effect.UNKNOWN:
             self._wait_until(self.first.repeat_at(in_reach=True), self._repeat)
             return
-        self.log.event("call_in_doubt_looked_up", effect=effect.name.lower(), orders=proved)
+        self.log.event("call_in_doubt_looked_up", effect=effect.value, orders=proved)
         if effect is Effect.STANDS:
             self._taken(proved, "tables")
         else:
