--- a/tests/golden/wire/given.py
+++ b/tests/golden/wire/given.py
@@ -142,6 +142,17 @@
     "calls in doubt",
 ]
 
+ENUMERATIONS = ["service phases", "verdicts", "invariants"]
+ERRORS = [
+    {"error": error, "what": "so it is", "where": where, "remedy": remedy}
+    for error in ("unreadable", "unfit", "not now", "line unreadable", "line garbled")
+    for where, remedy in (("", "mend it"), ("a file:3", "mend it"))
+] + [
+    {"error": "unfit", "what": "so it is", "where": "", "remedy": ""},
+    {"errno": "EIO", "remedy": "look at the disk"},
+    {"errno": "EIO", "remedy": ""},
+]
+
 BENCH_TALKS = [
     {
         "breaks_at": 20000,
--- a/tests/golden/wire/write.py
+++ b/tests/golden/wire/write.py
@@ -17,6 +17,7 @@
 import golden_log  # noqa: E402
 import golden_platform  # noqa: E402
 import golden_settings  # noqa: E402
+import golden_told  # noqa: E402
 from golden_wire import text  # noqa: E402
 
 FILES = {
@@ -35,6 +36,9 @@
     "configuration.jsonl": (golden_settings.configuration, given_settings.CONFIGURATIONS),
     "log_lines.jsonl": (golden_log.lines, given.LOG_LINES),
     "log_jobs.jsonl": (golden_log.job, given.LOG_JOBS),
+    "log_callers.jsonl": (golden_told.callers, given_platform.COLLECTORS),
+    "log_errors.jsonl": (golden_told.error, given.ERRORS),
+    "log_words.jsonl": (golden_told.enumeration, given.ENUMERATIONS),
 }
 
 
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -2,13 +2,18 @@
 
 import json
 import os
+import re
 import tempfile
+from pathlib import Path
 
 from golden_wire import plain
 from indigohitch import service
 from indigohitch.bootstrap import bootstrap, load_report
 from indigohitch.platformlink.front import Front
 
+PACKAGE = Path(service.__file__).parent
+ASKED = re.compile(r'(?:\b(?:boot|bootstrap)(?:\.get\(|\[)|\b_figure\()"(\w+)"')
+
 # Path on the wire: the name that the module asks its value by.
 READ_AS = {
     "balancers": "coordinators",
@@ -145,3 +150,9 @@
         "store": list(store),
         "discovery": list(discovery),
     }
+
+
+def asked_for() -> set[str]:
+    """The names by which the module and the platform's front ask for values of the settings."""
+    paths = [*(PACKAGE / "logic").glob("*.py"), *(PACKAGE / "platformlink").glob("*.py")]
+    return {name for path in paths for name in ASKED.findall(path.read_text())}
--- /dev/null
+++ b/tests/golden_told.py
@@ -0,0 +1,54 @@
+"""More of the log as golden files hold it: lines about callers, errors as fields, words of enumerations."""
+
+import errno
+import os
+
+import orjson
+
+from collector_room import Hall
+from indigohitch import errors, service
+from indigohitch.platformlink import words
+from indigohitch.platformlink.generations import Verdict
+from indigohitch.platformlink.guard import Invariant
+
+ENUMERATIONS = {"service phases": service.Phase, "verdicts": Verdict, "invariants": Invariant}
+ERRORS = {
+    "unreadable": errors.Unreadable,
+    "unfit": errors.Unfit,
+    "not now": errors.NotNow,
+    "line unreadable": words.Unreadable,
+    "line garbled": words.Garbled,
+}
+
+
+def callers(given: str) -> list[str]:
+    """The log's lines about one who connects and says this, but for the time and what is told to people."""
+    hall = Hall()
+    hall.log.out = os.memfd_create("log")
+    try:
+        hall.call(given.encode("latin-1"))
+        for _ in range(8):
+            hall.loop.after(5, lambda: None)
+            hall.loop.turn()
+        data = os.pread(hall.log.out, 1 << 20, 0)
+    finally:
+        os.close(hall.log.out)
+        hall.close()
+    found = []
+    for line in map(orjson.loads, data.splitlines()):
+        left_out = {name: "" for name in ("ms", "why", "remedy") if name in line}
+        found.append(orjson.dumps(line | left_out).decode("latin-1"))
+    return found
+
+
+def error(given: dict) -> dict:
+    """An error as the fields of a log line, and as the command line tells it."""
+    if "errno" in given:
+        return {"fields": errors.told(OSError(getattr(errno, given["errno"]), "so"), given["remedy"])}
+    found = ERRORS[given["error"]](given["what"], given["where"], given["remedy"])
+    return {"fields": errors.told(found, "not used"), "text": str(found)}
+
+
+def enumeration(given: str) -> list[str]:
+    """The words of an enumeration as the log tells them."""
+    return [member.value for member in ENUMERATIONS[given]]
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -22,3 +22,9 @@
 
 def test_the_configuration_and_its_variables():
     check("configuration.jsonl", golden_settings.configuration)
+
+
+def test_each_value_that_is_asked_for_is_one_that_is_read():
+    """A value asked for by a name that nothing reads would be its default without a word."""
+    asked = golden_settings.asked_for()
+    assert len(asked) > 20 and asked <= {*golden_settings.READ_AS.values(), "methods"}
