--- /dev/null
+++ b/tests/test_golden_fleet.py
@@ -0,0 +1,124 @@
+"""A member's folder as it was written down (tests/golden/fleet) is recovered, applied to the replicated state
+machine, and written again byte for byte."""
+
+import json
+import runpy
+import shutil
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from disks import Bench, held
+from indigohitch.fleet.disk import identity, snapshots
+from indigohitch.fleet.disk.records import RECORDS, scan
+from indigohitch.fleet.ledger.ports import Ballot, Snap
+from indigohitch.fleet.node.standard import parts
+from indigohitch.fleet.state_machine import ReplicatedStateMachine
+from indigohitch.fleet.terms import Who
+
+GOLDEN = Path(__file__).parent / "golden" / "fleet"
+ENTRIES = json.loads((GOLDEN / "entries.json").read_text())
+SNAPSHOT = {"member": 39, "member-log": 0}  # the entry that it was taken at
+
+
+def files(folder):
+    return {path.name: path.read_bytes() for path in folder.iterdir() if path.name != "lock"}
+
+
+@pytest.fixture(params=SNAPSHOT)
+def name(request):
+    return request.param
+
+
+@pytest.fixture
+def recovered(name, tmp_path):
+    """What the real disk gives back; it changes none of the files."""
+    shutil.copytree(GOLDEN / name, tmp_path / name)
+    found = held(tmp_path / name)
+    assert files(tmp_path / name) == files(GOLDEN / name)
+    return found
+
+
+def test_a_folder_is_recovered_and_replayed_to_the_same_state(name, recovered):
+    assert recovered.ballot == Ballot(3, Who("b", 2))
+    assert recovered.snap.index == SNAPSHOT[name] == len(ENTRIES) - len(recovered.entries)
+    assert recovered.snap.members.voters == (Who("a", 1), Who("b", 2), Who("c", 3))
+    assert recovered.snap.members.followers == (Who("d", 4),)
+    state_machine = ReplicatedStateMachine(parts())
+    if recovered.snap.state:
+        state_machine.restore(recovered.snap.state)
+        assert state_machine.digest().hex() == ENTRIES[recovered.snap.index - 1]["digest"]
+        assert state_machine.snapshot() == recovered.snap.state
+    for entry in recovered.entries:
+        line, outcome = ENTRIES[entry.index - 1], state_machine.apply(entry)
+        assert entry.kind == line["kind"]
+        assert (outcome.refused, outcome.told.hex(), outcome.doubled) == (
+            line["refused"],
+            line["told"],
+            line["doubled"],
+        ), entry
+        assert state_machine.digest().hex() == line["digest"], entry
+    assert state_machine.snapshot() == (GOLDEN / "state.bin").read_bytes()
+
+
+def test_segments_snapshots_and_identity_are_written_again(name, recovered):
+    segments = sorted((GOLDEN / name).glob("log-*"))
+    assert len(segments) > 2
+    for path in segments:
+        data = path.read_bytes()
+        rows, good = scan(data, path.name, False)
+        assert good == len(data) and b"".join(RECORDS.frame(row) for _, row in rows) == data
+    (book,) = (GOLDEN / name).glob("book-*")
+    assert book.name == f"book-{SNAPSHOT[name]:012}"
+    assert snapshots.encode(snapshots.decode(book.read_bytes(), "")) == book.read_bytes()
+    assert snapshots.encode(recovered.snap) == book.read_bytes()
+    data = (GOLDEN / name / "identity").read_bytes()
+    assert identity.encode(identity.decode(data, "")) == data
+    told = json.loads(data)
+    assert list(told) == ["fleet", "name", "number", "founders", "met", "form", "check"]
+    assert (told["fleet"], told["name"], told["number"]) == ("whk", "a", 1)
+    assert told["met"] == {"b": 2, "c": 3} and told["founders"] == ["a", "b", "c"]
+
+
+def test_a_founding_writes_the_same_identity(tmp_path):
+    bench = Bench(tmp_path).founded()
+    bench.disk.folder.met(Who("c", 3))
+    bench.disk.folder.met(Who("b", 2))
+    bench.close()
+    assert (tmp_path / "identity").read_bytes() == (GOLDEN / "member" / "identity").read_bytes()
+
+
+def test_the_state_is_restored_and_written_again():
+    data = (GOLDEN / "state.bin").read_bytes()
+    state_machine = ReplicatedStateMachine(parts())
+    state_machine.restore(data)
+    assert state_machine.snapshot() == data
+    assert state_machine.digest().hex() == ENTRIES[-1]["digest"]
+    assert (state_machine.index, state_machine.term) == (len(ENTRIES), 2)
+    told = {
+        name: msgspec.to_builtins(part.row(), str_keys=True) for name, part in state_machine.parts.items()
+    }
+    assert json.loads(json.dumps(told)) == json.loads((GOLDEN / "parts.json").read_text())
+    snap = Snap(state_machine.index, state_machine.term, snapshots_members(), data)
+    assert snapshots.decode(snapshots.encode(snap), "") == snap
+
+
+def snapshots_members():
+    (book,) = (GOLDEN / "member").glob("book-*")
+    return snapshots.decode(book.read_bytes(), "").members
+
+
+def test_the_entries_are_of_each_kind():
+    """Each kind that a part has was applied, and was not always refused."""
+    taken = {line["kind"] for line in ENTRIES if not line["refused"]}
+    known = {f"{part.name}.{word}" for part in parts() for word in part.kinds}
+    assert taken == known | {"", "ledger.members"}, "a new kind gets a golden folder of its own"
+
+
+def test_the_script_writes_the_same_files(tmp_path):
+    runpy.run_path(str(GOLDEN / "write_story.py"))["write"](tmp_path)
+    for name in SNAPSHOT:
+        assert files(tmp_path / name) == files(GOLDEN / name)
+    for name in ("entries.json", "parts.json", "state.bin"):
+        assert (tmp_path / name).read_bytes() == (GOLDEN / name).read_bytes()
