--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -32,7 +32,6 @@
 MOST = 20_000  # pieces not over: some MB of a snapshot
 KEPT = 24 * 3600 * SECOND  # what is over is told that long
 TENANT = 2  # one tenant may hold one in so many of these places
-LIFE = ("give", "start", "step", "late", "word")  # entries of one piece, in pieces.py
 REPLANNED = (State.WAITING, State.GIVEN, State.RUNNING)
 AGAIN = "return when pieces of yours are done"
 
@@ -108,12 +107,36 @@
 
     def apply(self, at: At, word: str, body: Row) -> object:
         """Raises Unfit, before anything has changed."""
-        if word not in LIFE:
-            return getattr(self, f"on_{word}")(at, body)
-        told = getattr(self.pieces, word)(at, body)
+        match word:
+            case "contract":
+                return self.on_contract(at, body)
+            case "prices":
+                return self.on_prices(at, body)
+            case "load":
+                return self.on_load(at, body)
+            case "submit":
+                return self.on_submit(at, body)
+            case "plan":
+                return self.on_plan(at, body)
+        told = self.of_piece(at, word, body)
         self.settle(at)
         return told
 
+    def of_piece(self, at: At, word: str, body: Row) -> object:
+        """Entries of one piece, in pieces.py."""
+        match word:
+            case "give":
+                return self.pieces.give(at, body)
+            case "start":
+                return self.pieces.start(at, body)
+            case "step":
+                return self.pieces.step(at, body)
+            case "late":
+                return self.pieces.late(at, body)
+            case "word":
+                return self.pieces.word(at, body)
+        raise ValueError(f"no word of this part: {word}")
+
     def member_gone(self, at: At, name: str, incarnation: int) -> None:
         self.pieces.gone(at, name, incarnation)
 
--- a/indigohitch/fleet/disk/folder.py
+++ b/indigohitch/fleet/disk/folder.py
@@ -66,19 +66,19 @@
         for path in [segment.path for segment in found.segments] + found.snapshots:
             self.files.remove(path)
 
-    def keep(self, **changes) -> None:
-        """Into the identity, at once: rare, and nothing may go on before it."""
-        was = {name: getattr(self.identity, name) for name in changes}
-        for name, value in changes.items():
-            setattr(self.identity, name, value)
-        try:
-            self.files.whole(f"{self.path}/identity", id.encode(self.identity))
-        except OSError:
-            for name, value in was.items():
-                setattr(self.identity, name, value)
-            raise
+    def keep(self, identity: id.Identity) -> None:
+        """In place of the one that stood, at once: rare, and nothing may go on before it."""
+        self.files.whole(f"{self.path}/identity", id.encode(identity))
+        self.identity = identity
+
+    def founded(self, number: int, founders: tuple[str, ...]) -> None:
+        """This member has that number from here on."""
+        was = self.identity
+        self.keep(id.Identity(was.fleet, was.name, number, founders, was.met, was.form))
 
     def met(self, who: Who) -> None:
         """Another member showed itself under this number: kept before anything is heard of it."""
         if who.number > self.identity.met.get(who.name, 0):
-            self.keep(met=self.identity.met | {who.name: who.number})
+            was = self.identity
+            met = was.met | {who.name: who.number}
+            self.keep(id.Identity(was.fleet, was.name, was.number, was.founders, met, was.form))
--- a/indigohitch/fleet/disk/identity.py
+++ b/indigohitch/fleet/disk/identity.py
@@ -12,27 +12,29 @@
 
 class Identity(msgspec.Struct):
     """`number` 0: not a member yet.  `founders`: the voters at the founding, by name.  `met`: the highest
-    number ever met of each other name, so that none is used twice."""
-
-    fleet: str
-    name: str
-    number: int = 0
-    founders: tuple[str, ...] = ()
-    met: dict[str, int] = {}
-    form: int = FORM
-    check: str = ""  # of all else: a changed number would let a lost disk vote again
+    number ever met of each other name, so that none is used twice.  The names in the file stand here beside
+    the fields, and stay as they are."""
+
+    fleet: str = msgspec.field(name="fleet")
+    name: str = msgspec.field(name="name")
+    number: int = msgspec.field(default=0, name="number")
+    founders: tuple[str, ...] = msgspec.field(default=(), name="founders")
+    met: dict[str, int] = msgspec.field(default_factory=dict, name="met")
+    form: int = msgspec.field(default=FORM, name="form")
+    # of all else: a changed number would let a lost disk vote again
+    check: str = msgspec.field(default="", name="check")
 
     def checked(self) -> str:
-        bare = msgspec.structs.replace(self, check="", met=dict(sorted(self.met.items())))
+        met = dict(sorted(self.met.items()))
+        bare = Identity(self.fleet, self.name, self.number, self.founders, met, self.form)
         return digest(msgspec.json.encode(bare)).hex()
 
 
 def encode(identity: Identity) -> bytes:
-    identity.met = dict(sorted(identity.met.items()))
-    return (
-        msgspec.json.format(msgspec.json.encode(msgspec.structs.replace(identity, check=identity.checked())))
-        + b"\n"
-    )
+    one = identity
+    one.met = dict(sorted(one.met.items()))
+    whole = Identity(one.fleet, one.name, one.number, one.founders, one.met, one.form, one.checked())
+    return msgspec.json.format(msgspec.json.encode(whole)) + b"\n"
 
 
 def decode(data: bytes, where: str) -> Identity:
--- a/indigohitch/fleet/disk/store.py
+++ b/indigohitch/fleet/disk/store.py
@@ -97,7 +97,7 @@
         held = Held(Ballot(0), Snap(0, 0, members, b""))
         self.begin(Found(held), number)
         self.segments.put(held.snap)
-        self.folder.keep(number=number, founders=founders)
+        self.folder.founded(number, founders)
         return held
 
     def begin(self, found: Found, number: int) -> None:
--- a/indigohitch/fleet/distribution/role.py
+++ b/indigohitch/fleet/distribution/role.py
@@ -17,11 +17,11 @@
 from ..terms import Entry, Lease, Outcome, Who
 from .connections import STRANGERS, Connections
 from .distributor import Distributor
+from .in_force import InForce
 from .limits import Limits
-from .messages import Report
+from .messages import Behind, Report, Unreachable
 from .part import Distribution
 from .ports import Changed, HeardReport, Level, Replaced
-from .terms import Version
 
 CONFIRM = SECOND // 2  # between confirmed reads: what is told is older by that at most
 REPORT = SECOND
@@ -148,12 +148,34 @@
         return self.connections.figures() | self.machine.figures(now) | {"in_force": in_force}
 
 
-def plain(row: Row) -> dict:
-    """Named fields, as people read them; times in tenths of a millisecond."""
-    found = msgspec.structs.asdict(row)
-    for name, value in found.items():
-        if isinstance(value, Version):
-            found[name] = value.text()
-        elif isinstance(value, tuple):
-            found[name] = [plain(each) if isinstance(each, Row) else each for each in value]
-    return found
+def plain(found: InForce) -> dict:
+    """As `status` names it; times in tenths of a millisecond."""
+    return {
+        "version": found.version.text(),
+        "newest": found.newest.text(),
+        "age": found.age,
+        "subscribers": found.subscribers,
+        "behind_count": found.behind_count,
+        "behind": [plain_behind(one) for one in found.behind],
+        "unreachable_count": found.unreachable_count,
+        "unreachable": [plain_unreachable(one) for one in found.unreachable],
+        "acting": found.acting,
+        "silent": list(found.silent),
+    }
+
+
+def plain_behind(one: Behind) -> dict:
+    return {
+        "subscriber": one.subscriber,
+        "acknowledged": one.acknowledged.text(),
+        "missing": one.missing.text(),
+        "age": one.age,
+    }
+
+
+def plain_unreachable(one: Unreachable) -> dict:
+    return {
+        "subscriber": one.subscriber,
+        "acknowledged": one.acknowledged.text(),
+        "acting": one.acting,
+    }
--- a/indigohitch/fleet/members/entries.py
+++ b/indigohitch/fleet/members/entries.py
@@ -100,3 +100,17 @@
     what: str
     hard: bool
     allowed: int = 0
+
+
+FORM = 1  # of the roster's snapshot
+
+
+class RosterRow(Row):
+    members: list[Member]
+    highest: dict[str, int]
+    tokens: dict[str, list[tuple[int, int]]]
+    changes: list[Change]
+    in_force: int
+    compared: int
+    agreed: Agreed
+    form: int = FORM
--- a/indigohitch/fleet/members/roster.py
+++ b/indigohitch/fleet/members/roster.py
@@ -14,7 +14,7 @@
 from ...errors import Unfit, Unreadable
 from ...net.clock import SECOND
 from ...packed.rows import Row
-from ..ports import At
+from ..ports import At, HearsEnded, HearsGone, HearsInForce, HearsJoined, HearsShutOut, hearing
 from ..state_machine import ReplicatedStateMachine
 from .entries import (
     Agreed,
@@ -28,6 +28,7 @@
     Leave,
     Life,
     Member,
+    RosterRow,
     ShutOut,
 )
 
@@ -35,21 +36,9 @@
 TOKENS = 8
 # Changes not yet in force that are told apart; a fleet has a handful.  Beyond, a later one stands for both.
 CHANGES = 256
-FORM = 1
 LATER = "a later incarnation has joined"
 
 
-class RosterRow(Row):
-    members: list[Member]
-    highest: dict[str, int]
-    tokens: dict[str, list[tuple[int, int]]]
-    changes: list[Change]
-    in_force: int
-    compared: int
-    agreed: Agreed
-    form: int = FORM
-
-
 class Roster:
     name = "members"
     kinds: Mapping[str, type[Row]] = {
@@ -111,7 +100,26 @@
     # ---- entries -----------------------------------------------------------------------------------
 
     def apply(self, at: At, word: str, body: Row) -> object:
-        return getattr(self, f"on_{word}")(at, body)
+        match word:
+            case "join":
+                return self.on_join(at, body)
+            case "leave":
+                return self.on_leave(at, body)
+            case "shut_out":
+                return self.on_shut_out(at, body)
+            case "gone":
+                return self.on_gone(at, body)
+            case "compare":
+                return self.on_compare(at, body)
+            case "agreed":
+                return self.on_agreed(at, body)
+            case "back":
+                return self.on_back(at, body)
+            case "in_force":
+                return self.on_in_force(at, body)
+            case "change":
+                return self.on_change(at, body)
+        raise ValueError(f"no word of this part: {word}")
 
     def on_join(self, at: At, join: Join) -> int:
         """The incarnation: it only grows for that name."""
@@ -133,28 +141,26 @@
         self.members[join.name, incarnation] = Member(
             join.name, incarnation, join.votes, at.index, since=at.index
         )
-        self.tell("member_joined", at, join.name, incarnation)
+        for part in hearing(self.state_machine.parts, HearsJoined):
+            part.member_joined(at, join.name, incarnation)
         return incarnation
 
-    def tell(self, what: str, *about: object) -> None:
-        """To each part of the state machine that has a method of that name."""
-        for part in self.state_machine.parts.values():
-            if (hear := getattr(part, what, None)) is not None:
-                hear(*about)
-
     def shut(self, at: At, member: Member, why: str) -> None:
         """One that was never valid holds nothing: it is gone at once."""
         if member.life is Life.VALID:
             member.life, member.since, member.why = Life.SHUT_OUT, at.index, why
-            self.tell("member_shut_out", at, member.name, member.incarnation)
+            for part in hearing(self.state_machine.parts, HearsShutOut):
+                part.member_shut_out(at, member.name, member.incarnation)
         elif member.life is Life.COMPARED:
             member.why = why
             self.end(at, member)
 
     def end(self, at: At, member: Member, when: int = 0) -> None:
         member.life, member.since = Life.GONE, at.index
-        self.tell("member_ended", at, member.name, member.incarnation, when)
-        self.tell("member_gone", at, member.name, member.incarnation)
+        for part in hearing(self.state_machine.parts, HearsEnded):
+            part.member_ended(at, member.name, member.incarnation, when)
+        for part in hearing(self.state_machine.parts, HearsGone):
+            part.member_gone(at, member.name, member.incarnation)
         if member.incarnation < self.highest[member.name]:  # of each name the last one gone is told of
             del self.members[member.name, member.incarnation]
 
@@ -205,7 +211,8 @@
             raise Unfit(f"version {body.version} after {self.in_force}")
         self.in_force = body.version
         self.changes = [change for change in self.changes if change.index > body.version]
-        self.tell("change_in_force", at, body.version, body.taken)
+        for part in hearing(self.state_machine.parts, HearsInForce):
+            part.change_in_force(at, body.version, body.taken)
 
     # ---- as a whole --------------------------------------------------------------------------------
 
--- a/indigohitch/fleet/members/work.py
+++ b/indigohitch/fleet/members/work.py
@@ -15,7 +15,7 @@
 from ...packed.rows import Row
 from ..ports import Wanted
 from ..terms import Entry, Lease, Outcome
-from .entries import Join, Leave, Life
+from .entries import Agreed, Back, Compare, Gone, InForce, Join, Leave, Life, ShutOut
 from .judge import Judge
 from .leases import Answer, Giver, Holder, ReadFirst
 from .roster import LATER, Roster
@@ -187,11 +187,11 @@
             return []
         wanted = []
         for row in self.judge.proposals(now):
-            kind = type(row).__name__
-            tag = f"{kind} {getattr(row, 'name', '')} {getattr(row, 'incarnation', '')}"
+            word, about = word_of(row)
+            tag = f"{word} {about}"
             if tag not in self.out:
                 self.out.add(tag)
-                wanted.append(Wanted(f"members.{WORD[kind]}", row, tag))
+                wanted.append(Wanted(f"members.{word}", row, tag))
         return wanted
 
     def figures(self) -> dict:
@@ -218,11 +218,19 @@
         }
 
 
-WORD = {
-    "ShutOut": "shut_out",
-    "Gone": "gone",
-    "Compare": "compare",
-    "Agreed": "agreed",
-    "Back": "back",
-    "InForce": "in_force",
-}
+def word_of(row: Row) -> tuple[str, str]:
+    """The word of the judge's entry (`members.word`), and whom it is about, "" where it is about all."""
+    match row:
+        case ShutOut():
+            return "shut_out", f"{row.name} {row.incarnation}"
+        case Gone():
+            return "gone", f"{row.name} {row.incarnation}"
+        case Back():
+            return "back", f"{row.name} {row.incarnation}"
+        case Compare():
+            return "compare", ""
+        case Agreed():
+            return "agreed", ""
+        case InForce():
+            return "in_force", ""
+    raise TypeError(f"no entry of the judge: {row}")
--- a/indigohitch/fleet/node/working.py
+++ b/indigohitch/fleet/node/working.py
@@ -10,7 +10,7 @@
 from ...errors import NotNow
 from ...log import Log
 from ...net.loop import Loop
-from ..ports import Wanted, Work
+from ..ports import Holding, Wanted, Work
 from ..terms import Entry, Lease, Outcome
 from .proposals import Proposals
 from .words import BODY
@@ -45,9 +45,9 @@
             self.loop.failed(broken)
             return None
 
-    def each(self, what: str, *args) -> None:
+    def each(self, ask: Callable[[Work], list[Wanted]]) -> None:
         for work in self.works:
-            self.want(work, self.call(work, getattr(work, what), *args))
+            self.want(work, self.call(work, ask, work))
 
     def want(self, work: Work, wanted: list[Wanted] | None) -> None:
         for one in wanted or ():
@@ -86,17 +86,19 @@
         self.want(work, self.call(work, work.answered, self.loop.clock.now(), tag, outcome))
 
     def applied(self, entry: Entry, outcome: Outcome) -> None:
-        self.each("applied", self.loop.clock.now(), entry, outcome)
+        now = self.loop.clock.now()
+        self.each(lambda work: work.applied(now, entry, outcome))
 
     def restored(self) -> None:
-        self.each("restored", self.loop.clock.now())
+        now = self.loop.clock.now()
+        self.each(lambda work: work.restored(now))
 
     def turn(self, now: int, lease: Lease | None) -> None:
         unmade, self.unmade = list(self.unmade), deque(maxlen=MOST)
         for work, tag in unmade:
             self.answered(work, tag, None)
         self.put()
-        self.each("turn", now, lease)
+        self.each(lambda work: work.turn(now, lease))
 
     def lead(self, now: int, reports: Callable[[int, str], Mapping[str, bytes]]) -> None:
         for work in self.works:
@@ -108,7 +110,7 @@
 
     def holds(self, now: int) -> bool:
         """Something is out that ends with the lease, as a job with a seat: it must not be given on before."""
-        return any(work.holds(now) for work in self.works if hasattr(work, "holds"))
+        return any(work.holds(now) for work in self.works if isinstance(work, Holding))
 
     def figures(self) -> dict:
         return {work.name: self.call(work, work.figures) or {} for work in self.works}
--- a/indigohitch/fleet/ports.py
+++ b/indigohitch/fleet/ports.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Protocol
+from typing import Protocol, TypeVar, runtime_checkable
 
 from ..packed.rows import Row
 from .terms import Entry, Lease, Outcome, Stamp
@@ -47,17 +47,53 @@
         """Carries the entry out and returns what the proposer is told (anything msgpack takes); raises
         `errors.Unfit`, before it has changed anything, where the entry can't be."""
 
-    def member_gone(self, at: At, name: str, incarnation: int) -> None:
-        """That incarnation holds nothing any more: its lease has surely run out, or it left by itself.
-        Called by the part `members`, within the entry that says so, for each part of the state that has
-        this."""
-
     def row(self) -> Row: ...
 
     def restore(self, row: bytes) -> None:
         """From the msgpack of what `row` returned, this version's or one older or newer by one."""
 
 
+# A part of the state that has one of these is called by the part `members`, within the entry that says so.
+
+
+@runtime_checkable
+class HearsJoined(Protocol):
+    def member_joined(self, at: At, name: str, incarnation: int) -> None:
+        """It has a new incarnation, which is compared and may not act yet."""
+
+
+@runtime_checkable
+class HearsShutOut(Protocol):
+    def member_shut_out(self, at: At, name: str, incarnation: int) -> None:
+        """Its lease is not renewed any more, and may still run."""
+
+
+@runtime_checkable
+class HearsEnded(Protocol):
+    def member_ended(self, at: At, name: str, incarnation: int, when: int) -> None:
+        """As `member_gone`, which follows; `when`: fleet time at which its lease had run out, or 0."""
+
+
+@runtime_checkable
+class HearsGone(Protocol):
+    def member_gone(self, at: At, name: str, incarnation: int) -> None:
+        """That incarnation holds nothing any more: its lease has surely run out, or it left by itself."""
+
+
+@runtime_checkable
+class HearsInForce(Protocol):
+    def change_in_force(self, at: At, version: int, taken: tuple[tuple[str, int, int], ...]) -> None:
+        """All changes up to `version` are; `taken` as in `members.in_force`."""
+
+
+Hears = TypeVar("Hears")
+
+
+def hearing(parts: Mapping[str, StateMachinePart], kind: type[Hears]) -> list[Hears]:
+    """Those that hear of this, in their order."""
+    return [part for part in parts.values() if isinstance(part, kind)]
+
+
 class Acts(Protocol):
     """Every act that leaves a process (an order to the relay, a seat given or taken back, a piece of a batch
     released) is stamped and kept here (fleet/audit)."""
@@ -105,3 +141,11 @@
 
     def figures(self) -> dict:
         """For `status`, as plain JSON."""
+
+
+@runtime_checkable
+class Holding(Protocol):
+    """A work that has things out which end with the lease, as a job with a seat."""
+
+    def holds(self, now: int) -> bool:
+        """Something is out: it must not be given on before its end."""
--- a/indigohitch/fleet/seats/part.py
+++ b/indigohitch/fleet/seats/part.py
@@ -91,7 +91,16 @@
         self.gone: dict[str, int] = {}  # by member: the last incarnation that surely holds nothing
 
     def apply(self, at: At, word: str, body) -> object:
-        return getattr(self, f"on_{word}")(at, body)
+        match word:
+            case "contract":
+                return self.on_contract(at, body)
+            case "grant":
+                return self.on_grant(at, body)
+            case "recall":
+                return self.on_recall(at, body)
+            case "return":
+                return self.on_return(at, body)
+        raise ValueError(f"no word of this part: {word}")
 
     def share(self, feature: str, pool: str, name: str, incarnation: int) -> Share | None:
         found = self.features.get(feature)
--- a/indigohitch/fleet/seats/work.py
+++ b/indigohitch/fleet/seats/work.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from dataclasses import asdict, dataclass
+from dataclasses import dataclass
 
 import msgspec
 
 from ..ports import Acts, Wanted
 from ..terms import Entry, Lease, Outcome
-from .allocator import SeatAllocator, SeatSettings
+from .allocator import Counts, SeatAllocator, SeatSettings
 from .contract import Contract, Grant, Recall, Report, Wanting
 from .part import Feature, Seats
 from .rebalancing import TURN, MemberDemand, Move, rebalance
@@ -110,7 +110,7 @@
         return {
             "edition": self.part.edition,
             "refused_contract": self.refused,
-            "counts": asdict(self.allocator.counts),
+            "counts": told(self.allocator.counts),
             "features": {
                 name: {
                     "seats": f.terms.seats,
@@ -187,3 +187,13 @@
         wanting = {(one.feature, one.pool): one for one in report.wanting}
         heard[name] = Heard(report, wanting)
     return heard
+
+
+def told(counts: Counts) -> dict[str, int]:
+    """As `status` names them."""
+    return {
+        "given": counts.given,
+        "refused": counts.refused,
+        "no_lease": counts.no_lease,
+        "unheard": counts.unheard,
+    }
--- a/tests/orderedlog.py
+++ b/tests/orderedlog.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from indigohitch.fleet.ports import HearsGone
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.terms import Entry, Lease
 from indigohitch.packed.rows import Row
@@ -24,7 +25,7 @@
 
     def apply(self, at, word, body):
         for part in self.state_machine.parts.values():
-            if hasattr(part, "member_gone"):
+            if isinstance(part, HearsGone):
                 part.member_gone(at, body.member, body.incarnation)
 
     def row(self):
