--- a/tests/test_golden_fleet_rows.py
+++ b/tests/test_golden_fleet_rows.py
@@ -10,7 +10,9 @@
 
 from indigohitch.fleet.audit.chain import root
 from indigohitch.fleet.audit.files import KINDS, chains, frames, read
+from indigohitch.fleet.batches.sending import mark
 from indigohitch.fleet.node.standard import parts
+from indigohitch.fleet.terms import Stamp
 
 GOLDEN = Path(__file__).parent / "golden" / "fleet"
 SCRIPT = runpy.run_path(str(GOLDEN / "write_rows.py"))
@@ -43,6 +45,10 @@
     ]
 
 
+def test_a_stamp_as_servers_and_logs_have_it():
+    assert mark(Stamp("a", 4, 2, 300, 7)) == "a.4.2.300.7"
+
+
 def test_chains_of_acts_are_read_and_written_again(tmp_path):
     folder = GOLDEN / "audit"
     records, troubles = read(folder)
