--- a/Makefile
+++ b/Makefile
@@ -144,3 +144,8 @@
 
 proof-platform-soak: build  # random faults on 24 coordinators; QUICK=1: under 50 s; ROUNDS, SEED; BROKEN=repeats
 	$(PY) proofs/platform_soak.py
+
+.PHONY: proof-previous-version
+
+proof-previous-version: build  # upgrades from an earlier commit and back, under load; QUICK=1: under 50 s; BROKEN=names
+	$(PY) proofs/previous_version.py
