--- /dev/null
+++ b/tests/test_golden_upgrade.py
@@ -0,0 +1,188 @@
+"""States and frames that the code wrote before its names changed are read, mean what they did, and are
+written again byte for byte."""
+
+import os
+
+import msgspec
+import pytest
+
+from golden.upgrade_states import (
+    BACKENDS,
+    CLOSED,
+    DUE,
+    FOLDER,
+    FRAMES,
+    ORDERS,
+    PROBE_OUT,
+    REHEARSED_AFTER,
+    REST,
+    SETTINGS_OF_COORDINATOR,
+    SIDECAR_REST,
+    SLICES,
+    STATE,
+    TAKEN,
+    UNACKED,
+    WITHDRAWN,
+    eventful,
+    ordered_next,
+    values,
+)
+from indigohitch.bootstrap import bootstrap
+from indigohitch.directives.sidecar_file import read
+from indigohitch.log import Log
+from indigohitch.net.clock import Clock
+from indigohitch.net.loop import Loop
+from indigohitch.platformlink.front import Front
+from indigohitch.platformlink.handover import Handover
+from indigohitch.sidecar.handover import Handover as SidecarHandover
+from indigohitch.sidecar.host import Host
+from indigohitch.upgrade import events
+from indigohitch.upgrade import snapshot as shots
+from indigohitch.upgrade.module_rows import ModuleRow
+from indigohitch.upgrade.module_state import freeze, thaw
+from indigohitch.upgrade.words import WORDS, Frames, frame
+from waiting import free_address
+
+TEXT = """listen {}
+seed 3
+rpc search idempotent soft 2s deadline 6s
+rpc reserve non-idempotent soft 1.2s deadline 3s
+pool nodes slices 24 report 2s
+pool halls slices 24 report 1s
+server n1 127.0.0.1:9 pool nodes
+server h1 127.0.0.1:9 pool halls
+route GET /a/{{b}} rpc search pool nodes key path 1
+route GET /h/{{b}} rpc search pool halls key path 1
+"""
+
+
+def recorded(file: str) -> bytes:
+    return (FOLDER / file).read_bytes()
+
+
+def plain(name: str) -> list:
+    """The body of a snapshot, by position alone."""
+    return msgspec.msgpack.decode(recorded(f"{name}.snapshot")[34:])
+
+
+def modules() -> list[list]:
+    return [plain("coordinator")[3][0], *(pool[2] for pool in plain("sidecar")[2][0])]
+
+
+@pytest.fixture
+def loop():
+    found = Loop(Clock(), lambda broken: None)
+    yield found
+    found.close()
+
+
+@pytest.fixture
+def log(loop):
+    fd = os.open(os.devnull, os.O_WRONLY)
+    yield Log(loop.clock, "t", fd)
+    os.close(fd)
+
+
+def coordinator(loop, log) -> Handover:
+    found = {
+        "name": "n0",
+        "discovery": free_address(),
+        "seed": "8c1f30d2",
+        "settings": SETTINGS_OF_COORDINATOR,
+        "store": {"address": free_address()},
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+        "known": {"generation": 1, "reset": True, "instances": []},
+    }
+    return Handover(
+        None,
+        lambda listening: Front(loop, log, found | {"listen": free_address()}),
+        lambda: None,
+        lambda sock: None,
+        lambda: None,
+    )
+
+
+def test_a_coordinator_restored_writes_the_same_state(loop, log):
+    data, side = recorded("coordinator.snapshot"), coordinator(loop, log)
+    state = shots.decode(data)
+    assert shots.encode(state) == data
+    side.restore(state, {})
+    try:
+        assert shots.encode(side.again()) == data
+        module = plain("coordinator")[3][0]
+        orders = side.rehearse_copy(state, module[1] + REHEARSED_AFTER)
+        assert orders == ordered_next(data)
+        word, _ = next(Frames(WORDS).feed(recorded("proven.frame")))
+        assert msgspec.structs.astuple(word) == (orders,)
+        assert side.rehearse(module[1] + REHEARSED_AFTER) == orders
+    finally:
+        side.front.close()
+
+
+def test_a_sidecar_restored_writes_the_same_state(loop, log):
+    data = recorded("sidecar.snapshot")
+    state = shots.decode(data)
+    assert shots.encode(state) == data
+    host = Host(loop, log, read(TEXT.format(free_address())))
+    side = SidecarHandover(host, lambda: None, lambda sock: None, lambda: None)
+    side.restore(state, {})
+    assert side.cold == [] and shots.encode(side.again()) == data
+    side.take_rest(msgspec.msgpack.encode(SIDECAR_REST))
+    told = {name: events.pack_all(pool.gathering.take()) for name, pool in host.pools.items()}
+    assert {name: [list(row) for row in rows] for name, rows in told.items()} == {
+        name: rows for name, (rows, _) in SIDECAR_REST.items()
+    }
+
+
+def test_the_states_hold_what_an_upgrade_may_meet():
+    kind, taken, _, front = plain("coordinator")
+    assert (kind, taken) == ("coordinator", TAKEN) and eventful(front[0])
+    assert front[6] == ORDERS and front[13] == [b[0] for b in front[0][BACKENDS] if b[PROBE_OUT]] != []
+    assert all(name == "subscribe" and due > 0 for row in modules() for due, name in row[DUE])
+    assert len(front[0][DUE]) > 0 and front[0][WITHDRAWN] and front[0][UNACKED]
+    assert "draining" in {b[STATE] for b in front[0][BACKENDS]}
+    kind, taken, sidecar, _ = plain("sidecar")
+    assert (kind, taken) == ("sidecar", TAKEN) and [pool[0] for pool in sidecar[0]] == ["nodes", "halls"]
+    closed = [[s[CLOSED] for s in pool[2][SLICES] if s[CLOSED] is not None] for pool in sidecar[0]]
+    assert all(closed) and sidecar[0][0][10] != []
+
+
+@pytest.mark.parametrize("place", range(3))
+def test_a_module_comes_back_byte_for_byte(place):
+    """Each value in the place that it had, whatever the names of rows and module are."""
+    row = modules()[place]
+    boot, _ = bootstrap(SETTINGS_OF_COORDINATOR)
+    module = thaw(msgspec.convert(row, ModuleRow), boot)
+    data = msgspec.msgpack.encode(freeze(module))
+    assert data == msgspec.msgpack.encode(row)
+    assert msgspec.msgpack.decode(data) == row
+
+
+@pytest.mark.parametrize("number", range(len(FRAMES)))
+def test_a_frame_is_read_and_written_as_it_was(number):
+    name, descriptors, given = FRAMES[number]
+    data = recorded(f"{name}.frame")
+    ((word, count),) = Frames(WORDS).feed(data)
+    assert type(word) is WORDS.rows[number] and count == descriptors
+    assert frame(word, count) == data
+    found = values(name, given, recorded("coordinator.snapshot"))
+    assert list(msgspec.structs.astuple(word)) == found
+    assert msgspec.msgpack.decode(data[-len(msgspec.msgpack.encode(found)) :]) == found
+
+
+def test_each_word_has_its_frame():
+    assert len(WORDS.rows) == len(FRAMES) and WORDS.magic == b"IHup" and WORDS.protocol == 1
+    assert {path.name for path in FOLDER.glob("*.frame")} == {f"{name}.frame" for name, _, _ in FRAMES}
+
+
+def test_what_came_since_the_state_is_read_and_written_as_it_was():
+    ((commit, _),) = Frames(WORDS).feed(recorded("commit.frame"))
+    rest = msgspec.structs.astuple(commit)[0]
+    assert msgspec.msgpack.encode(events.pack_all(events.unpack_all(msgspec.msgpack.decode(rest)))) == rest
+    assert msgspec.msgpack.decode(rest) == REST
+
+
+@pytest.mark.parametrize("place", range(len(ORDERS)))
+def test_orders_that_wait_are_read_and_written_as_they_were(place):
+    rows = ORDERS[place]
+    assert msgspec.msgpack.encode(events.pack_all(events.unpack_all(rows))) == msgspec.msgpack.encode(rows)
