--- a/indigohitch/logic/__init__.py
+++ b/indigohitch/logic/__init__.py
@@ -9,7 +9,7 @@
 from .judging import assess
 from .planning import evacuate, plan
 from .sending import emit
-from .state import Part, State
+from .state import DueAction, Part, State
 
 
 class Coordinator(State):
@@ -23,7 +23,9 @@
             if type(event) in HEAR:             # others tell nothing that is used here
                 HEAR[type(event)](self, event)
         while self.due and self.due[0][0] <= now:
-            getattr(self, heappop(self.due)[1])()
+            match heappop(self.due)[1]:
+                case DueAction.SUBSCRIBE:
+                    self.subscribe()
         if due := now >= self.next_beat:
             self.beat()
         if heard := due or any(not isinstance(e, Acked) for e in events):
--- a/indigohitch/logic/hearing.py
+++ b/indigohitch/logic/hearing.py
@@ -3,7 +3,7 @@
 
 from .. import interface as face
 from .judging import judge
-from .state import LEAVING, Backend, Slice, State, mean_cost
+from .state import LEAVING, Backend, DueAction, Slice, State, mean_cost
 
 
 def on_list(c: State, news: face.BackendList) -> None:
@@ -11,7 +11,7 @@
         # Ask again, apart from the others and less often while it goes on, after four seconds at most.
         c.calls_failed += 1
         span = face.SECOND // 4 * 2 ** min(c.calls_failed, 3)
-        heappush(c.due, (c.now + span + int(span * c.uniform()), "subscribe"))
+        heappush(c.due, (c.now + span + int(span * c.uniform()), DueAction.SUBSCRIBE))
         c.log("no news of the backends: the list's call failed, asking again")
         return
     c.list_fresh, c.calls_failed = c.list_fresh or news.scope != "remembered", 0
--- a/indigohitch/logic/state.py
+++ b/indigohitch/logic/state.py
@@ -2,6 +2,7 @@
 import hashlib
 import math
 import random
+from enum import StrEnum
 
 from ..interface import SECOND, LogLine
 from .channel import Channel
@@ -9,6 +10,12 @@
 LEAVING = ("draining", "gone")  # states in which a backend may hold no line
 
 
+class DueAction(StrEnum):
+    """What a coordinator has to do at a time; the values go into hand-overs and snapshots."""
+
+    SUBSCRIBE = "subscribe"                     # ask for the list of backends again
+
+
 class Sums:
     """Two sums that fade with a time constant: what was added lately counts most."""
 
@@ -116,7 +123,8 @@
         self.charge = 0.0                       # how many of them, the most of late
         self.proxies: dict[int, str] = {}
         self.left: dict[int, int] = {}          # until when a proxy may write by an old table
-        self.channel, self.due = Channel(bootstrap), [(0, "subscribe")]     # due time, what to do then
+        self.channel = Channel(bootstrap)
+        self.due: list[tuple[int, DueAction]] = [(0, DueAction.SUBSCRIBE)]      # a heap: due time, what then
         self.yield_, self.failing = 0.0, 0.0    # answered cost a second and unit of weight; share of failures
         self.assessed, self.turn, self.plan_from = 0, 0, 0      # last judged, planned; no planning before
         self.balancing = self.strained = self.held = False      # in the band; too much for all; lines wait
--- a/indigohitch/upgrade/events.py
+++ b/indigohitch/upgrade/events.py
@@ -1,8 +1,10 @@
-"""Events and orders of the module as plain data and back.  No I/O."""
+"""Events and orders of the module as plain data and back.  No I/O.
+
+The rows go into hand-overs and snapshots: a wire name, then the values in the order of `_WIRE`.  A class or a
+field of the package may be renamed; the wire names and the order of the values stay."""
 
 from __future__ import annotations
 
-import dataclasses
 import hashlib
 from collections.abc import Iterable
 
@@ -10,64 +12,69 @@
 
 from .. import interface as face
 
-_TYPES = {
-    kind.__name__: kind
-    for kind in (
-        face.BackendList,
-        face.Probed,
-        face.SliceDemand,
-        face.ProxyDemand,
-        face.Traffic,
-        face.ProxyJoined,
-        face.ProxyLeft,
-        face.Acked,
-        face.Charge,
-        face.StoredLine,
-        face.PeerNote,
-        face.TimerDue,
-        face.SetLine,
-        face.ClearTable,
-        face.SetLevel,
-        face.Withdraw,
-        face.Bind,
-        face.Mark,
-        face.Probe,
-        face.TellPeer,
-        face.Subscribe,
-        face.FetchList,
-        face.SetTimer,
-        face.LogLine,
-    )
+# By class: its wire name, and its fields in the order of their values on the wire.
+_WIRE: dict[type, tuple[str, tuple[str, ...]]] = {
+    face.BackendList: ("BackendList", ("scope", "version", "entries")),
+    face.Probed: ("Probed", ("backend", "outcome", "duration", "load")),
+    face.SliceDemand: ("SliceDemand", ("slice", "method", "total", "unanswered", "elapsed")),
+    face.ProxyDemand: ("ProxyDemand", ("proxy", "method", "total", "unanswered", "elapsed")),
+    face.Traffic: ("Traffic", ("zone", "backend", "tries", "failures", "duration", "elapsed", "load")),
+    face.ProxyJoined: ("ProxyJoined", ("proxy", "zone", "rate", "fresh")),
+    face.ProxyLeft: ("ProxyLeft", ("proxy",)),
+    face.Acked: ("Acked", ("proxy", "mark", "duration")),
+    face.Charge: ("Charge", ("slice", "held")),
+    face.StoredLine: ("StoredLine", ("slice", "backend", "weight")),
+    face.PeerNote: ("PeerNote", ("peer", "body")),
+    face.TimerDue: ("TimerDue", ("tag",)),
+    face.SetLine: ("SetLine", ("table", "backend", "weight")),
+    face.ClearTable: ("ClearTable", ("table",)),
+    face.SetLevel: ("SetLevel", ("table", "methods", "level", "tries")),
+    face.Withdraw: ("Withdraw", ("backend", "out")),
+    face.Bind: ("Bind", ("proxy", "table", "methods")),
+    face.Mark: ("Mark", ("mark", "everyone")),
+    face.Probe: ("Probe", ("backend",)),
+    face.TellPeer: ("TellPeer", ("peer", "body")),
+    face.Subscribe: ("Subscribe", ("on",)),
+    face.FetchList: ("FetchList", ()),
+    face.SetTimer: ("SetTimer", ("due", "tag")),
+    face.LogLine: ("LogLine", ("text",)),
 }
-_FIELDS = {name: [f.name for f in dataclasses.fields(kind)] for name, kind in _TYPES.items()}
-LISTED = [f.name for f in dataclasses.fields(face.Listed)]
+_KINDS = {name: (kind, fields) for kind, (name, fields) in _WIRE.items()}
+# One entry of a list of backends, which has no name on the wire.
+_LISTED = ("backend", "state", "weight", "zone", "cell", "kind", "started")
 
 
 def listed(entry: face.Listed) -> tuple:
-    return tuple(getattr(entry, name) for name in LISTED)
+    return tuple(getattr(entry, field) for field in _LISTED)
+
+
+def unlisted(row: Iterable) -> face.Listed:
+    """Raises ValueError."""
+    return face.Listed(**dict(zip(_LISTED, row, strict=True)))
 
 
-def pack(item) -> tuple:
-    name = type(item).__name__
-    values = [getattr(item, field) for field in _FIELDS[name]]
-    if name == "BackendList":
+def pack(item: face.Event | face.Order) -> tuple:
+    name, fields = _WIRE[type(item)]
+    values = [getattr(item, field) for field in fields]
+    if type(item) is face.BackendList:
         values[-1] = [listed(entry) for entry in item.entries]
     return (name, *values)
 
 
-def unpack(row: Iterable):
+def unpack(row: Iterable) -> face.Event | face.Order:
     """Raises ValueError."""
     name, *values = row
-    if name not in _TYPES or len(values) != len(_FIELDS[name]):
+    if name not in _KINDS or len(values) != len(_KINDS[name][1]):
         raise ValueError(f"no event or order: {name!r} with {len(values)} values")
-    if name == "BackendList":
-        values[-1] = tuple(face.Listed(*entry) for entry in values[-1])
-    elif name == "SetLevel":
+    kind, fields = _KINDS[name]
+    if kind is face.BackendList:
+        values[-1] = tuple(map(unlisted, values[-1]))
+    elif kind is face.SetLevel:
         values[1] = tuple(values[1])
-    return _TYPES[name](*values)
+    return kind(**dict(zip(fields, values)))
 
 
-def pack_all(items: Iterable) -> list[tuple]:
+def pack_all(items: Iterable[face.Event | face.Order]) -> list[tuple]:
     return [pack(item) for item in items]
 
 
--- a/indigohitch/upgrade/module_rows.py
+++ b/indigohitch/upgrade/module_rows.py
@@ -1,4 +1,4 @@
-"""The form in which the decision module goes to the next process: rows, and what is copied by name."""
+"""The form in which the decision module goes to the next process: rows, and the attributes that they hold."""
 
 from __future__ import annotations
 
@@ -94,50 +94,61 @@
     charge: float = 0.0
 
 
-PLAIN = (
-    "now",
-    "beats",
-    "plan_from",
-    "yield_",
-    "failing",
-    "assessed",
-    "turn",
-    "strained",
-    "balancing",
-    "held",
-    "list_fresh",
-    "next_beat",
-    "timer",
-    "calls_failed",
-    "joined",
-    "charge",
-)
-OF_CHANNEL = ("mark", "backlog", "backlog_at")
-OF_BACKEND = (
-    "kind",
-    "zone",
-    "weight",
-    "started",
-    "state",
-    "dropped",
-    "told",
-    "slowness",
-    "excess",
-    "probe_out",
-    "misses",
-    "miss_since",
-    "ok_heard",
-    "unanswered",
-    "health",
-    "admit",
-    "judged",
-    "wait",
-    "doubtful",
-    "lost",
-    "intake",
-    "warmth",
-    "capacity",
-    "load",
-    "share",
-)
-OF_SLICE = ("since", "level", "load", "cost", "mark", "closed_at", "quiet", "burst")
+# What is copied as it stands: the row's field, and the attribute of the module's object.  Rows are arrays, so
+# either name may change without the other, and no byte with them; the order of a row's fields may not.
+PLAIN = {
+    "now": "now",
+    "beats": "beats",
+    "plan_from": "plan_from",
+    "yield_": "yield_",
+    "failing": "failing",
+    "assessed": "assessed",
+    "turn": "turn",
+    "strained": "strained",
+    "balancing": "balancing",
+    "held": "held",
+    "list_fresh": "list_fresh",
+    "next_beat": "next_beat",
+    "timer": "timer",
+    "calls_failed": "calls_failed",
+    "joined": "joined",
+    "charge": "charge",
+}
+OF_CHANNEL = {"mark": "mark", "backlog": "backlog", "backlog_at": "backlog_at"}
+OF_BACKEND = {
+    "kind": "kind",
+    "zone": "zone",
+    "weight": "weight",
+    "started": "started",
+    "state": "state",
+    "dropped": "dropped",
+    "told": "told",
+    "slowness": "slowness",
+    "excess": "excess",
+    "probe_out": "probe_out",
+    "misses": "misses",
+    "miss_since": "miss_since",
+    "ok_heard": "ok_heard",
+    "unanswered": "unanswered",
+    "health": "health",
+    "admit": "admit",
+    "judged": "judged",
+    "wait": "wait",
+    "doubtful": "doubtful",
+    "lost": "lost",
+    "intake": "intake",
+    "warmth": "warmth",
+    "capacity": "capacity",
+    "load": "load",
+    "share": "share",
+}
+OF_SLICE = {
+    "since": "since",
+    "level": "level",
+    "load": "load",
+    "cost": "cost",
+    "mark": "mark",
+    "closed_at": "closed_at",
+    "quiet": "quiet",
+    "burst": "burst",
+}
--- a/indigohitch/upgrade/module_state.py
+++ b/indigohitch/upgrade/module_state.py
@@ -8,9 +8,10 @@
 
 import random
 from collections import deque
+from collections.abc import Mapping
 
 from ..logic import Coordinator
-from ..logic.state import Backend, Part, Slice, Sums
+from ..logic.state import Backend, DueAction, Part, Slice, Sums
 from ..packed.rows import Row
 from .module_rows import (
     OF_BACKEND,
@@ -24,15 +25,21 @@
 )
 
 
-def _named(thing, names: tuple[str, ...], row: type[Row]) -> dict:
-    """Its fields; where a float is due an int is made one, so that reading back changes nothing."""
+def _fields(thing: object, attributes: Mapping[str, str], row: type[Row]) -> dict:
+    """The row's fields that copy an attribute of `thing`; where a float is due an int is made one, so that
+    reading back changes nothing."""
     kinds = row.__annotations__
     return {
-        name: float(getattr(thing, name)) if kinds[name] == "float" else getattr(thing, name)
-        for name in names
+        field: float(getattr(thing, name)) if kinds[field] == "float" else getattr(thing, name)
+        for field, name in attributes.items()
     }
 
 
+def _restore(thing: object, attributes: Mapping[str, str], row: Row) -> None:
+    for field, name in attributes.items():
+        setattr(thing, name, getattr(row, field))
+
+
 def _sums(sums: Sums) -> SumsRow:
     return SumsRow(sums.span, sums.at, sums.values)
 
@@ -61,7 +68,7 @@
                 pace=_sums(b.pace),
                 tries=_sums(b.tries),
                 parts=[where[p] for p in b.parts if p in where],
-                **_named(b, OF_BACKEND, BackendRow),
+                **_fields(b, OF_BACKEND, BackendRow),
             )
             for b in place
         ],
@@ -74,13 +81,13 @@
                 usual=_sums(s.usual),
                 latest=_sums(s.latest),
                 closed=None if s.closed is None else list(s.closed),
-                **_named(s, OF_SLICE, SliceRow),
+                **_fields(s, OF_SLICE, SliceRow),
             )
             for s in c.slices.values()
         ],
         proxies=list(c.proxies.items()),
         left=list(c.left.items()),
-        due=list(c.due),
+        due=[(at, action.value) for at, action in c.due],
         levels_sent=sorted(c.levels_sent),
         withdrawn=sorted(place[b] for b in c.withdrawn),
         returned=sorted(place[b] for b in c.returned),
@@ -88,8 +95,8 @@
         unacked=[
             (mark, float(lines), sorted(proxies)) for mark, (lines, proxies) in c.channel.unacked.items()
         ],
-        **_named(c, PLAIN, ModuleRow),
-        **_named(c.channel, OF_CHANNEL, ModuleRow),
+        **_fields(c, PLAIN, ModuleRow),
+        **_fields(c.channel, OF_CHANNEL, ModuleRow),
     )
 
 
@@ -99,22 +106,18 @@
     chance = random.Random()
     chance.setstate((row.chance[0], tuple(row.chance[1]), row.chance[2]))
     c.uniform = chance.random
-    for name in PLAIN:
-        setattr(c, name, getattr(row, name))
-    for name in OF_CHANNEL:
-        setattr(c.channel, name, getattr(row, name))
+    _restore(c, PLAIN, row)
+    _restore(c.channel, OF_CHANNEL, row)
     backends = []
     for found in row.backends:
         b = Backend(found.id)
-        for name in OF_BACKEND:
-            setattr(b, name, getattr(found, name))
+        _restore(b, OF_BACKEND, found)
         b.pace, b.tries = _back(found.pace), _back(found.tries)
         c.backends[b.id] = b
         backends.append(b)
     for found in row.slices:
         s = Slice(found.number, found.since)
-        for name in OF_SLICE:
-            setattr(s, name, getattr(found, name))
+        _restore(s, OF_SLICE, found)
         s.demand, s.usual = _back(found.demand), _back(found.usual)
         s.latest = _back(found.latest) if found.latest is not None else s.latest
         s.closed = None if found.closed is None else tuple(found.closed)
@@ -129,7 +132,7 @@
         if any(p.owner is not b for p in b.parts):
             raise ValueError(f"a part at {b.id} has another owner")
     c.proxies, c.left = dict(row.proxies), dict(row.left)
-    c.due = [tuple(entry) for entry in row.due]
+    c.due = [(at, DueAction(name)) for at, name in row.due]
     c.levels_sent = set(row.levels_sent)
     c.withdrawn, c.returned = ({backends[at] for at in places} for places in (row.withdrawn, row.returned))
     c.channel.sent = deque(row.sent)
--- a/indigohitch/upgrade/phases.py
+++ b/indigohitch/upgrade/phases.py
@@ -10,6 +10,10 @@
   anything was committed.
 - As long as one of them lives and nobody asked it to end, one accepts, at the latest after the deadlines.
 - A connection that was passed has one owner: the old one keeps it until the new one has said that it has it.
+
+What is said by name: the values of `Phase` and the names of events stand in the log (`upgrade`, `takeover`),
+and the phases before the commit also in the reason of an upgrade that ran out of time, which goes to the new
+process and to who asked.  The values of `Act` call methods (`do_...`) and go nowhere.
 """
 
 from __future__ import annotations
--- a/indigohitch/upgrade/words.py
+++ b/indigohitch/upgrade/words.py
@@ -46,7 +46,8 @@
 
 
 class Passed(Word):
-    """With their descriptors: connections, by number, what each brought that nobody read, and what it is."""
+    """With their descriptors: connections, by number, what each brought that nobody read, and what it is:
+    "client" at a sidecar; at a coordinator the caller's figures as a JSON array, by position."""
 
     numbers: list[int]
     rests: list[bytes]
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -8,7 +8,7 @@
 
 import test_rules
 from indigohitch.interface import ALL_TABLES, SetLevel
-from indigohitch.upgrade import events, module_state
+from indigohitch.upgrade import events, module_rows, module_state
 from indigohitch.upgrade import snapshot as shots
 from world import World, entry
 
@@ -72,14 +72,28 @@
     transient = {"orders", "asking", "probing"}
     of_boot = {"boot", "uniform", "methods", "many", "own"}  # read of it at the start
     of_boot |= {"most", "over", "window", "burst", "reserve", "regain"}
-    fields = set(vars(c)) | set(vars(c.channel)) | set(vars(c.channel.messages))
-    assert fields - transient - of_boot - {"channel", "messages"} <= set(
-        module_state.ModuleRow.__struct_fields__
-    )
-    assert set(vars(next(iter(c.backends.values())))) - {"key"} <= set(
-        module_state.BackendRow.__struct_fields__
-    )
-    assert set(vars(c.slices[0])) <= set(module_state.SliceRow.__struct_fields__)
+    # Copied by code of their own: the attributes, and the fields of the rows.
+    own = {"backends", "slices", "proxies", "left", "due", "levels_sent", "withdrawn", "returned"}
+    of_channel, of_backend = {"sent", "unacked"}, {"id", "pace", "tries", "parts"}
+    of_slice = {"number", "parts", "stored", "demand", "usual", "latest", "closed"}
+    fields = set(vars(c)) - transient - of_boot - {"channel"}
+    assert fields == set(module_rows.PLAIN.values()) | own
+    fields = (set(vars(c.channel)) | set(vars(c.channel.messages))) - of_boot - {"messages"}
+    assert fields == set(module_rows.OF_CHANNEL.values()) | of_channel
+    fields = set(vars(next(iter(c.backends.values()))))
+    assert fields - {"key"} == set(module_rows.OF_BACKEND.values()) | of_backend
+    assert set(vars(c.slices[0])) == set(module_rows.OF_SLICE.values()) | of_slice
+    for row, by_table, by_hand in (
+        (
+            module_rows.ModuleRow,
+            module_rows.PLAIN | module_rows.OF_CHANNEL,
+            own | of_channel | {"chance"},
+        ),
+        (module_rows.BackendRow, module_rows.OF_BACKEND, of_backend),
+        (module_rows.SliceRow, module_rows.OF_SLICE, of_slice),
+    ):
+        assert not by_table.keys() & by_hand
+        assert set(row.__struct_fields__) == by_table.keys() | by_hand
 
 
 def shot():
