--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -102,6 +102,11 @@
     )
 
 
+def sidecar(loop, log) -> SidecarHandover:
+    host = Host(loop, log, read(TEXT.format(free_address())))
+    return SidecarHandover(host, lambda: None, lambda sock: None, lambda: None)
+
+
 def test_a_coordinator_restored_writes_the_same_state(loop, log):
     data, side = recorded("coordinator.snapshot"), coordinator(loop, log)
     state = shots.decode(data)
@@ -123,8 +128,8 @@
     data = recorded("sidecar.snapshot")
     state = shots.decode(data)
     assert shots.encode(state) == data
-    host = Host(loop, log, read(TEXT.format(free_address())))
-    side = SidecarHandover(host, lambda: None, lambda sock: None, lambda: None)
+    side = sidecar(loop, log)
+    host = side.host
     side.restore(state, {})
     assert side.cold == [] and shots.encode(side.again()) == data
     side.take_rest(msgspec.msgpack.encode(SIDECAR_REST))
