--- a/tools/rename.py
+++ b/tools/rename.py
@@ -13,7 +13,7 @@
     old = "told"
     new = "notified_at"
     paths = ["indigohitch/logic/*", "tests/test_logic_*"]      # default: all
-    base = "b|backend|self"                    # what stands before the dot, a regular expression; default: any
+    base = "b|backend|self"                    # what stands before the dot, as a regular expression
     keywords = true                            # keyword arguments of calls of these names too; default: true
     [strings]                                  # string literals that are exactly this: log events, counters
     news_lost = "relay_watch_lost"
