--- a/benchmarks/capacitykit/entries_cell.py
+++ b/benchmarks/capacitykit/entries_cell.py
@@ -6,6 +6,7 @@
 
 import msgspec
 
+from indigohitch.encoding.frames import Frames
 from indigohitch.fleet.disk.records import RECORDS, Group, One
 from indigohitch.fleet.ledger.ports import Commit, Heard, Propose, Write
 from indigohitch.fleet.ledger.words import Append, Appended
@@ -14,7 +15,6 @@
 from indigohitch.fleet.node.words import KINDS
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.terms import Entry, Proposal
-from indigohitch.packed.frames import Frames
 
 from .ledger_cell import VOTERS, Leader, Member, frames_of, group
 from .measuring import Memory, processor_ms
--- a/benchmarks/capacitykit/leases_cell.py
+++ b/benchmarks/capacitykit/leases_cell.py
@@ -5,6 +5,7 @@
 
 import statistics
 
+from indigohitch.encoding.frames import Frames
 from indigohitch.fleet.audit.heads import Heads
 from indigohitch.fleet.hours import Hours
 from indigohitch.fleet.members.entries import Join, Life
@@ -15,7 +16,6 @@
 from indigohitch.fleet.node.words import KINDS
 from indigohitch.fleet.ports import At
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.packed.frames import Frames
 
 from .measuring import Memory, processor_ms
 
--- a/benchmarks/capacitykit/ledger_cell.py
+++ b/benchmarks/capacitykit/ledger_cell.py
@@ -7,6 +7,7 @@
 import statistics
 from collections.abc import Iterable
 
+from indigohitch.encoding.frames import Frames
 from indigohitch.fleet.ledger.machine import Machine
 from indigohitch.fleet.ledger.members import encoded
 from indigohitch.fleet.ledger.ports import (
@@ -25,7 +26,6 @@
 from indigohitch.fleet.node.node import BOUNDS
 from indigohitch.fleet.node.words import KINDS
 from indigohitch.fleet.terms import Proposal, Who
-from indigohitch.packed.frames import Frames
 
 from .measuring import Memory, processor_ms
 
--- a/benchmarks/capacitykit/links_far.py
+++ b/benchmarks/capacitykit/links_far.py
@@ -12,9 +12,9 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks"), str(ROOT / "tests")]
 
 from capacitykit.links_cell import FLEET, KINDS, listeners, said_frame  # noqa: E402
+from indigohitch.encoding.frames import Frames  # noqa: E402
 from indigohitch.fleet.links.words import Greeting, Pulse, Pulsed, Welcome  # noqa: E402
 from indigohitch.fleet.terms import Who  # noqa: E402
-from indigohitch.packed.frames import Frames  # noqa: E402
 
 AT_ONCE = 16  # greetings out at a time: a member takes few strangers
 
--- a/benchmarks/capacitykit/platform_cell.py
+++ b/benchmarks/capacitykit/platform_cell.py
@@ -6,8 +6,8 @@
 
 import orjson
 
-from indigohitch.platformlink.discovery import read_list
-from indigohitch.platformlink.words import Known, report, split
+from indigohitch.platform_protocol.discovery import read_list
+from indigohitch.platform_protocol.messages import Known, report, split
 
 from .measuring import Memory, processor_ms
 
--- a/benchmarks/distribution_cost.py
+++ b/benchmarks/distribution_cost.py
@@ -16,6 +16,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
+from indigohitch.encoding.frames import Frames  # noqa: E402
 from indigohitch.fleet.distribution import ports  # noqa: E402
 from indigohitch.fleet.distribution.distributor import Distributor  # noqa: E402
 from indigohitch.fleet.distribution.limits import Limits, SubscriberLimits  # noqa: E402
@@ -25,7 +26,6 @@
 from indigohitch.fleet.distribution.terms import Resource  # noqa: E402
 from indigohitch.fleet.ports import At  # noqa: E402
 from indigohitch.net.clock import SECOND  # noqa: E402
-from indigohitch.packed.frames import Frames  # noqa: E402
 
 RESOURCES, SERVICES, REACH = 28_000, 1_600, 20
 BODY = 80  # bytes of one resource: address, zone, state, weight
--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -27,7 +27,7 @@
 from indigohitch import interface as face  # noqa: E402
 from indigohitch import logic  # noqa: E402
 from indigohitch.load.trace import Trace  # noqa: E402
-from indigohitch.logic import planning  # noqa: E402
+from indigohitch.logic import planner  # noqa: E402
 from indigohitch.model.backends import Kind  # noqa: E402
 from indigohitch.model.emulator import Emulator, World  # noqa: E402
 from indigohitch.net.clock import SECOND  # noqa: E402
@@ -133,7 +133,7 @@
 
 def without_band():
     """The module with its band's edges at the mean: it plans on any difference."""
-    text = Path(planning.__file__).read_text()
+    text = Path(planner.__file__).read_text()
     for edge in (
         "max(uses) > 1.25 or min(uses) < 1 / 1.25",
         "b.use() > 1.10 * mean",
--- a/indigohitch/subscribed/instances.py
+++ b/indigohitch/backend_subscription/instances.py
@@ -11,7 +11,7 @@
 import orjson
 
 from .. import interface as face
-from ..platformlink.discovery import read_list
+from ..platform_protocol.discovery import read_list
 from .errors import UnreadableInstance
 
 PREFIX = "instance/"
--- a/indigohitch/subscribed/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -1,4 +1,4 @@
-"""The subscription as the front's source of backends, in the place of discovery (platformlink/sources.py)."""
+"""The subscription as the front's source of backends, in place of discovery (`platform_protocol.backend_source`)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from ..errors import Trouble
 from ..log import Log
-from ..platformlink.sources import Tell
+from ..platform_protocol.backend_source import Tell
 from .errors import NoInstances
 from .instances import Instances, Told
 
--- a/indigohitch/benchlink/host.py
+++ b/indigohitch/benchlink/host.py
@@ -5,8 +5,8 @@
 
 from typing import BinaryIO
 
-from ..bootstrap import bootstrap, tenths
 from ..logic import Coordinator
+from ..settings import bootstrap, tenths
 from . import incoming, outgoing
 
 
--- a/indigohitch/benchlink/incoming.py
+++ b/indigohitch/benchlink/incoming.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from .. import interface as face
-from ..bootstrap import load_report, tenths
+from ..settings import load_report, tenths
 
 _on_wire = msgspec.field  # _on_wire(name="..."): a field's name on the wire
 
--- a/indigohitch/cli.py
+++ b/indigohitch/cli.py
@@ -73,11 +73,11 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
     """Read FILE, a sidecar's or a coordinator's, and tell all that is wrong with it, each with its line."""
-    from .directives import either
+    from .config import either
 
     text = either.load(file)
     if text.fleet is not None and "batches" in text.fleet.parts:
-        from .directives.lines import Mistakes
+        from .config.lines import Mistakes
         from .fleet.batches.contract import mistakes
 
         if found := [one for part in text.fleet.parts["batches"] for one in mistakes(part)]:
@@ -144,8 +144,8 @@
 
 
 def asked(file: str, what: str, wait: float) -> dict:
+    from .config import either
     from .control import ask
-    from .directives import either
     from .errors import NotNow, Unfit
 
     path = either.load(file).single["control"]
--- a/indigohitch/directives/fleet.py
+++ b/indigohitch/config/fleet.py
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class DistributorText:
-    """A member at which others subscribe (directives/distribution.py)."""
+    """A member at which others subscribe (config/distribution.py)."""
 
     name: str
     address: tuple[str, int]
@@ -124,7 +124,7 @@
             reader.wrong(line, f"{what} without a line `fleet`")
         return
     if fleet.services:
-        return  # a subscriber's file (directives/distribution.py)
+        return  # a subscriber's file (config/distribution.py)
     check_members(reader, fleet)
     check_waits(reader, fleet)
     if ("directive", "ledger") not in reader.lines:
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -7,12 +7,12 @@
 import socket
 from collections.abc import MutableMapping
 
-from .directives import operator_file
-from .directives.texts import Text
+from .config import operator_file
+from .config.texts import Text
 from .errors import told
-from .platformlink.front import Front
-from .platformlink.handover import Handover
-from .platformlink.sources import BackendSource, Tell
+from .platform_protocol.backend_source import BackendSource, Tell
+from .platform_protocol.front import Front
+from .platform_protocol.handover import Handover
 from .replaceable import Replaceable
 from .replaceable_parts import Phase
 from .service import configuration, reload_front
@@ -44,7 +44,7 @@
         return SubscriberSide(side, self.beside)
 
     def subscribed_backends(self, tell: Tell) -> BackendSource:
-        from .subscribed.source import SubscribedBackends
+        from .backend_subscription.source import SubscribedBackends
 
         source = SubscribedBackends(self.log, self.beside.resources, tell)
         self.beside.heard = source.applied
--- a/indigohitch/fleet/audit/chain.py
+++ b/indigohitch/fleet/audit/chain.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from ...packed.rows import Row, digest
+from ...encoding.rows import Row, digest
 from ..terms import Stamp
 
 SALT = 0x4155  # "AU": a record's digest is never taken for another thing's
--- a/indigohitch/fleet/audit/check.py
+++ b/indigohitch/fleet/audit/check.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Iterator, Mapping, Sequence
 
+from ...encoding.rows import Row
 from ...net.clock import SECOND
-from ...packed.rows import Row
 from .chain import Record, root
 from .heads import Facts, Kept
 
--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from pathlib import Path
 
+from ...encoding.files import sync_folder, write_whole
+from ...encoding.frames import HEAD, Broken, Kinds
 from ...errors import Unreadable
-from ...net.worker import Worker
-from ...packed.files import sync_folder, write_whole
-from ...packed.frames import HEAD, Broken, Kinds
+from ...net.worker_thread import Worker
 from .chain import Record
 
 KINDS = Kinds(b"IHAU", 1, [Record])
--- a/indigohitch/fleet/audit/heads.py
+++ b/indigohitch/fleet/audit/heads.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from ...encoding.rows import Row
 from ...errors import Unfit, Unreadable
-from ...packed.rows import Row
 from ..ports import At
 from ..state_machine import ReplicatedStateMachine
 
--- a/indigohitch/fleet/audit/orders.py
+++ b/indigohitch/fleet/audit/orders.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
+from ...encoding.rows import digest
 from ...net.clock import Clock
-from ...packed.rows import digest
 
 if TYPE_CHECKING:
     from ..node.node import Node
--- a/indigohitch/fleet/audit/work.py
+++ b/indigohitch/fleet/audit/work.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from ...encoding.rows import Row
 from ...errors import Trouble
 from ...net.clock import SECOND
-from ...packed.rows import Row
 from ..members.work import Membership
 from ..ports import Wanted
 from ..terms import Entry, Lease, Outcome
--- a/indigohitch/fleet/batches/asking.py
+++ b/indigohitch/fleet/batches/asking.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Mapping
 
-from ...directives.batches import BatchesText
-from ...directives.words import name, span
+from ...config.batches import BatchesText
+from ...config.words import name, span
 from ...errors import Unfit
 from .prices import moment
 from .rows import Band, Batch, BatchClass, Contract, Cut, Site, Word
--- a/indigohitch/fleet/batches/contract.py
+++ b/indigohitch/fleet/batches/contract.py
@@ -10,8 +10,8 @@
 from functools import lru_cache
 from zoneinfo import ZoneInfo
 
-from ...directives.batches import BatchesText
-from ...directives.tariffs import DAYS
+from ...config.batches import BatchesText
+from ...config.tariffs import DAYS
 from ...errors import Unfit
 from ...net.clock import SECOND
 from .rows import Band, Contract, Site
--- a/indigohitch/fleet/batches/inside.py
+++ b/indigohitch/fleet/batches/inside.py
@@ -5,8 +5,8 @@
 import os
 from collections.abc import Callable, Collection
 
-from ...directives.batches import BatchesText
-from ...directives.fleet import FleetText
+from ...config.batches import BatchesText
+from ...config.fleet import FleetText
 from ...errors import Trouble, Unfit, told
 from ...log import Log
 from ...net.clock import SECOND
--- a/indigohitch/fleet/batches/leader.py
+++ b/indigohitch/fleet/batches/leader.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
+from ...encoding.rows import Row
 from ...errors import Unfit
 from ...net.clock import SECOND
-from ...packed.rows import Row
 from ..ports import Wanted
 from . import contract
 from .part import Batches
--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
+from ...encoding.rows import Row, digest
 from ...errors import Unfit
 from ...net.clock import SECOND
-from ...packed.rows import Row, digest
 from ..members.roster import changed
 from ..ports import At
 from . import prices
--- a/indigohitch/fleet/batches/prices.py
+++ b/indigohitch/fleet/batches/prices.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from ...directives.tariffs import price
+from ...config.tariffs import price
+from ...encoding.rows import digest
 from ...errors import Unfit, Unreadable
 from ...net.clock import SECOND
-from ...packed.rows import digest
 from .rows import Prices
 
 HOUR = 3600 * SECOND
--- a/indigohitch/fleet/batches/rows.py
+++ b/indigohitch/fleet/batches/rows.py
@@ -7,7 +7,7 @@
 
 import enum
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 from ..terms import Stamp
 
 # ---- the contract: a version of it is an entry ------------------------------------------------------
--- a/indigohitch/fleet/batches/sending.py
+++ b/indigohitch/fleet/batches/sending.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping
 
 from ...net.clock import SECOND
-from ...net.exchange import Answer, Exchange
-from ...net.http import Client
+from ...net.http_client import Client
+from ...net.http_exchange import Answer, Exchange
 from ...net.loop import Loop
 from ..terms import Stamp
 from .part import Batches
--- a/indigohitch/fleet/disk/files.py
+++ b/indigohitch/fleet/disk/files.py
@@ -5,7 +5,7 @@
 import fcntl
 import os
 
-from ...packed.files import sync_folder, write_whole
+from ...encoding.files import sync_folder, write_whole
 
 
 class Files:
--- a/indigohitch/fleet/disk/identity.py
+++ b/indigohitch/fleet/disk/identity.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from ...encoding.rows import digest
 from ...errors import Unreadable
-from ...packed.rows import digest
 
 FORM = 1
 
--- a/indigohitch/fleet/disk/records.py
+++ b/indigohitch/fleet/disk/records.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
+from ...encoding.frames import HEAD, Broken, Kinds
+from ...encoding.rows import Row
 from ...errors import Unreadable
-from ...packed.frames import HEAD, Broken, Kinds
-from ...packed.rows import Row
 from ..ledger.ports import Ballot
 from ..terms import Entry, Who
 
--- a/indigohitch/fleet/disk/snapshots.py
+++ b/indigohitch/fleet/disk/snapshots.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ...packed.rows import digest
+from ...encoding.rows import digest
 from ..ledger.ports import Snap
 from .records import Harmed
 
--- a/indigohitch/fleet/disk/store.py
+++ b/indigohitch/fleet/disk/store.py
@@ -13,7 +13,7 @@
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Deadline, Loop
-from ...net.worker import Worker
+from ...net.worker_thread import Worker
 from ..ledger.ports import Ballot, DiskBack, DiskFailed, Held, Input, Members, Snap, Snapped, Write, Written
 from ..terms import Who
 from .files import Files
--- a/indigohitch/fleet/distribution/asking.py
+++ b/indigohitch/fleet/distribution/asking.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Mapping
 
+from ...encoding.rows import Row
 from ...errors import Unfit
-from ...packed.rows import Row
 from .part import Remove, Replace, ServiceKeys, ServiceResources, Set
 from .terms import Resource
 
--- a/indigohitch/fleet/distribution/catalogue.py
+++ b/indigohitch/fleet/distribution/catalogue.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 from .content import ServiceContent
 from .messages import ServiceChange
 from .terms import NO_VERSION, Resource, ServiceName, Version
--- a/indigohitch/fleet/distribution/connections.py
+++ b/indigohitch/fleet/distribution/connections.py
@@ -4,11 +4,11 @@
 
 import socket
 
+from ...encoding.rows import Row
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Loop
-from ...net.ring import Pool
-from ...packed.rows import Row
+from ...net.ring_buffer import Pool
 from ..links import words as links
 from ..links.accepted import Accepted
 from ..links.arrivals import Arrivals
--- a/indigohitch/fleet/distribution/content.py
+++ b/indigohitch/fleet/distribution/content.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from ...packed.rows import digest
+from ...encoding.rows import digest
 from .terms import Resource, ServiceName
 
 SERVICE_SALT, SCOPE_SALT = 3, 4
--- a/indigohitch/fleet/distribution/following.py
+++ b/indigohitch/fleet/distribution/following.py
@@ -5,11 +5,11 @@
 import random
 from collections.abc import Callable, Collection, Mapping
 
+from ...encoding.frames import Broken
+from ...encoding.rows import Row
 from ...errors import told
 from ...log import Log
 from ...net.loop import Loop
-from ...packed.frames import Broken
-from ...packed.rows import Row
 from ..links.arrivals import spoilt
 from ..links.ends import Dialled
 from ..links.greeting import unspoken
--- a/indigohitch/fleet/distribution/in_force.py
+++ b/indigohitch/fleet/distribution/in_force.py
@@ -9,8 +9,8 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
+from ...encoding.rows import Row
 from ...net.clock import SECOND
-from ...packed.rows import Row
 from ..members.leases import given
 from .catalogue import Catalogue
 from .limits import Limits
--- a/indigohitch/fleet/distribution/messages.py
+++ b/indigohitch/fleet/distribution/messages.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ...packed.frames import Kinds
-from ...packed.rows import Row
+from ...encoding.frames import Kinds
+from ...encoding.rows import Row
 from ..links import words as links
 from .terms import NO_VERSION, DistributorName, Resource, ServiceName, SubscriberName, Version
 
--- a/indigohitch/fleet/distribution/part.py
+++ b/indigohitch/fleet/distribution/part.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from ...encoding.rows import Row
 from ...errors import Unfit, Unreadable
-from ...packed.rows import Row
 from ..ports import At, StateMachine
 from .catalogue import Catalogue, CatalogueRow
 from .terms import Resource, ServiceName, Version
--- a/indigohitch/fleet/distribution/role.py
+++ b/indigohitch/fleet/distribution/role.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
+from ...encoding.rows import Row
 from ...errors import NotNow, told
 from ...log import Log
 from ...net.clock import SECOND
-from ...net.descriptors import allow
+from ...net.file_limits import allow
 from ...net.loop import Loop
-from ...packed.rows import Row
 from ..ports import Wanted
 from ..terms import Entry, Lease, Outcome, Who
 from .connections import STRANGERS, Connections
--- a/indigohitch/fleet/distribution/stepping.py
+++ b/indigohitch/fleet/distribution/stepping.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ...net.due import DueTimer
+from ...net.due_timer import DueTimer
 from ...net.loop import Loop
 from .ports import Due
 
--- a/indigohitch/fleet/distribution/terms.py
+++ b/indigohitch/fleet/distribution/terms.py
@@ -4,7 +4,7 @@
 
 import xxhash
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 
 ServiceName = str
 DistributorName = str
--- a/indigohitch/fleet/hours.py
+++ b/indigohitch/fleet/hours.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
+from ..encoding.rows import Row
 from ..errors import Unfit
 from ..net.clock import SECOND
-from ..packed.rows import Row
 from .ports import At, Wanted
 from .terms import Entry, Lease, Outcome
 
--- a/indigohitch/fleet/ledger/following.py
+++ b/indigohitch/fleet/ledger/following.py
@@ -4,8 +4,8 @@
 
 from __future__ import annotations
 
+from ...encoding.rows import digest
 from ...net.clock import SECOND
-from ...packed.rows import digest
 from ..terms import Who
 from .ports import Snap
 from .state import Role, State
--- a/indigohitch/fleet/ledger/peers.py
+++ b/indigohitch/fleet/ledger/peers.py
@@ -8,7 +8,7 @@
 import enum
 from collections import deque
 
-from ...packed.rows import digest
+from ...encoding.rows import digest
 from ..terms import Who
 from .ports import Snap
 from .state import State
--- a/indigohitch/fleet/ledger/ports.py
+++ b/indigohitch/fleet/ledger/ports.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 from ..terms import Entry, Proposal, Who
 
 # ---- what lies on a disk ---------------------------------------------------------------------------
--- a/indigohitch/fleet/ledger/words.py
+++ b/indigohitch/fleet/ledger/words.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 from ..terms import Entry
 from .ports import Members
 
--- a/indigohitch/fleet/links/accepted.py
+++ b/indigohitch/fleet/links/accepted.py
@@ -5,11 +5,11 @@
 import socket
 from typing import Protocol
 
+from ...encoding.frames import Broken, Frames, Kinds
+from ...encoding.rows import Row
 from ...net.connection import Connection
 from ...net.loop import Loop
-from ...net.ring import Pool
-from ...packed.frames import Broken, Frames, Kinds
-from ...packed.rows import Row
+from ...net.ring_buffer import Pool
 from .words import Greeting, Pulse, Pulsed
 
 
--- a/indigohitch/fleet/links/arrivals.py
+++ b/indigohitch/fleet/links/arrivals.py
@@ -5,12 +5,12 @@
 import socket
 from typing import Protocol
 
+from ...encoding.frames import Broken, Kinds
+from ...encoding.rows import Row
 from ...log import Log
 from ...net.listener import Listener
 from ...net.loop import Loop
-from ...net.ring import Pool
-from ...packed.frames import Broken, Kinds
-from ...packed.rows import Row
+from ...net.ring_buffer import Pool
 from .accepted import Accepted
 from .ends import GREET
 from .words import Greeting
--- a/indigohitch/fleet/links/ends.py
+++ b/indigohitch/fleet/links/ends.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from ...encoding.frames import Broken, Frames, Kinds
+from ...encoding.rows import Row
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.connection import Connection
 from ...net.loop import Loop
-from ...packed.frames import Broken, Frames, Kinds
-from ...packed.rows import Row
 from ..terms import Who
 from .words import Greeting, Pulse, Pulsed, Refused, Welcome
 
--- a/indigohitch/fleet/links/links.py
+++ b/indigohitch/fleet/links/links.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Mapping
 
+from ...encoding.frames import Broken, Kinds
+from ...encoding.rows import Row
 from ...log import Log
 from ...net.loop import Loop
-from ...packed.frames import Broken, Kinds
-from ...packed.rows import Row
 from ..terms import Who
 from .accepted import Accepted
 from .arrivals import Arrivals, spoilt
--- a/indigohitch/fleet/links/words.py
+++ b/indigohitch/fleet/links/words.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 from ..terms import Who
 
 PROTOCOL = 1  # of this program's words; it understands one less and one more
--- a/indigohitch/fleet/members/judge.py
+++ b/indigohitch/fleet/members/judge.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 from ..terms import Standing
 from .entries import Agreed, Back, Compare, Gone, InForce, Life, Member, ShutOut
 from .roster import Roster
--- a/indigohitch/fleet/members/leases.py
+++ b/indigohitch/fleet/members/leases.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 from ..terms import Lease
 from .words import NotRenewed, Renew, Renewed
 
--- a/indigohitch/fleet/members/roster.py
+++ b/indigohitch/fleet/members/roster.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from ...encoding.rows import Row
 from ...errors import Unfit, Unreadable
 from ...net.clock import SECOND
-from ...packed.rows import Row
 from ..ports import At, HearsEnded, HearsGone, HearsInForce, HearsJoined, HearsShutOut, hearing
 from ..state_machine import ReplicatedStateMachine
 from .entries import (
--- a/indigohitch/fleet/members/words.py
+++ b/indigohitch/fleet/members/words.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 
 
 class Renew(Row, frozen=True):
--- a/indigohitch/fleet/members/work.py
+++ b/indigohitch/fleet/members/work.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ...packed.rows import Row
+from ...encoding.rows import Row
 from ..ports import Wanted
 from ..terms import Entry, Lease, Outcome
 from .entries import Agreed, Back, Compare, Gone, InForce, Join, Leave, Life, ShutOut
--- a/indigohitch/fleet/node/alone.py
+++ b/indigohitch/fleet/node/alone.py
@@ -4,7 +4,7 @@
 
 import os
 
-from ...directives.texts import Text
+from ...config.texts import Text
 from ...upgrade import launch
 from ...upgrade.side import Side
 from .bare import Bare
--- a/indigohitch/fleet/node/belonging.py
+++ b/indigohitch/fleet/node/belonging.py
@@ -5,10 +5,10 @@
 
 from collections.abc import Callable
 
+from ...encoding.rows import Row
 from ...errors import NotNow
 from ...log import Log
 from ...net.clock import Clock
-from ...packed.rows import Row
 from ..ledger.ports import Became
 from ..members.leases import Answer, ReadFirst
 from ..members.work import Membership, Phase
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
+from ...encoding.rows import digest
 from ...log import Log
-from ...net.due import DueTimer
+from ...net.due_timer import DueTimer
 from ...net.loop import Loop
-from ...packed.rows import digest
 from ..disk.store import Disk
 from ..ledger.machine import Machine
 from ..ledger.ports import (
--- a/indigohitch/fleet/node/inside.py
+++ b/indigohitch/fleet/node/inside.py
@@ -6,7 +6,7 @@
 import secrets
 from collections.abc import Callable
 
-from ...directives.fleet import FleetText
+from ...config.fleet import FleetText
 from ...errors import Trouble, told
 from ...log import Log
 from ...net.clock import SECOND
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from ...directives.fleet import FleetText
+from ...config.fleet import FleetText
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Deadline, Loop
--- a/indigohitch/fleet/node/ports.py
+++ b/indigohitch/fleet/node/ports.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from ...directives.fleet import FleetText
+from ...config.fleet import FleetText
 from ...log import Log
 from ...net.loop import Loop
 from ..disk.store import Disk
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from ...directives.fleet import FleetText
+from ...config.fleet import FleetText
+from ...encoding.rows import Row
 from ...errors import Trouble, told
 from ...log import Log
 from ...net.clock import Clock
 from ...net.loop import Loop
-from ...net.worker import Worker
-from ...packed.rows import Row
+from ...net.worker_thread import Worker
 from ..audit.acts import ChainedActs
 from ..audit.files import Store
 from ..audit.heads import Heads
--- a/indigohitch/fleet/node/subscribing.py
+++ b/indigohitch/fleet/node/subscribing.py
@@ -8,8 +8,8 @@
 import secrets
 from collections.abc import Callable, Collection, Mapping
 
-from ...directives.fleet import FleetText
-from ...directives.texts import Text
+from ...config.fleet import FleetText
+from ...config.texts import Text
 from ...errors import Unfit
 from ...log import Log
 from ...net.clock import SECOND
--- a/indigohitch/fleet/node/traffic.py
+++ b/indigohitch/fleet/node/traffic.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
+from ...encoding.rows import Row
 from ...errors import NotNow
 from ...net.clock import Clock
-from ...packed.rows import Row
 from ..ledger.ports import Heard, Propose
 from ..ledger.ports import Read as Ask
 from ..links.links import Links
--- a/indigohitch/fleet/node/without_front.py
+++ b/indigohitch/fleet/node/without_front.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ...directives import operator_file
-from ...directives.texts import Text
+from ...config import operator_file
+from ...config.texts import Text
 from ...replaceable import Replaceable
 
 
--- a/indigohitch/fleet/node/words.py
+++ b/indigohitch/fleet/node/words.py
@@ -3,8 +3,8 @@
 
 from __future__ import annotations
 
-from ...packed.frames import Kinds
-from ...packed.rows import Row
+from ...encoding.frames import Kinds
+from ...encoding.rows import Row
 from ..distribution import messages as distribution
 from ..ledger import words as ledger
 from ..links import words as links
--- a/indigohitch/fleet/ports.py
+++ b/indigohitch/fleet/ports.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Protocol, TypeVar, runtime_checkable
 
-from ..packed.rows import Row
+from ..encoding.rows import Row
 from .terms import Entry, Lease, Outcome, Stamp
 
 
--- a/indigohitch/fleet/seats/configured.py
+++ b/indigohitch/fleet/seats/configured.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ...directives.fleet import FleetText
+from ...config.fleet import FleetText
 from ...net.clock import SECOND
 from ..ports import Acts
 from .allocator import SeatSettings
--- a/indigohitch/fleet/state_machine.py
+++ b/indigohitch/fleet/state_machine.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
+from ..encoding.rows import Row, digest
 from ..errors import Unfit, Unreadable
-from ..packed.rows import Row, digest
 from .ports import At, StateMachinePart
 from .terms import Entry, Outcome
 
--- a/indigohitch/fleet/terms.py
+++ b/indigohitch/fleet/terms.py
@@ -7,7 +7,7 @@
 
 import enum
 
-from ..packed.rows import Row
+from ..encoding.rows import Row
 
 
 class Who(Row, frozen=True, order=True):
--- a/indigohitch/load/command.py
+++ b/indigohitch/load/command.py
@@ -7,7 +7,7 @@
 import click
 import orjson
 
-from ..directives import sidecar_file
+from ..config import sidecar_file
 from ..errors import Unfit, Unreadable
 from .replay.command import replay
 from .timeline import RULES
--- a/indigohitch/load/replay/command.py
+++ b/indigohitch/load/replay/command.py
@@ -10,7 +10,7 @@
 import click
 import orjson
 
-from ...directives import sidecar_file, words
+from ...config import sidecar_file, words
 from ...errors import Trouble, Unfit
 from ...net.connection import address
 
--- a/indigohitch/load/replay/drive.py
+++ b/indigohitch/load/replay/drive.py
@@ -10,7 +10,7 @@
 
 from ...net.clock import SECOND, Clock
 from ...net.loop import Deadline, Loop
-from ...net.wire import Wire
+from ...net.request_connection import Wire
 from ..entry import Request
 from .figures import Figures
 from .journal import Journal
--- a/indigohitch/load/replay/running.py
+++ b/indigohitch/load/replay/running.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from ...net.clock import SECOND
-from ...net.descriptors import allow
+from ...net.file_limits import allow
 from ..trace import Trace
 from . import standins
 from .drive import Driver, Job
--- a/indigohitch/logic/__init__.py
+++ b/indigohitch/logic/__init__.py
@@ -5,10 +5,10 @@
 from heapq import heappop
 
 from ..interface import SECOND, Acked, Event, Order
-from .hearing import HEAR
-from .judging import assess
-from .planning import evacuate, plan
-from .sending import emit
+from .event_handlers import HEAR
+from .health import assess
+from .planner import evacuate, plan
+from .reconciler import emit
 from .state import DueAction, Part, State
 
 
--- a/indigohitch/logic/hearing.py
+++ b/indigohitch/logic/event_handlers.py
@@ -1,8 +1,9 @@
 """What events tell: each kind changes the state, and nothing else."""
+
 from heapq import heappush
 
 from .. import interface as face
-from .judging import judge
+from .health import judge
 from .state import LEAVING, Backend, DueAction, Slice, State, mean_cost
 
 
@@ -18,7 +19,7 @@
     named = {c.backend(entry.backend): entry for entry in news.entries}
     for b, entry in named.items():
         if entry.started > b.started and b.state != "unheard":
-            b.forget()                          # a later start: what we knew of the old process is void
+            b.forget()  # a later start: what we knew of the old process is void
             b.told, b.state = c.now, "unheard"
         turn_to(c, b, entry.state)
         b.weight, b.started = max(entry.weight, 1e-3), max(b.started, entry.started)
@@ -32,8 +33,13 @@
 def turn_to(c: State, b: Backend, state: str) -> None:
     """Where a drop from the list does not bind, one that answers stays until it misses a probe; one that is
     back without a new start gets nothing before it answers one."""
-    b.dropped = (state == "gone" and b.state == "ready" and not b.misses and not b.unanswered
-                 and bool(c.boot.get("dropped_stay_open") and c.boot.get("may_probe")))
+    b.dropped = (
+        state == "gone"
+        and b.state == "ready"
+        and not b.misses
+        and not b.unanswered
+        and bool(c.boot.get("dropped_stay_open") and c.boot.get("may_probe"))
+    )
     if b.dropped:
         return
     if b.state not in LEAVING and state in LEAVING:
@@ -56,7 +62,7 @@
 def on_demand(c: State, sums: face.SliceDemand) -> None:
     s, method = c.slices.get(sums.slice), c.methods.get(sums.method)
     if s is not None and method is not None:
-        cost = sums.total * method.soft_deadline / face.SECOND      # told nowhere; the deadline grows with it
+        cost = sums.total * method.soft_deadline / face.SECOND  # told nowhere; the deadline grows with it
         for lately in (s.demand, s.usual):
             lately.add(c.now, cost, sums.total)
         s.latest.add(c.now, cost, sums.total, sums.total * sums.elapsed / face.SECOND)
@@ -70,7 +76,7 @@
         b.ok_heard, b.unanswered = c.now, 0
     judge(c, b, met)
     cost = mean_cost(p.slice for p in b.parts)
-    if b.warmth < 1 or not cost:            # slow by its warm-up, which passes; no cost to go by
+    if b.warmth < 1 or not cost:  # slow by its warm-up, which passes; no cost to go by
         return
     # Time in work without the wait, or the share of cores in use, against what gets done.
     if met.load.get("service_time"):
@@ -81,15 +87,15 @@
 
 def on_joined(c: State, joined: face.ProxyJoined) -> None:
     c.proxies[joined.proxy], c.joined = joined.zone, c.now
-    c.left[joined.proxy] = c.now                # until when it may have written by an old table
+    c.left[joined.proxy] = c.now  # until when it may have written by an old table
     c.levels_sent.discard(joined.proxy)
-    c.withdrawn |= c.returned                 # it may hold what it never heard taken back
+    c.withdrawn |= c.returned  # it may hold what it never heard taken back
 
 
 def on_left(c: State, left: face.ProxyLeft) -> None:
     c.proxies.pop(left.proxy, None)
     c.left[left.proxy] = c.now + c.boot.get("keeps_writing", 0)
-    c.channel.answered(left.proxy, next(reversed(c.channel.unacked), None))     # nothing waits for it now
+    c.channel.answered(left.proxy, next(reversed(c.channel.unacked), None))  # nothing waits for it now
 
 
 def on_acked(c: State, ack: face.Acked) -> None:
@@ -107,10 +113,18 @@
 def on_stored(c: State, line: face.StoredLine) -> None:
     if line.slice in c.slices and line.weight > 0:
         c.slices[line.slice].stored[b := c.backend(line.backend)] = line.weight
-        if b.state == "unheard" and c.list_fresh:       # the list in hand lacks it: it was told as gone
+        if b.state == "unheard" and c.list_fresh:  # the list in hand lacks it: it was told as gone
             turn_to(c, b, "gone")
 
 
-HEAR = {face.BackendList: on_list, face.Probed: on_probed, face.SliceDemand: on_demand,
-        face.Traffic: on_traffic, face.ProxyJoined: on_joined, face.ProxyLeft: on_left,
-        face.Charge: on_charge, face.StoredLine: on_stored, face.Acked: on_acked}
+HEAR = {
+    face.BackendList: on_list,
+    face.Probed: on_probed,
+    face.SliceDemand: on_demand,
+    face.Traffic: on_traffic,
+    face.ProxyJoined: on_joined,
+    face.ProxyLeft: on_left,
+    face.Charge: on_charge,
+    face.StoredLine: on_stored,
+    face.Acked: on_acked,
+}
--- a/indigohitch/logic/planning.py
+++ b/indigohitch/logic/planner.py
@@ -1,4 +1,5 @@
 """Which backend is to answer for which slice: the design's greedy planner, and what can't wait for it."""
+
 from ..interface import SECOND
 from .state import LEAVING, Backend, Part, Slice, State
 
@@ -28,7 +29,7 @@
     # Room under the band, else what is fit, else what is warm; never a cold one past its cap.
     if choice := room or [(b, b.capacity) for b in fit or [b for b in choice if b.warmth >= 1]]:
         move(c, part, max(choice, key=lambda pair: (pair[0].rank(s.number, pair[1]), pair[0].id))[0])
-        part.rests_until = part.rests_until if room else c.now      # where there is none it may go on at once
+        part.rests_until = part.rests_until if room else c.now  # where there is none it may go on at once
     elif part.owner is not None and part.owner.state in LEAVING:
         part.go_to(None)
 
@@ -40,7 +41,7 @@
     part.go_to(to)
     to.load += load
     to.intake += to.warmth < 1
-    part.rests_until = c.now + 10 * SECOND          # half the design's rest: demand shifts in 12 to 24 s
+    part.rests_until = c.now + 10 * SECOND  # half the design's rest: demand shifts in 12 to 24 s
 
 
 def evacuate(c: State) -> None:
@@ -69,18 +70,19 @@
         return
     for b in opened:
         b.intake = 0
-    if not c.boot.get("exclusive"):             # there a slice has one line
+    if not c.boot.get("exclusive"):  # there a slice has one line
         split(c, opened, mean)
     uses = [b.use() / mean for b in opened]
-    c.balancing |= max(uses) > 1.25 or min(uses) < 1 / 1.25     # membership triggers too (PAPER)
+    c.balancing |= max(uses) > 1.25 or min(uses) < 1 / 1.25  # membership triggers too (PAPER)
     # A thirtieth of the slices in charge (more did worse), and one for each new backend still empty.
     idle = sum(not b.parts and b.warmth < 1 for b in opened)
     for _ in range(max(2, len(c.slices) // 30 + idle // c.many)):
         by_use = sorted(opened, key=Backend.use)
-        best = next(filter(None, (best_move(c, b, by_use, mean) for b in reversed(by_use)
-                                  if b.use() > 1.10 * mean)), None)
-        c.balancing &= best is not None and (
-            by_use[-1].use() > 1.10 * mean or by_use[0].use() < mean / 1.10)
+        best = next(
+            filter(None, (best_move(c, b, by_use, mean) for b in reversed(by_use) if b.use() > 1.10 * mean)),
+            None,
+        )
+        c.balancing &= best is not None and (by_use[-1].use() > 1.10 * mean or by_use[0].use() < mean / 1.10)
         if not c.balancing:
             break
         move(c, *best)
@@ -88,7 +90,7 @@
 
 def split(c: State, opened: list[Backend], mean: float) -> None:
     """A slice that outweighs four fifths of a whole backend's target is dealt out in parts meanwhile."""
-    target = mean * sum(b.capacity for b in opened) / len(opened) * c.many ** 0.5   # by the root: fleet.md
+    target = mean * sum(b.capacity for b in opened) / len(opened) * c.many**0.5  # by the root: fleet.md
     for s in c.slices.values():
         parts = len(s.parts)
         if s.load > 0.8 * target * parts and parts < min(4, len(opened)):
@@ -111,12 +113,21 @@
     best, most = None, 0.0
     for part in sorted(source.parts, key=lambda p: p.slice.number):
         load, others = part.load, part.slice.owners()
-        to = next((b for b in by_use if b not in others and not b.doubtful
-                   and may_take(c, b, part.slice, mean) and b.load + load <= 1.25 * mean * b.capacity), None)
+        to = next(
+            (
+                b
+                for b in by_use
+                if b not in others
+                and not b.doubtful
+                and may_take(c, b, part.slice, mean)
+                and b.load + load <= 1.25 * mean * b.capacity
+            ),
+            None,
+        )
         if to is None or part.rests_until > c.now:
             continue
         over, under = source.load - mean * source.capacity, to.load - mean * to.capacity
-        gain = over ** 2 + under ** 2 - (over - load) ** 2 - (under + load) ** 2
+        gain = over**2 + under**2 - (over - load) ** 2 - (under + load) ** 2
         if gain > max(most, 2 * load * apart):
             best, most = (part, to), gain
     return best
--- a/indigohitch/logic/sending.py
+++ b/indigohitch/logic/reconciler.py
@@ -1,11 +1,12 @@
 """What is wanted against what is out: the difference as orders, in the channel's room."""
+
 from .. import interface as face
-from .exclusive import in_steps
+from .ownership_transfer import in_steps
 from .state import LEAVING, Backend, Slice, State
 
 
 def wanted_level(s: Slice) -> float:
-    return round(5 * min((b.admit for b in s.owners()), default=1.0)) / 5       # in fifths: fewer lines
+    return round(5 * min((b.admit for b in s.owners()), default=1.0)) / 5  # in fifths: fewer lines
 
 
 def wanted(s: Slice) -> dict[Backend, float]:
@@ -16,8 +17,14 @@
     """Since when it is closed, has no line, or one at a backend that leaves or too many at a cold one."""
     if s.closed is not None:
         return s.since
-    return min((max(b.told, s.since) for b in s.stored if b.state in LEAVING
-                or b.warmth < 1 and b not in s.owners()), default=None if s.stored else s.since)
+    return min(
+        (
+            max(b.told, s.since)
+            for b in s.stored
+            if b.state in LEAVING or b.warmth < 1 and b not in s.owners()
+        ),
+        default=None if s.stored else s.since,
+    )
 
 
 def emit(c: State) -> None:
@@ -40,23 +47,31 @@
     # A level of 1 lets all in as a share; where levels are rates it would not, and none is set.
     fresh = c.boot.get("admission") != "rate" and any(p not in c.levels_sent for p in c.proxies)
     ordinary.sort(key=lambda s: -max(b.use() for b in s.stored))
-    many = len(ordinary) if c.troubled() else max(6, len(ordinary) // 3)    # a third each second beat
+    many = len(ordinary) if c.troubled() else max(6, len(ordinary) // 3)  # a third each second beat
     back = [b for b in c.backends.values() if b in c.withdrawn and b.state == "ready"]
     urgent = bool(must or back)
-    turn, trim = ((ordinary[:many], [s for s in c.slices.values() if wanted_level(s) != s.level])
-                  if not urgent and (c.beats % 2 == 0 or ailing) else ([], []))
+    turn, trim = (
+        (ordinary[:many], [s for s in c.slices.values() if wanted_level(s) != s.level])
+        if not urgent and (c.beats % 2 == 0 or ailing)
+        else ([], [])
+    )
     if urgent or ailing or turn or fresh or trim:
         push(c, must + ailing + turn, trim, fresh, urgent, back)
 
 
 def delta(c: State, s: Slice) -> list[face.Order]:
     want = wanted(s)
-    return in_steps(c, s, [face.SetLine(s.number, b.id, w) for b, w in want.items() if s.stored.get(b) != w]
-                    + [face.SetLine(s.number, b.id, 0.0) for b in s.stored if b not in want])
+    return in_steps(
+        c,
+        s,
+        [face.SetLine(s.number, b.id, w) for b, w in want.items() if s.stored.get(b) != w]
+        + [face.SetLine(s.number, b.id, 0.0) for b in s.stored if b not in want],
+    )
 
 
-def push(c: State, changed: list[Slice], trimmed: list[Slice], levels: bool, urgent: bool,
-         back: list[Backend]) -> None:
+def push(
+    c: State, changed: list[Slice], trimmed: list[Slice], levels: bool, urgent: bool, back: list[Backend]
+) -> None:
     deltas = [delta(c, s) for s in changed]
     need = sum(map(len, deltas)) + len(trimmed) + len(back)
     room = c.channel.room(c.now, len(c.proxies), urgent, need, c.troubled()) - len(back)
@@ -69,10 +84,18 @@
         c.orders.append(face.SetLevel(face.ALL_TABLES, (), 1.0, 1))  # further tries after proof only
         c.levels_sent = set(c.proxies)
     # Where lines at a drain can't be out within its grace, its backend is shut out, one line each.
-    over = (c.now + (c.channel.backlog + need * len(c.proxies)) / c.channel.pace()
-            + c.boot.get("transit_most", 0) - c.boot.get("drain_grace", face.SECOND))
-    shut = {b: None for s in changed for b in s.stored if b.state in LEAVING
-            and b not in c.withdrawn - c.returned and over > max(b.told, s.since)}
+    over = (
+        c.now
+        + (c.channel.backlog + need * len(c.proxies)) / c.channel.pace()
+        + c.boot.get("transit_most", 0)
+        - c.boot.get("drain_grace", face.SECOND)
+    )
+    shut = {
+        b: None
+        for s in changed
+        for b in s.stored
+        if b.state in LEAVING and b not in c.withdrawn - c.returned and over > max(b.told, s.since)
+    }
     lines, left, closed = 0, set(), []
     for s, change in zip(changed, deltas):
         if lines + len(change) <= room - len(shut):
@@ -85,10 +108,10 @@
                 s.stored, s.closed = wanted(s), None
         else:
             left.update(s.stored)
-    shut = [b for b in shut if b in left][:room - lines]
+    shut = [b for b in shut if b in left][: room - lines]
     c.orders += [face.Withdraw(b.id, True) for b in shut]
     c.withdrawn, c.returned = c.withdrawn.union(shut), c.returned.difference(shut)
-    for s in (trimmed := [s for s in trimmed if s.closed is None][:room - lines - len(shut)]):
+    for s in (trimmed := [s for s in trimmed if s.closed is None][: room - lines - len(shut)]):
         s.level = wanted_level(s)
         c.orders.append(face.SetLevel(s.number, (), s.level, 1))
     lines += len(back) + len(shut) + len(trimmed)
--- a/indigohitch/logic/state.py
+++ b/indigohitch/logic/state.py
@@ -5,7 +5,7 @@
 from enum import StrEnum
 
 from ..interface import SECOND, LogLine
-from .channel import Channel
+from .update_channel import Channel
 
 LEAVING = ("draining", "gone")  # states in which a backend may hold no line
 
--- a/indigohitch/logic/channel.py
+++ b/indigohitch/logic/update_channel.py
@@ -1,8 +1,9 @@
 """The channel to the proxies: what may still wait in it, and how much it takes now."""
+
 from collections import deque
 
 from ..interface import SECOND
-from .pacing import MessagePace
+from .rate_limit import MessagePace
 
 # Of the settings' bound, what may wait with all calls sent again; of their pace, what leaves unmarked.
 WAITING_MOST, UNMARKED_PACE = 0.9, 1 / 8
@@ -10,10 +11,10 @@
 
 class Channel:
     def __init__(self, boot: dict) -> None:
-        self.boot, self.mark, self.backlog, self.backlog_at = boot, 0, 0.0, 0   # lines that may still wait
+        self.boot, self.mark, self.backlog, self.backlog_at = boot, 0, 0.0, 0  # lines that may still wait
         self.most, self.over = boot.get("messages_most", 0), boot.get("counted_over", 10 * SECOND)
         self.messages = MessagePace(self.most, round(1.1 * self.over))
-        self.unacked: dict[int, tuple[int, set[int]]] = {}      # by mark: lines each, proxies to answer yet
+        self.unacked: dict[int, tuple[int, set[int]]] = {}  # by mark: lines each, proxies to answer yet
 
     @property
     def sent(self) -> deque[int]:
@@ -37,18 +38,23 @@
         # Half of the messages, evenly spaced, for what is not urgent; three quarters while many tries fail.
         free = self.messages.free_at(now, urgent)
         half, used = (self.most * 3 // 4 if troubled else self.most // 2), len(self.sent)
-        if free > now or self.most and used and not urgent and (
-                used >= half or now - self.sent[-1] < self.over / (half or 1)):
+        if (
+            free > now
+            or self.most
+            and used
+            and not urgent
+            and (used >= half or now - self.sent[-1] < self.over / (half or 1))
+        ):
             return 0
         each, head = proxies or 1, self.boot.get("envelope", 0) + 2
-        share = self.boot.get("queue_cap", 10 ** 6) * 0.8
+        share = self.boot.get("queue_cap", 10**6) * 0.8
         share = share if urgent else min(share, max(share * (0.5, 0.8)[troubled], each * (head + 8)))
         free = (share - self.backlog) / each - head
         return int(free) if free >= min(need, (share / each - head) / 2) else 0
 
     def send(self, now: int, lines: int, proxies) -> int:
         """A message of so many lines to each goes out; its mark."""
-        lines += self.boot.get("envelope", 0) + 2       # the mark's, and that of the level for all
+        lines += self.boot.get("envelope", 0) + 2  # the mark's, and that of the level for all
         self.backlog += len(proxies) * lines
         self.messages.went(now)
         self.mark = (self.mark + 1) % 65536
--- a/indigohitch/net/connection.py
+++ b/indigohitch/net/connection.py
@@ -7,9 +7,9 @@
 import socket
 from typing import Protocol
 
-from .closing import close_in_order
+from .graceful_close import close_in_order
 from .loop import Loop
-from .ring import Pool, Ring
+from .ring_buffer import Pool, Ring
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 
--- a/indigohitch/net/http.py
+++ b/indigohitch/net/http_client.py
@@ -6,9 +6,9 @@
 
 from .clock import SECOND
 from .connection import Connection
-from .exchange import Answer, Exchange, stands
+from .http_exchange import Answer, Exchange, stands
 from .loop import Deadline, Loop
-from .slots import Slots
+from .slot_table import Slots
 
 
 def form(method: str, target: str, host: str, body: bytes = b"", kind: str = "") -> bytes:
--- a/indigohitch/net/exchange.py
+++ b/indigohitch/net/http_exchange.py
@@ -12,8 +12,8 @@
 from .clock import SECOND
 from .connection import Connection
 from .loop import Deadline, Loop
-from .slots import Slots
-from .transient import dial_passes
+from .slot_table import Slots
+from .transient_errors import dial_passes
 
 
 @dataclass(slots=True, frozen=True)
--- a/indigohitch/net/listener.py
+++ b/indigohitch/net/listener.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 
 from .clock import SECOND
-from .closing import close_in_order
 from .connection import READ
+from .graceful_close import close_in_order
 from .loop import Deadline, Loop
-from .transient import made_in_time, passes
+from .transient_errors import made_in_time, passes
 
 
 class Listener:
--- a/indigohitch/net/loop.py
+++ b/indigohitch/net/loop.py
@@ -8,8 +8,8 @@
 from typing import Protocol
 
 from .clock import SECOND, Clock
-from .ring import Pool
-from .slots import Slots
+from .ring_buffer import Pool
+from .slot_table import Slots
 
 
 class Watched(Protocol):
--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -7,7 +7,7 @@
 
 from .connection import READ, WRITE, Connection
 from .loop import Loop
-from .ring import Pool
+from .ring_buffer import Pool
 
 
 class Stream(Connection):
--- a/indigohitch/pidfile.py
+++ b/indigohitch/pidfile.py
@@ -4,9 +4,9 @@
 
 import os
 
+from .encoding.files import write_whole
 from .errors import told
 from .log import Log
-from .packed.files import write_whole
 
 
 class PidFile:
--- a/indigohitch/platformlink/calls.py
+++ b/indigohitch/platform_protocol/call_codec.py
@@ -7,7 +7,7 @@
 from xml.etree import ElementTree
 
 from .. import interface as face
-from ..net.exchange import Answer
+from ..net.http_exchange import Answer
 
 BYTES = 60_000  # of orders that a call may carry, says the protocol
 FORM = "application/x-www-form-urlencoded"
--- a/indigohitch/platformlink/call_log.py
+++ b/indigohitch/platform_protocol/call_log.py
@@ -7,7 +7,7 @@
 
 from .. import interface as face
 from ..log import Log
-from ..net.exchange import Answer
+from ..net.http_exchange import Answer
 
 
 @dataclass(slots=True, frozen=True)
--- a/indigohitch/platformlink/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -10,18 +10,18 @@
 
 from .. import interface as face
 from ..log import Log
-from ..logic.pacing import MessagePace
+from ..logic.rate_limit import MessagePace
 from ..net.clock import SECOND
-from ..net.exchange import Answer
-from ..net.http import Client
+from ..net.http_client import Client
+from ..net.http_exchange import Answer
 from ..net.loop import Deadline, Loop
-from .backlog import Backlog
+from .call_codec import FORM, encode, form
 from .call_log import CallLog
-from .calls import FORM, encode, form
-from .channel_bounds import ChannelBounds
-from .doubt import Effect
-from .first_call import FirstCall
-from .guard import Attempt, Guard
+from .call_resolution import Effect
+from .channel_backlog import Backlog
+from .channel_limits import ChannelBounds
+from .in_flight_call import FirstCall
+from .invariants import Attempt, Guard
 from .outbox import Outbox
 
 
--- a/indigohitch/platformlink/doubt.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -13,11 +13,11 @@
 
 from .. import interface as face
 from ..net.clock import SECOND
-from ..net.exchange import Answer, Exchange
-from ..net.http import Client
+from ..net.http_client import Client
+from ..net.http_exchange import Answer, Exchange
 from ..net.loop import Deadline, Loop
-from . import tables
-from .news import EventStream, event_of
+from . import stored_tables
+from .relay_watch import EventStream, event_of
 
 
 class MarkProof:
@@ -70,15 +70,17 @@
     """What the tables `stood` before say of the `orders` of a call.  No I/O."""
 
     def __init__(
-        self, stood: tables.Tables, orders: Sequence[face.Order], maybe: Iterable[face.Order] = ()
+        self, stood: stored_tables.Tables, orders: Sequence[face.Order], maybe: Iterable[face.Order] = ()
     ) -> None:
         """`maybe`: orders that went before, of which nobody knows; `orders` make up for them."""
-        changed = {n: tables.Table(dict(stood[n].lines)) for n in tables.touched(orders) if n in stood}
+        changed = {
+            n: stored_tables.Table(dict(stood[n].lines)) for n in stored_tables.touched(orders) if n in stood
+        }
         earlier = {n: set(table.lines.items()) for n, table in changed.items()}
         for order in maybe:
             if isinstance(order, face.SetLine) and order.weight and order.table in earlier:
                 earlier[order.table].add((order.backend, order.weight))
-        tables.carry_out(changed, orders)
+        stored_tables.carry_out(changed, orders)
         ends = {order.table: at for at, order in enumerate(orders, 1) if isinstance(order, face.SetLine)}
         signs = []
         for number, end in ends.items():
--- a/indigohitch/platformlink/backlog.py
+++ b/indigohitch/platform_protocol/channel_backlog.py
@@ -10,7 +10,7 @@
 
 from .. import interface as face
 from ..net.clock import SECOND
-from .calls import cut
+from .call_codec import cut
 
 
 @dataclass(slots=True, eq=False)
--- a/indigohitch/platformlink/channel_bounds.py
+++ b/indigohitch/platform_protocol/channel_limits.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ..logic.pacing import MessagePace
-from .backlog import Backlog, Sent
+from ..logic.rate_limit import MessagePace
 from .call_log import CallLog, Occupancy
+from .channel_backlog import Backlog, Sent
 from .outbox import Outbox
 
 
--- a/indigohitch/platformlink/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -8,14 +8,14 @@
 import orjson
 
 from .. import interface as face
-from ..bootstrap import tenths
 from ..log import Log
 from ..net.clock import SECOND
-from ..net.exchange import Answer, Exchange
-from ..net.http import Client
+from ..net.http_client import Client
+from ..net.http_exchange import Answer, Exchange
 from ..net.loop import Deadline, Loop
-from .generations import Ask, Generations, Verdict
-from .sources import Tell
+from ..settings import tenths
+from .backend_source import Tell
+from .list_versions import Ask, Generations, Verdict
 
 _STATE = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 
--- a/indigohitch/platformlink/drains.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -14,7 +14,7 @@
 from ..logic.state import LEAVING
 from ..net.clock import SECOND
 from ..net.loop import Loop
-from .tables import Tables
+from .stored_tables import Tables
 
 
 class PausedTime:
--- a/indigohitch/platformlink/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -7,30 +7,30 @@
 from collections.abc import Callable
 
 from .. import interface as face
-from ..bootstrap import bootstrap
-from ..gather import Gathering
+from ..event_batch import Gathering
 from ..log import Log
 from ..logic import Coordinator
-from ..logic.channel import UNMARKED_PACE, WAITING_MOST
-from ..logic.dispatch import urgent_tables
+from ..logic.call_scheduling import urgent_tables
+from ..logic.update_channel import UNMARKED_PACE, WAITING_MOST
 from ..net.clock import SECOND
 from ..net.connection import address
 from ..net.loop import Loop
-from ..net.ring import Pool
-from .backlog import Backlog
-from .calls import NO_CALL
-from .collectors import Collectors
+from ..net.ring_buffer import Pool
+from ..settings import bootstrap
+from .backend_list_log import log_list
+from .backend_source import BackendSource, Tell
+from .backend_start_times import Starts
+from .call_codec import NO_CALL
+from .channel_backlog import Backlog
 from .discovery import Discovery, read_list
-from .drains import DrainWatch
-from .holdings import Holdings
-from .limits import Limits
-from .list_log import log_list
-from .news import News
+from .drain_monitor import DrainWatch
+from .inbound_connections import Collectors
+from .messages import Known
 from .probes import Probes
 from .relay import Relay
-from .sources import BackendSource, Tell
-from .starts import Starts
-from .words import Known
+from .relay_watch import News
+from .resource_limits import Limits
+from .store_mirror import Holdings
 
 
 class Front:
--- a/indigohitch/platformlink/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -6,10 +6,10 @@
 from ..upgrade import events
 from ..upgrade import snapshot as shots
 from ..upgrade.module_state import freeze, thaw
-from . import tables
-from .backlog import Sent
+from . import stored_tables
+from .backend_start_times import Start
+from .channel_backlog import Sent
 from .front import Front
-from .starts import Start
 
 
 def front_state(front: Front) -> shots.CoordinatorState:
@@ -59,7 +59,7 @@
     _restore_backlog(front)
     holdings.proxies = {joined.proxy: joined for joined in map(events.unpack, state.proxies)}
     holdings.stood = {
-        row.number: tables.Table(dict(row.lines), row.level and events.unpack(row.level))
+        row.number: stored_tables.Table(dict(row.lines), row.level and events.unpack(row.level))
         for row in state.stood
     }
     holdings.begun, holdings.lost = state.begun, set(state.lost)
--- a/indigohitch/platformlink/first_call.py
+++ b/indigohitch/platform_protocol/in_flight_call.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Sequence
 
 from .. import interface as face
-from ..logic.dispatch import REPEAT_BLINDLY_AFTER, repeat_after
+from ..logic.call_scheduling import REPEAT_BLINDLY_AFTER, repeat_after
 from ..net.loop import Loop
-from . import tables
-from .doubt import Effect, Evidence, Inquiry, MarkProof
+from . import stored_tables
+from .call_resolution import Effect, Evidence, Inquiry, MarkProof
 
 
 class FirstCall:
@@ -23,7 +23,9 @@
         self.inquiry = Inquiry(loop, found)
         # Orders of earlier calls that nobody knows of, each once: what they set goes again in this one.
         self.maybe: dict[face.Order, None] = {}
-        self.stood: Callable[[], tables.Tables] = dict  # what stands in the store, but for calls in doubt
+        self.stood: Callable[[], stored_tables.Tables] = (
+            dict  # what stands in the store, but for calls in doubt
+        )
 
     @property
     def in_doubt(self) -> bool:
--- a/indigohitch/platformlink/caller.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -8,7 +8,7 @@
 from ..log import Log
 from ..net.connection import Connection
 from ..net.loop import Loop
-from .words import Garbled, Known, Unreadable, report, split, text
+from .messages import Garbled, Known, Unreadable, report, split, text
 
 
 class Owner(Protocol):
--- a/indigohitch/platformlink/collectors.py
+++ b/indigohitch/platform_protocol/inbound_connections.py
@@ -11,10 +11,10 @@
 from ..net.connection import Connection
 from ..net.listener import Listener
 from ..net.loop import Deadline, Loop
-from ..net.ring import Pool
-from .caller import Caller
-from .limits import Limits
-from .words import Known
+from ..net.ring_buffer import Pool
+from .inbound_connection import Caller
+from .messages import Known
+from .resource_limits import Limits
 
 
 class Collectors:
--- a/indigohitch/platformlink/guard.py
+++ b/indigohitch/platform_protocol/invariants.py
@@ -14,7 +14,7 @@
 from .. import interface as face
 from ..log import Log
 from ..net.clock import SECOND
-from .backlog import Backlog
+from .channel_backlog import Backlog
 
 
 class Invariant(enum.Enum):
--- a/indigohitch/platformlink/words.py
+++ b/indigohitch/platform_protocol/messages.py
@@ -8,7 +8,7 @@
 
 from .. import errors
 from .. import interface as face
-from ..bootstrap import load_report, tenths
+from ..settings import load_report, tenths
 
 
 class Unreadable(errors.Unreadable):
--- a/indigohitch/platformlink/outbox.py
+++ b/indigohitch/platform_protocol/outbox.py
@@ -7,9 +7,9 @@
 
 from .. import interface as face
 from ..log import Log
-from ..logic.dispatch import arranged, leads
-from .backlog import Backlog
-from .calls import merge, pieces
+from ..logic.call_scheduling import arranged, leads
+from .call_codec import merge, pieces
+from .channel_backlog import Backlog
 
 
 class Outbox:
--- a/indigohitch/platformlink/probes.py
+++ b/indigohitch/platform_protocol/probes.py
@@ -11,10 +11,10 @@
 from ..log import Log
 from ..net.clock import SECOND
 from ..net.connection import address
-from ..net.exchange import Answer
-from ..net.http import Client
+from ..net.http_client import Client
+from ..net.http_exchange import Answer
 from ..net.loop import Loop
-from .words import load_values
+from .messages import load_values
 
 
 class Probes:
--- a/indigohitch/platformlink/relay.py
+++ b/indigohitch/platform_protocol/relay.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from .. import interface as face
-from ..logic.dispatch import resend_after
+from ..logic.call_scheduling import resend_after
 from ..net.clock import SECOND
-from ..net.exchange import Answer
+from ..net.http_exchange import Answer
+from .call_codec import encode, read_answer
 from .call_queue import CallQueue
-from .calls import encode, read_answer
-from .doubt import Effect
+from .call_resolution import Effect
 
 
 class Relay(CallQueue):
--- a/indigohitch/platformlink/news.py
+++ b/indigohitch/platform_protocol/relay_watch.py
@@ -9,10 +9,10 @@
 from .. import interface as face
 from ..log import Log
 from ..net.clock import SECOND
-from ..net.exchange import Answer, Exchange
-from ..net.http import Client
+from ..net.http_client import Client
+from ..net.http_exchange import Answer, Exchange
 from ..net.loop import Deadline, Loop
-from .words import NEWS
+from .messages import NEWS
 
 
 class Hearer(Protocol):
--- a/indigohitch/platformlink/holdings.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -9,7 +9,7 @@
 from ..log import Log
 from ..net.clock import SECOND
 from ..net.loop import Deadline, Loop
-from . import tables
+from . import stored_tables
 
 
 class Opening:
@@ -39,8 +39,8 @@
         """`pending`: the orders not known to stand; `order`: for the few that make an event true."""
         self.loop, self.log, self.hear, self.pending, self.order = loop, log, hear, pending, order
         self.proxies: dict[int, face.ProxyJoined] = {}
-        self.stood: tables.Tables = {}  # what stands in the store, by slice in charge
-        self.fresh: tables.Tables = {}  # slices given, not told to the module yet
+        self.stood: stored_tables.Tables = {}  # what stands in the store, by slice in charge
+        self.fresh: stored_tables.Tables = {}  # slices given, not told to the module yet
         self.since: list[face.Order] = []  # orders answered while some were
         self.settling: Deadline | None = None
         self.opening: Opening | None = None
@@ -82,7 +82,7 @@
                 if number not in self.stood:
                     self.given(number)
                 known = self.stood.get(number) if self.opening is not None else None
-                self.fresh[number] = tables.Table(level=known.level if known is not None else None)
+                self.fresh[number] = stored_tables.Table(level=known.level if known is not None else None)
                 if self.opening is None or number in self.opening.taken:
                     self._repeat(number)
                 self._settle_soon()
@@ -100,7 +100,7 @@
                     return
                 if number not in self.fresh:  # a line that comes late joins those told before
                     known = self.stood[number]
-                    self.fresh[number] = tables.Table(dict(known.lines), known.level)
+                    self.fresh[number] = stored_tables.Table(dict(known.lines), known.level)
                 self.fresh[number].lines[backend] = weight
                 self._settle_soon()
             case _:
@@ -126,7 +126,7 @@
         span = self.SETTLE if self.opening is None else self.SETTLE_AT_START
         self.settling = self.loop.after(span, self._settle)
 
-    def _unsettled(self) -> tuple[tables.Tables, list[face.Order]]:
+    def _unsettled(self) -> tuple[stored_tables.Tables, list[face.Order]]:
         """The slices not told yet, no longer ours to tell, and what was answered meanwhile."""
         if self.settling is not None:
             self.settling.cancel()
@@ -139,7 +139,7 @@
         before, (fresh, since) = self.ahead(), self._unsettled()
         self.stood |= fresh
         if self.opening is None:
-            tables.carry_out(fresh, since)  # may or may not be in what the stream told
+            stored_tables.carry_out(fresh, since)  # may or may not be in what the stream told
         else:
             self._make_true(fresh, self.opening.answered)
             self.opening.slices |= set(fresh)
@@ -152,12 +152,12 @@
             self.given(number)  # another has written there: it was in another's charge meanwhile
         self._tell(changed)
 
-    def _make_true(self, fresh: tables.Tables, answered: list[face.Order]) -> None:
+    def _make_true(self, fresh: stored_tables.Tables, answered: list[face.Order]) -> None:
         """What was answered since the stream was asked for may or may not be in what it told.  Where it is
         not, the slice may have been another's meanwhile, when orders are answered and change nothing: they go
         again, and what waits for those slices after them."""
-        told = tables.copy(fresh)
-        tables.carry_out(fresh, answered)
+        told = stored_tables.copy(fresh)
+        stored_tables.carry_out(fresh, answered)
         differ = {number for number in fresh if fresh[number].lines != told[number].lines}
         again = [
             order
@@ -190,14 +190,14 @@
 
     # ---- orders ------------------------------------------------------------------------------------
 
-    def ahead(self) -> tables.Tables:
+    def ahead(self) -> stored_tables.Tables:
         """What will stand once all that is ordered does: what the module takes for standing."""
-        ahead = tables.copy(self.stood)
-        tables.carry_out(ahead, self.pending())
+        ahead = stored_tables.copy(self.stood)
+        stored_tables.carry_out(ahead, self.pending())
         return ahead
 
     def stands(self, orders: list[face.Order]) -> None:
-        tables.carry_out(self.stood, orders)
+        stored_tables.carry_out(self.stood, orders)
         if self.fresh:
             self.since += orders
         if self.opening is not None:
@@ -209,7 +209,7 @@
         """Orders that will never stand: the module is told what does."""
         if not self.lost:
             self.tell_lost_soon()
-        self.lost |= tables.touched(orders)
+        self.lost |= stored_tables.touched(orders)
 
     def tell_lost_soon(self) -> None:
         self.loop.after(self.RETELL, self._tell_lost)
@@ -227,7 +227,7 @@
     def _tell(self, numbers: list[int]) -> None:
         """The module hears of these slices as if they were given now."""
         ahead = self.ahead()
-        if levels := tables.levels_reset(numbers, ahead):
+        if levels := stored_tables.levels_reset(numbers, ahead):
             self.order(levels)
         for number in numbers:
-            self.hear(*tables.given(number, ahead[number]))
+            self.hear(*stored_tables.given(number, ahead[number]))
--- a/indigohitch/process.py
+++ b/indigohitch/process.py
@@ -11,7 +11,7 @@
 from .net.clock import Clock
 from .net.connection import READ
 from .net.loop import Loop
-from .net.transient import made_in_time
+from .net.transient_errors import made_in_time
 
 
 class Process:
--- a/indigohitch/replaceable.py
+++ b/indigohitch/replaceable.py
@@ -10,8 +10,8 @@
 import socket
 from collections.abc import Callable
 
+from .config.texts import Text
 from .control import Control
-from .directives.texts import Text
 from .errors import Trouble, told
 from .net.clock import SECOND
 from .net.listener import Listener
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -15,8 +15,8 @@
 from .net.clock import SECOND
 from .net.connection import address
 from .net.listener import Listener
-from .net.transient import made_in_time, passes
-from .platformlink.front import Front
+from .net.transient_errors import made_in_time, passes
+from .platform_protocol.front import Front
 from .process import Process
 
 # What a configuration that can't be read, or lacks something, shows itself by.
--- a/indigohitch/sidecar/clients.py
+++ b/indigohitch/sidecar/clients.py
@@ -8,7 +8,7 @@
 import termios
 
 from ..net.clock import SECOND
-from ..net.exchange import stands
+from ..net.http_exchange import stands
 from ..net.stream import Stream
 from .framing import Body
 from .heads import Refused, RequestHead, plain
--- a/indigohitch/sidecar/framing.py
+++ b/indigohitch/sidecar/framing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..errors import Unreadable
-from ..net.ring import Ring
+from ..net.ring_buffer import Ring
 
 
 class Malformed(Unreadable):
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from .. import interface as face
-from ..directives.texts import Server as Told
+from ..config.texts import Server as Told
 from ..net.listener import Listener
 from ..upgrade import events
 from ..upgrade import snapshot as shots
--- a/indigohitch/sidecar/host.py
+++ b/indigohitch/sidecar/host.py
@@ -5,15 +5,15 @@
 import os
 import socket
 
-from ..directives.texts import Text
+from ..config.texts import Text
 from ..log import Log
 from ..net.clock import SECOND
 from ..net.listener import Listener
 from ..net.loop import Loop
-from ..net.ring import Pool as Memory
-from ..net.slots import Slots
+from ..net.ring_buffer import Pool as Memory
+from ..net.slot_table import Slots
 from ..net.stream import Stream
-from ..net.worker import Worker
+from ..net.worker_thread import Worker
 from .access import AccessLog
 from .clients import Client
 from .pool import Pool
--- a/indigohitch/sidecar/keys.py
+++ b/indigohitch/sidecar/keys.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from ..directives.routes import Route, segments
+from ..config.routes import Route, segments
 
 
 def key_of(route: Route, target: str, path: str, header) -> bytes | None:
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -6,13 +6,13 @@
 import random
 
 from .. import interface as face
-from ..bootstrap import load_report
-from ..directives.texts import PoolText
-from ..gather import Gathering
+from ..config.texts import PoolText
+from ..event_batch import Gathering
 from ..logic import Coordinator
-from ..net.exchange import Answer
-from ..net.http import Client as Caller
+from ..net.http_client import Client as Caller
+from ..net.http_exchange import Answer
 from ..request import Table
+from ..settings import load_report
 from .servers import Server
 
 PROXY = 0  # the sidecar itself, the one proxy that is joined
--- a/indigohitch/sidecar/seating.py
+++ b/indigohitch/sidecar/seating.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 
 from .. import request
-from ..directives.texts import Text
+from ..config.texts import Text
+from ..encoding.rows import digest
 from ..fleet.seats.allocator import Allocation, SeatAllocator
 from ..fleet.seats.contract import Pass
 from ..fleet.seats.nodeclock import Nodes, Verdict, header
 from ..log import Log
-from ..packed.rows import digest
 
 SEAT, NODE, REFUSED = b"x-seat", b"x-node", b"x-seat-refused"
 UNRUN = frozenset(verdict.value.encode() for verdict in Verdict if verdict.unrun)
--- a/indigohitch/sidecar/servers.py
+++ b/indigohitch/sidecar/servers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..net.exchange import stands
+from ..net.http_exchange import stands
 from ..net.stream import Stream
 
 
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -4,10 +4,10 @@
 
 import os
 
-from ..directives import sidecar_file
-from ..directives.texts import Text
+from ..config import sidecar_file
+from ..config.texts import Text
 from ..errors import Unfit, told
-from ..net.descriptors import allow
+from ..net.file_limits import allow
 from ..replaceable import Replaceable
 from ..upgrade import launch
 from ..upgrade.side import Side
--- a/indigohitch/standins/load.py
+++ b/indigohitch/standins/load.py
@@ -14,7 +14,7 @@
 from ..net.clock import SECOND, Clock
 from ..net.connection import address
 from ..net.loop import Loop
-from ..net.wire import Wire
+from ..net.request_connection import Wire
 
 
 class Load:
--- a/indigohitch/standins/peer.py
+++ b/indigohitch/standins/peer.py
@@ -13,7 +13,7 @@
 from ..load.replay.safety import PATH, proof
 from ..net.clock import SECOND
 from ..net.loop import Loop
-from ..net.ring import Pool
+from ..net.ring_buffer import Pool
 from ..net.stream import Stream
 from .seated import Seated
 from .stamped import Stamped
--- a/indigohitch/standins/server.py
+++ b/indigohitch/standins/server.py
@@ -22,7 +22,7 @@
 from ..net.clock import Clock
 from ..net.listener import Listener
 from ..net.loop import Loop
-from ..net.ring import Pool
+from ..net.ring_buffer import Pool
 from .peer import Peer
 from .seated import Seated
 from .stamped import Stamped
--- a/indigohitch/upgrade/module_rows.py
+++ b/indigohitch/upgrade/module_rows.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..packed.rows import Row
+from ..encoding.rows import Row
 
 
 class SumsRow(Row):
--- a/indigohitch/upgrade/module_state.py
+++ b/indigohitch/upgrade/module_state.py
@@ -10,9 +10,9 @@
 from collections import deque
 from collections.abc import Mapping
 
+from ..encoding.rows import Row
 from ..logic import Coordinator
 from ..logic.state import Backend, DueAction, Part, Slice, Sums
-from ..packed.rows import Row
 from .module_rows import (
     OF_BACKEND,
     OF_CHANNEL,
--- a/indigohitch/upgrade/snapshot.py
+++ b/indigohitch/upgrade/snapshot.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
+from ..encoding.files import write_whole as write
+from ..encoding.rows import Row, digest
 from ..errors import Unreadable
-from ..packed.files import write_whole as write
-from ..packed.rows import Row, digest
 from .module_rows import ModuleRow
 
 __all__ = ["Snapshot", "Unusable", "decode", "digest", "encode", "read", "write"]
--- a/indigohitch/upgrade/words.py
+++ b/indigohitch/upgrade/words.py
@@ -3,8 +3,8 @@
 
 from __future__ import annotations
 
-from ..packed.frames import MOST, Broken, Frames, Kinds
-from ..packed.rows import Row as Word
+from ..encoding.frames import MOST, Broken, Frames, Kinds
+from ..encoding.rows import Row as Word
 
 __all__ = ["MOST", "Broken", "Frames", "Word", "WORDS", "frame"]
 
--- a/indigohitch/versions/store.py
+++ b/indigohitch/versions/store.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable
 
+from ..encoding.rows import Row
 from ..fleet.disk.files import Files
-from ..packed.rows import Row
 from .history import VersionHistory
 from .store_records import Begun, Harmed, Made, More, Named, Pinned, frames, read, version_rows
 from .tables import Root
--- a/indigohitch/versions/store_records.py
+++ b/indigohitch/versions/store_records.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from ..encoding.frames import HEAD, Broken, Kinds
+from ..encoding.rows import Row
 from ..errors import Unreadable
-from ..packed.frames import HEAD, Broken, Kinds
-from ..packed.rows import Row
 from .tables import Root, difference
 from .terms import SliceLines, Version, VersionId
 
--- a/indigohitch/versions/tables.py
+++ b/indigohitch/versions/tables.py
@@ -9,8 +9,8 @@
 import struct
 from collections.abc import Iterable, Iterator, Mapping
 
+from ..encoding.rows import digest
 from ..errors import Unfit
-from ..packed.rows import digest
 
 SLICES = 1 << 16  # numbers of tables in the module's orders
 FAN, LEVELS = 16, 4
--- a/indigohitch/versions/terms.py
+++ b/indigohitch/versions/terms.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass, field
 
+from ..encoding.rows import Row
 from ..net.clock import SECOND
-from ..packed.rows import Row
 from .tables import Root
 
 
--- a/indigohitch/versions/window.py
+++ b/indigohitch/versions/window.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ..logic.pacing import MessagePace
+from ..logic.rate_limit import MessagePace
 from ..net.clock import SECOND
 from .terms import Channel, Message
 
--- a/indigohitch/versions/words.py
+++ b/indigohitch/versions/words.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..packed.frames import Kinds
-from ..packed.rows import Row
+from ..encoding.frames import Kinds
+from ..encoding.rows import Row
 from .terms import Ack, Claim, Message, Nack
 
 
--- a/proofs/ledger_station.py
+++ b/proofs/ledger_station.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
+from indigohitch.encoding.rows import Row
 from indigohitch.errors import Unfit
 from indigohitch.fleet.ledger.machine import Machine
 from indigohitch.fleet.ledger.ports import Snap
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.packed.rows import Row
 from proofs.ledger_disk import Disk
 
 BOOTSTRAP = {
--- a/proofs/soakkit/broken.py
+++ b/proofs/soakkit/broken.py
@@ -6,14 +6,14 @@
 def take_out(name: str) -> None:
     """`repeats`: a call in doubt goes again at once, blindly, and a burst may use the window up.  Empty:
     nothing."""
-    from indigohitch.logic import pacing
-    from indigohitch.platformlink import first_call, guard
+    from indigohitch.logic import rate_limit
+    from indigohitch.platform_protocol import in_flight_call, invariants
 
     if name == "repeats":
-        first_call.FirstCall.inquire = lambda self, *words, **more: None
-        first_call.FirstCall.repeat_at = lambda self, in_reach: self.loop.clock.now() + 200
-        pacing.MessagePace.free_at = _bare_count
-        guard.Guard.SETTLED = 0
+        in_flight_call.FirstCall.inquire = lambda self, *words, **more: None
+        in_flight_call.FirstCall.repeat_at = lambda self, in_reach: self.loop.clock.now() + 200
+        rate_limit.MessagePace.free_at = _bare_count
+        invariants.Guard.SETTLED = 0
     elif name:
         raise ValueError(f"no guard of that name: {name!r}")
 
--- a/proofs/soakkit/truth.py
+++ b/proofs/soakkit/truth.py
@@ -6,7 +6,7 @@
 
 from indigohitch.net.clock import SECOND
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.drains import PausedTime
+from indigohitch.platform_protocol.drain_monitor import PausedTime
 
 from . import settings
 
--- a/proofs/versions_program.py
+++ b/proofs/versions_program.py
@@ -5,8 +5,8 @@
 import asyncio
 import time
 
+from indigohitch.encoding.frames import Broken, Frames
 from indigohitch.fleet.disk.files import Files
-from indigohitch.packed.frames import Broken, Frames
 from indigohitch.versions.checks import Facts
 from indigohitch.versions.publisher import VersionPublisher
 from indigohitch.versions.store import Store
--- a/proofs/versions_relays.py
+++ b/proofs/versions_relays.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from indigohitch.packed.frames import Broken, Frames
+from indigohitch.encoding.frames import Broken, Frames
 from indigohitch.standins.table_relay import TableRelay
 from indigohitch.versions.tables import Root
 from indigohitch.versions.terms import Message, applied
--- a/tests/apart.py
+++ b/tests/apart.py
@@ -10,8 +10,8 @@
 
 import world
 from indigohitch import interface as face
-from indigohitch.bootstrap import bootstrap
 from indigohitch.logic import Coordinator
+from indigohitch.settings import bootstrap
 from indigohitch.upgrade.events import pack_all
 from test_rules import random_day
 
--- a/tests/collector_room.py
+++ b/tests/collector_room.py
@@ -7,9 +7,9 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.collectors import Collectors
-from indigohitch.platformlink.limits import Limits
-from indigohitch.platformlink.words import Known
+from indigohitch.platform_protocol.inbound_connections import Collectors
+from indigohitch.platform_protocol.messages import Known
+from indigohitch.platform_protocol.resource_limits import Limits
 
 
 class Ticking(Clock):
--- a/tests/distribution_network.py
+++ b/tests/distribution_network.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 
 from distribution_truth import MS
+from indigohitch.encoding.frames import Frames
 from indigohitch.fleet.distribution import ports
 from indigohitch.fleet.distribution.messages import KINDS
-from indigohitch.packed.frames import Frames
 
 
 @dataclass(eq=False)
--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from indigohitch.encoding.rows import Row
 from indigohitch.errors import Unfit
 from indigohitch.fleet.audit.acts import ChainedActs
 from indigohitch.fleet.audit.heads import Heads
@@ -12,7 +13,6 @@
 from indigohitch.fleet.members.work import Membership
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.net.clock import SECOND
-from indigohitch.packed.rows import Row
 
 SPAN, DRIFT = 2 * SECOND, 0.02  # of a lease; of a clock, at most
 
--- a/tests/golden/decision_days.py
+++ b/tests/golden/decision_days.py
@@ -11,8 +11,8 @@
 
 from golden.decision_files import KINDS, LISTED
 from golden.decision_settings import SETTINGS
-from indigohitch.bootstrap import bootstrap
 from indigohitch.logic import Coordinator
+from indigohitch.settings import bootstrap
 from indigohitch.upgrade import events
 
 SECOND = 10_000  # tenths of a millisecond
--- a/tests/golden/decision_settings.py
+++ b/tests/golden/decision_settings.py
@@ -1,4 +1,4 @@
-"""Settings of made-up deployments that differ as real ones do, by their names on the wire (bootstrap.py)."""
+"""Settings of made-up deployments that differ as real ones do, by their names on the wire (settings.py)."""
 
 from __future__ import annotations
 
--- a/tests/golden/fleet/write_frames.py
+++ b/tests/golden/fleet/write_frames.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from indigohitch.encoding.rows import Row
 from indigohitch.fleet.distribution import messages as distribution
 from indigohitch.fleet.distribution.messages import Behind, HeldService, ServiceChange, Unreachable
 from indigohitch.fleet.distribution.terms import Resource, Version
@@ -17,7 +18,6 @@
 from indigohitch.fleet.members import words as members
 from indigohitch.fleet.node import words as node
 from indigohitch.fleet.terms import Entry, Proposal, Who
-from indigohitch.packed.rows import Row
 
 DIGEST = bytes(range(16))
 TOKEN = (1 << 61) + 7
--- a/tests/golden/fleet/write_rows.py
+++ b/tests/golden/fleet/write_rows.py
@@ -13,6 +13,7 @@
 import msgspec
 from msgspec import inspect
 
+from indigohitch.encoding.rows import Row
 from indigohitch.fleet import hours
 from indigohitch.fleet.audit import check, heads
 from indigohitch.fleet.audit import work as auditing
@@ -36,7 +37,6 @@
 from indigohitch.fleet.seats.work import SeatsWork
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.terms import Lease
-from indigohitch.packed.rows import Row
 
 
 class Filler:
--- a/tests/golden/upgrade_states.py
+++ b/tests/golden/upgrade_states.py
@@ -12,7 +12,7 @@
 
 from golden.decision_days import Day
 from golden.decision_settings import SETTINGS
-from indigohitch.bootstrap import bootstrap
+from indigohitch.settings import bootstrap
 from indigohitch.upgrade import events, module_state
 from indigohitch.upgrade import snapshot as shots
 
--- a/tests/golden_files_control.py
+++ b/tests/golden_files_control.py
@@ -13,8 +13,8 @@
 import orjson
 
 from golden_files import as_json
+from indigohitch.config import operator_file, sidecar_file
 from indigohitch.control import Control
-from indigohitch.directives import operator_file, sidecar_file
 from indigohitch.fleet.ledger.state import Role
 from indigohitch.fleet.node.alone import Alone
 from indigohitch.fleet.node.phases import Phase as MemberPhase
--- a/tests/golden_files_directives.py
+++ b/tests/golden_files_directives.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 from golden_files import as_json
-from indigohitch.directives import sidecar_file
-from indigohitch.directives.batches import CLASS, SITE, BatchesText
-from indigohitch.directives.either import is_operators
-from indigohitch.directives.fleet import FleetText
-from indigohitch.directives.further import VOCABULARIES
-from indigohitch.directives.lines import Reader, Vocabulary
-from indigohitch.directives.operator_file import OPERATOR, OperatorReader
-from indigohitch.directives.operator_file import read as read_operators
-from indigohitch.directives.seats import OPTIONS, SeatsText
-from indigohitch.directives.sidecar_file import POOL, ROUTE, RPC, SERVER, SINGLE, VOCABULARY, WAITS
-from indigohitch.directives.texts import PoolText, Text
+from indigohitch.config import sidecar_file
+from indigohitch.config.batches import CLASS, SITE, BatchesText
+from indigohitch.config.either import is_operators
+from indigohitch.config.fleet import FleetText
+from indigohitch.config.further import VOCABULARIES
+from indigohitch.config.lines import Reader, Vocabulary
+from indigohitch.config.operator_file import OPERATOR, OperatorReader
+from indigohitch.config.operator_file import read as read_operators
+from indigohitch.config.seats import OPTIONS, SeatsText
+from indigohitch.config.sidecar_file import POOL, ROUTE, RPC, SERVER, SINGLE, VOCABULARY, WAITS
+from indigohitch.config.texts import PoolText, Text
 from indigohitch.interface import Method
 
 KINDS = (
--- a/tests/golden_files_running.py
+++ b/tests/golden_files_running.py
@@ -11,8 +11,8 @@
 from field import Field
 from golden_files import as_json
 from golden_files_control import SUBSCRIBER, signals_kept
+from indigohitch.config import operator_file
 from indigohitch.coordinator import Coordinating
-from indigohitch.directives import operator_file
 from indigohitch.fleet.node.subscribing import SubscriberProcess
 from indigohitch.replaceable import Replaceable
 from stage import SETTINGS
--- a/tests/golden_files_versions.py
+++ b/tests/golden_files_versions.py
@@ -8,8 +8,8 @@
 
 from msgspec.structs import replace
 
-from indigohitch.packed.frames import Frames
-from indigohitch.packed.rows import Row
+from indigohitch.encoding.frames import Frames
+from indigohitch.encoding.rows import Row
 from indigohitch.versions.store import Store
 from indigohitch.versions.store_records import Begun, Made, More, Named, Pinned
 from indigohitch.versions.terms import Ack, Claim, LineUpdate, Message, Nack, SliceLines, VersionId
--- a/tests/golden_files_versions_made.py
+++ b/tests/golden_files_versions_made.py
@@ -8,8 +8,8 @@
 from golden_files import as_json
 from golden_files_versions import RECORD_VALUES, WORD_VALUES, kept, read_words, values
 from golden_files_versions_said import commands, rules
+from indigohitch.encoding.frames import HEAD
 from indigohitch.fleet.disk.files import Files
-from indigohitch.packed.frames import HEAD
 from indigohitch.standins.table_relay import TableRelay
 from indigohitch.versions.session import Session
 from indigohitch.versions.store import Store
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -10,12 +10,12 @@
 from golden_wire import order
 from indigohitch import interface as face
 from indigohitch.log import Log
-from indigohitch.net.exchange import Answer
-from indigohitch.platformlink import tables
-from indigohitch.platformlink.call_log import CallLog, Occupancy
-from indigohitch.platformlink.front import Front
-from indigohitch.platformlink.guard import Guard, Invariant
-from indigohitch.platformlink.list_log import log_list
+from indigohitch.net.http_exchange import Answer
+from indigohitch.platform_protocol import stored_tables
+from indigohitch.platform_protocol.backend_list_log import log_list
+from indigohitch.platform_protocol.call_log import CallLog, Occupancy
+from indigohitch.platform_protocol.front import Front
+from indigohitch.platform_protocol.invariants import Guard, Invariant
 from listroom import Hands
 from relay_room import Room
 
@@ -100,8 +100,8 @@
     with MonkeyPatch.context() as patch:
         room = Room(patch)
         room.relay.log = log
-        room.stood[1] = tables.Table({"b0": 1.0})
-        room.store[1] = tables.Table(after)
+        room.stood[1] = stored_tables.Table({"b0": 1.0})
+        room.store[1] = stored_tables.Table(after)
         room.relay.order([face.SetLine(1, "b0", 0.0), face.SetLine(1, "b1", 2.0)])
         calls = log.counts["relay_calls"]
         room.answer("reset")
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -11,13 +11,13 @@
 from golden_wire import order, plain
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.exchange import Answer
-from indigohitch.net.http import form as http_form
+from indigohitch.net.http_client import form as http_form
+from indigohitch.net.http_exchange import Answer
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink import call_queue, discovery, doubt, news, probes
-from indigohitch.platformlink.calls import FORM, encode, form, read_answer
-from indigohitch.platformlink.doubt import Evidence, Inquiry
-from indigohitch.platformlink.news import EventStream, event_of
+from indigohitch.platform_protocol import call_queue, call_resolution, discovery, probes, relay_watch
+from indigohitch.platform_protocol.call_codec import FORM, encode, form, read_answer
+from indigohitch.platform_protocol.call_resolution import Evidence, Inquiry
+from indigohitch.platform_protocol.relay_watch import EventStream, event_of
 from listroom import Hands
 from relay_room import Room
 
@@ -152,14 +152,14 @@
 
 
 def _news(_: list[str]) -> list[dict]:
-    with Desk(news) as desk:
+    with Desk(relay_watch) as desk:
         hearer = SimpleNamespace(news_asked=lambda: None, news_alive=lambda: None)
-        news.News(desk.loop, desk.log, TO, hearer).open()
+        relay_watch.News(desk.loop, desk.log, TO, hearer).open()
         return Recorder.asked
 
 
 def _inquiry(_: list[str]) -> list[dict]:
-    with Desk(doubt) as desk:
+    with Desk(call_resolution) as desk:
         inquiry = Inquiry(desk.loop, lambda effect, proved: None)
         inquiry.open(TO, desk.loop.clock.now() - SECOND, Evidence({}, []), False)
         desk.loop.turn()
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -8,8 +8,8 @@
 
 from golden_wire import plain
 from indigohitch import service
-from indigohitch.bootstrap import bootstrap, load_report
-from indigohitch.platformlink.front import Front
+from indigohitch.platform_protocol.front import Front
+from indigohitch.settings import bootstrap, load_report
 
 PACKAGE = Path(service.__file__).parent
 ASKED = re.compile(r'(?:\b(?:boot|bootstrap)(?:\.get\(|\[)|\b_figure\()"(\w+)"')
@@ -154,5 +154,5 @@
 
 def asked_for() -> set[str]:
     """The names by which the module and the platform's front ask for values of the settings."""
-    paths = [*(PACKAGE / "logic").glob("*.py"), *(PACKAGE / "platformlink").glob("*.py")]
+    paths = [*(PACKAGE / "logic").glob("*.py"), *(PACKAGE / "platform_protocol").glob("*.py")]
     return {name for path in paths for name in ASKED.findall(path.read_text())}
--- a/tests/golden_told.py
+++ b/tests/golden_told.py
@@ -7,17 +7,17 @@
 
 from collector_room import Hall
 from indigohitch import errors, service
-from indigohitch.platformlink import words
-from indigohitch.platformlink.generations import Verdict
-from indigohitch.platformlink.guard import Invariant
+from indigohitch.platform_protocol import messages
+from indigohitch.platform_protocol.invariants import Invariant
+from indigohitch.platform_protocol.list_versions import Verdict
 
 ENUMERATIONS = {"service phases": service.Phase, "verdicts": Verdict, "invariants": Invariant}
 ERRORS = {
     "unreadable": errors.Unreadable,
     "unfit": errors.Unfit,
     "not now": errors.NotNow,
-    "line unreadable": words.Unreadable,
-    "line garbled": words.Garbled,
+    "line unreadable": messages.Unreadable,
+    "line garbled": messages.Garbled,
 }
 
 
--- a/tests/listroom.py
+++ b/tests/listroom.py
@@ -9,7 +9,7 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.discovery import Discovery
+from indigohitch.platform_protocol.discovery import Discovery
 from peers import reset
 
 
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -4,7 +4,7 @@
 import random
 import time
 
-from indigohitch.directives.fleet import FleetText, MemberText
+from indigohitch.config.fleet import FleetText, MemberText
 from indigohitch.fleet.node.figures import figures
 from indigohitch.fleet.node.node import Node
 from indigohitch.log import Log
--- a/tests/orderedlog.py
+++ b/tests/orderedlog.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
+from indigohitch.encoding.rows import Row
 from indigohitch.fleet.ports import HearsGone
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.terms import Entry, Lease
-from indigohitch.packed.rows import Row
 
 SECOND, BEAT, SPAN = 10_000, 1_000, 20_000  # a beat of 100 ms, leases of 2 s
 DRIFT = 0.001
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -6,13 +6,13 @@
 
 from indigohitch import interface as face
 from indigohitch.log import Log
-from indigohitch.logic.channel import UNMARKED_PACE, WAITING_MOST
+from indigohitch.logic.update_channel import UNMARKED_PACE, WAITING_MOST
 from indigohitch.net.clock import SECOND
-from indigohitch.net.exchange import Answer
+from indigohitch.net.http_exchange import Answer
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink import call_queue, doubt, tables
-from indigohitch.platformlink import relay as calls
-from indigohitch.platformlink.backlog import Backlog
+from indigohitch.platform_protocol import call_queue, call_resolution, stored_tables
+from indigohitch.platform_protocol import relay as calls
+from indigohitch.platform_protocol.channel_backlog import Backlog
 from seam import Shifted
 
 
@@ -46,7 +46,7 @@
 class Room:
     def __init__(self, monkeypatch, most=0, over=0, cap=0, pace=0, proxies=0, head=0):
         monkeypatch.setattr(call_queue, "Client", Told)
-        monkeypatch.setattr(doubt, "Client", lambda *words: Store(self))
+        monkeypatch.setattr(call_resolution, "Client", lambda *words: Store(self))
         self.store, self.stood, self.mute = {}, {}, False
         self.clock = Shifted()
         self.loop = Loop(self.clock, self.fail)
@@ -67,7 +67,7 @@
 
     def stands(self, orders):
         self.stand += orders
-        tables.carry_out(self.stood, orders)
+        stored_tables.carry_out(self.stood, orders)
 
     def fail(self, broken):
         raise broken
@@ -117,7 +117,7 @@
         """The call that is out is."""
         self.drain()
         orders = self.room.relay.waiting[0]
-        tables.carry_out(self.room.store, orders)
+        stored_tables.carry_out(self.room.store, orders)
         lines = (len(orders) + self.room.relay.backlog.head) * self.room.proxies
         self.calls.append([lines, orders[-1].mark if isinstance(orders[-1], face.Mark) else None])
         self.most = max(self.most, sum(lines for lines, _ in self.calls))
--- a/tests/seam.py
+++ b/tests/seam.py
@@ -5,10 +5,10 @@
 import select
 import socket
 
-from indigohitch.directives.sidecar_file import read
+from indigohitch.config.sidecar_file import read
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND, Clock
-from indigohitch.net.http import Client
+from indigohitch.net.http_client import Client
 from indigohitch.net.loop import Loop
 from indigohitch.sidecar.host import Host
 
--- a/tests/seatmembers.py
+++ b/tests/seatmembers.py
@@ -6,6 +6,7 @@
 
 import msgspec
 
+from indigohitch.encoding.rows import Row
 from indigohitch.fleet.seats.allocator import Allocation, SeatSettings
 from indigohitch.fleet.seats.contract import Pass
 from indigohitch.fleet.seats.nodeclock import Meter, Nodes, Verdict
@@ -13,7 +14,6 @@
 from indigohitch.fleet.seats.work import SeatsWork
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.terms import Entry, Lease, Stamp
-from indigohitch.packed.rows import Row
 
 SECOND = 10_000
 SPAN, DRIFT = 2 * SECOND, 0.05  # far more than any quartz: what leans on it shows soon
--- a/tests/test_access_log.py
+++ b/tests/test_access_log.py
@@ -10,8 +10,8 @@
 import pytest
 
 from field import Field
-from indigohitch.directives.lines import Mistakes
-from indigohitch.directives.sidecar_file import read
+from indigohitch.config.lines import Mistakes
+from indigohitch.config.sidecar_file import read
 from indigohitch.load import trace
 from indigohitch.sidecar.access import QUEUE, AccessLog
 from recorded import LOAD, ROOT
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_gate.py
@@ -6,8 +6,8 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.backlog import Backlog
-from indigohitch.platformlink.relay import Relay
+from indigohitch.platform_protocol.channel_backlog import Backlog
+from indigohitch.platform_protocol.relay import Relay
 from indigohitch.standins.stamped import Stamped
 
 
@@ -34,7 +34,7 @@
 
 
 def test_orders_that_may_not_go_are_void_and_told():
-    """What was decided while this coordinator might act doesn't go later (platformlink/relay)."""
+    """What was decided while this coordinator might act doesn't go later (platform_protocol/relay)."""
     clock = Clock()
     relay = Relay(
         Loop(clock, print),
--- a/tests/test_batches_parts.py
+++ b/tests/test_batches_parts.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from indigohitch.directives import operator_file, sidecar_file
-from indigohitch.directives.lines import Mistakes
+from indigohitch.config import operator_file, sidecar_file
+from indigohitch.config.lines import Mistakes
 from indigohitch.errors import Unfit
 from indigohitch.fleet.batches.asking import batch_of, contract_of, word_of
 from indigohitch.fleet.batches.inside import PriceFile
@@ -11,7 +11,7 @@
 from indigohitch.fleet.batches.sending import outcome
 from indigohitch.fleet.batches.strain import Strain
 from indigohitch.log import Log
-from indigohitch.net.exchange import Answer
+from indigohitch.net.http_exchange import Answer
 
 FILE = """name n1
 fleet whk
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from indigohitch.platformlink.limits import Limits
+from indigohitch.platform_protocol.resource_limits import Limits
 from stage import Platform, drain, heartbeat, none_lost
 from waiting import eventually
 
--- a/tests/test_crossing_backlog.py
+++ b/tests/test_crossing_backlog.py
@@ -4,8 +4,8 @@
 
 from indigohitch import interface as face
 from indigohitch.net.clock import SECOND
-from indigohitch.platformlink.backlog import Backlog
-from indigohitch.platformlink.calls import cut, merge
+from indigohitch.platform_protocol.call_codec import cut, merge
+from indigohitch.platform_protocol.channel_backlog import Backlog
 from relay_room import Channel, Room
 from stage import SETTINGS, drain, none_lost
 from waiting import eventually
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -10,10 +10,10 @@
 from indigohitch import interface as face
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.exchange import Answer
+from indigohitch.net.http_exchange import Answer
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink import doubt, tables
-from indigohitch.platformlink.front import Front
+from indigohitch.platform_protocol import call_resolution, stored_tables
+from indigohitch.platform_protocol.front import Front
 from relay_room import Store
 from seam import Shifted
 from stage import SETTINGS
@@ -32,7 +32,7 @@
         self.clock = Shifted()
         self.loop = Loop(self.clock, self.broken)
         self.log = Log(self.clock, "t", os.open(os.devnull, os.O_WRONLY))
-        monkeypatch.setattr(doubt, "Client", lambda *words: Store(self))
+        monkeypatch.setattr(call_resolution, "Client", lambda *words: Store(self))
         self.mute = False  # what Store asks: the store tells
         family = SETTINGS["family-info"] | {"queue-cap": CAP, "egress-per-s": PACE}
         entries = [self.entry(n, "SERVING") for n in range(BACKENDS)]
@@ -48,7 +48,7 @@
         }
         self.front = Front(self.loop, self.log, found)
         self.front.relay.client.request = self.request
-        self.store = {n: tables.Table({f"b{n % BACKENDS}": 1.0}) for n in range(SLICES)}
+        self.store = {n: stored_tables.Table({f"b{n % BACKENDS}": 1.0}) for n in range(SLICES)}
         self.queue, self.acks, self.most, self.at = [], [], 0.0, self.clock.now()
         holdings = self.front.holdings
         holdings.news_asked()
@@ -88,7 +88,7 @@
         return SimpleNamespace(drop=lambda: None)
 
     def carry_out(self, orders):
-        tables.carry_out(self.store, orders)
+        stored_tables.carry_out(self.store, orders)
         mark = next((o.mark for o in orders if isinstance(o, face.Mark)), None)
         self.queue.append([(len(orders) + self.front.relay.backlog.head) * PROXIES, mark])
         self.most = max(self.most, sum(lines for lines, _ in self.queue))
--- a/tests/test_crossing_doubt.py
+++ b/tests/test_crossing_doubt.py
@@ -4,8 +4,8 @@
 
 from indigohitch import interface as face
 from indigohitch.net.clock import SECOND
-from indigohitch.platformlink.doubt import Effect, Evidence, MarkProof
-from indigohitch.platformlink.tables import Table
+from indigohitch.platform_protocol.call_resolution import Effect, Evidence, MarkProof
+from indigohitch.platform_protocol.stored_tables import Table
 from stage import drain, none_lost
 from test_crossing_backlog import UNCLEAR, bounded, moved, play, rounds, serving
 from waiting import eventually
--- a/tests/test_crossing_handovers.py
+++ b/tests/test_crossing_handovers.py
@@ -7,8 +7,8 @@
 from hours import Hours
 from indigohitch import interface as face
 from indigohitch.net.loop import Deadline
-from indigohitch.platformlink import tables
-from indigohitch.platformlink.holdings import Holdings
+from indigohitch.platform_protocol import stored_tables
+from indigohitch.platform_protocol.store_mirror import Holdings
 from test_holdings import Told
 
 SLICE = 5
@@ -229,8 +229,8 @@
     """Found on a day of five restarts at once: 960 slices taken back held the loop up for 2.5 s, and a drain
     told meanwhile was heard too late."""
     copied = []
-    copy = tables.copy
-    monkeypatch.setattr(tables, "copy", lambda all: copied.append(all) or copy(all))
+    copy = stored_tables.copy
+    monkeypatch.setattr(stored_tables, "copy", lambda all: copied.append(all) or copy(all))
     relay = Relay()
     relay.hear(
         *(event for n in range(10, 1010) for event in (face.Charge(n, True), face.StoredLine(n, "b0", 1.0)))
--- a/tests/test_crossing_lists_judge.py
+++ b/tests/test_crossing_lists_judge.py
@@ -7,7 +7,7 @@
 
 from indigohitch import interface as face
 from indigohitch.net.clock import SECOND
-from indigohitch.platformlink.generations import Generations, Verdict
+from indigohitch.platform_protocol.list_versions import Generations, Verdict
 
 STEP = SECOND // 20
 
--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_crossing_lists_program.py
@@ -6,8 +6,8 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND, Clock
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.front import Front
-from indigohitch.platformlink.handover import Handover
+from indigohitch.platform_protocol.front import Front
+from indigohitch.platform_protocol.handover import Handover
 from indigohitch.upgrade import snapshot as shots
 from peers import http
 from stage import SETTINGS, drain
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -8,8 +8,8 @@
 from indigohitch import interface as face
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.holdings import Holdings
-from indigohitch.platformlink.news import News
+from indigohitch.platform_protocol.relay_watch import News
+from indigohitch.platform_protocol.store_mirror import Holdings
 from test_holdings import Told
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_crossing_readiness.py
+++ b/tests/test_crossing_readiness.py
@@ -11,7 +11,7 @@
 import pytest
 
 from indigohitch.logic import Coordinator
-from indigohitch.platformlink.front import Front
+from indigohitch.platform_protocol.front import Front
 from indigohitch.service import Service
 from program import Program
 from stage import SETTINGS, drain, heartbeat
--- a/tests/test_crossing_relay.py
+++ b/tests/test_crossing_relay.py
@@ -7,10 +7,10 @@
 from indigohitch import interface as face
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.exchange import Answer
+from indigohitch.net.http_exchange import Answer
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink import relay as calls
-from indigohitch.platformlink.front import Front
+from indigohitch.platform_protocol import relay as calls
+from indigohitch.platform_protocol.front import Front
 from relay_room import Room
 from seam import Shifted
 from stage import SETTINGS
--- a/tests/test_crossing_reload.py
+++ b/tests/test_crossing_reload.py
@@ -12,7 +12,7 @@
 from indigohitch.net.clock import Clock
 from indigohitch.net.connection import address
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.front import Front
+from indigohitch.platform_protocol.front import Front
 from peers import Peer
 from stage import SETTINGS, Platform, drain, none_lost
 from waiting import eventually, free_address
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -10,13 +10,13 @@
 
 import apart
 from apart import ALL, alone, instance, letters, short, shuffled, splits
-from indigohitch.bootstrap import bootstrap
 from indigohitch.log import Log
 from indigohitch.logic import Coordinator
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.front import Front
-from indigohitch.platformlink.relay import encode
+from indigohitch.platform_protocol.front import Front
+from indigohitch.platform_protocol.relay import encode
+from indigohitch.settings import bootstrap
 from indigohitch.upgrade.module_state import freeze, thaw
 from waiting import free_address
 
@@ -31,7 +31,7 @@
 @pytest.fixture(autouse=True)
 def nothing_is_kept_at_module_or_class_level():
     before = apart.kept()
-    assert len(before) > 10 and "indigohitch.logic.hearing.HEAR" in before
+    assert len(before) > 10 and "indigohitch.logic.event_handlers.HEAR" in before
     yield
     assert apart.kept() == before
 
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -9,10 +9,10 @@
 from indigohitch.log import Log
 from indigohitch.logic import Coordinator
 from indigohitch.net.clock import Clock
-from indigohitch.net.exchange import Answer
+from indigohitch.net.http_exchange import Answer
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.front import Front
-from indigohitch.platformlink.handover import Handover
+from indigohitch.platform_protocol.front import Front
+from indigohitch.platform_protocol.handover import Handover
 from indigohitch.upgrade import snapshot as shots
 from stage import SETTINGS
 from waiting import free_address
--- a/tests/test_crossing_wire.py
+++ b/tests/test_crossing_wire.py
@@ -15,7 +15,7 @@
 from indigohitch import interface as face
 from indigohitch.benchlink import incoming
 from indigohitch.benchlink.host import Host
-from indigohitch.bootstrap import _LOAD
+from indigohitch.settings import _LOAD
 
 STATE, SCOPE, OUTCOME = (
     {ours: wire for wire, ours in table.items()}
--- a/tests/test_directives.py
+++ b/tests/test_directives.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from indigohitch.directives.lines import Mistakes
-from indigohitch.directives.sidecar_file import read
+from indigohitch.config.lines import Mistakes
+from indigohitch.config.sidecar_file import read
 
 TEXT = """listen 127.0.0.1:1
 rpc search idempotent soft 1s deadline 2s
--- a/tests/test_directives_any.py
+++ b/tests/test_directives_any.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from indigohitch.directives import either, operator_file, sidecar_file
-from indigohitch.directives.lines import Mistakes
+from indigohitch.config import either, operator_file, sidecar_file
+from indigohitch.config.lines import Mistakes
 from test_directives import TEXT
 from test_directives_fleet import FLEET
 
--- a/tests/test_directives_batches.py
+++ b/tests/test_directives_batches.py
@@ -4,8 +4,8 @@
 from click.testing import CliRunner
 
 from indigohitch.cli import main
-from indigohitch.directives import operator_file
-from indigohitch.directives.lines import Mistakes
+from indigohitch.config import operator_file
+from indigohitch.config.lines import Mistakes
 from test_directives_fleet import FLEET
 
 SITE = "edition 1\nsite eros zone Europe/Berlin holidays DE-BE\nlanes eros std 8\n"
--- a/tests/test_directives_distribution.py
+++ b/tests/test_directives_distribution.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from indigohitch.directives import operator_file, sidecar_file
-from indigohitch.directives.lines import Mistakes
+from indigohitch.config import operator_file, sidecar_file
+from indigohitch.config.lines import Mistakes
 from test_directives import TEXT
 from test_directives_fleet import FLEET
 
--- a/tests/test_directives_fleet.py
+++ b/tests/test_directives_fleet.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from indigohitch.directives import either, operator_file, sidecar_file
-from indigohitch.directives.fleet import FleetText
-from indigohitch.directives.lines import Mistakes, Reader, Vocabulary
+from indigohitch.config import either, operator_file, sidecar_file
+from indigohitch.config.fleet import FleetText
+from indigohitch.config.lines import Mistakes, Reader, Vocabulary
 from test_directives import TEXT
 
 FLEET = """name n1
@@ -123,7 +123,7 @@
     "text, found", [(FLEET + "contract\nedition 1\n", []), (FLEET + "contract\n", [7]), ("\ncontract\n", [2])]
 )
 def test_a_further_part_has_words_of_its_own_and_an_edition(text, found):
-    from indigohitch.directives.fleet import VOCABULARY
+    from indigohitch.config.fleet import VOCABULARY
 
     own = Vocabulary(single={"name": sidecar_file.SINGLE["name"]})
     reader = Reader("f", (VOCABULARY, own, Vocabulary({"contract": further})))
--- a/tests/test_directives_seats.py
+++ b/tests/test_directives_seats.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from indigohitch.directives import operator_file, sidecar_file
-from indigohitch.directives.lines import Mistakes
+from indigohitch.config import operator_file, sidecar_file
+from indigohitch.config.lines import Mistakes
 from indigohitch.fleet.seats.configured import contract_of
 from indigohitch.fleet.seats.contract import Contract, Terms
 from test_directives import TEXT
--- a/tests/test_distribution_role.py
+++ b/tests/test_distribution_role.py
@@ -11,7 +11,7 @@
 from indigohitch.fleet.distribution.terms import Resource
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.terms import Entry
-from indigohitch.net import descriptors
+from indigohitch.net import file_limits
 from nodes import Kept, Looped, free
 
 
@@ -46,9 +46,9 @@
 
 def test_the_soft_limit_on_descriptors_is_raised_as_far_as_it_goes(monkeypatch):
     limits, given = (256, 1_024), []
-    monkeypatch.setattr(descriptors.resource, "getrlimit", lambda what: limits)
-    monkeypatch.setattr(descriptors.resource, "setrlimit", lambda what, told: given.append(told))
-    assert [descriptors.allow(wanted) for wanted in (100, 512, 4_096)] == [256, 512, 1_024]
+    monkeypatch.setattr(file_limits.resource, "getrlimit", lambda what: limits)
+    monkeypatch.setattr(file_limits.resource, "setrlimit", lambda what, told: given.append(told))
+    assert [file_limits.allow(wanted) for wanted in (100, 512, 4_096)] == [256, 512, 1_024]
     assert given == [(512, 1_024), (1_024, 1_024)]
 
 
--- a/tests/test_drain_watch.py
+++ b/tests/test_drain_watch.py
@@ -8,8 +8,8 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.drains import DrainWatch, PausedTime
-from indigohitch.platformlink.tables import Table
+from indigohitch.platform_protocol.drain_monitor import DrainWatch, PausedTime
+from indigohitch.platform_protocol.stored_tables import Table
 from seam import Shifted
 from stage import drain
 from waiting import eventually
--- a/tests/test_fleet_state_machine.py
+++ b/tests/test_fleet_state_machine.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
+from indigohitch.encoding.rows import Row
 from indigohitch.errors import Unfit, Unreadable
 from indigohitch.fleet.state_machine import WINDOW, ReplicatedStateMachine
 from indigohitch.fleet.terms import Entry
-from indigohitch.packed.rows import Row
 
 
 class Add(Row):
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -9,8 +9,8 @@
 
 from golden.decision_files import KINDS, LISTED, SEEDS, path, read
 from golden.decision_settings import SETTINGS
-from indigohitch.bootstrap import bootstrap
 from indigohitch.logic import Coordinator
+from indigohitch.settings import bootstrap
 from indigohitch.upgrade import events
 from indigohitch.upgrade.module_state import ModuleRow, freeze, thaw
 
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -7,8 +7,8 @@
 from golden_files_versions import RECORD_VALUES, WORD_VALUES, as_sent, kept, read_words, values
 from golden_files_versions_made import FIRST, SECOND, records, session, words, write_store
 from golden_files_versions_said import commands, rules
+from indigohitch.encoding.frames import HEAD
 from indigohitch.fleet.disk.files import Files
-from indigohitch.packed.frames import HEAD
 from indigohitch.versions.store import Store
 from indigohitch.versions.store_records import RECORDS, frames, read
 from indigohitch.versions.words import WORDS
--- a/tests/test_golden_fleet_frames.py
+++ b/tests/test_golden_fleet_frames.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from indigohitch.packed.frames import Frames
+from indigohitch.encoding.frames import Frames
 
 GOLDEN = Path(__file__).parent / "golden" / "fleet"
 SCRIPT = runpy.run_path(str(GOLDEN / "write_frames.py"))
--- a/tests/test_golden_platform_wire.py
+++ b/tests/test_golden_platform_wire.py
@@ -2,7 +2,7 @@
 
 import golden_platform
 from golden_wire import check
-from indigohitch.platformlink.words import NEWS, REPORTS
+from indigohitch.platform_protocol.messages import NEWS, REPORTS
 
 
 def test_lines_of_collectors_and_strangers():
--- a/tests/test_golden_row_places.py
+++ b/tests/test_golden_row_places.py
@@ -4,7 +4,7 @@
 import msgspec
 import pytest
 
-from indigohitch.packed.rows import Row
+from indigohitch.encoding.rows import Row
 from indigohitch.upgrade import module_rows, snapshot, words
 
 PLACES = {
--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -27,13 +27,13 @@
     ordered_next,
     values,
 )
-from indigohitch.bootstrap import bootstrap
-from indigohitch.directives.sidecar_file import read
+from indigohitch.config.sidecar_file import read
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.front import Front
-from indigohitch.platformlink.handover import Handover
+from indigohitch.platform_protocol.front import Front
+from indigohitch.platform_protocol.handover import Handover
+from indigohitch.settings import bootstrap
 from indigohitch.sidecar.handover import Handover as SidecarHandover
 from indigohitch.sidecar.host import Host
 from indigohitch.upgrade import events
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -3,7 +3,7 @@
 import pytest
 
 from indigohitch import interface as face
-from indigohitch.logic.pacing import MessagePace
+from indigohitch.logic.rate_limit import MessagePace
 from indigohitch.net.clock import SECOND
 from relay_room import Room
 from stage import drain
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from indigohitch.net.ring import Pool, Ring
+from indigohitch.net.ring_buffer import Pool, Ring
 from indigohitch.sidecar.framing import LAST_CHUNK, Body, Malformed, chunk
 from indigohitch.sidecar.heads import AnswerHead, Refused, RequestHead
 
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -6,10 +6,10 @@
 
 from hours import Hours
 from indigohitch import interface as face
-from indigohitch.gather import Gathering
+from indigohitch.event_batch import Gathering
 from indigohitch.net.loop import Deadline
-from indigohitch.platformlink import tables
-from indigohitch.platformlink.holdings import Holdings
+from indigohitch.platform_protocol import stored_tables
+from indigohitch.platform_protocol.store_mirror import Holdings
 
 
 def test_pieces_of_one_period_are_handled_together():
@@ -101,7 +101,7 @@
         holdings.news_opening()
         start = [face.ProxyJoined(p, "east", 1.0, False) for p in sorted(proxies)]
         for number, lines in store.items():
-            start += tables.given(number, tables.Table(dict(lines)))
+            start += stored_tables.given(number, stored_tables.Table(dict(lines)))
         for event in start:
             holdings.news(event)
             if rng.random() < 0.2 and not isinstance(event, face.Charge):
@@ -129,7 +129,7 @@
     holdings = Holdings(hours, told, told.hear, list, calls.extend)
     for _ in range(3):
         holdings.news_opening()
-        for event in tables.given(4, tables.Table({"b1": 1.0})):
+        for event in stored_tables.given(4, stored_tables.Table({"b1": 1.0})):
             holdings.news(event)
         holdings.news_alive()
     assert told.charges == 1 and told.tables == {4: {"b1": 1.0}}
@@ -151,7 +151,7 @@
         holdings.stands(list(answered))
         holdings.news_opening()
         for number in (4, 5):
-            for event in tables.given(number, tables.Table({"b1": 1.0})):
+            for event in stored_tables.given(number, stored_tables.Table({"b1": 1.0})):
                 holdings.news(event)
         holdings.news_alive()
 
@@ -180,7 +180,7 @@
         holdings.news_asked()
         holdings.news_opening()
         for number, backend in enumerate(lines.values()):
-            for event in tables.given(number, tables.Table({backend: 1.0})):
+            for event in stored_tables.given(number, stored_tables.Table({backend: 1.0})):
                 holdings.news(event)
         holdings.news_alive()
 
--- a/tests/test_ledger_members.py
+++ b/tests/test_ledger_members.py
@@ -3,6 +3,7 @@
 import msgspec
 import pytest
 
+from indigohitch.encoding.rows import digest
 from indigohitch.fleet.ledger.members import encoded, next_step
 from indigohitch.fleet.ledger.ports import (
     Ballot,
@@ -19,7 +20,6 @@
 )
 from indigohitch.fleet.ledger.words import Append, Appended, Ask, Piece, Pieced
 from indigohitch.fleet.terms import Entry, Who
-from indigohitch.packed.rows import digest
 from ledger_group import BOOTSTRAP, A, B, C, D, Group, entries, lead, machine, of, words
 
 B2 = Who("b", 2)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from indigohitch.encoding.frames import Frames
 from indigohitch.fleet.ledger.words import Append, Vote
 from indigohitch.fleet.links import ends
 from indigohitch.fleet.links.greeting import refused
@@ -12,7 +13,6 @@
 from indigohitch.fleet.links.words import Greeting, Refused, Welcome
 from indigohitch.fleet.node.words import KINDS
 from indigohitch.fleet.terms import Entry, Who
-from indigohitch.packed.frames import Frames
 from nodes import Kept, Looped, free
 
 
--- a/tests/test_logic_dispatch.py
+++ b/tests/test_logic_dispatch.py
@@ -7,7 +7,7 @@
 
 from indigohitch import interface as face
 from indigohitch.logic import SECOND, Coordinator
-from indigohitch.logic.dispatch import (
+from indigohitch.logic.call_scheduling import (
     REPEAT_BLINDLY_AFTER,
     arranged,
     leads,
@@ -15,7 +15,7 @@
     resend_after,
     urgent_tables,
 )
-from indigohitch.logic.pacing import MessagePace
+from indigohitch.logic.rate_limit import MessagePace
 from orders import changes
 from world import World, entry
 
--- a/tests/test_logic_judging.py
+++ b/tests/test_logic_judging.py
@@ -3,7 +3,7 @@
 
 from indigohitch import interface as face
 from indigohitch.logic import SECOND
-from indigohitch.logic.planning import allowance
+from indigohitch.logic.planner import allowance
 from orders import changes
 from world import World, entry
 
--- a/tests/test_logic_planning.py
+++ b/tests/test_logic_planning.py
@@ -5,7 +5,7 @@
 
 from indigohitch import interface as face
 from indigohitch.logic import SECOND
-from indigohitch.logic.planning import allowance
+from indigohitch.logic.planner import allowance
 from orders import changes, lines
 from world import World, entry
 
--- a/tests/test_logic_sending.py
+++ b/tests/test_logic_sending.py
@@ -3,7 +3,7 @@
 
 from indigohitch import interface as face
 from indigohitch.logic import SECOND
-from indigohitch.logic.planning import move
+from indigohitch.logic.planner import move
 from orders import changes, lines
 from world import World, entry
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,8 +12,8 @@
 from indigohitch.net.clock import Clock
 from indigohitch.net.connection import address
 from indigohitch.net.loop import Loop
-from indigohitch.net.ring import Pool, Ring
-from indigohitch.net.slots import Slots
+from indigohitch.net.ring_buffer import Pool, Ring
+from indigohitch.net.slot_table import Slots
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -147,12 +147,12 @@
 
 
 def test_no_package_imports_in_a_circle():
-    """Left knows nothing of right: net, platformlink, service."""
+    """Left knows nothing of right: net, platform_protocol, service."""
     root = os.path.join(os.path.dirname(__file__), "..", "indigohitch")
     for package, forbidden in (
-        ("net", ("from ..", "logic", "interface", "platformlink")),
-        ("platformlink", ("service", "benchlink")),
-        ("benchlink", ("platformlink", "net", "service")),
+        ("net", ("from ..", "logic", "interface", "platform_protocol")),
+        ("platform_protocol", ("service", "benchlink")),
+        ("benchlink", ("platform_protocol", "net", "service")),
     ):
         for name in os.listdir(os.path.join(root, package)):
             if name.endswith(".py"):
--- a/tests/test_node_inside.py
+++ b/tests/test_node_inside.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from indigohitch.directives.fleet import MemberText
+from indigohitch.config.fleet import MemberText
 from indigohitch.errors import NotNow
 from indigohitch.fleet.node import inside as within
 from indigohitch.fleet.node.alone import Bare
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -181,8 +181,8 @@
         "import runpy, sys\n"
         "try:\n    runpy.run_module('indigohitch', run_name='__main__')\n"
         "except SystemExit:\n    pass\n"
-        "print([m for m in sys.modules if '.fleet' in m or '.upgrade' in m or '.packed' in m or "
-        "'.distribution' in m or '.directives' in m or m == 'indigohitch.net.due'], "
+        "print([m for m in sys.modules if '.fleet' in m or '.upgrade' in m or '.encoding' in m or "
+        "'.distribution' in m or '.config' in m or m == 'indigohitch.net.due_timer'], "
         "'indigohitch.service' in sys.modules)"
     )
     found = subprocess.run(
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -5,12 +5,12 @@
 import pytest
 
 from indigohitch import interface as face
-from indigohitch.net.exchange import Answer
-from indigohitch.platformlink import tables
-from indigohitch.platformlink.calls import BYTES, encode, merge, pieces, read_answer
-from indigohitch.platformlink.discovery import read_list
-from indigohitch.platformlink.news import EventStream
-from indigohitch.platformlink.words import NEWS, Garbled, Known, Unreadable, report, split
+from indigohitch.net.http_exchange import Answer
+from indigohitch.platform_protocol import stored_tables
+from indigohitch.platform_protocol.call_codec import BYTES, encode, merge, pieces, read_answer
+from indigohitch.platform_protocol.discovery import read_list
+from indigohitch.platform_protocol.messages import NEWS, Garbled, Known, Unreadable, report, split
+from indigohitch.platform_protocol.relay_watch import EventStream
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -60,8 +60,8 @@
     merged = merge(orders)
 
     def end(orders):
-        found = {n: tables.Table({"b1": 1.0}) for n in range(4)}
-        tables.carry_out(found, orders)
+        found = {n: stored_tables.Table({"b1": 1.0}) for n in range(4)}
+        stored_tables.carry_out(found, orders)
         return found, {o.backend: o.out for o in orders if isinstance(o, face.Withdraw)}
 
     assert end(merged) == end(orders)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -2,7 +2,7 @@
 
 import os
 
-from indigohitch.directives.sidecar_file import read
+from indigohitch.config.sidecar_file import read
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND, Clock
 from indigohitch.net.loop import Loop
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -4,8 +4,8 @@
 
 from indigohitch import interface as face
 from indigohitch.net.clock import SECOND
-from indigohitch.platformlink.doubt import Effect, Evidence
-from indigohitch.platformlink.tables import Table
+from indigohitch.platform_protocol.call_resolution import Effect, Evidence
+from indigohitch.platform_protocol.stored_tables import Table
 from relay_room import Room
 
 MOST, OVER = 12, 10 * SECOND
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from indigohitch.directives.routes import Doubled, Route, Routes
+from indigohitch.config.routes import Doubled, Route, Routes
 from indigohitch.sidecar.keys import key_of, slice_of
 
 
--- a/tests/test_subscribed_backends.py
+++ b/tests/test_subscribed_backends.py
@@ -6,9 +6,9 @@
 import pytest
 
 from indigohitch import interface as face
-from indigohitch.subscribed.errors import UnreadableInstance
-from indigohitch.subscribed.instances import Instances, read_instance
-from indigohitch.subscribed.source import SubscribedBackends
+from indigohitch.backend_subscription.errors import UnreadableInstance
+from indigohitch.backend_subscription.instances import Instances, read_instance
+from indigohitch.backend_subscription.source import SubscribedBackends
 
 
 def body(id, lifecycle="SERVING", port=80, **more):
--- a/tests/test_upgrade_channel.py
+++ b/tests/test_upgrade_channel.py
@@ -7,9 +7,9 @@
 import msgspec
 import pytest
 
+from indigohitch.encoding import frames
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import Loop
-from indigohitch.packed import frames
 from indigohitch.upgrade import words
 from indigohitch.upgrade.channel import Channel
 
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -11,7 +11,7 @@
 from golden.upgrade_states import FRAMES
 from indigohitch import interface as face
 from indigohitch.logic.state import DueAction
-from indigohitch.platformlink.handover import Handover
+from indigohitch.platform_protocol.handover import Handover
 from indigohitch.sidecar.handover import Handover as SidecarHandover
 from indigohitch.upgrade import events
 from indigohitch.upgrade.giver import Giver
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -9,7 +9,7 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
 from indigohitch.net.loop import Loop
-from indigohitch.platformlink.front import Front
+from indigohitch.platform_protocol.front import Front
 from seam import Shifted
 from stage import SETTINGS
 from waiting import free_address
