--- a/benchmarks/capacitykit/module_cell.py
+++ b/benchmarks/capacitykit/module_cell.py
@@ -57,16 +57,16 @@
         self.turns.append(spent)
         mark = None
         for order in orders:
-            if isinstance(order, face.SetLine):
+            if isinstance(order, face.SetRoute):
                 self.set_line(order)
-            elif isinstance(order, face.Mark):
+            elif isinstance(order, face.UpdateMarker):
                 mark = order.mark
         if mark is not None and self.proxies:
-            answers = [face.Acked(proxy, mark, 3000) for proxy in range(self.proxies)]
+            answers = [face.UpdateAcknowledged(proxy, mark, 3000) for proxy in range(self.proxies)]
             self.turn(answers, SECOND // 10)
         return spent
 
-    def set_line(self, order: face.SetLine) -> None:
+    def set_line(self, order: face.SetRoute) -> None:
         if order.weight:
             self.tables[order.table][order.backend] = order.weight
         else:
@@ -78,7 +78,7 @@
         for number in self.rates:
             name = self.names[number * len(self.names) // len(self.rates)]
             self.tables[number][name] = 1.0
-            events += [face.Charge(number, True), face.StoredLine(number, name, 1.0)]
+            events += [face.SliceOwnership(number, True), face.StoredRoute(number, name, 1.0)]
         events += [face.ProxyJoined(proxy, "east", 5.0, True) for proxy in range(self.proxies)]
         return self.turn(events, 0)
 
@@ -91,14 +91,14 @@
         ]
         used = sorted({name for table in self.tables.values() for name in table})
         load = {"service_time": 2500, "queued": 0}
-        events += [face.Traffic("east", name, 18, 0, 2500, period, load) for name in used]
+        events += [face.BackendTraffic("east", name, 18, 0, 2500, period, load) for name in used]
         return events
 
     def run(self, beats: int) -> None:
         for number in range(beats):
             reports = self.sums() if number % REPORT_BEATS == 0 else []
-            probes = [face.Probed(name, "ok", 60) for name in self.asked()]
-            self.turn([face.TimerDue("beat"), *reports, *probes], SECOND // 2)
+            probes = [face.ProbeResult(name, "ok", 60) for name in self.asked()]
+            self.turn([face.TimerFired("beat"), *reports, *probes], SECOND // 2)
 
     def asked(self) -> list[str]:
         """The backends with a probe out."""
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -64,7 +64,8 @@
             if r > 0.5
         ]
         return lines + [
-            face.Traffic("east", b, 9, 0, 2500, 2 * second, {"service_time": 2500, "queued": 0}) for b in ids
+            face.BackendTraffic("east", b, 9, 0, 2500, 2 * second, {"service_time": 2500, "queued": 0})
+            for b in ids
         ]
 
     first, _ = turn(
@@ -72,18 +73,18 @@
         *(
             e
             for s in range(slices)
-            for e in (face.Charge(s, True), face.StoredLine(s, ids[s % backends], 1.0))
+            for e in (face.SliceOwnership(s, True), face.StoredRoute(s, ids[s % backends], 1.0))
         ),
     )
     joins = [face.ProxyJoined(p, "east", 5.0, False) for p in range(proxies)]
     parts = [turn(*joins[at : at + 64])[0] for at in range(0, proxies, 64)]
     steady, acked = [], []
     for _ in range(40):
-        spent, orders = turn(face.TimerDue("beat"), *sums(), span=second // 2)
+        spent, orders = turn(face.TimerFired("beat"), *sums(), span=second // 2)
         steady.append(spent)
-        mark = next((o.mark for o in orders if isinstance(o, face.Mark)), None)
+        mark = next((o.mark for o in orders if isinstance(o, face.UpdateMarker)), None)
         if mark is not None:
-            acked.append(turn(*(face.Acked(p, mark, 3000) for p in range(proxies)))[0])
+            acked.append(turn(*(face.UpdateAcknowledged(p, mark, 3000) for p in range(proxies)))[0])
     drains = tuple(entry(b, "draining") for b in ids[: backends * 3 // 10])
     drained, _ = turn(face.BackendList("changes", 2, drains))
     return {
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -100,7 +100,7 @@
     publisher.apply_orders(
         0,
         [
-            face.SetLine(slice, name, weight)
+            face.SetRoute(slice, name, weight)
             for slice, lines in plain.items()
             for name, weight in lines.items()
         ],
@@ -117,7 +117,7 @@
         clock += 100_000
         slice = 17 * number
         began = time.perf_counter()
-        publisher.apply_orders(clock, [face.SetLine(slice, NAMES[number], 3.0)], "one line")
+        publisher.apply_orders(clock, [face.SetRoute(slice, NAMES[number], 3.0)], "one line")
         messages = [
             (name, message) for name, session in publisher.sessions.items() for message in session.due(clock)
         ]
--- a/indigohitch/backend_subscription/instances.py
+++ b/indigohitch/backend_subscription/instances.py
@@ -22,7 +22,7 @@
 class Instance:
     """`address`: host:port, as discovery tells it."""
 
-    listed: face.Listed
+    listed: face.BackendEntry
     address: str
 
 
@@ -110,7 +110,7 @@
         return not self.wanted()
 
 
-def listed(instances: Mapping[BackendId, Instance]) -> tuple[face.Listed, ...]:
+def listed(instances: Mapping[BackendId, Instance]) -> tuple[face.BackendEntry, ...]:
     return tuple(instance.listed for instance in instances.values())
 
 
--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -1,4 +1,4 @@
-"""The subscription as the front's source of backends, in place of discovery (`platform_protocol.backend_source`)."""
+"""The subscription as the front's source of backends, in place of discovery (`backend_source`)."""
 
 from __future__ import annotations
 
--- a/indigohitch/benchlink/host.py
+++ b/indigohitch/benchlink/host.py
@@ -6,7 +6,7 @@
 from typing import BinaryIO
 
 from ..logic import Coordinator
-from ..settings import bootstrap, tenths
+from ..settings import parse_settings, ticks_from_ms
 from . import incoming, outgoing
 
 
@@ -20,7 +20,7 @@
     def _born(self, message: incoming.Configure) -> None:
         number = message.coordinator
         try:
-            boot, self.columns[number] = bootstrap(message.params)
+            boot, self.columns[number] = parse_settings(message.params)
         except ValueError as bad:
             raise incoming.WireError(f"bad Configure for coordinator {number}: {bad}") from None
         self.instances[number] = Coordinator(message.rng_seed, boot)
@@ -65,7 +65,7 @@
     for line in source:
         kind, message = incoming.decode(line)
         if kind == "Mark":
-            now, messages = tenths(message.at_time), []
+            now, messages = ticks_from_ms(message.at_time), []
         elif kind == "Flush":
             host.batch(now, messages)
             host.out.append(outgoing.OK)
--- a/indigohitch/benchlink/incoming.py
+++ b/indigohitch/benchlink/incoming.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from .. import interface as face
-from ..settings import load_report, tenths
+from ..settings import parse_load_report, ticks_from_ms
 
 _on_wire = msgspec.field  # _on_wire(name="..."): a field's name on the wire
 
@@ -53,10 +53,10 @@
     buffer: int = _on_wire(name="buffer")
     members: list[Entry] = _on_wire(name="members", default_factory=list)
 
-    def entries(self) -> tuple[face.Listed, ...]:
+    def entries(self) -> tuple[face.BackendEntry, ...]:
         return tuple(
-            face.Listed(
-                e.backend, _STATE[e.condition], e.share, e.campus, e.block, e.model, tenths(e.launched)
+            face.BackendEntry(
+                e.backend, _STATE[e.condition], e.share, e.campus, e.block, e.model, ticks_from_ms(e.launched)
             )
             for e in self.members
         )
@@ -73,7 +73,7 @@
 
 
 def _load(columns, row) -> dict[str, float]:
-    return load_report(zip(columns, row or ()))
+    return parse_load_report(zip(columns, row or ()))
 
 
 class ProbeResult(Event):
@@ -83,10 +83,10 @@
     health_info: list[float | None] | None = _on_wire(name="health-info", default=None)
 
     def typed(self, columns, lists):
-        return face.Probed(
+        return face.ProbeResult(
             self.backend,
             _OUTCOME.get(self.state_code, "error"),
-            tenths(self.duration),
+            ticks_from_ms(self.duration),
             _load(columns, self.health_info),
         )
 
@@ -99,7 +99,9 @@
     elapsed: float = _on_wire(name="elapsed", default=0.0)
 
     def typed(self, columns, lists):
-        return face.SliceDemand(self.table, self.tier_class, self.total, self.errors, tenths(self.elapsed))
+        return face.SliceDemand(
+            self.table, self.tier_class, self.total, self.errors, ticks_from_ms(self.elapsed)
+        )
 
 
 class Intake(Event):
@@ -110,7 +112,9 @@
     elapsed: float = _on_wire(name="elapsed", default=0.0)
 
     def typed(self, columns, lists):
-        return face.ProxyDemand(self.edge, self.tier_class, self.total, self.errors, tenths(self.elapsed))
+        return face.ProxyDemand(
+            self.edge, self.tier_class, self.total, self.errors, ticks_from_ms(self.elapsed)
+        )
 
 
 class TrafficReport(Event):
@@ -123,13 +127,13 @@
     health_info: list[float | None] | None = _on_wire(name="health-info", default=None)
 
     def typed(self, columns, lists):
-        return face.Traffic(
+        return face.BackendTraffic(
             self.campus,
             self.backend,
             self.total,
             self.errors,
-            tenths(self.duration),
-            tenths(self.elapsed),
+            ticks_from_ms(self.duration),
+            ticks_from_ms(self.elapsed),
             _load(columns, self.health_info),
         )
 
@@ -157,7 +161,7 @@
     duration: float = _on_wire(name="duration", default=0.0)
 
     def typed(self, columns, lists):
-        return face.Acked(self.edge, self.number, tenths(self.duration))
+        return face.UpdateAcknowledged(self.edge, self.number, ticks_from_ms(self.duration))
 
 
 class AssignedToMe(Event):
@@ -165,7 +169,7 @@
     active: bool = _on_wire(name="active", default=False)
 
     def typed(self, columns, lists):
-        return face.Charge(self.table, self.active)
+        return face.SliceOwnership(self.table, self.active)
 
 
 class StoredLine(Event):
@@ -174,7 +178,7 @@
     share: float = _on_wire(name="share")
 
     def typed(self, columns, lists):
-        return face.StoredLine(self.table, self.backend, self.share)
+        return face.StoredRoute(self.table, self.backend, self.share)
 
 
 class FromPeer(Event):
@@ -182,14 +186,14 @@
     body: bytes = _on_wire(name="body")
 
     def typed(self, columns, lists):
-        return face.PeerNote(self.src, self.body)
+        return face.PeerMessage(self.src, self.body)
 
 
 class TickDue(Event):
     tag: str = _on_wire(name="tag")
 
     def typed(self, columns, lists):
-        return face.TimerDue(self.tag)
+        return face.TimerFired(self.tag)
 
 
 class Opening(msgspec.Struct):
--- a/indigohitch/benchlink/outgoing.py
+++ b/indigohitch/benchlink/outgoing.py
@@ -20,24 +20,24 @@
 
 
 _ORDERS = {
-    face.SetLine: lambda o: {"type": "SetWeight", "table": o.table, "backend": o.backend, "share": o.weight},
+    face.SetRoute: lambda o: {"type": "SetWeight", "table": o.table, "backend": o.backend, "share": o.weight},
     face.ClearTable: lambda o: {"type": "DropLines", "table": o.table},
-    face.SetLevel: lambda o: {
+    face.SetAdmission: lambda o: {
         "type": "SetLevel",
         "table": o.table,
         "only": _mask(o.methods),
         "level": o.level,
         "again": o.tries,
     },
-    face.Withdraw: lambda o: {"type": "HoldBack", "backend": o.backend, "active": o.out},
-    face.Bind: lambda o: {"type": "Point", "edge": o.proxy, "table": o.table, "only": _mask(o.methods)},
-    face.Mark: lambda o: {"type": "Nonce", "number": o.mark, "active": o.everyone},
-    face.Probe: lambda o: {"type": "Inspect", "backend": o.backend},
-    face.TellPeer: lambda o: {"type": "Announce", "target": o.peer, "body": _b64(o.body)},
-    face.Subscribe: lambda o: {"type": "KeepInformed", "active": o.on},
-    face.FetchList: lambda o: {"type": "QueryAll"},
+    face.EjectBackend: lambda o: {"type": "HoldBack", "backend": o.backend, "active": o.out},
+    face.BindTable: lambda o: {"type": "Point", "edge": o.proxy, "table": o.table, "only": _mask(o.methods)},
+    face.UpdateMarker: lambda o: {"type": "Nonce", "number": o.mark, "active": o.everyone},
+    face.ProbeBackend: lambda o: {"type": "Inspect", "backend": o.backend},
+    face.SendToPeer: lambda o: {"type": "Announce", "target": o.peer, "body": _b64(o.body)},
+    face.WatchBackends: lambda o: {"type": "KeepInformed", "active": o.on},
+    face.FetchBackends: lambda o: {"type": "QueryAll"},
     face.SetTimer: lambda o: {"type": "NotifyMe", "moment": o.due / 10, "tag": o.tag},
-    face.LogLine: lambda o: {"type": "SayLog", "message": o.text},
+    face.LogMessage: lambda o: {"type": "SayLog", "message": o.text},
 }
 _encode = msgspec.json.Encoder().encode
 OK = _encode({"type": "Ok"}) + b"\n"
--- a/indigohitch/event_batch.py
+++ b/indigohitch/event_batch.py
@@ -8,7 +8,7 @@
 from .net.loop import Loop
 
 
-class Gathering:
+class EventBatch:
     # The sums of one period come from several collectors and in pieces, within 6 ms on loopback; half of
     # them would look like a jump of demand.  Little beside the time that a message takes to the proxies.
     SPAN = 100
@@ -37,7 +37,7 @@
     def take(self) -> list[face.Event]:
         """What waits, for another module than ours; its own timers are not among it."""
         events, self.events, self.ready = self.events, [], False
-        return [event for event in events if type(event) is not face.TimerDue]
+        return [event for event in events if type(event) is not face.TimerFired]
 
     def give_back(self, events: list[face.Event]) -> None:
         """What was taken, as the other module came to nothing: it came first."""
--- a/indigohitch/interface.py
+++ b/indigohitch/interface.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
+class BackendEntry:
     """One entry of a list of backends."""
 
     backend: str
@@ -48,11 +48,11 @@
 
     scope: str
     version: int
-    entries: tuple[Listed, ...]
+    entries: tuple[BackendEntry, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Probed:
+class ProbeResult:
     backend: str
     outcome: str  # "ok", "error", "full", "timeout", "connect_failed", "reset"
     duration: int
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Traffic:
+class BackendTraffic:
     """What the joined proxies of a zone met at a backend.  `load` holds the newest load report by
     name: held, queued, busy (share of the cores), service_time, ok_rate, failure_rate."""
 
@@ -109,14 +109,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Acked:
+class UpdateAcknowledged:
     proxy: int
     mark: int
     duration: int
 
 
 @dataclass(slots=True, frozen=True)
-class Charge:
+class SliceOwnership:
     """A slice comes into (or leaves) this coordinator's charge; its stored lines follow."""
 
     slice: int
@@ -124,36 +124,36 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StoredLine:
+class StoredRoute:
     slice: int
     backend: str
     weight: float
 
 
 @dataclass(slots=True, frozen=True)
-class PeerNote:
+class PeerMessage:
     peer: int
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class TimerDue:
+class TimerFired:
     tag: str
 
 
 Event = (
     BackendList
-    | Probed
+    | ProbeResult
     | SliceDemand
     | ProxyDemand
-    | Traffic
+    | BackendTraffic
     | ProxyJoined
     | ProxyLeft
-    | Acked
-    | Charge
-    | StoredLine
-    | PeerNote
-    | TimerDue
+    | UpdateAcknowledged
+    | SliceOwnership
+    | StoredRoute
+    | PeerMessage
+    | TimerFired
 )
 
 # ---- orders -------------------------------------------------------------------------------------
@@ -162,7 +162,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SetLine:
+class SetRoute:
     """One line of a table; weight 0 removes it."""
 
     table: int
@@ -176,7 +176,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SetLevel:
+class SetAdmission:
     """How much of some methods (places in `methods`; none: all) is let in, and further tries:
     0 none, 1 one after proof that the first never ran, 2 one after any failure, 3 two."""
 
@@ -187,13 +187,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Withdraw:
+class EjectBackend:
     backend: str
     out: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Bind:
+class BindTable:
     """Deployments without slices: give a proxy a table for some methods (none: all)."""
 
     proxy: int
@@ -202,7 +202,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Mark:
+class UpdateMarker:
     """Ask the proxies reached by these orders (or all) to say when they have applied them."""
 
     mark: int
@@ -210,23 +210,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Probe:
+class ProbeBackend:
     backend: str
 
 
 @dataclass(slots=True, frozen=True)
-class TellPeer:
+class SendToPeer:
     peer: int  # -1: all
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class Subscribe:
+class WatchBackends:
     on: bool
 
 
 @dataclass(slots=True, frozen=True)
-class FetchList:
+class FetchBackends:
     pass
 
 
@@ -237,21 +237,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LogLine:
+class LogMessage:
     text: str
 
 
 Order = (
-    SetLine
+    SetRoute
     | ClearTable
-    | SetLevel
-    | Withdraw
-    | Bind
-    | Mark
-    | Probe
-    | TellPeer
-    | Subscribe
-    | FetchList
+    | SetAdmission
+    | EjectBackend
+    | BindTable
+    | UpdateMarker
+    | ProbeBackend
+    | SendToPeer
+    | WatchBackends
+    | FetchBackends
     | SetTimer
-    | LogLine
+    | LogMessage
 )
--- a/indigohitch/logic/call_scheduling.py
+++ b/indigohitch/logic/call_scheduling.py
@@ -12,43 +12,45 @@
 
 from .. import interface as face
 from ..interface import SECOND
-from .state import LEAVING, State
+from .state import DEPARTING_STATES, CoordinatorState
 
 # A call goes again once the relay has shown that it is in reach, after these waits from the last try on.
-REPEAT_AFTER = (SECOND // 20, SECOND // 10, SECOND // 5, SECOND // 2)
+RETRY_DELAYS = (SECOND // 20, SECOND // 10, SECOND // 5, SECOND // 2)
 # One that surely was not sent goes again after these, at first at once: it costs nobody anything.
-RESEND_AFTER = (0, *REPEAT_AFTER)
+RESEND_DELAYS = (0, *RETRY_DELAYS)
 # Without such a sign it may still take calls.  Not oftener than messages come back (pacing.py): a long
 # silence must not use up those that are needed after it.
-REPEAT_BLINDLY_AFTER = SECOND * 3 // 2
+BLIND_RETRY_DELAY = SECOND * 3 // 2
 
 
-class Lines(Protocol):
+class StoredRoutes(Protocol):
     """A table as it stands in the store."""
 
     lines: Mapping[str, float]
 
 
-def repeat_after(tries: int) -> int:
+def retry_delay(tries: int) -> int:
     """How long after the try of that number the next one may go, where the relay is in reach."""
-    return REPEAT_AFTER[min(tries, len(REPEAT_AFTER)) - 1]
+    return RETRY_DELAYS[min(tries, len(RETRY_DELAYS)) - 1]
 
 
-def resend_after(unsent: int) -> int:
+def resend_delay(unsent: int) -> int:
     """How long after so many tries in a row that were not sent the next one goes."""
-    return RESEND_AFTER[min(unsent, len(RESEND_AFTER)) - 1]
+    return RESEND_DELAYS[min(unsent, len(RESEND_DELAYS)) - 1]
 
 
-def urgent_tables(c: State, orders: Iterable[face.Order], stood: Mapping[int, Lines]) -> Collection[int]:
+def urgent_tables(
+    c: CoordinatorState, orders: Iterable[face.Order], stood: Mapping[int, StoredRoutes]
+) -> Collection[int]:
     """Tables among these orders that have a time limit to keep, of those that stand as `stood` says."""
     found, tables = set(), set()
     for order in orders:
         match order:
-            case face.SetLine(table, backend, weight):
+            case face.SetRoute(table, backend, weight):
                 tables.add(table)
                 if weight == 0 and must_go(c, backend):
                     found.add(table)
-            case face.SetLevel(table) if table != face.ALL_TABLES:
+            case face.SetAdmission(table) if table != face.ALL_TABLES:
                 tables.add(table)
     for table in tables - found:
         closed = table in c.slices and c.slices[table].closed is not None
@@ -57,31 +59,31 @@
     return found
 
 
-def must_go(c: State, backend: str) -> bool:
+def must_go(c: CoordinatorState, backend: str) -> bool:
     """Whether a line that is taken away there has to be gone soon: it leaves, or is cold."""
     known = c.backends.get(backend)
-    return known is None or known.state in LEAVING or known.warmth < 1
+    return known is None or known.state in DEPARTING_STATES or known.warmth < 1
 
 
-def must_change(c: State, lines: Collection[str]) -> bool:
+def must_change(c: CoordinatorState, lines: Collection[str]) -> bool:
     """Whether a table with these lines has none that serves, or one at a backend that leaves."""
-    return not lines or any(b in c.backends and c.backends[b].state in LEAVING for b in lines)
+    return not lines or any(b in c.backends and c.backends[b].state in DEPARTING_STATES for b in lines)
 
 
-def leads(order: face.Order, urgent: Collection[int]) -> bool:
+def is_urgent(order: face.Order, urgent: Collection[int]) -> bool:
     """Whether an order goes before those that can wait: it shuts a backend out or lets it back, is for an
     urgent table, or is one line for all tables."""
     table = getattr(order, "table", face.ALL_TABLES)
-    return not isinstance(order, face.Mark) and (table == face.ALL_TABLES or table in urgent)
+    return not isinstance(order, face.UpdateMarker) and (table == face.ALL_TABLES or table in urgent)
 
 
-def arranged(orders: Sequence[face.Order], urgent: Collection[int]) -> list[face.Order]:
+def urgent_orders_first(orders: Sequence[face.Order], urgent: Collection[int]) -> list[face.Order]:
     """The same orders, first those that lead and last the mark.  Orders of one table stay in their order."""
     first, later, marks = [], [], []
     for order in orders:
-        if isinstance(order, face.Mark):
+        if isinstance(order, face.UpdateMarker):
             marks.append(order)
-        elif leads(order, urgent):
+        elif is_urgent(order, urgent):
             first.append(order)
         else:
             later.append(order)
--- a/indigohitch/logic/event_handlers.py
+++ b/indigohitch/logic/event_handlers.py
@@ -4,10 +4,10 @@
 
 from .. import interface as face
 from .health import judge
-from .state import LEAVING, Backend, DueAction, Slice, State, mean_cost
+from .state import DEPARTING_STATES, Backend, CoordinatorState, DueAction, Slice, mean_cost
 
 
-def on_list(c: State, news: face.BackendList) -> None:
+def on_list(c: CoordinatorState, news: face.BackendList) -> None:
     if news.scope == "failed":
         # Ask again, apart from the others and less often while it goes on, after four seconds at most.
         c.calls_failed += 1
@@ -30,7 +30,7 @@
             turn_to(c, b, "gone")
 
 
-def turn_to(c: State, b: Backend, state: str) -> None:
+def turn_to(c: CoordinatorState, b: Backend, state: str) -> None:
     """Where a drop from the list does not bind, one that answers stays until it misses a probe; one that is
     back without a new start gets nothing before it answers one."""
     b.dropped = (
@@ -42,14 +42,14 @@
     )
     if b.dropped:
         return
-    if b.state not in LEAVING and state in LEAVING:
+    if b.state not in DEPARTING_STATES and state in DEPARTING_STATES:
         b.told = c.now
     if b.state == "gone" and state == "ready":
         b.misses, b.miss_since = 2, c.now
     b.state = state
 
 
-def on_probed(c: State, result: face.Probed) -> None:
+def on_probed(c: CoordinatorState, result: face.ProbeResult) -> None:
     b = c.backend(result.backend)
     sent, b.probe_out = b.probe_out, 0
     missed = result.outcome in ("timeout", "connect_failed", "reset")
@@ -59,7 +59,7 @@
         turn_to(c, b, "gone")
 
 
-def on_demand(c: State, sums: face.SliceDemand) -> None:
+def on_demand(c: CoordinatorState, sums: face.SliceDemand) -> None:
     s, method = c.slices.get(sums.slice), c.methods.get(sums.method)
     if s is not None and method is not None:
         cost = sums.total * method.soft_deadline / face.SECOND  # told nowhere; the deadline grows with it
@@ -68,7 +68,7 @@
         s.latest.add(c.now, cost, sums.total, sums.total * sums.elapsed / face.SECOND)
 
 
-def on_traffic(c: State, met: face.Traffic) -> None:
+def on_traffic(c: CoordinatorState, met: face.BackendTraffic) -> None:
     b = c.backend(met.backend)
     b.tries.add(c.now, met.tries, met.failures)
     b.unanswered += met.failures
@@ -85,24 +85,24 @@
         b.pace.add(c.now, met.load["busy"] * b.weight, met.load.get("ok_rate", 0.0) * cost)
 
 
-def on_joined(c: State, joined: face.ProxyJoined) -> None:
+def on_joined(c: CoordinatorState, joined: face.ProxyJoined) -> None:
     c.proxies[joined.proxy], c.joined = joined.zone, c.now
     c.left[joined.proxy] = c.now  # until when it may have written by an old table
     c.levels_sent.discard(joined.proxy)
     c.withdrawn |= c.returned  # it may hold what it never heard taken back
 
 
-def on_left(c: State, left: face.ProxyLeft) -> None:
+def on_left(c: CoordinatorState, left: face.ProxyLeft) -> None:
     c.proxies.pop(left.proxy, None)
     c.left[left.proxy] = c.now + c.boot.get("keeps_writing", 0)
     c.channel.answered(left.proxy, next(reversed(c.channel.unacked), None))  # nothing waits for it now
 
 
-def on_acked(c: State, ack: face.Acked) -> None:
+def on_acked(c: CoordinatorState, ack: face.UpdateAcknowledged) -> None:
     c.channel.answered(ack.proxy, ack.mark)
 
 
-def on_charge(c: State, charge: face.Charge) -> None:
+def on_charge(c: CoordinatorState, charge: face.SliceOwnership) -> None:
     for part in c.slices.pop(charge.slice).parts if charge.slice in c.slices else ():
         part.go_to(None)
     if charge.held:
@@ -110,7 +110,7 @@
         c.hold_plans()
 
 
-def on_stored(c: State, line: face.StoredLine) -> None:
+def on_stored(c: CoordinatorState, line: face.StoredRoute) -> None:
     if line.slice in c.slices and line.weight > 0:
         c.slices[line.slice].stored[b := c.backend(line.backend)] = line.weight
         if b.state == "unheard" and c.list_fresh:  # the list in hand lacks it: it was told as gone
@@ -119,12 +119,12 @@
 
 HEAR = {
     face.BackendList: on_list,
-    face.Probed: on_probed,
+    face.ProbeResult: on_probed,
     face.SliceDemand: on_demand,
-    face.Traffic: on_traffic,
+    face.BackendTraffic: on_traffic,
     face.ProxyJoined: on_joined,
     face.ProxyLeft: on_left,
-    face.Charge: on_charge,
-    face.StoredLine: on_stored,
-    face.Acked: on_acked,
+    face.SliceOwnership: on_charge,
+    face.StoredRoute: on_stored,
+    face.UpdateAcknowledged: on_acked,
 }
--- a/indigohitch/logic/health.py
+++ b/indigohitch/logic/health.py
@@ -3,11 +3,11 @@
 import math
 from collections import Counter
 
-from ..interface import SECOND, Traffic
-from .state import Backend, Slice, State, mean_cost
+from ..interface import SECOND, BackendTraffic
+from .state import Backend, CoordinatorState, Slice, mean_cost
 
 
-def judge(c: State, b: Backend, met: Traffic) -> None:
+def judge(c: CoordinatorState, b: Backend, met: BackendTraffic) -> None:
     """Let in less where the queue takes over a quarter of the shortest soft deadline at a quarter of all."""
     if (
         c.boot.get("admission") != "share"
@@ -48,7 +48,7 @@
     s.burst = max(s.load, rate + beyond(asked, came, spans / (came or 1)) * SECOND / least) / len(s.parts)
 
 
-def assess(c: State) -> None:
+def assess(c: CoordinatorState) -> None:
     """Demand of every slice, and for every backend its health, warmth and capacity."""
     now = c.now
     for s in c.slices.values():
--- a/indigohitch/logic/ownership_transfer.py
+++ b/indigohitch/logic/ownership_transfer.py
@@ -1,10 +1,10 @@
 """Slices with one owner: no write of a slice is at two backends, nor at a former owner after a later one."""
 
-from ..interface import SECOND, Order, SetLevel, SetLine
-from .state import LEAVING, Slice, State
+from ..interface import SECOND, Order, SetAdmission, SetRoute
+from .state import DEPARTING_STATES, CoordinatorState, Slice
 
 
-def in_steps(c: State, s: Slice, lines: list[Order]) -> list[Order]:
+def in_steps(c: CoordinatorState, s: Slice, lines: list[Order]) -> list[Order]:
     """Of a change of owner what may go now: proxies take it at different times, so the slice is closed to
     writes first (to all where its owner must be left), and the new owner stands once nothing is in hand."""
     unlevelled = c.boot.get("admission") == "none"  # closed by taking its line out
@@ -12,20 +12,20 @@
         return lines
     closed = (
         ()
-        if unlevelled or any(b.state in LEAVING for b in s.stored)
+        if unlevelled or any(b.state in DEPARTING_STATES for b in s.stored)
         else tuple(place for place, writes in enumerate(c.boot.get("method_writes") or ()) if writes)
     )
     if s.stored and lines and (s.closed not in ((), closed) or c.joined > s.closed_at and not unlevelled):
         return (
-            [SetLine(s.number, b.id, 0.0) for b in s.stored]
+            [SetRoute(s.number, b.id, 0.0) for b in s.stored]
             if unlevelled
-            else [SetLevel(s.number, closed, 0.0, 1)]
+            else [SetAdmission(s.number, closed, 0.0, 1)]
         )
     ready = not lines or done(c, s, unlevelled)
-    return [*reversed(lines), SetLevel(s.number, (), s.level, 1)] if ready else []
+    return [*reversed(lines), SetAdmission(s.number, (), s.level, 1)] if ready else []
 
 
-def done(c: State, s: Slice, unlevelled: bool) -> bool:
+def done(c: CoordinatorState, s: Slice, unlevelled: bool) -> bool:
     """All who are here have closed it (who joins reads no levels), and nothing is in hand any more."""
     if c.channel.unacked.get(s.mark, (0, ()))[1]:
         return False
--- a/indigohitch/logic/planner.py
+++ b/indigohitch/logic/planner.py
@@ -1,25 +1,25 @@
 """Which backend is to answer for which slice: the design's greedy planner, and what can't wait for it."""
 
 from ..interface import SECOND
-from .state import LEAVING, Backend, Part, Slice, State
+from .state import DEPARTING_STATES, Assignment, Backend, CoordinatorState, Slice
 
 
-def allowance(c: State, b: Backend) -> float:
+def allowance(c: CoordinatorState, b: Backend) -> float:
     """What a cold backend may be brought: its part of what the warm have been seen to answer."""
     # Half of the multiple that fells it, as empty caches double the work; a third while many tries fail.
     part = 0.35 if c.troubled() else 0.5
     return c.yield_ * b.weight * b.warmth * b.share * c.boot.get("fall_multiple", 2.0) * part
 
 
-def may_take(c: State, b: Backend, s: Slice, mean: float) -> bool:
+def may_take(c: CoordinatorState, b: Backend, s: Slice, mean: float) -> bool:
     return b.warmth >= 1 or (b.intake < 2 and b.load + s.burst <= min(mean * b.capacity, allowance(c, b)))
 
 
-def mean_use(c: State, opened: list[Backend]) -> float:
+def mean_use(c: CoordinatorState, opened: list[Backend]) -> float:
     return sum(b.load for b in c.backends.values()) / (sum(b.capacity for b in opened) or 1.0)
 
 
-def place(c: State, part: Part) -> None:
+def place(c: CoordinatorState, part: Assignment) -> None:
     """A slice without a live owner: weighted rendezvous over the room that is left."""
     s, load, opened = part.slice, part.load, c.opened()
     choice = [b for b in opened if b not in s.owners()]
@@ -30,11 +30,11 @@
     if choice := room or [(b, b.capacity) for b in fit or [b for b in choice if b.warmth >= 1]]:
         move(c, part, max(choice, key=lambda pair: (pair[0].rank(s.number, pair[1]), pair[0].id))[0])
         part.rests_until = part.rests_until if room else c.now  # where there is none it may go on at once
-    elif part.owner is not None and part.owner.state in LEAVING:
+    elif part.owner is not None and part.owner.state in DEPARTING_STATES:
         part.go_to(None)
 
 
-def move(c: State, part: Part, to: Backend) -> None:
+def move(c: CoordinatorState, part: Assignment, to: Backend) -> None:
     load = part.load
     if part.owner is not None:
         part.owner.load -= load
@@ -44,11 +44,11 @@
     part.rests_until = c.now + 10 * SECOND  # half the design's rest: demand shifts in 12 to 24 s
 
 
-def evacuate(c: State) -> None:
+def evacuate(c: CoordinatorState) -> None:
     """At once, outside the budget: all of what drains or is gone, and what is too much for a cold one."""
     opened = c.opened()
     for b in c.backends.values():
-        over = b.state in LEAVING
+        over = b.state in DEPARTING_STATES
         if over and b.parts:
             c.log(f"{b.id} {b.state}: {len(b.parts)} slices leave")
         if over or b.warmth < 1 and any(o.warmth >= 1 and not o.lost for o in opened):
@@ -62,7 +62,7 @@
             place(c, part)
 
 
-def plan(c: State) -> None:
+def plan(c: CoordinatorState) -> None:
     """The design's greedy planner: whole slices, busiest to least loaded, for positive gain only."""
     opened = sorted(c.opened(), key=lambda b: b.id)
     mean = mean_use(c, opened)
@@ -88,13 +88,13 @@
         move(c, *best)
 
 
-def split(c: State, opened: list[Backend], mean: float) -> None:
+def split(c: CoordinatorState, opened: list[Backend], mean: float) -> None:
     """A slice that outweighs four fifths of a whole backend's target is dealt out in parts meanwhile."""
     target = mean * sum(b.capacity for b in opened) / len(opened) * c.many**0.5  # by the root: fleet.md
     for s in c.slices.values():
         parts = len(s.parts)
         if s.load > 0.8 * target * parts and parts < min(4, len(opened)):
-            s.parts.append(Part(s, None))
+            s.parts.append(Assignment(s, None))
             place(c, s.parts[-1])
         elif parts > 1 and s.load < 0.48 * target * (parts - 1):
             last = max(s.parts, key=lambda p: p.owner.use() if p.owner else float("inf"))
@@ -107,7 +107,9 @@
         b.load = sum(p.load for p in b.parts)
 
 
-def best_move(c: State, source: Backend, by_use: list[Backend], mean: float) -> tuple[Part, Backend] | None:
+def best_move(
+    c: CoordinatorState, source: Backend, by_use: list[Backend], mean: float
+) -> tuple[Assignment, Backend] | None:
     # The two have to lie apart by a quarter of what a backend gets from all.  Any gain while many tries fail.
     apart = 0.0 if c.troubled() else 0.25 * c.many * mean * source.weight
     best, most = None, 0.0
--- a/indigohitch/logic/rate_limit.py
+++ b/indigohitch/logic/rate_limit.py
@@ -10,7 +10,7 @@
 from collections import deque
 
 
-class MessagePace:
+class MessageRateLimit:
     # Of the messages of a window, what may go at once: with twelve in ten seconds four, and the others come
     # back one in 1.3 s.  A drain has three seconds, of which a message takes up to 0.4 s on its way.
     BURST = 1 / 3
--- a/indigohitch/logic/reconciler.py
+++ b/indigohitch/logic/reconciler.py
@@ -2,7 +2,7 @@
 
 from .. import interface as face
 from .ownership_transfer import in_steps
-from .state import LEAVING, Backend, Slice, State
+from .state import DEPARTING_STATES, Backend, CoordinatorState, Slice
 
 
 def wanted_level(s: Slice) -> float:
@@ -21,21 +21,21 @@
         (
             max(b.told, s.since)
             for b in s.stored
-            if b.state in LEAVING or b.warmth < 1 and b not in s.owners()
+            if b.state in DEPARTING_STATES or b.warmth < 1 and b not in s.owners()
         ),
         default=None if s.stored else s.since,
     )
 
 
-def emit(c: State) -> None:
+def emit(c: CoordinatorState) -> None:
     """What should be out, held or timed against what is: the difference, its urgent part first."""
     if c.timer != c.next_beat:
         c.timer = c.next_beat
         c.orders.append(face.SetTimer(c.timer, "beat"))
-    c.orders += [face.Subscribe(True)] * c.asking
+    c.orders += [face.WatchBackends(True)] * c.asking
     for b in c.probing:
         b.probe_out = c.now
-        c.orders.append(face.Probe(b.id))
+        c.orders.append(face.ProbeBackend(b.id))
     c.asking, c.probing = False, []
     must, ailing, ordinary = [], [], []
     for s in c.slices.values():
@@ -59,29 +59,34 @@
         push(c, must + ailing + turn, trim, fresh, urgent, back)
 
 
-def delta(c: State, s: Slice) -> list[face.Order]:
+def delta(c: CoordinatorState, s: Slice) -> list[face.Order]:
     want = wanted(s)
     return in_steps(
         c,
         s,
-        [face.SetLine(s.number, b.id, w) for b, w in want.items() if s.stored.get(b) != w]
-        + [face.SetLine(s.number, b.id, 0.0) for b in s.stored if b not in want],
+        [face.SetRoute(s.number, b.id, w) for b, w in want.items() if s.stored.get(b) != w]
+        + [face.SetRoute(s.number, b.id, 0.0) for b in s.stored if b not in want],
     )
 
 
 def push(
-    c: State, changed: list[Slice], trimmed: list[Slice], levels: bool, urgent: bool, back: list[Backend]
+    c: CoordinatorState,
+    changed: list[Slice],
+    trimmed: list[Slice],
+    levels: bool,
+    urgent: bool,
+    back: list[Backend],
 ) -> None:
     deltas = [delta(c, s) for s in changed]
     need = sum(map(len, deltas)) + len(trimmed) + len(back)
     room = c.channel.room(c.now, len(c.proxies), urgent, need, c.troubled()) - len(back)
     if room <= 0:
         return
-    c.orders += [face.Withdraw(b.id, False) for b in back]
+    c.orders += [face.EjectBackend(b.id, False) for b in back]
     c.withdrawn.difference_update(back)
     c.returned.update(back)
     if levels:
-        c.orders.append(face.SetLevel(face.ALL_TABLES, (), 1.0, 1))  # further tries after proof only
+        c.orders.append(face.SetAdmission(face.ALL_TABLES, (), 1.0, 1))  # further tries after proof only
         c.levels_sent = set(c.proxies)
     # Where lines at a drain can't be out within its grace, its backend is shut out, one line each.
     over = (
@@ -94,7 +99,7 @@
         b: None
         for s in changed
         for b in s.stored
-        if b.state in LEAVING and b not in c.withdrawn - c.returned and over > max(b.told, s.since)
+        if b.state in DEPARTING_STATES and b not in c.withdrawn - c.returned and over > max(b.told, s.since)
     }
     lines, left, closed = 0, set(), []
     for s, change in zip(changed, deltas):
@@ -109,12 +114,12 @@
         else:
             left.update(s.stored)
     shut = [b for b in shut if b in left][: room - lines]
-    c.orders += [face.Withdraw(b.id, True) for b in shut]
+    c.orders += [face.EjectBackend(b.id, True) for b in shut]
     c.withdrawn, c.returned = c.withdrawn.union(shut), c.returned.difference(shut)
     for s in (trimmed := [s for s in trimmed if s.closed is None][: room - lines - len(shut)]):
         s.level = wanted_level(s)
-        c.orders.append(face.SetLevel(s.number, (), s.level, 1))
+        c.orders.append(face.SetAdmission(s.number, (), s.level, 1))
     lines += len(back) + len(shut) + len(trimmed)
-    c.orders.append(face.Mark(c.channel.send(c.now, lines, c.proxies), False))
+    c.orders.append(face.UpdateMarker(c.channel.send(c.now, lines, c.proxies), False))
     for s in closed:
         s.mark = c.channel.mark
--- a/indigohitch/logic/state.py
+++ b/indigohitch/logic/state.py
@@ -1,22 +1,23 @@
 """What a coordinator knows of backends and slices and what it wants of them; nothing is decided here."""
+
 import hashlib
 import math
 import random
 from enum import StrEnum
 
-from ..interface import SECOND, LogLine
-from .update_channel import Channel
+from ..interface import SECOND, LogMessage
+from .update_channel import UpdateChannel
 
-LEAVING = ("draining", "gone")  # states in which a backend may hold no line
+DEPARTING_STATES = ("draining", "gone")  # states in which a backend may hold no line
 
 
 class DueAction(StrEnum):
     """What a coordinator has to do at a time; the values go into hand-overs and snapshots."""
 
-    SUBSCRIBE = "subscribe"                     # ask for the list of backends again
+    SUBSCRIBE = "subscribe"  # ask for the list of backends again
 
 
-class Sums:
+class DecayingSum:
     """Two sums that fade with a time constant: what was added lately counts most."""
 
     def __init__(self, span: int, many: int = 2) -> None:
@@ -39,25 +40,25 @@
     def __init__(self, id: str) -> None:
         self.id, self.key = id, hashlib.blake2b(id.encode(), digest_size=8).digest()
         self.kind, self.zone, self.weight, self.started = "", "", 1.0, 0
-        self.state = "unheard"                  # "ready", "draining", "gone"; unheard: only in the store
-        self.dropped = False                    # no more in the list, but it answers
-        self.told = 0                           # when the list said that it drains, is gone or began anew
-        self.parts: list[Part] = []             # what is wanted here
+        self.state = "unheard"  # "ready", "draining", "gone"; unheard: only in the store
+        self.dropped = False  # no more in the list, but it answers
+        self.told = 0  # when the list said that it drains, is gone or began anew
+        self.parts: list[Assignment] = []  # what is wanted here
         self.forget()
-        self.slowness, self.excess = 1.0, 1.0   # against the fastest kind, of that against its own kind
-        self.probe_out = 0                      # when the probe now out was sent, 0: none
-        self.miss_since, self.ok_heard = 0, 0   # first probe missed in a row; sums last told of an answer
-        self.admit, self.judged, self.wait = 1.0, 0, 0.0    # share to let in; when judged, its queue then
-        self.doubtful, self.intake = False, 0   # gets no part and nothing new; slices taken this round
-        self.warmth, self.share = 1.0, 1.0      # share: of its cold room, filled by one of all
-        self.load, self.capacity = 0.0, 1.0     # demand of what is wanted here; set by `assess`
+        self.slowness, self.excess = 1.0, 1.0  # against the fastest kind, of that against its own kind
+        self.probe_out = 0  # when the probe now out was sent, 0: none
+        self.miss_since, self.ok_heard = 0, 0  # first probe missed in a row; sums last told of an answer
+        self.admit, self.judged, self.wait = 1.0, 0, 0.0  # share to let in; when judged, its queue then
+        self.doubtful, self.intake = False, 0  # gets no part and nothing new; slices taken this round
+        self.warmth, self.share = 1.0, 1.0  # share: of its cold room, filled by one of all
+        self.load, self.capacity = 0.0, 1.0  # demand of what is wanted here; set by `assess`
 
     def forget(self) -> None:
         """What is known of a process, not of its machine."""
-        self.pace = Sums(self.PACE_SPAN)        # time that cores spent on RPCs, what these should cost
-        self.tries = Sums(self.FAIL_SPAN)       # tries, failures
-        self.misses = self.unanswered = 0       # in a row: probes without an answer, tries
-        self.health, self.lost = 1.0, False     # lost: silent, its weight at the floor
+        self.pace = DecayingSum(self.PACE_SPAN)  # time that cores spent on RPCs, what these should cost
+        self.tries = DecayingSum(self.FAIL_SPAN)  # tries, failures
+        self.misses = self.unanswered = 0  # in a row: probes without an answer, tries
+        self.health, self.lost = 1.0, False  # lost: silent, its weight at the floor
 
     def use(self) -> float:
         return self.load / self.capacity
@@ -65,30 +66,30 @@
     def rank(self, number: int, weight: float) -> float:
         """Weighted rendezvous for a slice: the highest wins, each backend in proportion to its weight."""
         digest = hashlib.blake2b(self.key, digest_size=8, salt=number.to_bytes(8, "big")).digest()
-        return -weight / math.log((int.from_bytes(digest, "big") + 1) / (2 ** 64 + 2))
+        return -weight / math.log((int.from_bytes(digest, "big") + 1) / (2**64 + 2))
 
 
 class Slice:
-    DEMAND_SPAN = 7 * SECOND                    # the design's 10 s are late for demand that lasts 14
-    USUAL_SPAN = 30 * SECOND                    # a few RPCs a second are mostly chance over less
+    DEMAND_SPAN = 7 * SECOND  # the design's 10 s are late for demand that lasts 14
+    USUAL_SPAN = 30 * SECOND  # a few RPCs a second are mostly chance over less
 
     def __init__(self, number: int, now: int) -> None:
         self.number, self.since = number, now
-        self.parts: list[Part] = []
+        self.parts: list[Assignment] = []
         self.stored: dict[Backend, float] = {}  # the lines as the store holds them
-        self.level = 1.0                        # share that is let in, as the store holds it
-        self.closed: tuple[int, ...] | None = None      # to which methods, while it goes to another owner
-        self.mark, self.closed_at, self.quiet = 0, now, 0   # of the closing; since when all have answered
-        self.demand = Sums(self.DEMAND_SPAN)    # cost, RPCs
-        self.usual = Sums(self.USUAL_SPAN)      # the same over longer
-        self.latest = Sums(SECOND // 2, 3)      # the same of the last report; RPCs x its seconds
-        self.load, self.cost, self.burst = 1.0, 1.0, 1.0    # cost a second; of an RPC; of late, a second
+        self.level = 1.0  # share that is let in, as the store holds it
+        self.closed: tuple[int, ...] | None = None  # to which methods, while it goes to another owner
+        self.mark, self.closed_at, self.quiet = 0, now, 0  # of the closing; since when all have answered
+        self.demand = DecayingSum(self.DEMAND_SPAN)  # cost, RPCs
+        self.usual = DecayingSum(self.USUAL_SPAN)  # the same over longer
+        self.latest = DecayingSum(SECOND // 2, 3)  # the same of the last report; RPCs x its seconds
+        self.load, self.cost, self.burst = 1.0, 1.0, 1.0  # cost a second; of an RPC; of late, a second
 
     def owners(self) -> list[Backend]:
         return [p.owner for p in self.parts if p.owner is not None]
 
 
-class Part:
+class Assignment:
     """A movable piece of a slice: the whole of it, or one share of a slice that is split."""
 
     def __init__(self, slice: Slice, owner: Backend | None) -> None:
@@ -112,31 +113,31 @@
     return sum(v[0] for v in sums) / (sum(v[1] for v in sums) or 1.0)
 
 
-class State:
+class CoordinatorState:
     def __init__(self, seed: int, bootstrap: dict) -> None:
         self.boot, self.uniform = bootstrap, random.Random(seed).random
         self.many, self.own = bootstrap.get("coordinators", 1), bootstrap.get("own_number", 0)
         self.methods = {m.name: m for m in bootstrap["methods"]}
-        self.now, self.joined, self.orders, self.beats = 0, 0, [], 0    # joined: the last proxy
+        self.now, self.joined, self.orders, self.beats = 0, 0, [], 0  # joined: the last proxy
         self.backends: dict[str, Backend] = {}
         self.slices: dict[int, Slice] = {}
-        self.charge = 0.0                       # how many of them, the most of late
+        self.charge = 0.0  # how many of them, the most of late
         self.proxies: dict[int, str] = {}
-        self.left: dict[int, int] = {}          # until when a proxy may write by an old table
-        self.channel = Channel(bootstrap)
-        self.due: list[tuple[int, DueAction]] = [(0, DueAction.SUBSCRIBE)]      # a heap: due time, what then
-        self.yield_, self.failing = 0.0, 0.0    # answered cost a second and unit of weight; share of failures
-        self.assessed, self.turn, self.plan_from = 0, 0, 0      # last judged, planned; no planning before
-        self.balancing = self.strained = self.held = False      # in the band; too much for all; lines wait
-        self.list_fresh, self.calls_failed = False, 0   # not just remembered; for it, in a row
-        self.levels_sent: set[int] = set()      # proxies that know the further tries
-        self.withdrawn: set[Backend] = set()    # shut out of all tables, until ready again
-        self.returned: set[Backend] = set()     # ready again: some proxy may not know it yet
-        self.next_beat, self.timer = 0, 0       # when the beat is due; the timer that is set; and what is to
-        self.asking, self.probing = False, []   # be asked for: a subscription, probes
+        self.left: dict[int, int] = {}  # until when a proxy may write by an old table
+        self.channel = UpdateChannel(bootstrap)
+        self.due: list[tuple[int, DueAction]] = [(0, DueAction.SUBSCRIBE)]  # a heap: due time, what then
+        self.yield_, self.failing = 0.0, 0.0  # answered cost a second and unit of weight; share of failures
+        self.assessed, self.turn, self.plan_from = 0, 0, 0  # last judged, planned; no planning before
+        self.balancing = self.strained = self.held = False  # in the band; too much for all; lines wait
+        self.list_fresh, self.calls_failed = False, 0  # not just remembered; for it, in a row
+        self.levels_sent: set[int] = set()  # proxies that know the further tries
+        self.withdrawn: set[Backend] = set()  # shut out of all tables, until ready again
+        self.returned: set[Backend] = set()  # ready again: some proxy may not know it yet
+        self.next_beat, self.timer = 0, 0  # when the beat is due; the timer that is set; and what is to
+        self.asking, self.probing = False, []  # be asked for: a subscription, probes
 
     def log(self, text: str) -> None:
-        self.orders.append(LogLine(text))
+        self.orders.append(LogMessage(text))
 
     def backend(self, id: str) -> Backend:
         return self.backends.get(id) or self.backends.setdefault(id, Backend(id))
@@ -145,7 +146,7 @@
         return [b for b in self.backends.values() if b.state == "ready"]
 
     def troubled(self) -> bool:
-        return self.failing > 0.05              # and come again: relief goes before caches and calm
+        return self.failing > 0.05  # and come again: relief goes before caches and calm
 
     def hold_plans(self) -> None:
-        self.plan_from = self.now + 3 * self.boot["report_every"]       # the sums tell more than chance then
+        self.plan_from = self.now + 3 * self.boot["report_every"]  # the sums tell more than chance then
--- a/indigohitch/logic/update_channel.py
+++ b/indigohitch/logic/update_channel.py
@@ -3,17 +3,17 @@
 from collections import deque
 
 from ..interface import SECOND
-from .rate_limit import MessagePace
+from .rate_limit import MessageRateLimit
 
 # Of the settings' bound, what may wait with all calls sent again; of their pace, what leaves unmarked.
-WAITING_MOST, UNMARKED_PACE = 0.9, 1 / 8
+MAX_PENDING_SHARE, UNACKNOWLEDGED_DRAIN_SHARE = 0.9, 1 / 8
 
 
-class Channel:
+class UpdateChannel:
     def __init__(self, boot: dict) -> None:
         self.boot, self.mark, self.backlog, self.backlog_at = boot, 0, 0.0, 0  # lines that may still wait
         self.most, self.over = boot.get("messages_most", 0), boot.get("counted_over", 10 * SECOND)
-        self.messages = MessagePace(self.most, round(1.1 * self.over))
+        self.messages = MessageRateLimit(self.most, round(1.1 * self.over))
         self.unacked: dict[int, tuple[int, set[int]]] = {}  # by mark: lines each, proxies to answer yet
 
     @property
@@ -32,7 +32,7 @@
         """How many lines a message to all may hold now; pieces take half of an empty channel at least."""
         self.unacked = {mark: sent for mark, sent in self.unacked.items() if sent[1]}
         # A channel may run at a fifth of its pace: what counts is answered marks, else an eighth of it.
-        left = self.backlog - (now - self.backlog_at) * self.pace() * 2 * UNMARKED_PACE
+        left = self.backlog - (now - self.backlog_at) * self.pace() * 2 * UNACKNOWLEDGED_DRAIN_SHARE
         self.backlog = max(0.0, min(left, sum(n * len(waiting) for n, waiting in self.unacked.values())))
         self.backlog_at = now
         # Half of the messages, evenly spaced, for what is not urgent; three quarters while many tries fail.
--- a/indigohitch/model/emulator.py
+++ b/indigohitch/model/emulator.py
@@ -14,7 +14,7 @@
 from .. import interface as face
 from ..logic import Coordinator
 from ..net.clock import SECOND
-from ..request import Table
+from ..request import RouteTable
 from .backends import Backend, Kind
 
 SEARCH = face.Method("search", 2 * SECOND, 6 * SECOND, 2.0, "idempotent", "all", 0)
@@ -82,7 +82,7 @@
         self.backends = {
             f"b{n}": Backend(f"b{n}", world.kinds[n % len(world.kinds)]) for n in range(backends)
         }
-        self.tables = [Table() for _ in range(world.slices)]
+        self.tables = [RouteTable() for _ in range(world.slices)]
         self.methods = {m.name: m for m in world.methods}
         self.seen = Seen()
         self.tries = [{} for _ in range(world.coordinators)]
@@ -94,7 +94,7 @@
             for s in range(n, world.slices, world.coordinators):
                 owner = ids[s % len(ids)]
                 self.tables[s].set(self.backends[owner], 1.0)
-                told += [face.Charge(s, True), face.StoredLine(s, owner, 1.0)]
+                told += [face.SliceOwnership(s, True), face.StoredRoute(s, owner, 1.0)]
             told += [demand for demand in profile if demand.slice % world.coordinators == n]
             self.orders(n, module.handle(self.now, told))
             self.at(self.now + world.report, self.report, n)
@@ -107,7 +107,7 @@
             scope,
             1,
             tuple(
-                face.Listed(b.id, b.state, min(b.kind.cores, 64.0), "", 0, str(b.kind.speed), b.started)
+                face.BackendEntry(b.id, b.state, min(b.kind.cores, 64.0), "", 0, str(b.kind.speed), b.started)
                 for b in which or self.backends.values()
             ),
         )
@@ -121,28 +121,28 @@
         out = []
         for order in orders:
             if isinstance(order, face.SetTimer):
-                self.at(max(order.due, self.now), self.hear, n, face.TimerDue(order.tag))
-            elif isinstance(order, (face.SetLine, face.Withdraw, face.Mark)):
+                self.at(max(order.due, self.now), self.hear, n, face.TimerFired(order.tag))
+            elif isinstance(order, (face.SetRoute, face.EjectBackend, face.UpdateMarker)):
                 out.append(order)
         if out:
             self.at(self.now + self.world.transit, self.apply, n, out)
 
     def apply(self, n: int, orders: list[face.Order]) -> None:
         for order in orders:
-            if isinstance(order, face.SetLine):
+            if isinstance(order, face.SetRoute):
                 self.tables[order.table].set(self.backends[order.backend], order.weight)
                 self.seen.moves += order.weight > 0
-            elif isinstance(order, face.Withdraw):
+            elif isinstance(order, face.EjectBackend):
                 self.backends[order.backend].withdrawn = order.out
             else:
-                self.hear(n, face.Acked(0, order.mark, self.world.transit))
+                self.hear(n, face.UpdateAcknowledged(0, order.mark, self.world.transit))
 
     def report(self, n: int) -> None:
         every, events = self.world.report, []
         came, self.came[n], tries, self.tries[n] = self.came[n], {}, self.tries[n], {}
         events += [face.SliceDemand(s, rpc, many, 0, every) for (s, rpc), many in came.items()]
         events += [
-            face.Traffic("", b.id, many, failed, 0, every, b.report() if many > failed else {})
+            face.BackendTraffic("", b.id, many, failed, 0, every, b.report() if many > failed else {})
             for b, (many, failed) in tries.items()
         ]
         if events:
--- a/indigohitch/platform_protocol/backend_list_log.py
+++ b/indigohitch/platform_protocol/backend_list_log.py
@@ -10,7 +10,7 @@
 TOLD = 20  # backends in one line
 
 
-def log_list(log: Log, held: Mapping[str, face.Listed], news: face.BackendList) -> None:
+def log_list(log: Log, held: Mapping[str, face.BackendEntry], news: face.BackendList) -> None:
     """Tells which states differ from the list `held` so far; nothing of a call that failed."""
     if news.scope == "failed":
         return
--- a/indigohitch/platform_protocol/backend_start_times.py
+++ b/indigohitch/platform_protocol/backend_start_times.py
@@ -39,7 +39,7 @@
         self._forget_some(news)
         return replace(news, entries=entries)
 
-    def _start(self, entry: face.Listed, now: int, wall: int) -> int:
+    def _start(self, entry: face.BackendEntry, now: int, wall: int) -> int:
         if not entry.started:
             return 0  # long ago
         known = self.known.pop(entry.backend, None)
--- a/indigohitch/platform_protocol/call_codec.py
+++ b/indigohitch/platform_protocol/call_codec.py
@@ -11,7 +11,10 @@
 
 BYTES = 60_000  # of orders that a call may carry, says the protocol
 FORM = "application/x-www-form-urlencoded"
-NO_CALL = {face.Bind: "Bind", face.TellPeer: "TellPeer"}  # orders without a word; the log's names for them
+NO_CALL = {
+    face.BindTable: "Bind",
+    face.SendToPeer: "TellPeer",
+}  # orders without a word; the log's names for them
 
 
 def form(orders: str) -> bytes:
@@ -22,16 +25,16 @@
 def encode(order: face.Order, methods: Sequence[str]) -> str:
     """An order in the relay's words."""
     match order:
-        case face.SetLine(table, backend, weight):
+        case face.SetRoute(table, backend, weight):
             return f"put,{table},{backend},{weight}"
         case face.ClearTable(table):
             return f"wipe,{table}"
-        case face.Withdraw(backend, out):
+        case face.EjectBackend(backend, out):
             return f"{'eject' if out else 'uneject'},{backend}"
-        case face.SetLevel(table, places, level, tries):
+        case face.SetAdmission(table, places, level, tries):
             whose = "*" if table == face.ALL_TABLES else table
             return f"gate,{whose},{'+'.join(methods[p] for p in places) or '*'},{level},{tries}"
-        case face.Mark(mark, everyone):
+        case face.UpdateMarker(mark, everyone):
             return f"fence,{mark},{int(everyone)}"
     raise TypeError(f"not an order for the relay: {order}")
 
@@ -39,11 +42,11 @@
 def key(order: face.Order) -> tuple:
     """What an order sets: a later one of the same key makes it void."""
     match order:
-        case face.SetLine(table, backend, _):
+        case face.SetRoute(table, backend, _):
             return "line", table, backend
-        case face.SetLevel(table, places, _, _):
+        case face.SetAdmission(table, places, _, _):
             return "level", table, places
-        case face.Withdraw(backend, _):
+        case face.EjectBackend(backend, _):
             return "out", backend
         case face.ClearTable(table):
             return "table", table
@@ -60,7 +63,7 @@
             for old in [k for k in last if k[0] in ("line", "level") and k[1] == order.table]:
                 del last[old]
             lines.pop(order.table, None)
-        if isinstance(order, face.SetLine):
+        if isinstance(order, face.SetRoute):
             before = lines.setdefault(order.table, {})
             before.pop(key(order), None)
             for old in before:
@@ -96,7 +99,7 @@
 
 def _same_table(first: face.Order, second: face.Order) -> bool:
     return (
-        isinstance(first, face.SetLine) and isinstance(second, face.SetLine) and first.table == second.table
+        isinstance(first, face.SetRoute) and isinstance(second, face.SetRoute) and first.table == second.table
     )
 
 
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -10,7 +10,7 @@
 
 from .. import interface as face
 from ..log import Log
-from ..logic.rate_limit import MessagePace
+from ..logic.rate_limit import MessageRateLimit
 from ..net.clock import SECOND
 from ..net.http_client import Client
 from ..net.http_exchange import Answer
@@ -45,7 +45,9 @@
         self.loop, self.log, self.methods = loop, log, methods
         self.outbox, self.backlog = Outbox(log, methods, backlog), backlog
         self.told = CallLog(log)
-        self.bounds = ChannelBounds(self.outbox, MessagePace(most, over + self.MARGIN), backlog, self.told)
+        self.bounds = ChannelBounds(
+            self.outbox, MessageRateLimit(most, over + self.MARGIN), backlog, self.told
+        )
         self.first = FirstCall(loop, self._found)
         self.guard = Guard(log, most, over, backlog)
         self.failing: Callable[[str], None] = lambda outcome: None  # a call broke, and how
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -37,7 +37,7 @@
         self.orders = orders
         self.mark, self.shown = -1, False
         last = orders[-1]
-        if isinstance(last, face.Mark) and last.mark not in self.used:
+        if isinstance(last, face.UpdateMarker) and last.mark not in self.used:
             self.mark = last.mark
             self.used.append(last.mark)
         return True
@@ -78,10 +78,10 @@
         }
         earlier = {n: set(table.lines.items()) for n, table in changed.items()}
         for order in maybe:
-            if isinstance(order, face.SetLine) and order.weight and order.table in earlier:
+            if isinstance(order, face.SetRoute) and order.weight and order.table in earlier:
                 earlier[order.table].add((order.backend, order.weight))
         stored_tables.carry_out(changed, orders)
-        ends = {order.table: at for at, order in enumerate(orders, 1) if isinstance(order, face.SetLine)}
+        ends = {order.table: at for at, order in enumerate(orders, 1) if isinstance(order, face.SetRoute)}
         signs = []
         for number, end in ends.items():
             before = frozenset(earlier.get(number, ()))
@@ -92,7 +92,7 @@
         # The relay takes orders in turn and stops at one that it can't use: these two tell of all between.
         self._first, self._last = (signs[0], signs[-1]) if signs else (None, None)
         self._end = signs[-1].end if signs else 0
-        while 0 < self._end < len(orders) and isinstance(orders[self._end], face.Mark):
+        while 0 < self._end < len(orders) and isinstance(orders[self._end], face.UpdateMarker):
             self._end += 1
         self._found: dict[int, bool] = {}  # by table: whether it is as after
 
@@ -177,7 +177,7 @@
         if kind != "entry":
             return
         match event_of(kind, data):
-            case face.StoredLine(table, backend, weight):
+            case face.StoredRoute(table, backend, weight):
                 self.evidence.line(table, backend, weight)
 
     def _ended(self, answer: Answer) -> None:
--- a/indigohitch/platform_protocol/channel_limits.py
+++ b/indigohitch/platform_protocol/channel_limits.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from ..logic.rate_limit import MessagePace
+from ..logic.rate_limit import MessageRateLimit
 from .call_log import CallLog, Occupancy
 from .channel_backlog import Backlog, Sent
 from .outbox import Outbox
 
 
 class ChannelBounds:
-    def __init__(self, outbox: Outbox, pace: MessagePace, backlog: Backlog, told: CallLog) -> None:
+    def __init__(self, outbox: Outbox, pace: MessageRateLimit, backlog: Backlog, told: CallLog) -> None:
         self.outbox, self.pace, self.backlog, self.told = outbox, pace, backlog, told
         self.copies: list[Sent] = []  # the first call, each time that it went
         self.wanting = 0  # lines of the first call, while it waits for room in the channel
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -13,7 +13,7 @@
 from ..net.http_client import Client
 from ..net.http_exchange import Answer, Exchange
 from ..net.loop import Deadline, Loop
-from ..settings import tenths
+from ..settings import ticks_from_ms
 from .backend_source import Tell
 from .list_versions import Ask, Generations, Verdict
 
@@ -30,14 +30,14 @@
             started = float(entry["startedAtMs"])
             if not isinstance(id, str) or not math.isfinite(weight) or not math.isfinite(started):
                 raise ValueError("entry out of form")
-            entries[id] = face.Listed(
+            entries[id] = face.BackendEntry(
                 id,
                 _STATE[entry["lifecycle"]],
                 weight,
                 str(entry["zone"]),
                 int(entry["cell"]),
                 str(entry["machineType"]),
-                tenths(started),
+                ticks_from_ms(started),
             )
             addresses[id] = str(entry["hostPort"])
         scope = "remembered" if remembered else "full" if found["reset"] else "changes"
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -11,7 +11,7 @@
 
 from .. import interface as face
 from ..log import Log
-from ..logic.state import LEAVING
+from ..logic.state import DEPARTING_STATES
 from ..net.clock import SECOND
 from ..net.loop import Loop
 from .stored_tables import Tables
@@ -67,7 +67,7 @@
         """`grace` in tenths of a ms, 0: not checked; `stood`: what stands in the store; `queued`: calls that
         wait; `gone_binds`: also a backend that is gone, and not only one that drains, may hold no line."""
         self.loop, self.log, self.grace, self.stood, self.queued = loop, log, grace, stood, queued
-        self.binding = LEAVING if gone_binds else LEAVING[:1]
+        self.binding = DEPARTING_STATES if gone_binds else DEPARTING_STATES[:1]
         self.leaving: dict[str, Departure] = {}
         self.withdrawn: set[str] = set()
         self.time = PausedTime()
@@ -95,7 +95,7 @@
 
     def _turned(self, backend: str, state: str) -> None:
         known = self.leaving.get(backend)
-        if state not in LEAVING:
+        if state not in DEPARTING_STATES:
             self.leaving.pop(backend, None)
         elif known is None and state in self.binding:
             now = self.loop.clock.now()
@@ -126,7 +126,7 @@
     def stands(self, orders: Iterable[face.Order]) -> None:
         """Orders that stand, of which those that shut a backend out are read here."""
         for order in orders:
-            if isinstance(order, face.Withdraw):
+            if isinstance(order, face.EjectBackend):
                 (self.withdrawn.add if order.out else self.withdrawn.discard)(order.backend)
 
     def check(self) -> None:
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 
 from .. import interface as face
-from ..event_batch import Gathering
+from ..event_batch import EventBatch
 from ..log import Log
 from ..logic import Coordinator
 from ..logic.call_scheduling import urgent_tables
-from ..logic.update_channel import UNMARKED_PACE, WAITING_MOST
+from ..logic.update_channel import MAX_PENDING_SHARE, UNACKNOWLEDGED_DRAIN_SHARE
 from ..net.clock import SECOND
 from ..net.connection import address
 from ..net.loop import Loop
 from ..net.ring_buffer import Pool
-from ..settings import bootstrap
+from ..settings import parse_settings
 from .backend_list_log import log_list
 from .backend_source import BackendSource, Tell
 from .backend_start_times import Starts
@@ -55,7 +55,7 @@
         known = self.starts.carried_over(known, loop.clock.now(), loop.clock.wall())
         self.listed = {entry.backend: entry for entry in known.entries}
         self.heard_of = dict.fromkeys(self.listed)  # oldest first: reports on those gone come late
-        self.gathering = Gathering(loop, self.boot.get("batch_gap", 0), self.handle)
+        self.gathering = EventBatch(loop, self.boot.get("batch_gap", 0), self.handle)
         self.hear = self.gathering.add
         self.hear(known)
         self.coordinator, self.anew = Coordinator(self.seed, self.boot), False
@@ -73,8 +73,8 @@
             self.boot.get("messages_most", 0),
             self.boot.get("counted_over", 0),
             Backlog(
-                self._figure("queue_cap") * WAITING_MOST,
-                self._figure("lines_per_s") * UNMARKED_PACE,
+                self._figure("queue_cap") * MAX_PENDING_SHARE,
+                self._figure("lines_per_s") * UNACKNOWLEDGED_DRAIN_SHARE,
                 self._figure("envelope"),
                 lambda: self.holdings.proxies,
             ),
@@ -111,7 +111,7 @@
     @staticmethod
     def _read(found: dict) -> tuple:
         """All that is read of a configuration, before any of it counts."""
-        boot, columns = bootstrap(found["settings"])
+        boot, columns = parse_settings(found["settings"])
         boot["discovery"] = "ask"  # on sockets nothing comes unasked, also where the settings say `push`
         known, addresses = read_list(found["known"], remembered=True)
         return (
@@ -186,17 +186,23 @@
         call = []
         for order in orders:
             match order:
-                case face.SetLine() | face.ClearTable() | face.SetLevel() | face.Withdraw() | face.Mark():
+                case (
+                    face.SetRoute()
+                    | face.ClearTable()
+                    | face.SetAdmission()
+                    | face.EjectBackend()
+                    | face.UpdateMarker()
+                ):
                     call.append(order)
                 case face.SetTimer(due, tag):
-                    self.loop.at(due, lambda tag=tag: self.gathering.add_due(face.TimerDue(tag)))
-                case face.Probe(backend):
+                    self.loop.at(due, lambda tag=tag: self.gathering.add_due(face.TimerFired(tag)))
+                case face.ProbeBackend(backend):
                     self.probes.send(backend, self.addresses.get(backend))
-                case face.Subscribe(on):
+                case face.WatchBackends(on):
                     self.discovery.subscribe(on)
-                case face.FetchList():
+                case face.FetchBackends():
                     self.discovery.fetch()
-                case face.LogLine(text):
+                case face.LogMessage(text):
                     self.log.event("decision", text=text)
                 case _:  # Bind, TellPeer: the protocol has no word for them
                     self.log.trouble("order_without_a_call", order=NO_CALL.get(type(order), "unknown"))
@@ -219,7 +225,7 @@
     def hear_news(self, *events: face.Event) -> None:
         for event in events:
             match event:
-                case face.Acked(proxy, mark):
+                case face.UpdateAcknowledged(proxy, mark):
                     self.relay.answered_mark(proxy, mark)
                 case face.ProxyLeft(proxy):
                     self.relay.proxy_left(proxy)
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -13,7 +13,7 @@
 import orjson
 
 from .. import interface as face
-from ..logic.state import LEAVING
+from ..logic.state import DEPARTING_STATES
 from ..net.connection import Connection as Wire
 from ..net.listener import Listener
 from ..upgrade import events
@@ -25,7 +25,7 @@
 
 # What the old one hears after its state was taken and the new one would not: it asks for the rest itself, and
 # sends probes that are out again.
-HANDED_ON = (face.SliceDemand, face.ProxyDemand, face.Traffic, face.Acked)
+HANDED_ON = (face.SliceDemand, face.ProxyDemand, face.BackendTraffic, face.UpdateAcknowledged)
 
 
 class Handover:
@@ -64,7 +64,8 @@
     def urgent_waits(self) -> bool:
         """Orders that a drain needs, or a list that tells of one and that the module has not heard."""
         return self.front.relay.outbox.any_urgent_waits() or any(
-            isinstance(event, face.BackendList) and any(entry.state in LEAVING for entry in event.entries)
+            isinstance(event, face.BackendList)
+            and any(entry.state in DEPARTING_STATES for entry in event.entries)
             for event in self.front.gathering.events
         )
 
--- a/indigohitch/platform_protocol/in_flight_call.py
+++ b/indigohitch/platform_protocol/in_flight_call.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from .. import interface as face
-from ..logic.call_scheduling import REPEAT_BLINDLY_AFTER, repeat_after
+from ..logic.call_scheduling import BLIND_RETRY_DELAY, retry_delay
 from ..net.loop import Loop
 from . import stored_tables
 from .call_resolution import Effect, Evidence, Inquiry, MarkProof
@@ -55,7 +55,7 @@
 
     def joined_by_later(self, orders: Sequence[face.Order]) -> None:
         """It goes again as a part of a call of more."""
-        self.maybe |= dict.fromkeys(order for order in orders if not isinstance(order, face.Mark))
+        self.maybe |= dict.fromkeys(order for order in orders if not isinstance(order, face.UpdateMarker))
         self.failures, self.may_repeat = 0, False
 
     def settled(self, more_to_come: bool) -> None:
@@ -73,7 +73,7 @@
 
     def repeat_at(self, in_reach: bool) -> int:
         """When it may go again: soon where the relay has shown to be in reach."""
-        wait = repeat_after(self.failures) if in_reach else REPEAT_BLINDLY_AFTER
+        wait = retry_delay(self.failures) if in_reach else BLIND_RETRY_DELAY
         return max(self.loop.clock.now(), self.went + wait)
 
     def shown_by(self, mark: int, orders: Sequence[face.Order]) -> bool:
--- a/indigohitch/platform_protocol/invariants.py
+++ b/indigohitch/platform_protocol/invariants.py
@@ -75,7 +75,7 @@
 
     @staticmethod
     def _changes_tables(orders: Sequence[face.Order]) -> bool:
-        return any(isinstance(order, (face.SetLine, face.ClearTable)) for order in orders)
+        return any(isinstance(order, (face.SetRoute, face.ClearTable)) for order in orders)
 
     def sent(self, now: int) -> None:
         self.went.append(now)
@@ -90,7 +90,7 @@
         return [
             order
             for order in orders
-            if isinstance(order, face.SetLine) and order.weight > 0 and self.too_late(order.backend)
+            if isinstance(order, face.SetRoute) and order.weight > 0 and self.too_late(order.backend)
         ]
 
     def refused(self, late: Sequence[face.Order]) -> None:
--- a/indigohitch/platform_protocol/messages.py
+++ b/indigohitch/platform_protocol/messages.py
@@ -8,7 +8,7 @@
 
 from .. import errors
 from .. import interface as face
-from ..settings import load_report, tenths
+from ..settings import parse_load_report, ticks_from_ms
 
 
 class Unreadable(errors.Unreadable):
@@ -87,7 +87,9 @@
 
 
 def _acked(words):
-    return face.Acked(whole(words, "id"), whole(words, "seq"), tenths(number(words, "ms")))
+    return face.UpdateAcknowledged(
+        whole(words, "id"), whole(words, "seq"), ticks_from_ms(number(words, "ms"))
+    )
 
 
 def _sums(words) -> tuple[int, int, float]:
@@ -111,13 +113,13 @@
     if mean > HOUR:
         raise Unreadable("mean: out of range")
     pairs = [pair.partition(":")[::2] for pair in filter(None, words.get("util", "").split(","))]
-    return face.Traffic(
+    return face.BackendTraffic(
         listed(words, "site", known.zones),
         listed(words, "target", known.backends),
         count,
         fail,
-        tenths(mean),
-        tenths(over),
+        ticks_from_ms(mean),
+        ticks_from_ms(over),
         load_values(dict(pairs)),
     )
 
@@ -128,13 +130,13 @@
     # More may fail than came: what fails in one period came in an earlier one, and is told of good slices.
     count, fail, over = _sums(words)
     return face.SliceDemand(
-        whole(words, "range"), listed(words, "lane", known.methods), count, fail, tenths(over)
+        whole(words, "range"), listed(words, "lane", known.methods), count, fail, ticks_from_ms(over)
     )
 
 
 def load_values(found: Mapping[str, object]) -> dict[str, float]:
     """A load report; with one value that can't be, none of it counts."""
-    return load_report((name, number(found, name)) for name in found)
+    return parse_load_report((name, number(found, name)) for name in found)
 
 
 REPORTS = {"upstream_stats": _traffic, "range_stats": _demand}
@@ -150,8 +152,8 @@
     "attach": _joined,
     "detach": lambda words: face.ProxyLeft(whole(words, "id")),
     "done": _acked,
-    "owner": lambda words: face.Charge(whole(words, "range"), flag(words, "flag")),
-    "entry": lambda words: face.StoredLine(
+    "owner": lambda words: face.SliceOwnership(whole(words, "range"), flag(words, "flag")),
+    "entry": lambda words: face.StoredRoute(
         whole(words, "range"), text(words, "target"), number(words, "rps")
     ),
 }
--- a/indigohitch/platform_protocol/outbox.py
+++ b/indigohitch/platform_protocol/outbox.py
@@ -7,7 +7,7 @@
 
 from .. import interface as face
 from ..log import Log
-from ..logic.call_scheduling import arranged, leads
+from ..logic.call_scheduling import is_urgent, urgent_orders_first
 from .call_codec import merge, pieces
 from .channel_backlog import Backlog
 
@@ -31,7 +31,7 @@
 
     def add(self, orders: Sequence[face.Order], joins: bool = False) -> None:
         """`joins`: they may be a part of the last call that waits, where that is no reply of the module."""
-        if joins and len(self.calls) > 1 and not isinstance(self.calls[-1][-1], face.Mark):
+        if joins and len(self.calls) > 1 and not isinstance(self.calls[-1][-1], face.UpdateMarker):
             orders = [*self.calls.pop(), *orders]
         self.calls += pieces(orders, self.methods)
         if len(self.calls) > 1 + self.WAITING:
@@ -43,7 +43,7 @@
     def gather(self) -> None:
         """Make as few calls of all that waits as can be, with what is urgent in the first."""
         orders = merge(self.pending())
-        orders = arranged(orders, self.urgent(orders))
+        orders = urgent_orders_first(orders, self.urgent(orders))
         if len(self.calls) > 1:
             self.log.count("calls_gathered", len(self.calls))
         self.calls = deque(pieces(orders, self.methods))
@@ -57,18 +57,18 @@
         return self._urgent(self.calls[0])
 
     def _urgent(self, call: Sequence[face.Order]) -> bool:
-        return any(isinstance(order, face.Withdraw) for order in call) or bool(self.urgent(call))
+        return any(isinstance(order, face.EjectBackend) for order in call) or bool(self.urgent(call))
 
     def urgent_in(self, call: Sequence[face.Order]) -> int:
         """How many of a call's orders lead."""
         tables = self.urgent(call)
-        return sum(leads(order, tables) for order in call)
+        return sum(is_urgent(order, tables) for order in call)
 
     def urgent_first(self) -> int:
         """How many orders lead the first call that are urgent, as they stand there."""
         call = self.calls[0]
         tables = self.urgent(call)
-        return next((at for at, order in enumerate(call) if not leads(order, tables)), len(call))
+        return next((at for at, order in enumerate(call) if not is_urgent(order, tables)), len(call))
 
     def cut_to_the_channel(self) -> None:
         """One with more lines than may wait, as by merging or by proxies that joined, goes in parts."""
--- a/indigohitch/platform_protocol/probes.py
+++ b/indigohitch/platform_protocol/probes.py
@@ -21,7 +21,7 @@
     SPAN = SECOND * 6 // 10  # a backend that runs answers in a tenth of that
 
     def __init__(
-        self, loop: Loop, log: Log, reports: bool, most: int, tell: Callable[[face.Probed], None]
+        self, loop: Loop, log: Log, reports: bool, most: int, tell: Callable[[face.ProbeResult], None]
     ) -> None:
         self.loop, self.log, self.most, self.tell = loop, log, most, tell
         self.waiting: deque[tuple[str, str]] = deque()  # for a descriptor: each backend once, says the module
@@ -32,7 +32,7 @@
         try:
             client = Client(self.loop, address(at or ""), self.SPAN)
         except ValueError:  # discovery gave no address that can be dialled
-            self.tell(face.Probed(backend, "connect_failed", 0))
+            self.tell(face.ProbeResult(backend, "connect_failed", 0))
             return
         if len(self.clients) >= self.most:
             self.waiting.append((backend, at))
@@ -49,7 +49,7 @@
         else:  # what answers rubbish runs
             outcome = {"unreadable": "error", "unreached": "timeout"}.get(outcome, outcome)
         self.log.count(f"probes_{outcome}")
-        self.tell(face.Probed(backend, outcome, answer.duration, self._load(answer)))
+        self.tell(face.ProbeResult(backend, outcome, answer.duration, self._load(answer)))
         if self.waiting:
             self.send(*self.waiting.popleft())
 
--- a/indigohitch/platform_protocol/relay.py
+++ b/indigohitch/platform_protocol/relay.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .. import interface as face
-from ..logic.call_scheduling import resend_after
+from ..logic.call_scheduling import resend_delay
 from ..net.clock import SECOND
 from ..net.http_exchange import Answer
 from .call_codec import encode, read_answer
@@ -40,7 +40,7 @@
             self.told.unclear(said, orders, answer)
             self.failing(answer.outcome)
             if self.first.unsent:
-                self._again_after(resend_after(self.first.unsent))
+                self._again_after(resend_delay(self.first.unsent))
             else:
                 self._unclear()
 
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -77,7 +77,7 @@
                     self.opening.proxies.discard(proxy)
                 if self.proxies.pop(proxy, None) is not None:
                     self.hear(event)
-            case face.Charge(number, True):
+            case face.SliceOwnership(number, True):
                 # Given anew a slice loses its level; named at the start of the news it may be the same still.
                 if number not in self.stood:
                     self.given(number)
@@ -86,7 +86,7 @@
                 if self.opening is None or number in self.opening.taken:
                     self._repeat(number)
                 self._settle_soon()
-            case face.Charge(number, False):
+            case face.SliceOwnership(number, False):
                 self.fresh.pop(number, None)
                 self._forget(number)
                 if self.opening is not None:
@@ -94,7 +94,7 @@
                     self.opening.taken.add(number)
                 if self.stood.pop(number, None) is not None:
                     self.hear(event)
-            case face.StoredLine(number, backend, weight):
+            case face.StoredRoute(number, backend, weight):
                 if number not in self.fresh and number not in self.stood:
                     self.log.trouble("line_of_a_slice_not_given", slice=number)
                     return
@@ -117,7 +117,7 @@
             self.hear(face.ProxyLeft(proxy))
         for number in [n for n in self.stood if n not in opening.slices]:
             del self.stood[number]
-            self.hear(face.Charge(number, False))
+            self.hear(face.SliceOwnership(number, False))
         self.log.event("news_begun", proxies=len(self.proxies), slices=len(self.stood))
 
     def _settle_soon(self) -> None:
@@ -162,7 +162,7 @@
         again = [
             order
             for order in [*answered, *self.pending()]
-            if getattr(order, "table", None) in differ and not isinstance(order, face.SetLevel)
+            if getattr(order, "table", None) in differ and not isinstance(order, face.SetAdmission)
         ]
         if again:
             self.log.event("orders_repeated", slices=sorted(differ)[:20], orders=len(again))
@@ -182,7 +182,7 @@
         again = [
             order
             for order in self.pending()
-            if getattr(order, "table", None) == number and not isinstance(order, face.SetLevel)
+            if getattr(order, "table", None) == number and not isinstance(order, face.SetAdmission)
         ]
         if again:
             self.log.event("orders_repeated", slice=number, orders=len(again))
--- a/indigohitch/platform_protocol/stored_tables.py
+++ b/indigohitch/platform_protocol/stored_tables.py
@@ -12,7 +12,7 @@
 @dataclass(slots=True)
 class Table:
     lines: dict[str, float] = field(default_factory=dict)
-    level: face.SetLevel | None = None  # the level of its own, where it has one
+    level: face.SetAdmission | None = None  # the level of its own, where it has one
 
 
 Tables = dict[int, Table]
@@ -24,13 +24,13 @@
         table = tables.get(getattr(order, "table", face.ALL_TABLES))
         if table is None:
             continue
-        if isinstance(order, face.SetLine):
+        if isinstance(order, face.SetRoute):
             table.lines.pop(order.backend, None)
             if order.weight:
                 table.lines[order.backend] = order.weight
         elif isinstance(order, face.ClearTable):
             table.lines, table.level = {}, None
-        elif isinstance(order, face.SetLevel):
+        elif isinstance(order, face.SetAdmission):
             table.level = order
 
 
@@ -39,12 +39,15 @@
 
 
 def touched(orders: Iterable[face.Order]) -> set[int]:
-    return {o.table for o in orders if isinstance(o, (face.SetLine, face.ClearTable, face.SetLevel))}
+    return {o.table for o in orders if isinstance(o, (face.SetRoute, face.ClearTable, face.SetAdmission))}
 
 
 def given(number: int, table: Table) -> list[face.Event]:
     """A slice with its lines, as the module hears of it."""
-    return [face.Charge(number, True), *(face.StoredLine(number, b, w) for b, w in table.lines.items())]
+    return [
+        face.SliceOwnership(number, True),
+        *(face.StoredRoute(number, b, w) for b, w in table.lines.items()),
+    ]
 
 
 def levels_reset(numbers: Iterable[int], tables: Tables) -> list[face.Order]:
--- a/indigohitch/request.py
+++ b/indigohitch/request.py
@@ -1,5 +1,6 @@
 """The decisions on one RPC at its proxy: its line, whether it is let in or tried again, and its final answer.
 `server`: any object with `withdrawn` and `held` (own RPCs out at it).  Why: docs/design.md."""
+
 from __future__ import annotations
 
 from bisect import bisect
@@ -8,16 +9,17 @@
 
 # What can have become of a try.  UNSENT: not one byte went out on a connection that stood.  CROSSED: a kept
 # connection ended or was reset as the RPC went out, without a byte of an answer.  SENT: all other ends.
-UNSENT, CROSSED, SENT = "unsent", "crossed", "sent"
+UNSENT, CLOSED_IN_TRANSIT, SENT = "unsent", "crossed", "sent"
 
 
-class Table:
+class RouteTable:
     """What the orders made of one slice: its lines, what share is let in, and further tries."""
+
     __slots__ = ("servers", "weights", "edges", "level", "levels", "tries")
 
     def __init__(self) -> None:
         self.servers, self.weights, self.edges = [], [], []
-        self.level, self.levels, self.tries = 1.0, {}, 1        # levels: by method, where one is set
+        self.level, self.levels, self.tries = 1.0, {}, 1  # levels: by method, where one is set
 
     def set(self, server, weight: float) -> None:
         if server in self.servers:
@@ -37,9 +39,11 @@
         if len(servers) < 2:
             return next((s for s in servers if not s.withdrawn), None)
         drawn = [servers[bisect(self.edges, uniform() * self.edges[-1], 0, len(servers) - 1)] for _ in "ab"]
-        fit = ([s for s in drawn if not s.withdrawn and s not in tried]
-               or [s for s in servers if not s.withdrawn and s not in tried]
-               or [s for s in servers if not s.withdrawn])
+        fit = (
+            [s for s in drawn if not s.withdrawn and s not in tried]
+            or [s for s in servers if not s.withdrawn and s not in tried]
+            or [s for s in servers if not s.withdrawn]
+        )
         return min(fit, key=lambda s: s.held, default=None)
 
     def lets_in(self, method, uniform: Callable[[], float]) -> bool:
@@ -47,7 +51,7 @@
         return level >= 1.0 or uniform() < level
 
 
-def further(table: Table, repeat: str, outcome: str, tried: int, whole: bool, left: int) -> bool:
+def should_retry(table: RouteTable, repeat: str, outcome: str, tried: int, whole: bool, left: int) -> bool:
     """Another try?  `tried` were made, `whole`: all of the RPC is still in hand, `left` of its deadline.
 
     A non-idempotent RPC goes out again only if not one byte of it can have been acted on, whatever the
@@ -57,14 +61,14 @@
         return False
     if repeat != "idempotent":
         return outcome == UNSENT
-    return outcome in (UNSENT, CROSSED) or table.tries >= 2
+    return outcome in (UNSENT, CLOSED_IN_TRANSIT) or table.tries >= 2
 
 
-def given_up(outcome: str, left: int, boot: dict) -> tuple[int, int | None]:
+def final_status(outcome: str, left: int, boot: dict) -> tuple[int, int | None]:
     """The final answer, at once: its status, and in how many seconds to return where the settings tell."""
     if left <= 0:
-        return 504, None                # its deadline has passed: who asked has gone
+        return 504, None  # its deadline has passed: who asked has gone
     if outcome in (UNSENT, "no_line", "pushed_back", "no_seat"):
-        back = boot.get("come_back")    # nothing of it ran, so it may come again
+        back = boot.get("come_back")  # nothing of it ran, so it may come again
         return 503, None if back is None else max(1, -(-back // 10_000))
-    return 502, None                    # it may have run: no word that invites a repeat
+    return 502, None  # it may have run: no word that invites a repeat
--- a/indigohitch/settings.py
+++ b/indigohitch/settings.py
@@ -100,19 +100,19 @@
 ]
 
 
-def tenths(ms: float) -> int:
+def ticks_from_ms(ms: float) -> int:
     return round(ms * 10)
 
 
 def _method(given: dict) -> face.Method:
     return face.Method(
         given["name"],
-        tenths(given["aim"]),
-        tenths(given["deadline"]),
+        ticks_from_ms(given["aim"]),
+        ticks_from_ms(given["deadline"]),
         given["importance"],
         _REPEAT[given["repeat"]],
         given.get("dedup-scope", "all"),
-        tenths(given.get("memory-span", 0.0)),
+        ticks_from_ms(given.get("memory-span", 0.0)),
     )
 
 
@@ -130,7 +130,7 @@
             raise Unfit(f"{method.name}: aim and deadline have to be above 0", "settings", REMEDY)
 
 
-def bootstrap(params: dict) -> tuple[dict, list[str]]:
+def parse_settings(params: dict) -> tuple[dict, list[str]]:
     """The start settings as a flat map, and the names of the load report's columns.  ValueError says
     what can't be read."""
     found = {}
@@ -140,7 +140,7 @@
             for step in path.split("."):
                 node = node.get(step) if isinstance(node, dict) else None
             if node is not None:
-                found[name] = tenths(node) if in_ms else node
+                found[name] = ticks_from_ms(node) if in_ms else node
         found["methods"] = tuple(map(_method, params["classes"]))
         _usable(found)
         return found, list((params.get("report") or {}).get("columns") or ())
@@ -148,10 +148,10 @@
         raise Unfit(f"{type(bad).__name__}: {bad}", "settings", REMEDY) from None
 
 
-def load_report(pairs) -> dict[str, float]:
+def parse_load_report(pairs) -> dict[str, float]:
     """A load report from its (name, value) pairs; names unknown and values missing are left out."""
     return {
-        _LOAD[name]: tenths(value) if _LOAD[name] == "service_time" else value
+        _LOAD[name]: ticks_from_ms(value) if _LOAD[name] == "service_time" else value
         for name, value in pairs
         if name in _LOAD and value is not None
     }
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -157,7 +157,7 @@
             taken = [*pool.gathering.take(), *pool.sums(now)]
             self.kept.setdefault(pool.name, []).extend(taken)
             # Probes that are out are sent again by the new process: their answers here would count twice.
-            rows[pool.name] = (events.pack_all(e for e in taken if type(e) is not face.Probed), now)
+            rows[pool.name] = (events.pack_all(e for e in taken if type(e) is not face.ProbeResult), now)
         return msgspec.msgpack.encode(rows)
 
     def idle(self) -> list[Connection]:
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -7,12 +7,12 @@
 
 from .. import interface as face
 from ..config.texts import PoolText
-from ..event_batch import Gathering
+from ..event_batch import EventBatch
 from ..logic import Coordinator
 from ..net.http_client import Client as Caller
 from ..net.http_exchange import Answer
-from ..request import Table
-from ..settings import load_report
+from ..request import RouteTable
+from ..settings import parse_load_report
 from .servers import Server
 
 PROXY = 0  # the sidecar itself, the one proxy that is joined
@@ -27,8 +27,8 @@
         self.name, self.load_header = text.name, text.load_header.lower().encode()
         self.uniform = random.Random(seed).random  # for the draw by weight; the module has its own
         self.coordinator = Coordinator(seed, self.boot)
-        self.gathering = Gathering(host.loop, 0, self.handle)
-        self.tables = [Table() for _ in range(self.slices)]
+        self.gathering = EventBatch(host.loop, 0, self.handle)
+        self.tables = [RouteTable() for _ in range(self.slices)]
         self.servers: dict[str, Server] = {}
         self.demand: dict[tuple[int, str], list[int]] = {}
         self.version, self._turn, self.reported = 1, 0, host.loop.clock.now()
@@ -68,12 +68,12 @@
         return [
             face.BackendList("full", self.version, entries),
             face.ProxyJoined(PROXY, self.host.text.single["zone"], 0.0, True),
-            *(face.Charge(number, True) for number in range(self.slices)),
+            *(face.SliceOwnership(number, True) for number in range(self.slices)),
         ]
 
     @staticmethod
-    def entry(told, state: str, started: int = 0) -> face.Listed:
-        return face.Listed(told.name, state, told.weight, told.zone, 0, told.kind, started)
+    def entry(told, state: str, started: int = 0) -> face.BackendEntry:
+        return face.BackendEntry(told.name, state, told.weight, told.zone, 0, told.kind, started)
 
     # ---- what passes -------------------------------------------------------------------------------
 
@@ -110,7 +110,7 @@
         """`queue:3,latency_ms:12.5`, names as in a load report of the platform; spoilt ones are left out."""
         try:
             pairs = [pair.split(":") for pair in report.decode("ascii").split(",")]
-            server.load = load_report((name.strip(), float(value)) for name, value in pairs)
+            server.load = parse_load_report((name.strip(), float(value)) for name, value in pairs)
         except (ValueError, UnicodeDecodeError):
             self.host.log.trouble("load_report_unreadable", server=server.name, report=report[:80])
 
@@ -124,7 +124,7 @@
         for server in self.servers.values():
             if server.tries:
                 events.append(
-                    face.Traffic(
+                    face.BackendTraffic(
                         self.host.text.single["zone"],
                         server.name,
                         server.tries,
@@ -188,7 +188,7 @@
         self.host.log.count("module_begun_anew")
         self.coordinator = Coordinator(self.host.text.single["seed"], self.boot)
         lines = [
-            face.StoredLine(number, server.name, weight)
+            face.StoredRoute(number, server.name, weight)
             for number, table in enumerate(self.tables)
             for server, weight in zip(table.servers, table.weights)
         ]
@@ -196,11 +196,11 @@
 
     def carry_out(self, order: face.Order) -> None:
         match order:
-            case face.SetLine(table, backend, weight):
+            case face.SetRoute(table, backend, weight):
                 self.tables[table].set(self.servers[backend], weight)
             case face.ClearTable(table):
                 self.tables[table].clear()
-            case face.SetLevel(number, places, level, tries):
+            case face.SetAdmission(number, places, level, tries):
                 some = self.tables if number == face.ALL_TABLES else [self.tables[number]]
                 for table in some:
                     table.tries = tries
@@ -208,15 +208,15 @@
                         table.level, table.levels = level, {}
                     for place in places:
                         table.levels[self.boot["methods"][place].name] = level
-            case face.Withdraw(backend, out):
+            case face.EjectBackend(backend, out):
                 self.servers[backend].withdrawn = out
-            case face.Mark(mark, _):
-                self.gathering.add(face.Acked(PROXY, mark, 0))
+            case face.UpdateMarker(mark, _):
+                self.gathering.add(face.UpdateAcknowledged(PROXY, mark, 0))
             case face.SetTimer(due, tag):
-                self.host.loop.at(due, lambda: self.gathering.add_due(face.TimerDue(tag)))
-            case face.Probe(backend):
+                self.host.loop.at(due, lambda: self.gathering.add_due(face.TimerFired(tag)))
+            case face.ProbeBackend(backend):
                 self.probe(backend)
-            case face.LogLine(text):
+            case face.LogMessage(text):
                 self.host.log.event("decision", pool=self.name, text=text)
 
     def timer_again(self) -> None:
@@ -227,7 +227,7 @@
     def probe(self, backend: str) -> None:
         server = self.servers.get(backend)
         if server is None:
-            self.gathering.add(face.Probed(backend, "connect_failed", 0))
+            self.gathering.add(face.ProbeResult(backend, "connect_failed", 0))
             return
         caller = Caller(self.host.loop, server.address, self.PROBE)
         self.probes.add(caller)
@@ -242,7 +242,7 @@
             if answer.outcome == "answered"
             else {"unreadable": "error", "unreached": "timeout"}.get(answer.outcome, answer.outcome)
         )
-        self.gathering.add(face.Probed(backend, outcome, answer.duration))
+        self.gathering.add(face.ProbeResult(backend, outcome, answer.duration))
 
     def sweep(self, now: int) -> None:
         for server in self.servers.values():
--- a/indigohitch/sidecar/rpc.py
+++ b/indigohitch/sidecar/rpc.py
@@ -124,7 +124,7 @@
         self.leave(failed=True if blamed else None)
         host, left = self.pool.host, self.due - self.pool.host.loop.clock.now()
         whole = not self.body.total
-        if request.further(self.table, self.route.rpc.repeat, outcome, len(self.tried), whole, left):
+        if request.should_retry(self.table, self.route.rpc.repeat, outcome, len(self.tried), whole, left):
             host.log.count("rpc_tried_again")
             self.attempt()
         else:
@@ -228,7 +228,7 @@
         else:
             soon = self.pool.host.loop.clock.now() - self.began <= self.CROSSED
             crossed = upstream.used and soon and not len(upstream.stream.incoming)
-            self.try_failed(request.CROSSED if crossed else request.SENT)
+            self.try_failed(request.CLOSED_IN_TRANSIT if crossed else request.SENT)
 
     # ---- the end -----------------------------------------------------------------------------------
 
@@ -240,7 +240,7 @@
     def give_up(self, outcome: str) -> None:
         """The client hears so at once."""
         host = self.pool.host
-        status, back = request.given_up(outcome, self.due - host.loop.clock.now(), self.pool.boot)
+        status, back = request.final_status(outcome, self.due - host.loop.clock.now(), self.pool.boot)
         host.log.count(f"rpc_{outcome}" if outcome in self.UNRUN else "rpc_aborted")
         self.end_with(
             status,
--- a/indigohitch/upgrade/events.py
+++ b/indigohitch/upgrade/events.py
@@ -15,42 +15,42 @@
 # By class: its wire name, and its fields in the order of their values on the wire.
 _WIRE: dict[type, tuple[str, tuple[str, ...]]] = {
     face.BackendList: ("BackendList", ("scope", "version", "entries")),
-    face.Probed: ("Probed", ("backend", "outcome", "duration", "load")),
+    face.ProbeResult: ("Probed", ("backend", "outcome", "duration", "load")),
     face.SliceDemand: ("SliceDemand", ("slice", "method", "total", "unanswered", "elapsed")),
     face.ProxyDemand: ("ProxyDemand", ("proxy", "method", "total", "unanswered", "elapsed")),
-    face.Traffic: ("Traffic", ("zone", "backend", "tries", "failures", "duration", "elapsed", "load")),
+    face.BackendTraffic: ("Traffic", ("zone", "backend", "tries", "failures", "duration", "elapsed", "load")),
     face.ProxyJoined: ("ProxyJoined", ("proxy", "zone", "rate", "fresh")),
     face.ProxyLeft: ("ProxyLeft", ("proxy",)),
-    face.Acked: ("Acked", ("proxy", "mark", "duration")),
-    face.Charge: ("Charge", ("slice", "held")),
-    face.StoredLine: ("StoredLine", ("slice", "backend", "weight")),
-    face.PeerNote: ("PeerNote", ("peer", "body")),
-    face.TimerDue: ("TimerDue", ("tag",)),
-    face.SetLine: ("SetLine", ("table", "backend", "weight")),
+    face.UpdateAcknowledged: ("Acked", ("proxy", "mark", "duration")),
+    face.SliceOwnership: ("Charge", ("slice", "held")),
+    face.StoredRoute: ("StoredLine", ("slice", "backend", "weight")),
+    face.PeerMessage: ("PeerNote", ("peer", "body")),
+    face.TimerFired: ("TimerDue", ("tag",)),
+    face.SetRoute: ("SetLine", ("table", "backend", "weight")),
     face.ClearTable: ("ClearTable", ("table",)),
-    face.SetLevel: ("SetLevel", ("table", "methods", "level", "tries")),
-    face.Withdraw: ("Withdraw", ("backend", "out")),
-    face.Bind: ("Bind", ("proxy", "table", "methods")),
-    face.Mark: ("Mark", ("mark", "everyone")),
-    face.Probe: ("Probe", ("backend",)),
-    face.TellPeer: ("TellPeer", ("peer", "body")),
-    face.Subscribe: ("Subscribe", ("on",)),
-    face.FetchList: ("FetchList", ()),
+    face.SetAdmission: ("SetLevel", ("table", "methods", "level", "tries")),
+    face.EjectBackend: ("Withdraw", ("backend", "out")),
+    face.BindTable: ("Bind", ("proxy", "table", "methods")),
+    face.UpdateMarker: ("Mark", ("mark", "everyone")),
+    face.ProbeBackend: ("Probe", ("backend",)),
+    face.SendToPeer: ("TellPeer", ("peer", "body")),
+    face.WatchBackends: ("Subscribe", ("on",)),
+    face.FetchBackends: ("FetchList", ()),
     face.SetTimer: ("SetTimer", ("due", "tag")),
-    face.LogLine: ("LogLine", ("text",)),
+    face.LogMessage: ("LogLine", ("text",)),
 }
 _KINDS = {name: (kind, fields) for kind, (name, fields) in _WIRE.items()}
 # One entry of a list of backends, which has no name on the wire.
 _LISTED = ("backend", "state", "weight", "zone", "cell", "kind", "started")
 
 
-def listed(entry: face.Listed) -> tuple:
+def listed(entry: face.BackendEntry) -> tuple:
     return tuple(getattr(entry, field) for field in _LISTED)
 
 
-def unlisted(row: Iterable) -> face.Listed:
+def unlisted(row: Iterable) -> face.BackendEntry:
     """Raises ValueError."""
-    return face.Listed(**dict(zip(_LISTED, row, strict=True)))
+    return face.BackendEntry(**dict(zip(_LISTED, row, strict=True)))
 
 
 def pack(item: face.Event | face.Order) -> tuple:
@@ -69,7 +69,7 @@
     kind, fields = _KINDS[name]
     if kind is face.BackendList:
         values[-1] = tuple(map(unlisted, values[-1]))
-    elif kind is face.SetLevel:
+    elif kind is face.SetAdmission:
         values[1] = tuple(values[1])
     return kind(**dict(zip(fields, values)))
 
--- a/indigohitch/upgrade/module_state.py
+++ b/indigohitch/upgrade/module_state.py
@@ -12,7 +12,7 @@
 
 from ..encoding.rows import Row
 from ..logic import Coordinator
-from ..logic.state import Backend, DueAction, Part, Slice, Sums
+from ..logic.state import Assignment, Backend, DecayingSum, DueAction, Slice
 from .module_rows import (
     OF_BACKEND,
     OF_CHANNEL,
@@ -40,12 +40,12 @@
         setattr(thing, name, getattr(row, field))
 
 
-def _sums(sums: Sums) -> SumsRow:
+def _sums(sums: DecayingSum) -> SumsRow:
     return SumsRow(sums.span, sums.at, sums.values)
 
 
-def _back(row: SumsRow) -> Sums:
-    sums = Sums(row.span)
+def _back(row: SumsRow) -> DecayingSum:
+    sums = DecayingSum(row.span)
     sums.at, sums.values = row.at, list(row.values)
     return sums
 
@@ -123,7 +123,7 @@
         s.closed = None if found.closed is None else tuple(found.closed)
         s.stored = {backends[at]: weight for at, weight in found.stored}
         for at, rests in found.parts:
-            part = Part(s, None)
+            part = Assignment(s, None)
             part.owner, part.rests_until = (backends[at] if at >= 0 else None), rests
             s.parts.append(part)
         c.slices[s.number] = s
--- a/indigohitch/versions/orders.py
+++ b/indigohitch/versions/orders.py
@@ -14,7 +14,7 @@
     """New lines of the slices that these orders touch; weights as ordered (checks.weights looks at them)."""
     found: Changes = {}
     for order in orders:
-        if isinstance(order, face.SetLine):
+        if isinstance(order, face.SetRoute):
             lines = found.setdefault(order.table, dict(root.lines_of(order.table)))
             if order.weight == 0:
                 lines.pop(order.backend, None)
--- a/indigohitch/versions/window.py
+++ b/indigohitch/versions/window.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from ..logic.rate_limit import MessagePace
+from ..logic.rate_limit import MessageRateLimit
 from ..net.clock import SECOND
 from .terms import Channel, Message
 
@@ -19,7 +19,7 @@
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
         # It leaves messages to drains, as a module that orders without a pause takes all that there are.
-        self.pace = MessagePace(channel.messages, Channel.WINDOW + SPREAD)
+        self.pace = MessageRateLimit(channel.messages, Channel.WINDOW + SPREAD)
         self.free_at = 0  # the stall of the last message is over
 
     def free(self, now: int, waiting: Iterable[Message], urgent: bool = False) -> bool:
--- a/proofs/soakkit/broken.py
+++ b/proofs/soakkit/broken.py
@@ -12,7 +12,7 @@
     if name == "repeats":
         in_flight_call.FirstCall.inquire = lambda self, *words, **more: None
         in_flight_call.FirstCall.repeat_at = lambda self, in_reach: self.loop.clock.now() + 200
-        rate_limit.MessagePace.free_at = _bare_count
+        rate_limit.MessageRateLimit.free_at = _bare_count
         invariants.Guard.SETTLED = 0
     elif name:
         raise ValueError(f"no guard of that name: {name!r}")
--- a/proofs/versions_world.py
+++ b/proofs/versions_world.py
@@ -41,7 +41,7 @@
         self.port = await self.program.listen(0)
         self.made(
             self.program.publisher.apply_orders(
-                0, [face.SetLine(slice, f"n{slice % BACKENDS}", 1.0) for slice in range(SLICES)], "first"
+                0, [face.SetRoute(slice, f"n{slice % BACKENDS}", 1.0) for slice in range(SLICES)], "first"
             )
         )
         for number in range(RELAYS):
@@ -80,9 +80,9 @@
         ]
         for slice in self.chance.sample(range(SLICES), self.chance.choice((1, 1, 2, 5, 12))):
             target = self.chance.choice(spare)
-            orders += [face.SetLine(slice, target, self.chance.choice((1.0, 1.0, 2.0)))]
+            orders += [face.SetRoute(slice, target, self.chance.choice((1.0, 1.0, 2.0)))]
             orders += [
-                face.SetLine(slice, name, 0) for name in publisher.wanted.lines_of(slice) if name != target
+                face.SetRoute(slice, name, 0) for name in publisher.wanted.lines_of(slice) if name != target
             ]
         self.made(publisher.apply_orders(self.at(), orders, "move"))
 
@@ -93,7 +93,7 @@
         ready, found = self.ready(), []
         for slice, table in self.program.publisher.wanted.items():
             if name in table.lines:
-                found += [face.SetLine(slice, self.chance.choice(ready), 1.0), face.SetLine(slice, name, 0)]
+                found += [face.SetRoute(slice, self.chance.choice(ready), 1.0), face.SetRoute(slice, name, 0)]
         return found
 
     def drain(self) -> None:
--- a/tests/apart.py
+++ b/tests/apart.py
@@ -11,7 +11,7 @@
 import world
 from indigohitch import interface as face
 from indigohitch.logic import Coordinator
-from indigohitch.settings import bootstrap
+from indigohitch.settings import parse_settings
 from indigohitch.upgrade.events import pack_all
 from test_rules import random_day
 
@@ -122,7 +122,7 @@
         match event:
             case face.SliceDemand():
                 return replace(event, method=rng.choice(names), total=event.total * (1 + place))
-            case face.Traffic():
+            case face.BackendTraffic():
                 load, slow = LOADS[place] if event.load else {}, 1 + ord(event.backend[-1]) % 4
                 return replace(event, zone=zone, load={n: v * slow for n, v in load.items()})
             case face.BackendList(scope, version, entries):
@@ -153,7 +153,7 @@
 
 
 def instance(place):
-    return Coordinator(7 + place, bootstrap(ALL[place])[0])
+    return Coordinator(7 + place, parse_settings(ALL[place])[0])
 
 
 def letters(orders):
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -50,7 +50,7 @@
         for n, w in enumerate(self.worlds):
             events = [self.listing("full")]
             for s in self.held(n):
-                events += [face.Charge(s, True), face.StoredLine(s, where[s], 1.0)]
+                events += [face.SliceOwnership(s, True), face.StoredRoute(s, where[s], 1.0)]
             w.step(0, *events, *(face.ProxyJoined(p, "east", 5.0, True) for p in range(proxies)))
 
     def held(self, n):
@@ -132,7 +132,7 @@
                 answered = round(tries) > round(failed)
                 load = {"service_time": round(BASE * node.slow), "queued": node.queue / (BASE / SECOND)}
                 events.append(
-                    face.Traffic(
+                    face.BackendTraffic(
                         "east",
                         b,
                         round(tries),
--- a/tests/golden/decision_days.py
+++ b/tests/golden/decision_days.py
@@ -12,7 +12,7 @@
 from golden.decision_files import KINDS, LISTED
 from golden.decision_settings import SETTINGS
 from indigohitch.logic import Coordinator
-from indigohitch.settings import bootstrap
+from indigohitch.settings import parse_settings
 from indigohitch.upgrade import events
 
 SECOND = 10_000  # tenths of a millisecond
@@ -37,7 +37,7 @@
     def __init__(self, name: str, seed: int) -> None:
         self.settings, self.seed = SETTINGS[name], seed
         self.chance = random.Random(f"{name} {seed}")
-        boot, _ = bootstrap(self.settings)
+        boot, _ = parse_settings(self.settings)
         self.module = Coordinator(seed, boot)
         self.now = 1000 * SECOND
         self.every = round(self.settings["family-info"]["report-every"] * 10)
--- a/tests/golden/upgrade_states.py
+++ b/tests/golden/upgrade_states.py
@@ -12,7 +12,7 @@
 
 from golden.decision_days import Day
 from golden.decision_settings import SETTINGS
-from indigohitch.settings import bootstrap
+from indigohitch.settings import parse_settings
 from indigohitch.upgrade import events, module_state
 from indigohitch.upgrade import snapshot as shots
 
@@ -188,7 +188,7 @@
     """Digest of what the module in this snapshot orders a while later."""
     body = msgspec.msgpack.decode(coordinator[34:])
     row = msgspec.convert(body[3][0], module_state.ModuleRow)
-    boot, _ = bootstrap(SETTINGS_OF_COORDINATOR)
+    boot, _ = parse_settings(SETTINGS_OF_COORDINATOR)
     return events.rehearsed([module_state.thaw(row, boot)], body[3][0][1] + REHEARSED_AFTER)
 
 
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -68,9 +68,9 @@
 
 
 def _list_log(log: Kept) -> None:
-    held = face.Listed("b1", "ready", 1.0, "east", 0, "std", 0)
+    held = face.BackendEntry("b1", "ready", 1.0, "east", 0, "std", 0)
     states = (("b1", "draining"), ("b2", "gone"), ("b3", "ready"))
-    news = [face.Listed(id, state, 1.0, "east", 0, "std", 0) for id, state in states]
+    news = [face.BackendEntry(id, state, 1.0, "east", 0, "std", 0) for id, state in states]
     for scope in ("changes", "full", "remembered", "failed"):
         log_list(log, {"b1": held}, face.BackendList(scope, 42, tuple(news)))
 
@@ -79,7 +79,7 @@
     guard = Guard(log, 1, 1, SimpleNamespace(most=0, lines=0))
     for invariant in Invariant:
         guard._violated(invariant, orders=1)
-    guard.refused([face.SetLine(1, "b2", 1.0), face.SetLine(2, "b1", 1.0)])
+    guard.refused([face.SetRoute(1, "b2", 1.0), face.SetRoute(2, "b1", 1.0)])
     guard.ending(1, 2)
     log.counters()
 
@@ -102,7 +102,7 @@
         room.relay.log = log
         room.stood[1] = stored_tables.Table({"b0": 1.0})
         room.store[1] = stored_tables.Table(after)
-        room.relay.order([face.SetLine(1, "b0", 0.0), face.SetLine(1, "b1", 2.0)])
+        room.relay.order([face.SetRoute(1, "b0", 0.0), face.SetRoute(1, "b1", 2.0)])
         calls = log.counts["relay_calls"]
         room.answer("reset")
         room.until(lambda: log.counts["relay_calls"] > calls or not room.relay.waiting)
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -9,7 +9,7 @@
 from golden_wire import plain
 from indigohitch import service
 from indigohitch.platform_protocol.front import Front
-from indigohitch.settings import bootstrap, load_report
+from indigohitch.settings import parse_load_report, parse_settings
 
 PACKAGE = Path(service.__file__).parent
 ASKED = re.compile(r'(?:\b(?:boot|bootstrap)(?:\.get\(|\[)|\b_figure\()"(\w+)"')
@@ -101,7 +101,7 @@
 def settings(given: dict) -> dict:
     """The start settings: each value by its path on the wire, the methods and the report's columns."""
     try:
-        found, columns = bootstrap(given)
+        found, columns = parse_settings(given)
     except ValueError:
         return {"refused": True}
     assert found.keys() <= {*READ_AS.values(), "methods"}
@@ -114,7 +114,7 @@
 
 def load(given: list) -> dict:
     """A load report out of its pairs of name and value."""
-    return load_report(given)
+    return parse_load_report(given)
 
 
 class Watched(dict):
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -31,7 +31,7 @@
     return found
 
 
-def _entry(e: face.Listed) -> dict:
+def _entry(e: face.BackendEntry) -> dict:
     return {
         "backend": e.backend,
         "state": e.state,
@@ -63,7 +63,7 @@
     match e:
         case face.BackendList():
             return {"event": "list", "scope": e.scope, "version": e.version, "entries": entries(e.entries)}
-        case face.Probed():
+        case face.ProbeResult():
             return {
                 "event": "probe answer",
                 "backend": e.backend,
@@ -75,7 +75,7 @@
             return _demand(e, "demand of a slice", "slice", e.slice)
         case face.ProxyDemand():
             return _demand(e, "demand of a proxy", "proxy", e.proxy)
-        case face.Traffic():
+        case face.BackendTraffic():
             return {
                 "event": "traffic",
                 "zone": e.zone,
@@ -90,32 +90,32 @@
             return {"event": "proxy came", "proxy": e.proxy, "zone": e.zone, "rate": e.rate, "fresh": e.fresh}
         case face.ProxyLeft():
             return {"event": "proxy went", "proxy": e.proxy}
-        case face.Acked():
+        case face.UpdateAcknowledged():
             return {"event": "mark answered", "proxy": e.proxy, "mark": e.mark, "duration": e.duration}
-        case face.Charge():
+        case face.SliceOwnership():
             return {"event": "slice owned", "slice": e.slice, "held": e.held}
-        case face.StoredLine():
+        case face.StoredRoute():
             return {"event": "line stored", "slice": e.slice, "backend": e.backend, "weight": e.weight}
-        case face.PeerNote():
+        case face.PeerMessage():
             return {"event": "peer said", "peer": e.peer, "body": e.body.decode("latin-1")}
-        case face.TimerDue():
+        case face.TimerFired():
             return {"event": "timer", "tag": e.tag}
     raise AssertionError(f"an event that no golden file knows: {e}")
 
 
 ORDERS = {
-    "set line": lambda o: face.SetLine(o["table"], o["backend"], o["weight"]),
+    "set line": lambda o: face.SetRoute(o["table"], o["backend"], o["weight"]),
     "clear table": lambda o: face.ClearTable(o["table"]),
-    "set level": lambda o: face.SetLevel(o["table"], tuple(o["methods"]), o["level"], o["tries"]),
-    "withdraw": lambda o: face.Withdraw(o["backend"], o["out"]),
-    "bind": lambda o: face.Bind(o["proxy"], o["table"], tuple(o["methods"])),
-    "mark": lambda o: face.Mark(o["mark"], o["everyone"]),
-    "probe": lambda o: face.Probe(o["backend"]),
-    "tell peer": lambda o: face.TellPeer(o["peer"], o["body"].encode("latin-1")),
-    "subscribe": lambda o: face.Subscribe(o["on"]),
-    "fetch list": lambda o: face.FetchList(),
+    "set level": lambda o: face.SetAdmission(o["table"], tuple(o["methods"]), o["level"], o["tries"]),
+    "withdraw": lambda o: face.EjectBackend(o["backend"], o["out"]),
+    "bind": lambda o: face.BindTable(o["proxy"], o["table"], tuple(o["methods"])),
+    "mark": lambda o: face.UpdateMarker(o["mark"], o["everyone"]),
+    "probe": lambda o: face.ProbeBackend(o["backend"]),
+    "tell peer": lambda o: face.SendToPeer(o["peer"], o["body"].encode("latin-1")),
+    "subscribe": lambda o: face.WatchBackends(o["on"]),
+    "fetch list": lambda o: face.FetchBackends(),
     "set timer": lambda o: face.SetTimer(o["due"], o["tag"]),
-    "log line": lambda o: face.LogLine(o["text"]),
+    "log line": lambda o: face.LogMessage(o["text"]),
 }
 
 
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -8,4 +8,4 @@
 
 
 def lines(orders):
-    return [o for o in orders if isinstance(o, face.SetLine)]
+    return [o for o in orders if isinstance(o, face.SetRoute)]
--- a/tests/publishing.py
+++ b/tests/publishing.py
@@ -18,7 +18,7 @@
 
 
 def line(slice, backend, weight=1.0):
-    return face.SetLine(slice, backend, weight)
+    return face.SetRoute(slice, backend, weight)
 
 
 def moved(slice, old, new):
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -6,7 +6,7 @@
 
 from indigohitch import interface as face
 from indigohitch.log import Log
-from indigohitch.logic.update_channel import UNMARKED_PACE, WAITING_MOST
+from indigohitch.logic.update_channel import MAX_PENDING_SHARE, UNACKNOWLEDGED_DRAIN_SHARE
 from indigohitch.net.clock import SECOND
 from indigohitch.net.http_exchange import Answer
 from indigohitch.net.loop import Loop
@@ -59,7 +59,9 @@
             ["search"],
             most,
             over,
-            Backlog(cap * WAITING_MOST, pace * UNMARKED_PACE, head, lambda: range(self.proxies)),
+            Backlog(
+                cap * MAX_PENDING_SHARE, pace * UNACKNOWLEDGED_DRAIN_SHARE, head, lambda: range(self.proxies)
+            ),
         )
         self.stand, self.void = [], []
         self.relay.stands, self.relay.dropped = self.stands, self.void.extend
@@ -73,7 +75,7 @@
         raise broken
 
     def order(self, *weights, table=1):
-        self.relay.order([face.SetLine(table, "b1", float(w)) for w in weights])
+        self.relay.order([face.SetRoute(table, "b1", float(w)) for w in weights])
 
     def out(self):
         """The call that is out, and who hears of it."""
@@ -119,7 +121,7 @@
         orders = self.room.relay.waiting[0]
         stored_tables.carry_out(self.room.store, orders)
         lines = (len(orders) + self.room.relay.backlog.head) * self.room.proxies
-        self.calls.append([lines, orders[-1].mark if isinstance(orders[-1], face.Mark) else None])
+        self.calls.append([lines, orders[-1].mark if isinstance(orders[-1], face.UpdateMarker) else None])
         self.most = max(self.most, sum(lines for lines, _ in self.calls))
 
     def drain(self):
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_gate.py
@@ -49,7 +49,7 @@
     relay.client.request = lambda *words: went.append(words[4])
     relay.dropped = void.extend
     relay.allowed = lambda orders: may and orders.startswith("put,3,b1")
-    first, second = face.SetLine(3, "b1", 1.0), face.SetLine(4, "b2", 1.0)
+    first, second = face.SetRoute(3, "b1", 1.0), face.SetRoute(4, "b2", 1.0)
     relay.hold(True)
     relay.order([first])
     relay.order([second])
--- a/tests/test_crossing_backlog.py
+++ b/tests/test_crossing_backlog.py
@@ -61,7 +61,9 @@
 
 def lines(count, mark):
     """A call of so many orders, its mark among them."""
-    return [face.SetLine(number, "b1", 1.0) for number in range(count - 1)] + [face.Mark(mark, False)]
+    return [face.SetRoute(number, "b1", 1.0) for number in range(count - 1)] + [
+        face.UpdateMarker(mark, False)
+    ]
 
 
 def test_what_may_wait_in_the_channel_at_any_moment():
@@ -165,7 +167,11 @@
 
 def moved(number, mark):
     """Of a table: the new line, the old one's removal, and a mark."""
-    return [face.SetLine(number, "new", 1.0), face.SetLine(number, "old", 0.0), face.Mark(mark, False)]
+    return [
+        face.SetRoute(number, "new", 1.0),
+        face.SetRoute(number, "old", 0.0),
+        face.UpdateMarker(mark, False),
+    ]
 
 
 @pytest.mark.parametrize("outcome", ["Throttling", "reset"])
@@ -183,12 +189,12 @@
         assert len({o for o in orders.split(";") if "new" in o}) == len(
             {o for o in orders.split(";") if "old" in o}
         )
-    assert {order.table for order in room.stand if isinstance(order, face.SetLine)} == set(range(200))
+    assert {order.table for order in room.stand if isinstance(order, face.SetRoute)} == set(range(200))
 
 
 def test_merged_lines_of_a_table_stand_together_where_the_last_one_did():
-    early, late = face.SetLine(1, "old", 0.0), face.SetLine(1, "new", 1.0)
-    other, level = face.SetLine(2, "b1", 1.0), face.SetLevel(1, (), 1.0, 1)
+    early, late = face.SetRoute(1, "old", 0.0), face.SetRoute(1, "new", 1.0)
+    other, level = face.SetRoute(2, "b1", 1.0), face.SetAdmission(1, (), 1.0, 1)
     assert merge([early, other, late, level]) == [other, early, late, level]
     assert merge([early, other, face.ClearTable(1), late]) == [other, face.ClearTable(1), late]
     assert [cut([other, early, late, level], most) for most in (-3, 1, 2, 3, 4)] == [1, 1, 1, 3, 4]
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -56,8 +56,8 @@
         for proxy in range(PROXIES):
             holdings.news(face.ProxyJoined(proxy, "east", 5.0, False))
         for number, table in self.store.items():
-            holdings.news(face.Charge(number, True))
-            holdings.news(face.StoredLine(number, *next(iter(table.lines.items()))))
+            holdings.news(face.SliceOwnership(number, True))
+            holdings.news(face.StoredRoute(number, *next(iter(table.lines.items()))))
         holdings.news_alive()
 
     def broken(self, what):
@@ -89,7 +89,7 @@
 
     def carry_out(self, orders):
         stored_tables.carry_out(self.store, orders)
-        mark = next((o.mark for o in orders if isinstance(o, face.Mark)), None)
+        mark = next((o.mark for o in orders if isinstance(o, face.UpdateMarker)), None)
         self.queue.append([(len(orders) + self.front.relay.backlog.head) * PROXIES, mark])
         self.most = max(self.most, sum(lines for lines, _ in self.queue))
 
@@ -108,11 +108,11 @@
         while self.acks and self.acks[0][0] <= now:
             _, mark = self.acks.pop(0)
             for proxy in range(PROXIES if mark is not None else 0):
-                self.front.holdings.news(face.Acked(proxy, mark, 10))
+                self.front.holdings.news(face.UpdateAcknowledged(proxy, mark, 10))
 
     def drain(self, some):
         """These go; until none has a line."""
-        entries = tuple(face.Listed(f"b{n}", "draining", 6.0, "east", 0, "std", 0) for n in some)
+        entries = tuple(face.BackendEntry(f"b{n}", "draining", 6.0, "east", 0, "std", 0) for n in some)
         self.front.hear(face.BackendList("changes", 2, entries))
         leaving, began = {f"b{n}" for n in some}, self.clock.now()
         while any(leaving & set(table.lines) for table in self.store.values()):
--- a/tests/test_crossing_doubt.py
+++ b/tests/test_crossing_doubt.py
@@ -44,7 +44,7 @@
     channel.pace /= 5
     for tables in (room.store, room.stood):
         tables.update({number: Table({"old": 1.0}) for number in range(30)})
-    orders = [order for number in range(30) for order in moved(number, 1)[:2]] + [face.Mark(1, False)]
+    orders = [order for number in range(30) for order in moved(number, 1)[:2]] + [face.UpdateMarker(1, False)]
     room.relay.order(orders)
     began = room.clock.now()
     if carried_out:
@@ -69,9 +69,9 @@
     stood = {1: Table({"a": 1.0}), 2: Table({"a": 1.0, "b": 1.0}), 3: Table({})}
 
     def move(table, old, new):
-        return [face.SetLine(table, new, 1.0), face.SetLine(table, old, 0.0)]
+        return [face.SetRoute(table, new, 1.0), face.SetRoute(table, old, 0.0)]
 
-    orders = [*move(1, "a", "c"), face.SetLine(3, "c", 1.0), *move(2, "a", "c"), face.Mark(7, False)]
+    orders = [*move(1, "a", "c"), face.SetRoute(3, "c", 1.0), *move(2, "a", "c"), face.UpdateMarker(7, False)]
 
     def told(*lines, of=orders):
         evidence = Evidence(stood, of)
@@ -80,7 +80,7 @@
         return evidence.effect
 
     assert Evidence(stood, orders).proved == 6  # the mark went with what it stands behind
-    assert Evidence(stood, [*orders[:5], face.SetLine(9, "c", 1.0), orders[5]]).proved == 5  # may be refused
+    assert Evidence(stood, [*orders[:5], face.SetRoute(9, "c", 1.0), orders[5]]).proved == 5  # may be refused
     assert told() is told((1, "c", 1.0)) is told((3, "c", 1.0), (2, "b", 1.0)) is Effect.UNKNOWN
     assert told((1, "c", 1.0), (2, "b", 1.0), (2, "c", 1.0)) is Effect.STANDS
     assert told((1, "a", 1.0), (2, "a", 1.0), (2, "b", 1.0)) is Effect.NONE
@@ -88,9 +88,9 @@
     assert told((1, "a", 2.0), (2, "c", 2.0)) is Effect.UNKNOWN  # written by another
     assert told((1, "c", 1.0), of=move(1, "a", "c")) is Effect.STANDS
     for silent in (
-        [face.Mark(7, False)],
-        [face.SetLine(3, "c", 1.0)],
-        [face.SetLine(1, "a", 1.0)],
+        [face.UpdateMarker(7, False)],
+        [face.SetRoute(3, "c", 1.0)],
+        [face.SetRoute(1, "a", 1.0)],
         move(9, "a", "b"),
     ):
         assert not Evidence(stood, silent).any
@@ -98,7 +98,7 @@
 
 def test_a_mark_that_an_earlier_call_had_proves_nothing():
     proof = MarkProof()
-    proof.begin([face.Mark(7, False)])
+    proof.begin([face.UpdateMarker(7, False)])
     assert not proof.answered(6) and not proof.shown and proof.answered(7) and proof.shown
-    proof.begin([face.Mark(7, False)])
+    proof.begin([face.UpdateMarker(7, False)])
     assert not proof.answered(7) and not proof.shown
--- a/tests/test_crossing_handovers.py
+++ b/tests/test_crossing_handovers.py
@@ -12,8 +12,8 @@
 from test_holdings import Told
 
 SLICE = 5
-OURS = [face.SetLine(SLICE, "b1", 1.0), face.SetLine(SLICE, "b0", 0.0)]  # a move from b0 to b1
-NAMED = [face.Charge(SLICE, True), face.StoredLine(SLICE, "b0", 1.0)]
+OURS = [face.SetRoute(SLICE, "b1", 1.0), face.SetRoute(SLICE, "b0", 0.0)]  # a move from b0 to b1
+NAMED = [face.SliceOwnership(SLICE, True), face.StoredRoute(SLICE, "b0", 1.0)]
 
 
 class Relay:
@@ -49,7 +49,7 @@
 
     def carry_out(self):
         for order in self.calls[self.carried] if self.held else ():
-            if isinstance(order, face.SetLine):
+            if isinstance(order, face.SetRoute):
                 self.store.pop(order.backend, None)
                 if order.weight:
                     self.store[order.backend] = order.weight
@@ -64,9 +64,12 @@
         self.held = held
         self.store = self.store if lines is None else dict(lines)
         return (
-            [face.Charge(SLICE, False)]
+            [face.SliceOwnership(SLICE, False)]
             if not held
-            else [face.Charge(SLICE, True), *(face.StoredLine(SLICE, b, w) for b, w in self.store.items())]
+            else [
+                face.SliceOwnership(SLICE, True),
+                *(face.StoredRoute(SLICE, b, w) for b, w in self.store.items()),
+            ]
         )
 
     def end(self):
@@ -145,9 +148,9 @@
 
 def test_an_answer_between_a_line_that_came_late_and_its_telling():
     relay = Relay()
-    relay.order(face.SetLine(SLICE, "b0", 0.0))
+    relay.order(face.SetRoute(SLICE, "b0", 0.0))
     relay.store["b1"] = 1.0
-    relay.hear(face.StoredLine(SLICE, "b1", 1.0))
+    relay.hear(face.StoredRoute(SLICE, "b1", 1.0))
     relay.carry_out()
     relay.answer()
     believed, stands = relay.end()
@@ -175,7 +178,7 @@
 
 def test_given_and_taken_in_one_piece_is_nothing():
     relay = Relay()
-    relay.hear(face.Charge(7, True), face.StoredLine(7, "b1", 1.0), face.Charge(7, False))
+    relay.hear(face.SliceOwnership(7, True), face.StoredRoute(7, "b1", 1.0), face.SliceOwnership(7, False))
     relay.holdings._settle()
     assert relay.told.charges == 1 and set(relay.told.tables) == {SLICE}
 
@@ -198,13 +201,13 @@
 
 def test_orders_are_told_as_lost_only_for_slices_still_in_charge():
     relay = Relay()
-    relay.holdings.dropped([face.SetLine(SLICE, "b3", 1.0), face.SetLine(8, "b3", 1.0)])
+    relay.holdings.dropped([face.SetRoute(SLICE, "b3", 1.0), face.SetRoute(8, "b3", 1.0)])
     relay.hear(*relay.change(False))
     relay.hear(*relay.change(True, {"b2": 1.0}))
     relay.holdings._tell_lost()  # between the giving and the telling of it
     believed, stands = relay.end()
     assert believed == stands == {"b2": 1.0} and set(relay.told.tables) == {SLICE}
-    relay.holdings.dropped([face.SetLine(SLICE, "b3", 1.0)])
+    relay.holdings.dropped([face.SetRoute(SLICE, "b3", 1.0)])
     relay.hear(*relay.change(False))
     relay.holdings._tell_lost()
     assert relay.told.tables == {}
@@ -213,15 +216,15 @@
 @pytest.mark.parametrize("answered", ["before the giving", "before it is told", "after"])
 def test_a_level_that_was_out_when_the_slice_was_given_is_taken_back(answered):
     relay = Relay()
-    relay.order(face.SetLine(SLICE, "b0", 1.0))
-    relay.calls[0].append(face.SetLevel(SLICE, (), 0.6, 1))
+    relay.order(face.SetRoute(SLICE, "b0", 1.0))
+    relay.calls[0].append(face.SetAdmission(SLICE, (), 0.6, 1))
     relay.carry_out()
     relay.hear(*relay.change(False))
     relay.answer() if answered == "before the giving" else None
     relay.hear(*relay.change(True))
     relay.answer() if answered == "before it is told" else None
     relay.holdings._settle()
-    last = [o for call in relay.calls for o in call if isinstance(o, face.SetLevel)][-1:]
+    last = [o for call in relay.calls for o in call if isinstance(o, face.SetAdmission)][-1:]
     assert [o.level for o in last] == ([] if answered == "before the giving" else [1.0])
 
 
@@ -233,10 +236,14 @@
     monkeypatch.setattr(stored_tables, "copy", lambda all: copied.append(all) or copy(all))
     relay = Relay()
     relay.hear(
-        *(event for n in range(10, 1010) for event in (face.Charge(n, True), face.StoredLine(n, "b0", 1.0)))
+        *(
+            event
+            for n in range(10, 1010)
+            for event in (face.SliceOwnership(n, True), face.StoredRoute(n, "b0", 1.0))
+        )
     )
     relay.holdings._settle()
     given = len(copied)
-    relay.hear(*(face.Charge(n, False) for n in range(10, 1010)))
-    relay.hear(*(face.StoredLine(SLICE, f"b{n}", 1.0) for n in range(100)))
+    relay.hear(*(face.SliceOwnership(n, False) for n in range(10, 1010)))
+    relay.hear(*(face.StoredRoute(SLICE, f"b{n}", 1.0) for n in range(100)))
     assert len(copied) == given and set(relay.holdings.stood) == {SLICE}
--- a/tests/test_crossing_lists_judge.py
+++ b/tests/test_crossing_lists_judge.py
@@ -44,7 +44,7 @@
         if ask.base is not None and self.rng.random() < 0.8:
             found = {b: s for b, s in found.items() if ask.base < at and s != self.lists[ask.base][b]}
         scope = "full" if found is self.lists[at] else "changes"
-        entries = tuple(face.Listed(b, "ready", 1.0, "a", 0, "std", s) for b, s in found.items())
+        entries = tuple(face.BackendEntry(b, "ready", 1.0, "a", 0, "std", s) for b, s in found.items())
         self.answered.append((ask, face.BackendList(scope, at, entries), self.lists))
 
     def hear(self):
--- a/tests/test_crossing_lists_silence.py
+++ b/tests/test_crossing_lists_silence.py
@@ -173,9 +173,9 @@
     for n in range(40):
         w.step(0, face.BackendList("failed", 0, ()))
         waited = 0
-        while face.Subscribe(True) not in w.step(SECOND // 2):
+        while face.WatchBackends(True) not in w.step(SECOND // 2):
             waited += SECOND // 2
         assert waited < (SECOND if n == 0 else 4 * SECOND)
     w.step(0, face.BackendList("changes", 2, ()))
     w.step(0, face.BackendList("failed", 0, ()))
-    assert face.Subscribe(True) in w.step(SECOND + SECOND // 2)
+    assert face.WatchBackends(True) in w.step(SECOND + SECOND // 2)
--- a/tests/test_crossing_proxies.py
+++ b/tests/test_crossing_proxies.py
@@ -8,7 +8,7 @@
 
 
 def levels(orders):
-    return [o for o in orders if isinstance(o, face.SetLevel) and o.table == face.ALL_TABLES]
+    return [o for o in orders if isinstance(o, face.SetAdmission) and o.table == face.ALL_TABLES]
 
 
 @pytest.fixture
@@ -17,7 +17,9 @@
     w = World(messages_most=0)
     w.start()
     w.run(4 * SECOND)
-    w.step(0, face.BackendList("changes", 2, (face.Listed("b1", "draining", 6.0, "east", 0, "std", 0),)))
+    w.step(
+        0, face.BackendList("changes", 2, (face.BackendEntry("b1", "draining", 6.0, "east", 0, "std", 0),))
+    )
     assert any(w.c.channel.unacked.values())
     return w
 
@@ -31,7 +33,7 @@
     known: it is told the levels again, in one message, and no line of a table goes again."""
     orders = world.step(0, *news) + world.step(4 * SECOND)
     assert len(levels(orders)) == 1
-    assert not [o for o in orders if isinstance(o, face.SetLine)]
+    assert not [o for o in orders if isinstance(o, face.SetRoute)]
 
 
 def test_no_mark_is_waited_for_of_one_that_left_and_joined_in_one_piece(world):
@@ -41,7 +43,7 @@
     world.marks.clear()  # nobody answers
     world.step(0, face.ProxyLeft(2), JOINED)
     assert not any(2 in proxies for proxies in waiting)
-    world.step(0, face.Acked(2, world.c.channel.mark, 0))  # a late one, of before
+    world.step(0, face.UpdateAcknowledged(2, world.c.channel.mark, 0))  # a late one, of before
     assert all(0 in proxies for proxies in waiting)
 
 
--- a/tests/test_crossing_relay.py
+++ b/tests/test_crossing_relay.py
@@ -85,7 +85,7 @@
 
 
 def test_one_reply_of_more_calls_than_may_wait_goes_at_once(room):
-    orders = [face.SetLine(n, f"backend-{n:06}", 1.0) for n in range(30_000)]
+    orders = [face.SetRoute(n, f"backend-{n:06}", 1.0) for n in range(30_000)]
     room.relay.order(orders)
     while not room.relay.idle:
         room.answer(taken=len(room.relay.waiting[0]))
@@ -181,7 +181,7 @@
     front.start()
     until(lambda: front.holdings.begun and front.relay.idle and platform.agrees())
     platform.relay_faults.append("silent done")
-    front.relay.order([face.SetLine(3, "b1", 1.0)])
+    front.relay.order([face.SetRoute(3, "b1", 1.0)])
     until(lambda: "b1" in platform.tables[3])
     front.relay.allowed = lambda orders: False
     until(lambda: log.counts["orders_not_allowed"])
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -16,7 +16,7 @@
 from indigohitch.net.loop import Loop
 from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.relay import encode
-from indigohitch.settings import bootstrap
+from indigohitch.settings import parse_settings
 from indigohitch.upgrade.module_state import freeze, thaw
 from waiting import free_address
 
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_one_that_is_taken_over_between_the_others(days, seed):
     """Frozen and thawed in one process, as a copy is to try a state: it draws no chance of the others."""
-    who, boots = (0, 1, 2), [bootstrap(settings)[0] for settings in ALL]
+    who, boots = (0, 1, 2), [parse_settings(settings)[0] for settings in ALL]
 
     def hand(one, now, events):
         made = letters(one.handle(now, events))
@@ -115,7 +115,7 @@
 
 
 def test_what_is_handed_in_stays_as_it_was(days):
-    boots = [bootstrap(settings) for settings in ALL]
+    boots = [parse_settings(settings) for settings in ALL]
     given = copy.deepcopy((ALL, boots, days))
     interleaved(
         (0, 1, 2),
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -63,10 +63,10 @@
         self.news(
             face.ProxyJoined(1, "east", 5.0, True),
             face.ProxyJoined(2, "east", 5.0, True),
-            face.Charge(3, True),
-            face.StoredLine(3, "b0", 1.0),
-            face.Charge(4, True),
-            face.StoredLine(4, "b1", 1.0),
+            face.SliceOwnership(3, True),
+            face.StoredRoute(3, "b0", 1.0),
+            face.SliceOwnership(4, True),
+            face.StoredRoute(4, "b1", 1.0),
         )
         self.front.holdings.news_alive()
         self.handed()
@@ -114,7 +114,12 @@
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
     discovery = bench.front.discovery
     discovery._judged(discovery.generations.ask(0, False), Answer("answered", 200, body))
-    bench.news(face.ProxyLeft(1), face.Charge(3, False), face.Charge(9, True), face.StoredLine(9, "b2", 1.0))
+    bench.news(
+        face.ProxyLeft(1),
+        face.SliceOwnership(3, False),
+        face.SliceOwnership(9, True),
+        face.StoredRoute(9, "b2", 1.0),
+    )
     bench.front.holdings._settle()
     if way == "upgrade":
         front = bench.over()
--- a/tests/test_crossing_wire.py
+++ b/tests/test_crossing_wire.py
@@ -67,7 +67,7 @@
                 {"type": "List", "buffer": 0, "members": members},
                 {"type": "Endpoints", "kind": SCOPE[scope], "number": version, "buffer": 0},
             ]
-        case face.Probed(backend, outcome, duration, load):
+        case face.ProbeResult(backend, outcome, duration, load):
             said = {
                 "type": "ProbeResult",
                 "backend": backend,
@@ -84,7 +84,7 @@
                 "errors": errors,
                 "elapsed": elapsed / 10,
             }
-        case face.Traffic(zone, backend, tries, failures, duration, elapsed, load):
+        case face.BackendTraffic(zone, backend, tries, failures, duration, elapsed, load):
             said = {
                 "type": "TrafficReport",
                 "backend": backend,
@@ -99,13 +99,13 @@
             said = {"type": "Connected", "edge": proxy, "campus": zone, "share": rate, "active": fresh}
         case face.ProxyLeft(proxy):
             said = {"type": "LostStream", "edge": proxy}
-        case face.Acked(proxy, mark, duration):
+        case face.UpdateAcknowledged(proxy, mark, duration):
             said = {"type": "Installed", "edge": proxy, "number": mark, "duration": duration / 10}
-        case face.Charge(number, held):
+        case face.SliceOwnership(number, held):
             said = {"type": "AssignedToMe", "table": number, "active": held}
-        case face.StoredLine(number, backend, weight):
+        case face.StoredRoute(number, backend, weight):
             said = {"type": "StoredLine", "table": number, "backend": backend, "share": weight}
-        case face.TimerDue(tag):
+        case face.TimerFired(tag):
             said = {"type": "TickDue", "tag": tag}
     return [said]
 
--- a/tests/test_drain_watch.py
+++ b/tests/test_drain_watch.py
@@ -29,7 +29,7 @@
         raise broken
 
     def listed(self, scope="changes", **states):
-        entries = tuple(face.Listed(b, state, 1.0, "east", 0, "std", 0) for b, state in states.items())
+        entries = tuple(face.BackendEntry(b, state, 1.0, "east", 0, "std", 0) for b, state in states.items())
         self.watch.listed(face.BackendList(scope, 2, entries))
 
     def go(self, span):
@@ -84,10 +84,10 @@
     room.listed(b1="draining", b2="gone")
     room.go(SECOND)
     room.listed(b1="ready")
-    room.watch.stands([face.Withdraw("b2", True)])
+    room.watch.stands([face.EjectBackend("b2", True)])
     room.go(GRACE)
     assert not room.said("drain_overdue")
-    room.watch.stands([face.Withdraw("b2", False)])
+    room.watch.stands([face.EjectBackend("b2", False)])
     room.go(SECOND)
     assert room.said("drain_overdue")[0]["backend"] == "b2"
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -67,7 +67,7 @@
     given = {n: [] for n in range(len(fleet.worlds)) if n != lost}
     for i, (s, table) in enumerate(gone.tables.items()):
         n = sorted(given)[i % len(given)]
-        given[n] += [face.Charge(s, True), *(face.StoredLine(s, b, w) for b, w in table.items())]
+        given[n] += [face.SliceOwnership(s, True), *(face.StoredRoute(s, b, w) for b, w in table.items())]
     gone.tables = {}
     for n, events in given.items():
         fleet.late.append((fleet.now + fleet.random.randint(0, SECOND), n, events))
@@ -124,7 +124,7 @@
     seen = [len(w.log) for w in f.worlds]
     f.run(20 * SECOND)
     lines = sum(
-        isinstance(o, face.SetLine) and o.weight > 0
+        isinstance(o, face.SetRoute) and o.weight > 0
         for w, n in zip(f.worlds, seen)
         for _, orders in w.log[n:]
         for o in orders
@@ -148,7 +148,7 @@
         for n, w in enumerate(f.worlds):
             orders = w.step(SECOND // 10, *([fails[n]] if fails[n] else []))
             fails[n] = None
-            if any(isinstance(o, face.Subscribe) for o in orders):
+            if any(isinstance(o, face.WatchBackends) for o in orders):
                 asked[n].append(f.now - begin)
                 fails[n] = face.BackendList("failed", 0, ())
     for times in asked:
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -10,7 +10,7 @@
 from golden.decision_files import KINDS, LISTED, SEEDS, path, read
 from golden.decision_settings import SETTINGS
 from indigohitch.logic import Coordinator
-from indigohitch.settings import bootstrap
+from indigohitch.settings import parse_settings
 from indigohitch.upgrade import events
 from indigohitch.upgrade.module_state import ModuleRow, freeze, thaw
 
@@ -34,7 +34,7 @@
 def replayed(lines: list[bytes], upgraded_every: int = 0) -> list[bytes]:
     """The same lines, with the orders of the module as it is now."""
     head = msgspec.json.decode(lines[0])
-    boot, _ = bootstrap(head["settings"])
+    boot, _ = parse_settings(head["settings"])
     module, found = Coordinator(head["seed"], boot), [lines[0]]
     for number, line in enumerate(lines[1:]):
         batch = msgspec.json.decode(line)
--- a/tests/test_golden_places.py
+++ b/tests/test_golden_places.py
@@ -13,7 +13,7 @@
 
 ITEMS = [
     (["BackendList", "full", 3, []], face.BackendList(scope="full", version=3, entries=())),
-    (["Probed", "b1", "ok", 6, {}], face.Probed(backend="b1", outcome="ok", duration=6, load={})),
+    (["Probed", "b1", "ok", 6, {}], face.ProbeResult(backend="b1", outcome="ok", duration=6, load={})),
     (
         ["SliceDemand", 3, "get", 4, 5, 6],
         face.SliceDemand(slice=3, method="get", total=4, unanswered=5, elapsed=6),
@@ -24,29 +24,29 @@
     ),
     (
         ["Traffic", "east", "b1", 4, 5, 6, 7, {"queued": 1}],
-        face.Traffic(
+        face.BackendTraffic(
             zone="east", backend="b1", tries=4, failures=5, duration=6, elapsed=7, load={"queued": 1}
         ),
     ),
     (["ProxyJoined", 3, "east", 5.0, True], face.ProxyJoined(proxy=3, zone="east", rate=5.0, fresh=True)),
     (["ProxyLeft", 3], face.ProxyLeft(proxy=3)),
-    (["Acked", 3, 4, 5], face.Acked(proxy=3, mark=4, duration=5)),
-    (["Charge", 3, True], face.Charge(slice=3, held=True)),
-    (["StoredLine", 3, "b1", 1.0], face.StoredLine(slice=3, backend="b1", weight=1.0)),
-    (["PeerNote", 3, b"x"], face.PeerNote(peer=3, body=b"x")),
-    (["TimerDue", "beat"], face.TimerDue(tag="beat")),
-    (["SetLine", 3, "b1", 1.0], face.SetLine(table=3, backend="b1", weight=1.0)),
+    (["Acked", 3, 4, 5], face.UpdateAcknowledged(proxy=3, mark=4, duration=5)),
+    (["Charge", 3, True], face.SliceOwnership(slice=3, held=True)),
+    (["StoredLine", 3, "b1", 1.0], face.StoredRoute(slice=3, backend="b1", weight=1.0)),
+    (["PeerNote", 3, b"x"], face.PeerMessage(peer=3, body=b"x")),
+    (["TimerDue", "beat"], face.TimerFired(tag="beat")),
+    (["SetLine", 3, "b1", 1.0], face.SetRoute(table=3, backend="b1", weight=1.0)),
     (["ClearTable", 3], face.ClearTable(table=3)),
-    (["SetLevel", 3, [1], 0.5, 2], face.SetLevel(table=3, methods=(1,), level=0.5, tries=2)),
-    (["Withdraw", "b1", True], face.Withdraw(backend="b1", out=True)),
-    (["Bind", 3, 4, [1]], face.Bind(proxy=3, table=4, methods=[1])),
-    (["Mark", 3, False], face.Mark(mark=3, everyone=False)),
-    (["Probe", "b1"], face.Probe(backend="b1")),
-    (["TellPeer", -1, b"x"], face.TellPeer(peer=-1, body=b"x")),
-    (["Subscribe", True], face.Subscribe(on=True)),
-    (["FetchList"], face.FetchList()),
+    (["SetLevel", 3, [1], 0.5, 2], face.SetAdmission(table=3, methods=(1,), level=0.5, tries=2)),
+    (["Withdraw", "b1", True], face.EjectBackend(backend="b1", out=True)),
+    (["Bind", 3, 4, [1]], face.BindTable(proxy=3, table=4, methods=[1])),
+    (["Mark", 3, False], face.UpdateMarker(mark=3, everyone=False)),
+    (["Probe", "b1"], face.ProbeBackend(backend="b1")),
+    (["TellPeer", -1, b"x"], face.SendToPeer(peer=-1, body=b"x")),
+    (["Subscribe", True], face.WatchBackends(on=True)),
+    (["FetchList"], face.FetchBackends()),
     (["SetTimer", 3, "beat"], face.SetTimer(due=3, tag="beat")),
-    (["LogLine", "x"], face.LogLine(text="x")),
+    (["LogLine", "x"], face.LogMessage(text="x")),
 ]
 
 
@@ -57,7 +57,9 @@
 
 
 def test_an_entry_of_a_list_is_what_it_was():
-    entry = face.Listed(backend="b1", state="ready", weight=6.0, zone="east", cell=2, kind="std", started=7)
+    entry = face.BackendEntry(
+        backend="b1", state="ready", weight=6.0, zone="east", cell=2, kind="std", started=7
+    )
     row = ["BackendList", "full", 3, [["b1", "ready", 6.0, "east", 2, "std", 7]]]
     assert events.unpack(row).entries == (entry,)
     assert list(events.listed(entry)) == row[3][0]
--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -33,7 +33,7 @@
 from indigohitch.net.loop import Loop
 from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.handover import Handover
-from indigohitch.settings import bootstrap
+from indigohitch.settings import parse_settings
 from indigohitch.sidecar.handover import Handover as SidecarHandover
 from indigohitch.sidecar.host import Host
 from indigohitch.upgrade import events
@@ -156,7 +156,7 @@
 def test_a_module_comes_back_byte_for_byte(place):
     """Each value in the place that it had, whatever the names of rows and module are."""
     row = modules()[place]
-    boot, _ = bootstrap(SETTINGS_OF_COORDINATOR)
+    boot, _ = parse_settings(SETTINGS_OF_COORDINATOR)
     module = thaw(msgspec.convert(row, ModuleRow), boot)
     data = msgspec.msgpack.encode(freeze(module))
     assert data == msgspec.msgpack.encode(row)
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -3,7 +3,7 @@
 import pytest
 
 from indigohitch import interface as face
-from indigohitch.logic.rate_limit import MessagePace
+from indigohitch.logic.rate_limit import MessageRateLimit
 from indigohitch.net.clock import SECOND
 from relay_room import Room
 from stage import drain
@@ -18,7 +18,7 @@
     return found
 
 
-class Careless(MessagePace):
+class Careless(MessageRateLimit):
     """Lets everything go at once."""
 
     def free_at(self, now, urgent):
@@ -68,10 +68,10 @@
     room = Room(monkeypatch, cap=100, pace=0.001, proxies=10)
     room.relay.backlog.fits_at = lambda now, lines: now
     for number in range(8):
-        room.relay.order([face.SetLine(number, "b1", 1.0)])
+        room.relay.order([face.SetRoute(number, "b1", 1.0)])
         room.answer()
     assert not counted(room)
-    room.relay.order([face.SetLine(9, "b1", 1.0), face.SetLine(10, "b1", 1.0)])
+    room.relay.order([face.SetRoute(9, "b1", 1.0), face.SetRoute(10, "b1", 1.0)])
     assert counted(room) == {"invariant_channel_full": 1}
 
 
@@ -79,7 +79,7 @@
     room = Room(monkeypatch)
     begun = []
     room.relay.guard.begun = lambda: bool(begun)
-    room.relay.order([face.SetLevel(face.ALL_TABLES, (), 1.0, 1)])
+    room.relay.order([face.SetAdmission(face.ALL_TABLES, (), 1.0, 1)])
     room.answer()
     room.order(1)
     assert not room.relay.out and counted(room) == {"invariant_call_before_start": 1}
@@ -93,12 +93,12 @@
     room = Room(monkeypatch)
     late = set()
     room.relay.guard.too_late = late.__contains__
-    put = [face.SetLine(1, "b1", 1.0), face.SetLine(1, "b2", 0.0)]
+    put = [face.SetRoute(1, "b1", 1.0), face.SetRoute(1, "b2", 0.0)]
     room.relay.hold(first == "fresh")
     room.relay.order(put)
     if first == "in doubt":
         room.answer("timeout")
-    room.relay.order([face.SetLine(1, "b3", 1.0), face.SetLine(1, "b1", 0.0)])
+    room.relay.order([face.SetRoute(1, "b3", 1.0), face.SetRoute(1, "b1", 0.0)])
     late.add("b1")
     room.relay.hold(False)
     room.until_out()
@@ -111,7 +111,7 @@
     room.relay.guard.too_late = lambda backend: backend == "b1"
     room.order(1)
     assert room.relay.idle and [order.backend for order in room.void] == ["b1"]
-    room.relay.order([face.SetLine(1, "b1", 1.0), face.SetLine(2, "b2", 1.0), face.SetLine(3, "b1", 0.0)])
+    room.relay.order([face.SetRoute(1, "b1", 1.0), face.SetRoute(2, "b2", 1.0), face.SetRoute(3, "b1", 0.0)])
     assert room.out()[0] == "put,2,b2,1.0;put,3,b1,0.0"
     assert counted(room) == {"invariant_line_at_leaving": 2}
 
@@ -124,7 +124,7 @@
     room.relay.client.close = lambda: None
     room.relay.hold(True)
     room.order(1, 2)
-    room.relay.order([face.SetLine(2, "b1", 1.0)])
+    room.relay.order([face.SetRoute(2, "b1", 1.0)])
     room.relay.close()
     assert told == [("ended_with_orders_waiting", {"urgent": 2, "orders": 3})]
 
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -6,7 +6,7 @@
 
 from hours import Hours
 from indigohitch import interface as face
-from indigohitch.event_batch import Gathering
+from indigohitch.event_batch import EventBatch
 from indigohitch.net.loop import Deadline
 from indigohitch.platform_protocol import stored_tables
 from indigohitch.platform_protocol.store_mirror import Holdings
@@ -15,7 +15,7 @@
 def test_pieces_of_one_period_are_handled_together():
     """Seen on a calm day: the module planned on the first half of the sums in 12 rounds of 14."""
     hours, handed = Hours(), []
-    gathering = Gathering(hours, 40, lambda now, events: handed.append((now, events)))
+    gathering = EventBatch(hours, 40, lambda now, events: handed.append((now, events)))
     for n in range(4):
         gathering.add(face.ProxyLeft(n))
         hours.go(20, gathering)
@@ -28,11 +28,11 @@
     hours.go(100, gathering)
     assert len(handed) == 2
     hours.go(100, gathering)
-    gathering.add_due(face.TimerDue("beat"))  # a timer alone is on time, with others it waits for them
+    gathering.add_due(face.TimerFired("beat"))  # a timer alone is on time, with others it waits for them
     hours.go(0, gathering)
-    assert handed[2] == (1800, [face.TimerDue("beat")])
+    assert handed[2] == (1800, [face.TimerFired("beat")])
     gathering.add(face.ProxyLeft(8))
-    gathering.add_due(face.TimerDue("beat"))
+    gathering.add_due(face.TimerFired("beat"))
     hours.go(90, gathering)
     assert len(handed) == 3
     hours.go(10, gathering)
@@ -52,12 +52,12 @@
 
     def hear(self, *events):
         for e in events:
-            if isinstance(e, face.Charge):
+            if isinstance(e, face.SliceOwnership):
                 self.charges += 1
                 self.tables.pop(e.slice, None)
                 if e.held:
                     self.tables[e.slice] = {}
-            elif isinstance(e, face.StoredLine):
+            elif isinstance(e, face.StoredRoute):
                 self.tables[e.slice][e.backend] = e.weight
             elif isinstance(e, face.ProxyJoined):
                 self.proxies.add(e.proxy)
@@ -84,7 +84,7 @@
         roll = rng.random()
         if roll < 0.4 and told.tables:  # the module orders, and believes that it stands
             table = rng.choice(sorted(told.tables))
-            order = face.SetLine(table, f"b{rng.randrange(3)}", rng.choice([0.0, 1.0]))
+            order = face.SetRoute(table, f"b{rng.randrange(3)}", rng.choice([0.0, 1.0]))
             calls.append(order)
             put(told.tables, order)
         elif roll < 0.7 and done < len(calls):  # the relay carries one out
@@ -104,7 +104,7 @@
             start += stored_tables.given(number, stored_tables.Table(dict(lines)))
         for event in start:
             holdings.news(event)
-            if rng.random() < 0.2 and not isinstance(event, face.Charge):
+            if rng.random() < 0.2 and not isinstance(event, face.SliceOwnership):
                 step()
         holdings.news_alive()
         ahead = {number: dict(lines) for number, lines in store.items()}
@@ -133,10 +133,10 @@
             holdings.news(event)
         holdings.news_alive()
     assert told.charges == 1 and told.tables == {4: {"b1": 1.0}}
-    holdings.stands([face.SetLevel(4, (), 0.6, 1)])
-    holdings.dropped([face.SetLine(4, "b2", 1.0)])
+    holdings.stands([face.SetAdmission(4, (), 0.6, 1)])
+    holdings.dropped([face.SetRoute(4, "b2", 1.0)])
     holdings._tell_lost()  # told anew it comes without a level: that is made true
-    assert told.charges == 2 and calls == [face.SetLevel(4, (), 1.0, 1)]
+    assert told.charges == 2 and calls == [face.SetAdmission(4, (), 1.0, 1)]
 
 
 def test_what_was_answered_and_is_not_in_the_news_goes_again():
@@ -156,9 +156,9 @@
         holdings.news_alive()
 
     begin()
-    moved = [face.SetLine(4, "b2", 1.0), face.SetLine(4, "b1", 0.0)]
-    same = [face.SetLine(5, "b1", 1.0)]
-    later = [face.SetLine(4, "b3", 1.0), face.SetLevel(4, (), 0.5, 1)]
+    moved = [face.SetRoute(4, "b2", 1.0), face.SetRoute(4, "b1", 0.0)]
+    same = [face.SetRoute(5, "b1", 1.0)]
+    later = [face.SetRoute(4, "b3", 1.0), face.SetAdmission(4, (), 0.5, 1)]
     calls += later
     for order in [*moved, *same, later[0]]:
         put(told.tables, order)  # as the module believes since it ordered them
--- a/tests/test_logic_exclusive.py
+++ b/tests/test_logic_exclusive.py
@@ -21,13 +21,13 @@
         self.lease = None  # without a stream: until when it goes on writing
 
     def apply(self, order):
-        if isinstance(order, face.SetLine):
+        if isinstance(order, face.SetRoute):
             table = self.lines
             if order.weight:
                 table[order.table] = order.backend
             elif table.get(order.table) == order.backend:
                 del table[order.table]
-        elif isinstance(order, face.SetLevel) and self.honours_levels:
+        elif isinstance(order, face.SetAdmission) and self.honours_levels:
             for method in order.methods or (READS, WRITES):
                 self.closed[order.table, method] = order.level == 0
 
@@ -59,7 +59,7 @@
         """The coordinator is told what stands."""
         events = [face.BackendList("full", 1, tuple(entries))]
         for s, b in self.store.items():
-            events += [face.Charge(s, True), *([face.StoredLine(s, b, 1.0)] if b else [])]
+            events += [face.SliceOwnership(s, True), *([face.StoredRoute(s, b, 1.0)] if b else [])]
         self.tell(*events, *(face.ProxyJoined(p, "east", 5.0, False) for p in self.proxies))
 
     def succeed(self, seed, entries):
@@ -70,12 +70,12 @@
     def tell(self, *events):
         orders = self.c.handle(self.now, list(events))
         self.timers += [o.due for o in orders if isinstance(o, face.SetTimer)]
-        sent = [o for o in orders if isinstance(o, (face.SetLine, face.SetLevel, face.Mark))]
+        sent = [o for o in orders if isinstance(o, (face.SetRoute, face.SetAdmission, face.UpdateMarker))]
         for order in sent:
-            if isinstance(order, face.SetLine) and order.weight:
+            if isinstance(order, face.SetRoute) and order.weight:
                 self.moves += 1
                 self.store[order.table] = order.backend
-            elif isinstance(order, face.SetLine) and self.store.get(order.table) == order.backend:
+            elif isinstance(order, face.SetRoute) and self.store.get(order.table) == order.backend:
                 self.store[order.table] = None
         for proxy in self.proxies.values():
             if sent and proxy.here:
@@ -98,8 +98,10 @@
         for number, proxy in self.proxies.items():
             while proxy.inbox and proxy.inbox[0][0] <= self.now:
                 for order in proxy.inbox.pop(0)[1]:
-                    if isinstance(order, face.Mark):
-                        self.acks.append((self.now + self.late(), face.Acked(number, order.mark, 10)))
+                    if isinstance(order, face.UpdateMarker):
+                        self.acks.append(
+                            (self.now + self.late(), face.UpdateAcknowledged(number, order.mark, 10))
+                        )
                     proxy.apply(order)
             if proxy.here or self.now < proxy.lease:
                 for s in self.store:
@@ -112,7 +114,7 @@
         due = [t for t in self.timers if t <= self.now]
         self.timers = [t for t in self.timers if t > self.now]
         if heard or due:
-            self.tell(*heard, *[face.TimerDue("beat")] * bool(due))
+            self.tell(*heard, *[face.TimerFired("beat")] * bool(due))
 
     def write(self, s, backend, proxy):
         if backend is None:
@@ -162,7 +164,7 @@
     fleet.run(8 * SECOND)
     began = fleet.now
     drained(fleet, "b0")
-    assert all(p.inbox[-1][1][0] == face.SetLevel(0, (), 0.0, 1) for p in fleet.proxies.values())
+    assert all(p.inbox[-1][1][0] == face.SetAdmission(0, (), 0.0, 1) for p in fleet.proxies.values())
     while fleet.store[0] == "b0":
         fleet.tick()
     assert SETTLE < fleet.now - began < SETTLE + 3 * SECOND
@@ -205,9 +207,11 @@
     fleet.tell(
         face.BackendList("full", 1, tuple(entry(f"b{n}") for n in range(3))),
         face.ProxyJoined(0, "east", 5.0, False),
-        face.Charge(0, True),
-        face.StoredLine(0, "b0", 1.0),
+        face.SliceOwnership(0, True),
+        face.StoredRoute(0, "b0", 1.0),
     )
     sent.clear()
     drained(fleet, "b0")
-    assert [type(o) for o in sent if isinstance(o, (face.SetLine, face.SetLevel))][:2] == [face.SetLine] * 2
+    assert [type(o) for o in sent if isinstance(o, (face.SetRoute, face.SetAdmission))][:2] == [
+        face.SetRoute
+    ] * 2
--- a/tests/test_logic_hearing.py
+++ b/tests/test_logic_hearing.py
@@ -14,7 +14,7 @@
     w = World()
     w.start(3, 3)
     w.step(0, changes(entry("b2", "gone")))
-    w.step(SECOND, face.Charge(7, True), face.Charge(8, True), face.StoredLine(8, "b2", 1.0))
+    w.step(SECOND, face.SliceOwnership(7, True), face.SliceOwnership(8, True), face.StoredRoute(8, "b2", 1.0))
     assert w.owners()[7] in ("b0", "b1") and w.owners()[8] in ("b0", "b1")
 
 
@@ -22,7 +22,7 @@
     """A remembered list may be older than the store: its owner is kept until a fresh list lacks it."""
     w = World()
     w.start(3, 3, scope="remembered")
-    w.step(0, face.Charge(9, True), face.StoredLine(9, "newer", 1.0))
+    w.step(0, face.SliceOwnership(9, True), face.StoredRoute(9, "newer", 1.0))
     assert w.owners()[9] == "newer"
     w.step(SECOND, changes(entry("b0")))  # changes make the list in hand a fresh one
     w.step(2 * SECOND)
@@ -34,7 +34,7 @@
     next one, says that the lines of a slice it is given lie at a backend that is gone."""
     w = World()
     w.start(3, 3)
-    w.step(SECOND, face.Charge(9, True), face.StoredLine(9, "gone_before", 1.0))
+    w.step(SECOND, face.SliceOwnership(9, True), face.StoredRoute(9, "gone_before", 1.0))
     assert w.owners()[9] in ("b0", "b1", "b2")
 
 
@@ -50,9 +50,9 @@
 
 def test_asks_at_start_and_again_after_a_refusal():
     w = World()
-    assert face.Subscribe(True) in w.start()
+    assert face.WatchBackends(True) in w.start()
     w.step(0, face.BackendList("failed", 0, ()))
-    assert face.Subscribe(True) in w.step(3 * SECOND)
+    assert face.WatchBackends(True) in w.step(3 * SECOND)
 
 
 def test_an_answer_to_a_mark_never_set_frees_no_room():
@@ -60,9 +60,9 @@
     w.start(6, 12)
     w.run(2 * SECOND)
     w.c.channel.unacked[700] = 5, {0, 1}
-    w.c.handle(w.now, [face.Acked(0, 999, 1)])
+    w.c.handle(w.now, [face.UpdateAcknowledged(0, 999, 1)])
     assert w.c.channel.unacked[700] == (5, {0, 1})
-    w.c.handle(w.now, [face.Acked(0, 700, 1)])
+    w.c.handle(w.now, [face.UpdateAcknowledged(0, 700, 1)])
     assert w.c.channel.unacked[700] == (5, {1})
 
 
@@ -110,7 +110,7 @@
         w.start(6, 30)
         w.step(0, changes(entry(new, started=w.now - 6 * SECOND)))
     for s in range(100, 103):
-        w.step(0, face.Charge(s, True), face.StoredLine(s, new, 1.0))
+        w.step(0, face.SliceOwnership(s, True), face.StoredRoute(s, new, 1.0))
     assert all(s.load < 10 for s in w.c.slices.values())
     w.run(6 * SECOND, {s: 1.0 for s in range(100, 103)})
     assert all(w.owners()[s] == new for s in range(100, 103))
@@ -124,6 +124,6 @@
     w.step(0, changes(entry(new, started=w.now)))
     w.step(SECOND, *w.probes())
     for s in range(100, 130):
-        w.step(0, face.Charge(s, True), face.StoredLine(s, new, 1.0))
+        w.step(0, face.SliceOwnership(s, True), face.StoredRoute(s, new, 1.0))
     w.run(6 * SECOND)
     assert 0 < sum(w.owners()[s] == new for s in range(100, 130)) < 20
--- a/tests/test_logic_judging.py
+++ b/tests/test_logic_judging.py
@@ -69,7 +69,14 @@
     w.step(
         0, face.BackendList("full", 2, tuple(entry(f"b{i}", kind=("std", "lite")[i % 2]) for i in range(6)))
     )
-    w.step(0, *(e for s in range(36) for e in (face.Charge(s, True), face.StoredLine(s, f"b{s % 6}", 1.0))))
+    w.step(
+        0,
+        *(
+            e
+            for s in range(36)
+            for e in (face.SliceOwnership(s, True), face.StoredRoute(s, f"b{s % 6}", 1.0))
+        ),
+    )
     w.run(60 * SECOND, service={f"b{i}": 5000 for i in (1, 3, 5)})
     load = [sum(b == f"b{i}" for b in w.owners().values()) for i in range(6)]
     assert max(load[1::2]) < min(load[::2])
@@ -80,7 +87,10 @@
 
     def cut(w):
         return {
-            o.table % 5 for _, orders in w.log for o in orders if isinstance(o, face.SetLevel) and o.level < 1
+            o.table % 5
+            for _, orders in w.log
+            for o in orders
+            if isinstance(o, face.SetAdmission) and o.level < 1
         }
 
     w = World()
@@ -97,7 +107,10 @@
     """Seen on all days of one seed: the order of the first sums decided who seemed slow."""
     w = World()
     w.start(6, 12)
-    early = [face.Traffic("east", f"b{i}", 40, 0, 2500, 2 * SECOND, {"service_time": 2500}) for i in range(3)]
+    early = [
+        face.BackendTraffic("east", f"b{i}", 40, 0, 2500, 2 * SECOND, {"service_time": 2500})
+        for i in range(3)
+    ]
     w.step(SECOND, *early)
     w.run(8 * SECOND)
     assert max(b.excess for b in w.c.backends.values()) < 1.1
@@ -105,7 +118,7 @@
 
 def test_no_level_where_levels_are_rates():
     w = World(admission="rate")
-    assert not [o for o in w.start() if isinstance(o, face.SetLevel)]  # 1 would be one RPC a second
+    assert not [o for o in w.start() if isinstance(o, face.SetAdmission)]  # 1 would be one RPC a second
 
 
 def test_who_stands_in_for_others_takes_their_answers_for_no_larger_cap_on_cold_backends():
@@ -117,10 +130,10 @@
     usual = w.c.yield_
     others = range(100, 220)
     for s in others:
-        w.step(0, face.Charge(s, True), face.StoredLine(s, f"b{s % 6}", 1.0))
+        w.step(0, face.SliceOwnership(s, True), face.StoredRoute(s, f"b{s % 6}", 1.0))
     w.run(6 * SECOND)
     for s in others:
-        w.step(0, face.Charge(s, False))
+        w.step(0, face.SliceOwnership(s, False))
     for _ in range(5):
         assert 0.5 * usual < w.c.yield_ < 1.2 * usual
         w.run(4 * SECOND)
--- a/tests/test_logic_planning.py
+++ b/tests/test_logic_planning.py
@@ -143,5 +143,5 @@
     w.start(60, 360, proxies=3)
     for _ in range(40):
         orders = w.run(2 * SECOND, {s: sum(rng.random() < 0.05 for _ in range(40)) / 2 for s in range(360)})
-        moved += sum(isinstance(o, face.SetLine) and o.weight > 0 for o in orders)
+        moved += sum(isinstance(o, face.SetRoute) and o.weight > 0 for o in orders)
     assert moved < 90
--- a/tests/test_logic_sending.py
+++ b/tests/test_logic_sending.py
@@ -42,7 +42,7 @@
 
 def test_further_tries_after_proof_only():
     w = World()
-    levels = [o for o in w.start() if isinstance(o, face.SetLevel)]
+    levels = [o for o in w.start() if isinstance(o, face.SetAdmission)]
     assert levels and all(o.tries == 1 and o.level == 1.0 for o in levels)
 
 
@@ -56,7 +56,7 @@
         for number in range(moved):
             move(w.c, w.c.slices[number].parts[0], w.c.backends[f"b{(number + 1) % 6}"])
         w.step(SECOND)
-        turns = [{o.table for o in orders if isinstance(o, face.SetLine)} for _, orders in w.log[before:]]
+        turns = [{o.table for o in orders if isinstance(o, face.SetRoute)} for _, orders in w.log[before:]]
         assert len(next(filter(None, turns))) == first
 
 
@@ -87,13 +87,13 @@
     struck = [f"b{i}" for i in range(24)]
     orders = w.step(0, changes(*(entry(b, "draining") for b in struck)))
     left = {b for b in struck if any(b in t for t in w.tables.values())}
-    assert left and left <= {o.backend for o in orders if isinstance(o, face.Withdraw) and o.out}
+    assert left and left <= {o.backend for o in orders if isinstance(o, face.EjectBackend) and o.out}
     w.step(0, face.ProxyLeft(0))
     for _ in range(20):
         w.step(SECOND, *w.probes(), *w.acks())
     orders = w.step(0, changes(*(entry(b, started=w.now) for b in struck))) + w.step(5 * SECOND)
-    assert left <= {o.backend for o in orders if isinstance(o, face.Withdraw) and not o.out}
-    assert [o for o in w.step(0, face.ProxyJoined(0, "east", 5.0, False)) if isinstance(o, face.Withdraw)]
+    assert left <= {o.backend for o in orders if isinstance(o, face.EjectBackend) and not o.out}
+    assert [o for o in w.step(0, face.ProxyJoined(0, "east", 5.0, False)) if isinstance(o, face.EjectBackend)]
 
 
 def test_a_proxy_joins_with_the_second_drain_of_what_was_shut_out_and_let_in():
@@ -110,11 +110,11 @@
     drains = changes(*(entry(b, "draining") for b in struck))
     orders = w.step(0, face.ProxyJoined(0, "east", 5.0, False), drains)
     left = {b for b in struck if any(b in t for t in w.tables.values())}
-    shut = [o.backend for o in orders if isinstance(o, face.Withdraw) and o.out]
+    shut = [o.backend for o in orders if isinstance(o, face.EjectBackend) and o.out]
     assert left and left <= set(shut) and len(shut) == len(set(shut))
     for _ in range(20):  # World.check: out within the grace
         orders = w.step(SECOND, *w.probes(), *w.acks())
-        assert not [o for o in orders if isinstance(o, face.Withdraw)]
+        assert not [o for o in orders if isinstance(o, face.EjectBackend)]
 
 
 def test_lines_too_many_at_a_cold_backend_do_not_wait_for_a_turn():
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -41,12 +41,12 @@
         table, backend = rng.randrange(5), f"b{rng.randrange(4)}"
         return rng.choice(
             [
-                face.SetLine(table, backend, rng.choice([0.0, 1.0, 0.5])),
+                face.SetRoute(table, backend, rng.choice([0.0, 1.0, 0.5])),
                 face.ClearTable(table),
-                face.SetLevel(table, (), rng.random(), 1),
-                face.Withdraw(backend, rng.random() < 0.5),
-                face.Mark(rng.randrange(99), False),
-                face.SetLevel(face.ALL_TABLES, (0,), 1.0, 1),
+                face.SetAdmission(table, (), rng.random(), 1),
+                face.EjectBackend(backend, rng.random() < 0.5),
+                face.UpdateMarker(rng.randrange(99), False),
+                face.SetAdmission(face.ALL_TABLES, (0,), 1.0, 1),
             ]
         )
 
@@ -62,7 +62,7 @@
     def end(orders):
         found = {n: stored_tables.Table({"b1": 1.0}) for n in range(4)}
         stored_tables.carry_out(found, orders)
-        return found, {o.backend: o.out for o in orders if isinstance(o, face.Withdraw)}
+        return found, {o.backend: o.out for o in orders if isinstance(o, face.EjectBackend)}
 
     assert end(merged) == end(orders)
     assert len(merged) <= 5 * 4 + 5 + 5 + 4 + 2 and merge(merged) == merged
@@ -71,22 +71,22 @@
 def test_orders_in_the_relays_words():
     methods = ["lookup", "write"]
     for order, said in (
-        (face.SetLine(4, "s-5be2a07c", 1.5), "put,4,s-5be2a07c,1.5"),
+        (face.SetRoute(4, "s-5be2a07c", 1.5), "put,4,s-5be2a07c,1.5"),
         (face.ClearTable(4), "wipe,4"),
-        (face.Withdraw("s-1", True), "eject,s-1"),
-        (face.Withdraw("s-1", False), "uneject,s-1"),
-        (face.Mark(905, True), "fence,905,1"),
-        (face.SetLevel(4, (0,), 0.9, 1), "gate,4,lookup,0.9,1"),
-        (face.SetLevel(face.ALL_TABLES, (0, 1), 1.0, 1), "gate,*,lookup+write,1.0,1"),
-        (face.SetLevel(face.ALL_TABLES, (), 1.0, 1), "gate,*,*,1.0,1"),
+        (face.EjectBackend("s-1", True), "eject,s-1"),
+        (face.EjectBackend("s-1", False), "uneject,s-1"),
+        (face.UpdateMarker(905, True), "fence,905,1"),
+        (face.SetAdmission(4, (0,), 0.9, 1), "gate,4,lookup,0.9,1"),
+        (face.SetAdmission(face.ALL_TABLES, (0, 1), 1.0, 1), "gate,*,lookup+write,1.0,1"),
+        (face.SetAdmission(face.ALL_TABLES, (), 1.0, 1), "gate,*,*,1.0,1"),
     ):
         assert encode(order, methods) == said
     with pytest.raises(TypeError):
-        encode(face.FetchList(), methods)
+        encode(face.FetchBackends(), methods)
 
 
 def test_long_replies_are_split_and_short_ones_are_not():
-    orders = [face.SetLine(n % 900, f"s-{n:08x}", 1.0) for n in range(7000)]
+    orders = [face.SetRoute(n % 900, f"s-{n:08x}", 1.0) for n in range(7000)]
     calls = list(pieces(orders, []))
     assert [o for call in calls for o in call] == orders and len(calls) > 2
     sizes = [len(";".join(encode(o, []) for o in call)) for call in calls]
@@ -127,7 +127,7 @@
         "util=inflight:7,util:0.61,new:3"
     )
     demand = "range_stats range=88 lane=lookup count=40 fail=1 over=1000.0"
-    assert report(*split(traffic.encode()), known) == face.Traffic(
+    assert report(*split(traffic.encode()), known) == face.BackendTraffic(
         "a", "s-5be2a07c", 212, 3, 417, 10_000, {"held": 7.0, "busy": 0.61}
     )
     assert report(*split(demand.encode()), known) == face.SliceDemand(88, "lookup", 40, 1, 10_000)
@@ -152,7 +152,7 @@
         with pytest.raises(Garbled):
             split(line)
     assert NEWS["attach"](words("id=17 site=a rps=21.5 new=1")) == face.ProxyJoined(17, "a", 21.5, True)
-    assert NEWS["owner"](words("range=88 flag=0")) == face.Charge(88, False)
+    assert NEWS["owner"](words("range=88 flag=0")) == face.SliceOwnership(88, False)
     for kind, text in (
         ("attach", "id=17 site=a rps=21.5 new=2"),
         ("done", "id=-1 seq=1 ms=1"),
@@ -177,7 +177,7 @@
         "startedAtMs": 1796137077499.5,
     }
     news, addresses = read_list({"generation": 43, "reset": False, "instances": [entry]})
-    listed = face.Listed("s-1", "draining", 1.0, "a", 3, "m2", 17961370774995)
+    listed = face.BackendEntry("s-1", "draining", 1.0, "a", 3, "m2", 17961370774995)
     assert news == face.BackendList("changes", 43, (listed,)) and addresses == {"s-1": "h:1"}
     bad = [{k: v for k, v in entry.items() if k != gone} for gone in entry]
     bad += [entry | {"lifecycle": "RESTING"}, entry | {"weight": "x"}, entry | {"startedAtMs": 1e999}, 3]
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -12,12 +12,12 @@
 
 
 def put(table, backend="b1", weight=1.0):
-    return face.SetLine(table, backend, weight)
+    return face.SetRoute(table, backend, weight)
 
 
 def move(table, mark):
     """A reply of the module."""
-    return [put(table), put(table, "b0", 0.0), face.Mark(mark, False)]
+    return [put(table), put(table, "b0", 0.0), face.UpdateMarker(mark, False)]
 
 
 def limited(monkeypatch, **more):
@@ -113,7 +113,7 @@
     if carried_out:
         room.store[1] = Table({"b1": 1.0})
     room.answer("timeout")
-    room.relay.order([put(1, "b2"), put(1, "b1", 0.0), face.Mark(2, False)])
+    room.relay.order([put(1, "b2"), put(1, "b1", 0.0), face.UpdateMarker(2, False)])
     room.until(lambda: room.relay.out, 2 * SECOND)
     assert room.out()[0] == "put,1,b0,0.0;put,1,b2,1.0;put,1,b1,0.0;fence,2,0"
     # Now in doubt itself: what the first may have left says nothing of it.
@@ -163,7 +163,7 @@
     room = limited(monkeypatch)
     room.mute = True
     for turn in range(200):
-        room.relay.order([put(turn % 5, f"b{turn % 3}"), face.Mark(turn, False)])
+        room.relay.order([put(turn % 5, f"b{turn % 3}"), face.UpdateMarker(turn, False)])
         room.until(lambda: room.relay.out, 20 * SECOND)
         room.answer("timeout")
     assert len(room.relay.first.maybe) <= 15 and len(room.relay.pending()) <= 17
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -43,11 +43,11 @@
             events.append(face.ProxyJoined(rng.randint(0, 12), "west", 3.0, False))
         elif roll < 0.45 and w.tables:
             s = rng.choice(sorted(w.tables))
-            events.append(face.Charge(s, False))
+            events.append(face.SliceOwnership(s, False))
             if rng.random() < 0.8:
-                events += [face.Charge(s, True)]
+                events += [face.SliceOwnership(s, True)]
                 if rng.random() < 0.7:
-                    events.append(face.StoredLine(s, rng.choice(sorted(w.listed) + ["stranger"]), 1.0))
+                    events.append(face.StoredRoute(s, rng.choice(sorted(w.listed) + ["stranger"]), 1.0))
         elif roll < 0.5 and w.tables:
             hot = {rng.choice(sorted(w.tables)): rng.uniform(5, 60)}
         if events:
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -7,7 +7,7 @@
 import pytest
 
 import test_rules
-from indigohitch.interface import ALL_TABLES, SetLevel
+from indigohitch.interface import ALL_TABLES, SetAdmission
 from indigohitch.upgrade import events, module_rows, module_state
 from indigohitch.upgrade import snapshot as shots
 from world import World, entry
@@ -161,7 +161,7 @@
 def test_events_and_orders_come_back_as_they_were():
     w = World()
     w.start()
-    items = [order for _, orders in w.log for order in orders] + [SetLevel(ALL_TABLES, (1,), 0.5, 2)]
+    items = [order for _, orders in w.log for order in orders] + [SetAdmission(ALL_TABLES, (1,), 0.5, 2)]
     rows = msgspec.msgpack.decode(msgspec.msgpack.encode(events.pack_all(items)))
     assert events.unpack_all(rows) == items
     listed = events.face.BackendList("full", 3, (entry("b0"),))
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -53,7 +53,7 @@
 
 
 def test_an_entry_of_a_list_has_all_fields():
-    assert sorted(events._LISTED) == sorted(field.name for field in dataclasses.fields(face.Listed))
+    assert sorted(events._LISTED) == sorted(field.name for field in dataclasses.fields(face.BackendEntry))
     row = ["b0", "ready", 6.0, "east", 2, "std", 7]
     assert len(row) == len(LISTED) and list(events.listed(events.unlisted(row))) == row
     with pytest.raises(ValueError):
@@ -93,7 +93,7 @@
     again = thaw(row, BOOT)
     assert again.due == w.c.due and type(again.due[0][1]) is DueAction
     orders = again.handle(due, [])
-    assert face.Subscribe(True) in orders and not again.due
+    assert face.WatchBackends(True) in orders and not again.due
 
 
 def test_a_state_with_something_unknown_due_is_refused():
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -54,7 +54,7 @@
 
     def tell(self, scope="changes", **started):
         self.version += 1
-        entries = tuple(face.Listed(b, "ready", 6.0, "east", 0, "std", at) for b, at in started.items())
+        entries = tuple(face.BackendEntry(b, "ready", 6.0, "east", 0, "std", at) for b, at in started.items())
         self.front.hear_list(face.BackendList(scope, self.version, entries), {b: "" for b in started})
         self.pass_time(SECOND // 10)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -35,7 +35,7 @@
 
 
 def entry(id, state="ready", started=0, weight=6.0, kind="std", zone="east"):
-    return face.Listed(id, state, weight, zone, 0, kind, started)
+    return face.BackendEntry(id, state, weight, zone, 0, kind, started)
 
 
 class World:
@@ -53,7 +53,7 @@
         owners = [f"b{i}" for i in range(backends)]
         events = [face.BackendList(scope, 1, tuple(entry(b) for b in owners))]
         for s in range(slices):
-            events += [face.Charge(s, True), face.StoredLine(s, owners[s % backends], 1.0)]
+            events += [face.SliceOwnership(s, True), face.StoredRoute(s, owners[s % backends], 1.0)]
         return self.step(0, *events, *(face.ProxyJoined(p, "east", 5.0, True) for p in range(proxies)))
 
     def step(self, span, *events):
@@ -63,7 +63,7 @@
             due = min(self.timers, default=end)
             if due > end:
                 break
-            out += self._handle(max(due, self.now), [face.TimerDue("beat")])
+            out += self._handle(max(due, self.now), [face.TimerFired("beat")])
         self.now = max(self.now, end)
         return out + self._handle(self.now, list(events))
 
@@ -82,13 +82,13 @@
                 load = {"service_time": (service or {}).get(b, 2500), "queued": (queued or {}).get(b, 0)}
                 load = {} if b in bad else load
                 failed, took = (n, 0) if b in bad else (0, 2500)
-                events.append(face.Traffic("east", b, n, failed, took, every, load))
+                events.append(face.BackendTraffic("east", b, n, failed, took, every, load))
             events += self.probes(bad) if probe else []
             out += self.step(every, *events)
         return out
 
     def probes(self, bad=()):
-        found = [face.Probed(b, "timeout" if b in bad else "ok", 6000) for b in self.asked]
+        found = [face.ProbeResult(b, "timeout" if b in bad else "ok", 6000) for b in self.asked]
         self.asked = []
         return found
 
@@ -100,7 +100,7 @@
         """Marks whose lines have left the channel."""
         done = [mark for mark, at in self.marks if at <= self.total - self.queue]
         self.marks = self.marks[len(done) :]
-        return [face.Acked(p, mark, 0) for mark in done for p in sorted(self.proxies)]
+        return [face.UpdateAcknowledged(p, mark, 0) for mark in done for p in sorted(self.proxies)]
 
     asked: list = []
 
@@ -111,8 +111,11 @@
             self.hear(e)
         orders = self.c.handle(now, self.answered() + events)
         self.log.append((now, orders))
-        lines = sum(isinstance(o, (face.SetLine, face.SetLevel, face.Withdraw, face.Mark)) for o in orders)
-        self.asked = self.asked + [o.backend for o in orders if isinstance(o, face.Probe)]
+        lines = sum(
+            isinstance(o, (face.SetRoute, face.SetAdmission, face.EjectBackend, face.UpdateMarker))
+            for o in orders
+        )
+        self.asked = self.asked + [o.backend for o in orders if isinstance(o, face.ProbeBackend)]
         for o in orders:
             self.apply(o)
         self.check(now, lines)
@@ -131,12 +134,12 @@
                     if not self.boot.get("dropped_stay_open"):
                         del self.listed[b]
                         self.told.setdefault(b, self.now)
-        elif isinstance(e, face.Charge):
+        elif isinstance(e, face.SliceOwnership):
             self.tables.pop(e.slice, None)
             self.given[e.slice] = self.now
             if e.held:
                 self.tables[e.slice] = {}
-        elif isinstance(e, face.StoredLine):
+        elif isinstance(e, face.StoredRoute):
             self.tables[e.slice][e.backend] = e.weight
         elif isinstance(e, face.ProxyJoined):
             self.proxies.add(e.proxy)
@@ -151,7 +154,7 @@
         if isinstance(o, face.SetTimer):
             assert o.due > self.now
             self.timers.append(o.due)
-        elif isinstance(o, face.SetLine):
+        elif isinstance(o, face.SetRoute):
             table = self.tables[o.table]  # only slices in charge
             assert o.backend in self.listed or o.backend in self.told or o.backend in table
             assert table.get(o.backend, 0.0) != o.weight, "a standing value repeated"
@@ -162,10 +165,10 @@
                 table[o.backend] = o.weight
             else:
                 del table[o.backend]
-        elif isinstance(o, face.Withdraw):
+        elif isinstance(o, face.EjectBackend):
             (self.out.add if o.out else self.out.discard)(o.backend)
             assert not o.out or self.listed[o.backend].state != "ready", "shut out though ready"
-        elif isinstance(o, face.SetLevel):
+        elif isinstance(o, face.SetAdmission):
             kinds = [self.boot["methods"][k] for k in o.methods or range(len(self.boot["methods"]))]
             assert o.level >= 0 and (o.tries < 2 or all(m.repeat == "idempotent" for m in kinds))
 
@@ -195,7 +198,9 @@
         if lines and self.proxies:
             self.queue += len(self.proxies) * (lines + self.boot["envelope"])
             self.total += len(self.proxies) * (lines + self.boot["envelope"])
-            self.marks.append((next(o.mark for o in self.log[-1][1] if isinstance(o, face.Mark)), self.total))
+            self.marks.append(
+                (next(o.mark for o in self.log[-1][1] if isinstance(o, face.UpdateMarker)), self.total)
+            )
             self.sent.append((now, now))
         elif self.sent:
             self.sent[-1] = (self.sent[-1][0], now)
