--- a/indigohitch/backend_subscription/instances.py
+++ b/indigohitch/backend_subscription/instances.py
@@ -12,7 +12,7 @@
 
 from .. import interface as face
 from ..platform_protocol.discovery import read_list
-from .errors import UnreadableInstance
+from .errors import InvalidInstanceError
 
 PREFIX = "instance/"
 BackendId = str
@@ -41,10 +41,10 @@
         found = {"generation": 0, "reset": False, "instances": [orjson.loads(body)]}
         news, addresses = read_list(found)
     except ValueError as bad:
-        raise UnreadableInstance(str(bad), where) from None
+        raise InvalidInstanceError(str(bad), where) from None
     (listed,) = news.entries
     if listed.backend != backend:
-        raise UnreadableInstance(f"it names {listed.backend}", where)
+        raise InvalidInstanceError(f"it names {listed.backend}", where)
     return Instance(listed, addresses[listed.backend])
 
 
@@ -56,7 +56,7 @@
         self.bodies: dict[str, dict[BackendId, bytes]] = {}  # by service, as they were read last
         self.told: dict[BackendId, Instance] = {}
 
-    def update(self, service: str, bodies: Mapping[str, bytes]) -> list[UnreadableInstance]:
+    def update(self, service: str, bodies: Mapping[str, bytes]) -> list[InvalidInstanceError]:
         """The service holds these resources now; without any it is no more in the scope."""
         before, read = self.services.pop(service, {}), self.bodies.pop(service, {})
         named = {key.removeprefix(PREFIX): body for key, body in bodies.items() if key.startswith(PREFIX)}
@@ -69,7 +69,7 @@
                 continue
             try:
                 held[backend] = read_instance(service, backend, body)
-            except UnreadableInstance as bad:
+            except InvalidInstanceError as bad:
                 unreadable.append(bad)
         if named:
             self.services[service], self.bodies[service] = held, named
--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Collection, Mapping
 
-from ..errors import Trouble
+from ..errors import DirectorError
 from ..log import Log
 from ..platform_protocol.backend_source import Tell
-from .errors import NoInstances
+from .errors import NoInstancesError
 from .instances import Instances, Told
 
 Resources = Callable[[str], Mapping[str, bytes]]
@@ -35,7 +35,7 @@
             for unreadable in self.instances.update(service, bodies):
                 self.trouble("backend_unreadable", unreadable)
         if self.instances.empty:
-            self.trouble("no_backends", NoInstances("no service names a backend"))
+            self.trouble("no_backends", NoInstancesError("no service names a backend"))
         if self.watching:
             self.tell_news()
 
@@ -49,8 +49,8 @@
             self.log.count("subscription_lists")
             self.tell(told.news, told.addresses)
 
-    def trouble(self, event: str, trouble: Trouble) -> None:
-        self.log.trouble(event, **trouble.fields())
+    def warning(self, event: str, trouble: DirectorError) -> None:
+        self.log.warning(event, **trouble.fields())
 
     # ---- a BackendSource ---------------------------------------------------------------------------
 
--- a/indigohitch/cli.py
+++ b/indigohitch/cli.py
@@ -7,7 +7,7 @@
 
 import click
 
-from .errors import REMEDIES, Trouble
+from .errors import REMEDIES, DirectorError
 
 
 class Lazy(click.Group):
@@ -27,13 +27,13 @@
     def invoke(self, ctx):
         try:
             return super().invoke(ctx)
-        except (Trouble, OSError) as bad:
+        except (DirectorError, OSError) as bad:
             click.echo(shown(bad), err=True)
             sys.exit(1)
 
 
-def shown(bad: Trouble | OSError) -> str:
-    if isinstance(bad, Trouble):
+def shown(bad: DirectorError | OSError) -> str:
+    if isinstance(bad, DirectorError):
         what, remedy = bad.text(), bad.remedy
     else:
         what = f"{bad.filename}: {bad.strerror}" if bad.filename and bad.strerror else str(bad)
@@ -77,11 +77,11 @@
 
     text = either.load(file)
     if text.fleet is not None and "batches" in text.fleet.parts:
-        from .config.lines import Mistakes
+        from .config.lines import ConfigError
         from .fleet.batches.contract import mistakes
 
         if found := [one for part in text.fleet.parts["batches"] for one in mistakes(part)]:
-            raise Mistakes(file, found)
+            raise ConfigError(file, found)
     if text.pools:
         said = (
             f"{len(text.routes.all)} routes, {len(text.rpcs)} RPCs, {len(text.pools)} pools, "
@@ -111,14 +111,14 @@
     address: str, name: str, service: float, also: int, lose: int, licensed: tuple[str, ...], meter: str
 ) -> None:
     """A stand-in server on ADDRESS (loopback only), for trials."""
-    from .errors import Unfit
+    from .errors import InvalidRequestError
     from .net.connection import address as read
     from .standins.server import main as serve
 
     try:
         serve(read(address), name, service, also, lose, licensed, meter)
     except ValueError as bad:
-        raise Unfit(str(bad), "stand-in", "name an address such as 127.0.0.1:9001") from None
+        raise InvalidRequestError(str(bad), "stand-in", "name an address such as 127.0.0.1:9001") from None
 
 
 @main.command()
@@ -146,15 +146,19 @@
 def asked(file: str, what: str, wait: float) -> dict:
     from .config import either
     from .control import ask
-    from .errors import NotNow, Unfit
+    from .errors import InvalidRequestError, UnavailableError
 
     path = either.load(file).single["control"]
     if not path:
-        raise Unfit("no line `control`", file, "add `control /run/...sock` and start the program anew")
+        raise InvalidRequestError(
+            "no line `control`", file, "add `control /run/...sock` and start the program anew"
+        )
     try:
         return ask(path, what, wait)
     except OSError as bad:
-        raise NotNow(f"no answer: {bad.strerror or bad}", path, f"start the program of {file}") from None
+        raise UnavailableError(
+            f"no answer: {bad.strerror or bad}", path, f"start the program of {file}"
+        ) from None
 
 
 def tell(found: dict) -> None:
--- a/indigohitch/config/lines.py
+++ b/indigohitch/config/lines.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from ..errors import Unreadable
+from ..errors import InvalidDataError
 from .words import words
 
 T = TypeVar("T")
 Values = Mapping[str, tuple[Callable[[str], object], object]]  # by word: its reader and its default
 
 
-class Mistakes(Unreadable):
+class ConfigError(InvalidDataError):
     """All that is wrong with a file: (line, reason) each, in order."""
 
     remedy = "mend these lines; docs/sidecar.md lists the words, docs/fleet-operators.md those of a fleet"
@@ -73,7 +73,7 @@
         for check in self.checks:
             check(self)
         if self.mistakes:
-            raise Mistakes(self.source, self.mistakes)
+            raise ConfigError(self.source, self.mistakes)
         return self
 
     def found(self, kind: type[T]) -> T:
--- a/indigohitch/config/routes.py
+++ b/indigohitch/config/routes.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from ..errors import Unfit
+from ..errors import InvalidRequestError
 
 REST = "**"
 
@@ -32,7 +32,7 @@
     rest: dict[str, Route] = field(default_factory=dict)
 
 
-class Doubled(Unfit):
+class Doubled(InvalidRequestError):
     """The same method and pattern a second time."""
 
 
--- a/indigohitch/config/sidecar_file.py
+++ b/indigohitch/config/sidecar_file.py
@@ -18,7 +18,7 @@
 from . import fleet
 from .checks import CHECKS
 from .further import VOCABULARIES
-from .lines import Follows, Mistakes, Reader, Vocabulary
+from .lines import ConfigError, Follows, Reader, Vocabulary
 from .routes import Doubled, Route
 from .texts import Carried, PoolText, Server, Text
 from .words import count, form, name, path, positive, size, socket_path, span, words
@@ -217,4 +217,4 @@
         return raw.decode("utf-8-sig")  # some editors put a mark before the text
     except UnicodeDecodeError as bad:
         line = raw[: bad.start].count(b"\n") + 1
-        raise Mistakes(source, [(line, "not UTF-8")]) from None
+        raise ConfigError(source, [(line, "not UTF-8")]) from None
--- a/indigohitch/control.py
+++ b/indigohitch/control.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from .errors import Unreadable
+from .errors import InvalidDataError
 from .net.connection import Connection
 from .net.listener import Listener
 from .net.loop import Loop
@@ -111,5 +111,5 @@
         sock.sendall(orjson.dumps({"ask": what}) + b"\n")
         line = sock.makefile("rb").readline()
     if not line:
-        raise Unreadable("the program ended before it answered", path, "its log says why")
+        raise InvalidDataError("the program ended before it answered", path, "its log says why")
     return orjson.loads(line)
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -9,7 +9,7 @@
 
 from .config import operator_file
 from .config.texts import Text
-from .errors import told
+from .errors import error_fields
 from .platform_protocol.backend_source import BackendSource, Tell
 from .platform_protocol.front import Front
 from .platform_protocol.handover import Handover
@@ -94,7 +94,7 @@
             try:
                 self.beside.reread(self.file_now().fleet)
             except (OSError, ValueError) as bad:
-                self.log.trouble("reload_failed", **told(bad))
+                self.log.warning("reload_failed", **error_fields(bad))
 
     def file_is_newer(self) -> None:
         """Than what the variable said at the start, also for who follows."""
--- a/indigohitch/encoding/frames.py
+++ b/indigohitch/encoding/frames.py
@@ -9,7 +9,7 @@
 import msgspec
 import xxhash
 
-from ..errors import Unfit, Unreadable
+from ..errors import InvalidDataError, InvalidRequestError
 from .rows import Row
 
 _HEAD = struct.Struct("!4sBBHIQ")
@@ -17,7 +17,7 @@
 MOST = 8 << 20  # of one frame; what is larger goes in several
 
 
-class Broken(Unreadable):
+class BrokenFrameError(InvalidDataError):
     """Not what the other side would say."""
 
 
@@ -33,7 +33,9 @@
         """Raises Unfit for a body larger than a frame takes."""
         body, number = msgspec.msgpack.encode(row), self.numbers[type(row)]
         if len(body) > self.most:
-            raise Unfit(f"{type(row).__name__} of {len(body)} bytes", "", f"a frame takes {self.most}")
+            raise InvalidRequestError(
+                f"{type(row).__name__} of {len(body)} bytes", "", f"a frame takes {self.most}"
+            )
         return (
             _HEAD.pack(
                 self.magic,
@@ -50,19 +52,19 @@
         """Protocol, kind, descriptors, length and checksum of the frame that begins there; raises Broken."""
         magic, protocol, number, descriptors, length, checksum = _HEAD.unpack_from(data, at)
         if magic != self.magic or not self.protocol - 1 <= protocol <= self.protocol + 1:
-            raise Broken("another protocol")
+            raise BrokenFrameError("another protocol")
         if number >= len(self.rows) or length > self.most:
-            raise Broken(f"no such word: kind {number}, {length} bytes")
+            raise BrokenFrameError(f"no such word: kind {number}, {length} bytes")
         return protocol, number, descriptors, length, checksum
 
     def body(self, data: bytes, protocol: int, number: int, checksum: int) -> Row:
         """Raises Broken."""
         if xxhash.xxh3_64_intdigest(data, protocol << 8 | number) != checksum:
-            raise Broken("a frame has another checksum than its body")
+            raise BrokenFrameError("a frame has another checksum than its body")
         try:
             return msgspec.msgpack.decode(data, type=self.rows[number])
         except msgspec.MsgspecError as bad:
-            raise Broken(f"{self.rows[number].__name__}: {bad}") from None
+            raise BrokenFrameError(f"{self.rows[number].__name__}: {bad}") from None
 
 
 class Frames:
--- a/indigohitch/errors.py
+++ b/indigohitch/errors.py
@@ -5,7 +5,7 @@
 import errno
 
 
-class Trouble(Exception):
+class DirectorError(Exception):
     """`what` happened, `where` (file and line, peer, entry; may be empty), `remedy` (what an operator can do;
     empty only where nothing can be).  The log and the command line show all three."""
 
@@ -32,15 +32,15 @@
         }
 
 
-class Unreadable(Trouble, ValueError):
+class InvalidDataError(DirectorError, ValueError):
     """What came, or what lies on the disk, is not what it should be."""
 
 
-class Unfit(Trouble, ValueError):
+class InvalidRequestError(DirectorError, ValueError):
     """What is asked can't be: it changes nothing."""
 
 
-class NotNow(Trouble):
+class UnavailableError(DirectorError):
     """Not at this time; `again` tells in how many tenths of a ms to return."""
 
     def __init__(self, what: str, where: str = "", remedy: str = "", again: int = 10_000) -> None:
@@ -62,9 +62,9 @@
 }
 
 
-def told(bad: BaseException, remedy: str = "") -> dict[str, str]:
+def error_fields(bad: BaseException, remedy: str = "") -> dict[str, str]:
     """Any exception for a log line; `remedy`: where it has none of its own."""
-    if isinstance(bad, Trouble):
+    if isinstance(bad, DirectorError):
         return bad.fields()
     remedy = REMEDIES.get(getattr(bad, "errno", None), remedy)
     return {"why": f"{type(bad).__name__}: {bad}"} | ({"remedy": remedy} if remedy else {})
--- a/indigohitch/fleet/audit/acts.py
+++ b/indigohitch/fleet/audit/acts.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable
 
-from ...errors import NotNow
+from ...errors import UnavailableError
 from ..state_machine import ReplicatedStateMachine
 from ..terms import Lease, Stamp
 from .chain import Chain
@@ -25,7 +25,7 @@
         lease: Callable[[int], Lease | None],
         state_machine: ReplicatedStateMachine,
         store: Store,
-        trouble: Callable[[NotNow], None],
+        trouble: Callable[[UnavailableError], None],
         firm: frozenset[str] = FIRM,
         when: Callable[[int], int] = lambda now: now,
     ) -> None:
@@ -63,7 +63,7 @@
         except OSError as bad:
             self.counts["unwritten"] += 1
             self.trouble(
-                NotNow(
+                UnavailableError(
                     f"an act can't be recorded, so it isn't done: {bad.strerror}",
                     str(self.store.folder),
                     "make room on that disk; acts go on by themselves",
@@ -108,7 +108,7 @@
 
     def unsafe(self, bad: OSError) -> None:
         self.trouble(
-            NotNow(
+            UnavailableError(
                 f"acts are not on the disk: {bad.strerror}",
                 str(self.store.folder),
                 "make room on that disk, or look at its health",
--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 
 from ...encoding.files import sync_folder, write_whole
-from ...encoding.frames import HEAD, Broken, Kinds
-from ...errors import Unreadable
+from ...encoding.frames import HEAD, BrokenFrameError, Kinds
+from ...errors import InvalidDataError
 from ...net.worker_thread import Worker
 from .chain import Record
 
@@ -192,11 +192,11 @@
         try:
             protocol, number, descriptors, length, checksum = KINDS.head(data, at)
             if descriptors:  # the one field that the checksum doesn't hold
-                raise Broken("a frame with descriptors")
+                raise BrokenFrameError("a frame with descriptors")
             if at + HEAD + length > len(data):
                 break
             found.append(KINDS.body(data[at + HEAD : at + HEAD + length], protocol, number, checksum))
-        except Broken as bad:
+        except BrokenFrameError as bad:
             return found, at, bad.what
         at += HEAD + length
     return found, at, "a length that can't be" if followed(data, at) else ""
@@ -209,12 +209,12 @@
             protocol, number, _, length, checksum = KINDS.head(data, at)
             KINDS.body(data[at + HEAD : at + HEAD + length], protocol, number, checksum)
             return True
-        except Broken:
+        except BrokenFrameError:
             continue
     return False
 
 
-def read(folder: str | os.PathLike) -> tuple[dict[int, list[Record]], list[Unreadable]]:
+def read(folder: str | os.PathLike) -> tuple[dict[int, list[Record]], list[InvalidDataError]]:
     """All chains that lie there, by incarnation, and what can't be read of them.  A file with a spoilt place
     is read up to it.  Raises OSError."""
     found: dict[int, list[Record]] = {}
@@ -227,7 +227,7 @@
         chain += records
         if spoilt:
             troubles.append(
-                Unreadable(
+                InvalidDataError(
                     spoilt,
                     f"{path.name}, byte {end}",
                     "it was changed or harmed on the "
--- a/indigohitch/fleet/audit/folders.py
+++ b/indigohitch/fleet/audit/folders.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from ...errors import Unreadable
+from ...errors import InvalidDataError
 from . import files
 from .check import Acted, Finding, Records, acted, check
 from .heads import Facts
@@ -18,7 +18,7 @@
     by which version, from when to when; `acts`: of each member."""
 
     findings: list[Finding]
-    unread: list[tuple[str, Unreadable]]
+    unread: list[tuple[str, InvalidDataError]]
     acted: list[Acted]
     acts: dict[str, int] = field(default_factory=dict)
 
@@ -31,7 +31,7 @@
         return sum(one.kind in kinds for one in self.findings)
 
 
-def gathered(folders: Mapping[str, str | os.PathLike]) -> tuple[Records, list[tuple[str, Unreadable]]]:
+def gathered(folders: Mapping[str, str | os.PathLike]) -> tuple[Records, list[tuple[str, InvalidDataError]]]:
     """`folders`: by member, where its chains lie (`audit` in its ledger's folder).  Raises OSError."""
     records, unread = {}, []
     for member, folder in sorted(folders.items()):
--- a/indigohitch/fleet/audit/heads.py
+++ b/indigohitch/fleet/audit/heads.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ...encoding.rows import Row
-from ...errors import Unfit, Unreadable
+from ...errors import InvalidDataError, InvalidRequestError
 from ..ports import At
 from ..state_machine import ReplicatedStateMachine
 
@@ -83,10 +83,10 @@
         """Told: "" where the head was taken, else why not; that it contradicts is kept."""
         head = body
         if (at.proposer, at.incarnation) != (head.member, head.incarnation):
-            raise Unfit("a head is told by its own member")
+            raise InvalidRequestError("a head is told by its own member")
         kept = self.of(head.member, head.incarnation)
         if kept.gone:
-            raise Unfit(f"{head.member} {head.incarnation} is gone")
+            raise InvalidRequestError(f"{head.member} {head.incarnation} is gone")
         if head.number > kept.number:
             kept.number, kept.digest, kept.first = head.number, head.digest, max(kept.first, head.first)
             self.facts.kept[head.member] = [
@@ -122,4 +122,4 @@
         try:
             self.facts = msgspec.msgpack.decode(row, type=Facts)
         except msgspec.MsgspecError as bad:
-            raise Unreadable(f"not the heads of an audit: {bad}") from None
+            raise InvalidDataError(f"not the heads of an audit: {bad}") from None
--- a/indigohitch/fleet/audit/work.py
+++ b/indigohitch/fleet/audit/work.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ...encoding.rows import Row
-from ...errors import Trouble
+from ...errors import DirectorError
 from ...net.clock import SECOND
 from ..members.work import Membership
 from ..ports import Wanted
@@ -51,7 +51,11 @@
     name = "audit"
 
     def __init__(
-        self, acts: ChainedActs, heads: Heads, membership: Membership, trouble: Callable[[Trouble], None]
+        self,
+        acts: ChainedActs,
+        heads: Heads,
+        membership: Membership,
+        trouble: Callable[[DirectorError], None],
     ) -> None:
         self.acts, self.heads, self.membership, self.trouble = acts, heads, membership, trouble
         self.kept = False  # the evidence of a state that differs
@@ -82,11 +86,13 @@
         try:
             found = self.scrub.step(now)
         except OSError as bad:
-            self.trouble(Trouble(f"the acts can't be read: {bad.strerror}", str(self.acts.store.folder)))
+            self.trouble(
+                DirectorError(f"the acts can't be read: {bad.strerror}", str(self.acts.store.folder))
+            )
             return
         for one in found:
             self.trouble(
-                Trouble(
+                DirectorError(
                     f"record {one.number} is {one.kind}: {one.what}",
                     f"{one.member} {one.incarnation}",
                     "keep the folder, and compare it with a "
@@ -114,7 +120,7 @@
         elif why := msgspec.msgpack.decode(outcome.told):
             self.wrong, self.told = why, (head.incarnation, head.number)
             self.trouble(
-                Trouble(
+                DirectorError(
                     f"the chain of acts {why}",
                     f"{head.member} {head.incarnation}",
                     "two processes write under one name, or its folder was changed: stop this "
@@ -133,10 +139,10 @@
             self.acts.store.keep(f"{point}-{state_machine.index}.book", state_machine.snapshot())
         except OSError as bad:
             self.trouble(
-                Trouble(f"the evidence can't be written: {bad.strerror}", str(self.acts.store.folder))
+                DirectorError(f"the evidence can't be written: {bad.strerror}", str(self.acts.store.folder))
             )
         self.trouble(
-            Trouble(
+            DirectorError(
                 f"the state at entry {point} is {own.hex()}, of the others {others.hex()}: this "
                 "member acts no more",
                 str(self.acts.store.folder),
--- a/indigohitch/fleet/batches/asking.py
+++ b/indigohitch/fleet/batches/asking.py
@@ -7,7 +7,7 @@
 
 from ...config.batches import BatchesText
 from ...config.words import name, span
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from .prices import moment
 from .rows import Band, Batch, BatchClass, Contract, Cut, Site, Word
 
@@ -60,11 +60,11 @@
             name(told["class"]),
             tuple(cut_of(number, piece) for number, piece in enumerate(pieces)),
         )
-    except Unfit:
+    except InvalidRequestError:
         raise
     except (KeyError, TypeError, ValueError) as bad:
         what = f"{bad.args[0]} is missing" if isinstance(bad, KeyError) else str(bad)
-        raise Unfit(f"no batch: {what}", remedy=f"a batch looks like {FORM}") from None
+        raise InvalidRequestError(f"no batch: {what}", remedy=f"a batch looks like {FORM}") from None
 
 
 def cut_of(number: int, piece: Mapping) -> Cut:
@@ -73,13 +73,13 @@
         if not isinstance(steps, int) or isinstance(steps, bool):
             raise ValueError("steps: a whole number is wanted")
         return Cut(moment(piece["earliest"]), moment(piece["latest"]), span(piece["work"]), steps)
-    except (Unfit, KeyError, TypeError, ValueError) as bad:
+    except (InvalidRequestError, KeyError, TypeError, ValueError) as bad:
         what = (
             f"{bad.args[0]} is missing"
             if isinstance(bad, KeyError)
-            else (bad.what if isinstance(bad, Unfit) else str(bad))
+            else (bad.what if isinstance(bad, InvalidRequestError) else str(bad))
         )
-        raise Unfit(f"piece {number}: {what}", remedy=f"a batch looks like {FORM}") from None
+        raise InvalidRequestError(f"piece {number}: {what}", remedy=f"a batch looks like {FORM}") from None
 
 
 def word_of(text: str) -> Word:
@@ -89,4 +89,6 @@
         return Word(parts[0], "from", int(parts[2]))
     if len(parts) == 2 and parts[1] in ("done", "drop"):
         return Word(*parts)
-    raise Unfit(f"{text!r} is no word on a piece", remedy="PIECE from STEP, PIECE done or PIECE drop")
+    raise InvalidRequestError(
+        f"{text!r} is no word on a piece", remedy="PIECE from STEP, PIECE done or PIECE drop"
+    )
--- a/indigohitch/fleet/batches/contract.py
+++ b/indigohitch/fleet/batches/contract.py
@@ -12,7 +12,7 @@
 
 from ...config.batches import BatchesText
 from ...config.tariffs import DAYS
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ...net.clock import SECOND
 from .rows import Band, Contract, Site
 
@@ -25,7 +25,7 @@
     try:
         return ZoneInfo(name)
     except (KeyError, ValueError, OSError):
-        raise Unfit(
+        raise InvalidRequestError(
             f"no time zone {name!r}",
             remedy="a name such as Europe/Berlin; without a system's list "
             "of zones the package tzdata is wanted",
@@ -38,7 +38,7 @@
     try:
         import holidays  # only here, and only where a site names a country
     except ImportError:
-        raise Unfit(
+        raise InvalidRequestError(
             f"holidays of {place}: the library `holidays` is missing",
             remedy="install the extra `fleet`, or take `holidays` from the site's line",
         ) from None
@@ -46,7 +46,7 @@
     try:
         return frozenset(holidays.country_holidays(country, subdiv=part or None, years=year))
     except NotImplementedError:
-        raise Unfit(
+        raise InvalidRequestError(
             f"no holidays are known for {place!r}",
             remedy="a country such as DE, or with its part such as DE-BE",
         ) from None
@@ -107,7 +107,7 @@
             try:
                 if name:
                     known(name)
-            except Unfit as bad:
+            except InvalidRequestError as bad:
                 found.append((site.line, f"site {site.name}: {bad}"))
     return found
 
@@ -120,14 +120,14 @@
             _holidays(site.holidays, 2026)  # any year: is the name known?
         for band in site.bands:
             if band.begin % contract.slot or band.end % contract.slot:
-                raise Unfit(
+                raise InvalidRequestError(
                     f"site {site.name}: a band does not begin and end with a slot",
                     remedy="a batch-slot that divides all bands, such as 15m",
                 )
     kinds = {kind for site in contract.sites for kind in site.lanes}
     for one in contract.classes:
         if not kinds & set(one.power):
-            raise Unfit(
+            raise InvalidRequestError(
                 f"batch-class {one.name}: no site has nodes of its kinds",
                 remedy="`power` names kinds that stand in a `lanes`",
             )
--- a/indigohitch/fleet/batches/inside.py
+++ b/indigohitch/fleet/batches/inside.py
@@ -7,7 +7,7 @@
 
 from ...config.batches import BatchesText
 from ...config.fleet import FleetText
-from ...errors import Trouble, Unfit, told
+from ...errors import DirectorError, InvalidRequestError, error_fields
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Loop
@@ -38,12 +38,12 @@
             self._due = self.clock.now() + LOOK
             try:
                 self.look()
-            except Trouble as bad:
-                self.log.trouble("prices_refused", **told(bad))
+            except DirectorError as bad:
+                self.log.warning("prices_refused", **error_fields(bad))
             except OSError as bad:
                 if self._seen != (bad.errno,):
                     self._seen = (bad.errno,)
-                    self.log.trouble(
+                    self.log.warning(
                         "prices_missing",
                         where=self.path,
                         why=bad.strerror,
@@ -86,8 +86,8 @@
     try:
         if (now := contracted()) is not None:
             contract.check(now)  # at the start: the library of holidays takes 150 ms, once
-    except Unfit as bad:
-        log.trouble("contract_refused", **told(bad))
+    except InvalidRequestError as bad:
+        log.warning("contract_refused", **error_fields(bad))
     offers: dict[str, dict[str, int]] = {}
     for run in found.runs:
         offers.setdefault(run.site, {})[run.kind] = run.lanes
--- a/indigohitch/fleet/batches/leader.py
+++ b/indigohitch/fleet/batches/leader.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ...encoding.rows import Row
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ...net.clock import SECOND
 from ..ports import Wanted
 from . import contract
@@ -93,7 +93,7 @@
             return []
         try:
             contract.check(told)
-        except Unfit as unfit:
+        except InvalidRequestError as unfit:
             self.pending.trouble = str(unfit)
             return []
         return self.pending.once(now, CONTRACT_TAG, Wanted("batches.contract", told, CONTRACT_TAG))
--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ...encoding.rows import Row, digest
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ...net.clock import SECOND
 from ..members.roster import changed
 from ..ports import At
@@ -152,7 +152,7 @@
         if body == self.contract:
             return body.edition  # told by two leaders, one after the other
         if self.contract is not None and body.edition <= self.contract.edition:
-            raise Unfit(
+            raise InvalidRequestError(
                 f"edition {body.edition} of the contract; {self.contract.edition} stands",
                 remedy="a changed contract has a higher edition",
             )
@@ -169,7 +169,7 @@
 
     def on_load(self, at: At, body: Load) -> int:
         if not 0 <= body.hour < 24 or not 0 <= body.share <= 100:
-            raise Unfit(f"hour {body.hour}, {body.share} per cent")
+            raise InvalidRequestError(f"hour {body.hour}, {body.share} per cent")
         hours = self.loads.setdefault(body.site, {})
         hours[body.hour] = body.share
         return body.share
@@ -179,24 +179,28 @@
         if known is not None:
             if known.digest == stamp:
                 return known.left  # asked twice: once is enough
-            raise Unfit(f"batch {body.id} is another one", remedy="give each batch an id of its own")
+            raise InvalidRequestError(
+                f"batch {body.id} is another one", remedy="give each batch an id of its own"
+            )
         rpc = self.rpc(body.rpc)
         if rpc is None:
-            raise Unfit(f"no batch-class {body.rpc}", remedy="name one of the contract's classes")
+            raise InvalidRequestError(
+                f"no batch-class {body.rpc}", remedy="name one of the contract's classes"
+            )
         for number, cut in enumerate(body.cuts):
             wide = min(cut.latest - cut.earliest, cut.latest - at.time)
             if cut.work <= 0 or cut.steps <= 0 or wide < cut.work:
-                raise Unfit(
+                raise InvalidRequestError(
                     f"piece {number} of {body.id} can't be done between its times",
                     remedy="more time between earliest and latest, or less work a piece",
                 )
         mine = sum(batch.left for batch in self.batches.values() if batch.tenant == body.tenant)
         if not body.cuts or mine + len(body.cuts) > MOST // TENANT:
-            raise Unfit(
+            raise InvalidRequestError(
                 f"{len(body.cuts)} pieces: {body.tenant} would hold over {MOST // TENANT}", remedy=AGAIN
             )
         if len(self.pieces.open) + len(body.cuts) > MOST:
-            raise Unfit(f"{len(self.pieces.open)} pieces are held already", remedy=AGAIN)
+            raise InvalidRequestError(f"{len(self.pieces.open)} pieces are held already", remedy=AGAIN)
         self.forget(at.time)
         self.batches[body.id] = Known(body.tenant, stamp, len(body.cuts))
         for number, cut in enumerate(body.cuts):
@@ -207,7 +211,7 @@
     def on_plan(self, at: At, body: Plan) -> int:
         """Only on the plan that stands; a change that has become impossible is left out, the others stand."""
         if body.base != self.version:
-            raise Unfit(f"a change of plan {body.base}; {self.version} stands")
+            raise InvalidRequestError(f"a change of plan {body.base}; {self.version} stands")
         taken = 0
         for id, placing in sorted(body.changes.items()):
             piece = self.pieces.all.get(id)
--- a/indigohitch/fleet/batches/pieces.py
+++ b/indigohitch/fleet/batches/pieces.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ..ports import At
 from .rows import OVER, Give, Late, Piece, Start, State, Step, Word
 
@@ -30,7 +30,7 @@
 
     def one(self, id: str) -> Piece:
         if id not in self.all:
-            raise Unfit(f"no piece {id}", remedy="`status` lists the pieces")
+            raise InvalidRequestError(f"no piece {id}", remedy="`status` lists the pieces")
         return self.all[id]
 
     def counts(self) -> dict[str, int]:
@@ -44,11 +44,11 @@
     def give(self, at: At, body: Give) -> int:
         piece = self.one(body.piece)
         if piece.state is not State.WAITING or piece.placing is None:
-            raise Unfit(f"{body.piece} is {piece.state.value}")
+            raise InvalidRequestError(f"{body.piece} is {piece.state.value}")
         if at.time >= piece.cut.latest:
-            raise Unfit(f"{body.piece}: its latest time has come")
+            raise InvalidRequestError(f"{body.piece}: its latest time has come")
         if body.incarnation <= self.ended.get(body.member, 0):  # nobody would ever free it again
-            raise Unfit(f"{body.member} {body.incarnation} is gone")
+            raise InvalidRequestError(f"{body.member} {body.incarnation} is gone")
         piece.state = State.GIVEN
         self.hold(body.piece, piece, body.member, body.incarnation)
         return piece.attempt
@@ -57,9 +57,9 @@
         piece = self.one(body.piece)
         self.own(at, body.piece, piece)
         if piece.state is not State.GIVEN or body.attempt != piece.attempt + 1:
-            raise Unfit(f"{body.piece} is {piece.state.value}, started {piece.attempt} times")
+            raise InvalidRequestError(f"{body.piece} is {piece.state.value}, started {piece.attempt} times")
         if at.time >= piece.cut.latest:
-            raise Unfit(f"{body.piece}: its latest time has come")
+            raise InvalidRequestError(f"{body.piece}: its latest time has come")
         piece.state, piece.attempt, piece.stamp = State.RUNNING, body.attempt, body.stamp
         piece.since = at.time
         return piece.step
@@ -69,11 +69,15 @@
         self.own(at, body.piece, piece)
         given_back = piece.state is State.GIVEN and body.end == "rests" and body.step == piece.step
         if not given_back and (piece.state is not State.RUNNING or body.attempt != piece.attempt):
-            raise Unfit(f"{body.piece} is {piece.state.value}, started {piece.attempt} times")
+            raise InvalidRequestError(f"{body.piece} is {piece.state.value}, started {piece.attempt} times")
         if not piece.step <= body.step <= piece.cut.steps or body.end not in ("", "rests", "done", "unclear"):
-            raise Unfit(f"{body.piece}: step {body.step} {body.end} after {piece.step} of {piece.cut.steps}")
+            raise InvalidRequestError(
+                f"{body.piece}: step {body.step} {body.end} after {piece.step} of {piece.cut.steps}"
+            )
         if (body.end == "done") != (body.step == piece.cut.steps):
-            raise Unfit(f"{body.piece}: {body.end or 'goes on'} at step {body.step} of {piece.cut.steps}")
+            raise InvalidRequestError(
+                f"{body.piece}: {body.end or 'goes on'} at step {body.step} of {piece.cut.steps}"
+            )
         piece.step, piece.since = body.step, at.time
         if body.end == "rests":
             self.free(body.piece, piece, State.MISSED if at.time >= piece.cut.latest else State.WAITING, at)
@@ -103,7 +107,7 @@
     def word(self, at: At, body: Word) -> str:
         piece = self.one(body.piece)
         if piece.state is not State.UNCLEAR and not (body.word == "drop" and piece.state is State.WAITING):
-            raise Unfit(
+            raise InvalidRequestError(
                 f"{body.piece} is {piece.state.value}", remedy="a word is wanted of unclear pieces only"
             )
         if body.word == "from" and piece.step <= body.step < piece.cut.steps:
@@ -113,7 +117,7 @@
             piece.step = piece.cut.steps if body.word == "done" else piece.step
             self.free(body.piece, piece, State.DONE if body.word == "done" else State.DROPPED, at)
         else:
-            raise Unfit(
+            raise InvalidRequestError(
                 f"{body.word!r} {body.step}",
                 remedy=f"from STEP ({piece.step} to {piece.cut.steps - 1}), done or drop",
             )
@@ -138,7 +142,7 @@
     def own(at: At, id: str, piece: Piece) -> None:
         """Guards against a holder that was given up: what it says then comes too late."""
         if (piece.member, piece.incarnation) != (at.proposer, at.incarnation):
-            raise Unfit(f"{id} is not held by {at.proposer} {at.incarnation}")
+            raise InvalidRequestError(f"{id} is not held by {at.proposer} {at.incarnation}")
 
     def hold(self, id: str, piece: Piece, member: str, incarnation: int) -> None:
         piece.member, piece.incarnation = member, incarnation
--- a/indigohitch/fleet/batches/prices.py
+++ b/indigohitch/fleet/batches/prices.py
@@ -16,7 +16,7 @@
 
 from ...config.tariffs import price
 from ...encoding.rows import digest
-from ...errors import Unfit, Unreadable
+from ...errors import InvalidDataError, InvalidRequestError
 from ...net.clock import SECOND
 from .rows import Prices
 
@@ -39,9 +39,11 @@
     try:
         at = datetime.fromisoformat(text)
     except ValueError:
-        raise Unfit(f"{text!r} is no time", remedy="a time such as 2026-12-02T14:00+01:00") from None
+        raise InvalidRequestError(
+            f"{text!r} is no time", remedy="a time such as 2026-12-02T14:00+01:00"
+        ) from None
     if at.tzinfo is None:
-        raise Unfit(
+        raise InvalidRequestError(
             f"{text!r} does not say its offset from UTC",
             remedy="a time such as 2026-12-02T14:00+01:00, or with Z",
         ) from None
@@ -58,8 +60,8 @@
     """Raises Unreadable with the line of the first mistake; nothing of such a list is used."""
     edition, each, found, lines = 0, HOUR, {}, {}
 
-    def bad(at: int, what: str, remedy: str) -> Unreadable:
-        return Unreadable(what, f"{source}:{at}", f"{remedy}; the last good prices stand")
+    def bad(at: int, what: str, remedy: str) -> InvalidDataError:
+        return InvalidDataError(what, f"{source}:{at}", f"{remedy}; the last good prices stand")
 
     for at, words in _lines(text):
         if at > LINES:
@@ -82,7 +84,7 @@
             raise bad(at, str(no), "a number in each line") from None
         try:
             time = moment(start)
-        except Unfit as unfit:
+        except InvalidRequestError as unfit:
             raise bad(at, unfit.what, unfit.remedy) from None
         if time % each:
             raise bad(
@@ -108,16 +110,16 @@
     """May it stand in place of `held`, which came with the list of digest `known`?  Raises Unfit: an older
     edition, another list under one number, or late: it ends before now."""
     if held is not None and new.edition < held.edition:
-        raise Unfit(
+        raise InvalidRequestError(
             f"edition {new.edition} is older than {held.edition}, which stands",
             remedy="a list that corrects others has a higher edition",
         )
     if held is not None and new.edition == held.edition and fingerprint(new) != known:
-        raise Unfit(
+        raise InvalidRequestError(
             f"edition {new.edition} was another list before", remedy="a corrected list has a higher edition"
         )
     if max(max(prices) for prices in new.sites.values()) + new.each <= now:
-        raise Unfit(
+        raise InvalidRequestError(
             "the list is late: its last price is over",
             remedy="fetch the list of today; the last good prices stand",
         )
--- a/indigohitch/fleet/batches/work.py
+++ b/indigohitch/fleet/batches/work.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ..ports import Acts, Wanted
 from ..terms import Entry, Lease, Outcome
 from . import prices
@@ -93,7 +93,7 @@
         if part.prices is None or new.edition > part.prices.edition:
             try:
                 prices.check(new, part.prices, part.list_digest, time)
-            except Unfit as unfit:
+            except InvalidRequestError as unfit:
                 self.judged, self.pending.trouble = new, str(unfit)
                 return []
             return self.pending.once(now, PRICES_TAG, Wanted("batches.prices", new, PRICES_TAG))
--- a/indigohitch/fleet/disk/folder.py
+++ b/indigohitch/fleet/disk/folder.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...errors import NotNow, Unreadable
+from ...errors import InvalidDataError, UnavailableError
 from ..terms import Who
 from . import identity as id
 from .files import Files
@@ -24,7 +24,7 @@
         try:
             self.lock = self.files.locked(f"{self.path}/lock")
         except BlockingIOError:
-            raise NotNow(
+            raise UnavailableError(
                 "another process holds this folder",
                 self.path,
                 "end it first, or give this member a folder of its own",
@@ -45,7 +45,7 @@
             path = f"{self.path}/identity"
             found = id.decode(self.files.read(path), path)
             if (found.fleet, found.name) != (self.identity.fleet, self.identity.name):
-                raise Unreadable(
+                raise InvalidDataError(
                     f"the disk of {found.name} of fleet {found.fleet}",
                     path,
                     "give this member a folder of its own",
--- a/indigohitch/fleet/disk/identity.py
+++ b/indigohitch/fleet/disk/identity.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ...encoding.rows import digest
-from ...errors import Unreadable
+from ...errors import InvalidDataError
 
 FORM = 1
 
@@ -42,7 +42,7 @@
     try:
         found = msgspec.json.decode(data, type=Identity)
     except msgspec.MsgspecError as bad:
-        raise Unreadable(f"not an identity: {bad}", where) from None
+        raise InvalidDataError(f"not an identity: {bad}", where) from None
     if found.check != found.checked():
-        raise Unreadable("it was changed since it was written", where)
+        raise InvalidDataError("it was changed since it was written", where)
     return found
--- a/indigohitch/fleet/disk/records.py
+++ b/indigohitch/fleet/disk/records.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from ...encoding.frames import HEAD, Broken, Kinds
+from ...encoding.frames import HEAD, BrokenFrameError, Kinds
 from ...encoding.rows import Row
-from ...errors import Unreadable
+from ...errors import InvalidDataError
 from ..ledger.ports import Ballot
 from ..terms import Entry, Who
 
@@ -46,7 +46,7 @@
 RECORDS = Kinds(MAGIC, 1, [Begin, Group])
 
 
-class Harmed(Unreadable):
+class Harmed(InvalidDataError):
     """A file of a member's disk is not what was written there."""
 
     remedy = REMEDY
@@ -59,7 +59,7 @@
     while at < len(data):
         try:
             row, end = record(data, at)
-        except Broken as broken:
+        except BrokenFrameError as broken:
             if not (last and torn(data, at)):
                 raise Harmed(f"a record can't be read: {broken.what}", f"{where}, byte {at}") from None
             break
@@ -71,13 +71,15 @@
 def record(data: bytes, at: int) -> tuple[Row, int]:
     """The record that begins there, and where it ends; raises Broken."""
     if len(data) - at < HEAD:
-        raise Broken("it ends within its head")
+        raise BrokenFrameError("it ends within its head")
     protocol, number, descriptors, length, checksum = RECORDS.head(data, at)
     if descriptors:
-        raise Broken("its head was changed")  # records have none; the checksum does not cover their number
+        raise BrokenFrameError(
+            "its head was changed"
+        )  # records have none; the checksum does not cover their number
     end = at + HEAD + length
     if end > len(data):
-        raise Broken(f"it ends {end - len(data)} bytes early")
+        raise BrokenFrameError(f"it ends {end - len(data)} bytes early")
     return RECORDS.body(data[at + HEAD : end], protocol, number, checksum), end
 
 
@@ -87,7 +89,7 @@
         return True
     try:
         length = RECORDS.head(data, at)[3]
-    except Broken:
+    except BrokenFrameError:
         pass  # its head did not all reach the disk, or was harmed
     else:
         if at + HEAD + length < len(data):
@@ -97,6 +99,6 @@
         try:
             record(data, place)
             return False
-        except Broken:
+        except BrokenFrameError:
             place = data.find(MAGIC, place + 1)
     return True
--- a/indigohitch/fleet/disk/store.py
+++ b/indigohitch/fleet/disk/store.py
@@ -9,7 +9,7 @@
 import enum
 from collections.abc import Callable
 
-from ...errors import told
+from ...errors import error_fields
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Deadline, Loop
@@ -86,7 +86,7 @@
     def stood(self, found: Found) -> None:
         if found.cut is not None:
             path, good = found.cut
-            self.log.trouble("torn_tail_cut", file=path, at=good, remedy="none needed: nothing hung on it")
+            self.log.warning("torn_tail_cut", file=path, at=good, remedy="none needed: nothing hung on it")
             self.files.cut(path, good)
         for path in found.void:
             self.files.remove(path)
@@ -202,10 +202,10 @@
         self.state, self.why = State.FAILED, str(broken)
         self.waiting.clear()  # all of it is kept, and goes when it can
         self.failures += 1
-        self.log.trouble(
+        self.log.warning(
             "disk_failed",
             folder=self.folder.path,
-            **told(broken, "mend the disk: it is tried again by itself"),
+            **error_fields(broken, "mend the disk: it is tried again by itself"),
         )
         if first:
             self.told(DiskFailed(self.why))
--- a/indigohitch/fleet/distribution/asking.py
+++ b/indigohitch/fleet/distribution/asking.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 
 from ...encoding.rows import Row
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from .part import Remove, Replace, ServiceKeys, ServiceResources, Set
 from .terms import Resource
 
@@ -21,9 +21,11 @@
     """Raises Unfit."""
     kind = WORDS.get(word)
     if kind is None:
-        raise Unfit(f"no such word: distribute {word[:40]}", "", f"one of {', '.join(WORDS)}, as {FORM}")
+        raise InvalidRequestError(
+            f"no such word: distribute {word[:40]}", "", f"one of {', '.join(WORDS)}, as {FORM}"
+        )
     if not isinstance(services, Mapping) or not services:
-        raise Unfit("no services are named", "", f"as {FORM}")
+        raise InvalidRequestError("no services are named", "", f"as {FORM}")
     if kind is Remove:
         return Remove(tuple(ServiceKeys(name, keys_of(name, keys)) for name, keys in services.items()))
     found = (ServiceResources(name, resources_of(name, given)) for name, given in services.items())
@@ -32,11 +34,11 @@
 
 def keys_of(service: str, keys: object) -> tuple[str, ...]:
     if not isinstance(keys, list) or not all(isinstance(key, str) for key in keys):
-        raise Unfit("a list of keys is wanted", service, f"as {FORM}")
+        raise InvalidRequestError("a list of keys is wanted", service, f"as {FORM}")
     return tuple(keys)
 
 
 def resources_of(service: str, given: object) -> tuple[Resource, ...]:
     if not isinstance(given, Mapping) or not all(isinstance(body, str) for body in given.values()):
-        raise Unfit("a text for each key is wanted", service, f"as {FORM}")
+        raise InvalidRequestError("a text for each key is wanted", service, f"as {FORM}")
     return tuple(Resource(key, body.encode()) for key, body in given.items())
--- a/indigohitch/fleet/distribution/connections.py
+++ b/indigohitch/fleet/distribution/connections.py
@@ -60,7 +60,7 @@
 
     def drop(self, number: int, why: str, remedy: str) -> None:
         one = self.connections[number]
-        self.log.trouble("subscriber_dropped", subscriber=one.who.name, why=why, remedy=remedy)
+        self.log.warning("subscriber_dropped", subscriber=one.who.name, why=why, remedy=remedy)
         one.close()
 
     # ---- who comes ---------------------------------------------------------------------------------
@@ -68,7 +68,7 @@
     def greeted(self, one: Accepted, greeting: links.Greeting) -> None:
         why, kind = refused_subscriber(greeting, self.fleet)
         if why:
-            self.log.trouble("subscriber_refused", why=why, remedy=REMEDIES[kind])
+            self.log.warning("subscriber_refused", why=why, remedy=REMEDIES[kind])
             one.answer(links.Refused(why))
             one.close()
             return
--- a/indigohitch/fleet/distribution/errors.py
+++ b/indigohitch/fleet/distribution/errors.py
@@ -2,25 +2,25 @@
 
 from __future__ import annotations
 
-from ...errors import NotNow, Trouble, Unfit, Unreadable
+from ...errors import DirectorError, InvalidDataError, InvalidRequestError, UnavailableError
 from .messages import RefusalReason
 
 # ---- an update that a subscriber can't take --------------------------------------------------------
 
 
-class OlderVersion(Unfit):
+class OlderVersion(InvalidRequestError):
     """An update tells an older version than the one held."""
 
     remedy = "nothing, if it stays rare: that distributor lags behind the ledger; see its `status`"
 
 
-class UnknownBase(Unfit):
+class UnknownBase(InvalidRequestError):
     """An update follows a version that is not held."""
 
     remedy = "nothing: the subscription resumes from what is held"
 
 
-class DigestMismatch(Unreadable):
+class DigestMismatch(InvalidDataError):
     """What an update leads to is not what the distributor holds."""
 
     remedy = "nothing, once: the whole scope is sent; if it comes again, report versions of both programs"
@@ -29,14 +29,14 @@
 # ---- a subscription that a distributor doesn't serve -----------------------------------------------
 
 
-class ScopeTooLarge(Unfit):
+class ScopeTooLarge(InvalidRequestError):
     """More services, or more bytes of them, than one update takes."""
 
     reason = RefusalReason.SCOPE
     remedy = "let the coordinator reach fewer services, or raise the distributors' limit"
 
 
-class NotServedNow(NotNow):
+class NotServedNow(UnavailableError):
     """By this distributor; another one may."""
 
     reason: RefusalReason
@@ -69,19 +69,19 @@
 # ---- subscribers that a distributor logs -----------------------------------------------------------
 
 
-class SubscriberSilent(Trouble):
+class SubscriberSilent(DirectorError):
     """It has not answered an update in time; its connection is closed."""
 
     remedy = "see whether that process hangs or its host is overloaded; it resumes by itself"
 
 
-class SubscriberReplaced(Trouble):
+class SubscriberReplaced(DirectorError):
     """It has connected again while it was still served over an earlier connection."""
 
     remedy = "nothing, if it stays rare; else two processes bear that name"
 
 
-class VersionNeverWas(Trouble):
+class VersionNeverWas(DirectorError):
     """It claims a version that the ledger has surely never had; it gets its whole scope."""
 
     remedy = "find out whether the ledger's disks were replaced, or that process belongs to another fleet"
@@ -90,7 +90,7 @@
 # ---- no distributor at all -------------------------------------------------------------------------
 
 
-class NoDistributor(Trouble):
+class NoDistributor(DirectorError):
     """No distributor can be reached: the last version stands, and ages."""
 
     remedy = "start distributors, or see whether the network lets them through"
--- a/indigohitch/fleet/distribution/following.py
+++ b/indigohitch/fleet/distribution/following.py
@@ -5,9 +5,9 @@
 import random
 from collections.abc import Callable, Collection, Mapping
 
-from ...encoding.frames import Broken
+from ...encoding.frames import BrokenFrameError
 from ...encoding.rows import Row
-from ...errors import told
+from ...errors import error_fields
 from ...log import Log
 from ...net.loop import Loop
 from ..links.arrivals import spoilt
@@ -100,7 +100,7 @@
         why = f"{welcome.who.name} answers" if welcome.who.name != link.name else unspoken(welcome)
         if why:
             remedy = "see the address of that distributor in this file"
-            self.log.trouble("not_who_was_dialled", distributor=link.name, why=why, remedy=remedy)
+            self.log.warning("not_who_was_dialled", distributor=link.name, why=why, remedy=remedy)
         return not why
 
     def up(self, link: Dialled) -> None:
@@ -116,14 +116,14 @@
     def lost(self, link: Dialled, why: str) -> None:
         if link is self.link:
             self.dropped()
-            self.log.trouble("distributor_lost", distributor=link.name, **told(NoDistributor(why)))
+            self.log.warning("distributor_lost", distributor=link.name, **error_fields(NoDistributor(why)))
             self.stepping.step(Lost(link.name, why))
 
     def replied(self, link: Dialled, word: Row) -> None:
         if link is self.link:
             self.stepping.step(Told(link.name, word))
 
-    def spoilt(self, name: str, broken: Broken) -> None:
+    def spoilt(self, name: str, broken: BrokenFrameError) -> None:
         spoilt(self.log, name, broken, "distributors")
 
     # ---- told to people ----------------------------------------------------------------------------
--- a/indigohitch/fleet/distribution/holding.py
+++ b/indigohitch/fleet/distribution/holding.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...errors import Unreadable
+from ...errors import InvalidDataError
 from .content import ServiceContent, scope_digest
 from .errors import DigestMismatch, OlderVersion, UnknownBase
 from .messages import HeldService, RejectReason, ServiceChange, Update
@@ -19,7 +19,7 @@
     OlderVersion: RejectReason.OLDER,
     UnknownBase: RejectReason.BASE,
     DigestMismatch: RejectReason.DIGEST,
-    Unreadable: RejectReason.UNREADABLE,
+    InvalidDataError: RejectReason.UNREADABLE,
 }
 
 
@@ -74,7 +74,7 @@
         for raw in update.changes:
             change = decoded(raw)
             if change.service not in services:
-                raise Unreadable("a change of a service that is not in the scope", change.service)
+                raise InvalidDataError("a change of a service that is not in the scope", change.service)
             before = ServiceContent(change.service) if change.whole else services[change.service]
             services[change.service] = before.with_changes(change.changed, change.removed)
         return services
@@ -85,4 +85,4 @@
     try:
         return msgspec.msgpack.decode(raw, type=ServiceChange)
     except msgspec.MsgspecError as bad:
-        raise Unreadable(f"not a change of a service: {bad}") from None
+        raise InvalidDataError(f"not a change of a service: {bad}") from None
--- a/indigohitch/fleet/distribution/part.py
+++ b/indigohitch/fleet/distribution/part.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ...encoding.rows import Row
-from ...errors import Unfit, Unreadable
+from ...errors import InvalidDataError, InvalidRequestError
 from ..ports import At, StateMachine
 from .catalogue import Catalogue, CatalogueRow
 from .terms import Resource, ServiceName, Version
@@ -59,7 +59,9 @@
     def apply(self, at: At, word: str, body: Set | Remove | Replace) -> tuple[ServiceName, ...]:
         version = Version(at.term, at.index)
         if len({each.service for each in body.services}) < len(body.services):
-            raise Unfit("a service is named twice", remedy="name all of its resources in one place")
+            raise InvalidRequestError(
+                "a service is named twice", remedy="name all of its resources in one place"
+            )
         if isinstance(body, Remove):
             return self.catalogue.apply(version, {}, {each.service: each.keys for each in body.services})
         self.check(body.services, keeps=isinstance(body, Set))
@@ -83,7 +85,7 @@
                 stands[resource.key] = resource.body
             size = sum(len(key) + len(body) for key, body in stands.items())
             if size > MOST_SERVICE_BYTES:
-                raise Unfit(
+                raise InvalidRequestError(
                     f"{size} bytes of resources",
                     each.service,
                     f"split the service; one takes {MOST_SERVICE_BYTES} bytes",
@@ -96,7 +98,7 @@
         try:
             found = msgspec.msgpack.decode(row, type=CatalogueRow)
         except msgspec.MsgspecError as bad:
-            raise Unreadable(f"not the services of a state machine: {bad}") from None
+            raise InvalidDataError(f"not the services of a state machine: {bad}") from None
         self.catalogue.restore(found)
 
 
@@ -104,6 +106,8 @@
     """Raises Unfit."""
     for name in (service, resource.key):
         if not 0 < len(name) <= LONGEST_NAME:
-            raise Unfit(f"a name of {len(name)} characters", service, f"1 to {LONGEST_NAME}")
+            raise InvalidRequestError(f"a name of {len(name)} characters", service, f"1 to {LONGEST_NAME}")
     if len(resource.body) > LONGEST_BODY:
-        raise Unfit(f"{len(resource.body)} bytes of {resource.key}", service, f"{LONGEST_BODY} at most")
+        raise InvalidRequestError(
+            f"{len(resource.body)} bytes of {resource.key}", service, f"{LONGEST_BODY} at most"
+        )
--- a/indigohitch/fleet/distribution/role.py
+++ b/indigohitch/fleet/distribution/role.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ...encoding.rows import Row
-from ...errors import NotNow, told
+from ...errors import UnavailableError, error_fields
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.file_limits import allow
@@ -104,12 +104,12 @@
         wanted = LIMITS.subscribers + OTHER_DESCRIPTORS
         if (allowed := allow(wanted)) < wanted:
             remedy = f"raise the limit on descriptors to {wanted}"
-            self.log.trouble("descriptors_few", allowed=allowed, wanted=wanted, remedy=remedy)
+            self.log.warning("descriptors_few", allowed=allowed, wanted=wanted, remedy=remedy)
         try:
             self.connections.start(self.addresses[self.me])
         except OSError as bad:
             self.listen_due = now + LISTEN_AGAIN
-            self.log.trouble("distributor_cannot_listen", **told(bad, "free the address"))
+            self.log.warning("distributor_cannot_listen", **error_fields(bad, "free the address"))
 
     def confirm(self, now: int) -> None:
         def done(index: int | None) -> None:
@@ -123,7 +123,7 @@
         self.reading = True
         try:
             self.read(done)
-        except NotNow:
+        except UnavailableError:
             self.reading = False
 
     def tell(self, now: int) -> None:
--- a/indigohitch/fleet/distribution/serving.py
+++ b/indigohitch/fleet/distribution/serving.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...errors import Trouble
+from ...errors import DirectorError
 from ..members.leases import given
 from .admission import Admission
 from .catalogue import Catalogue
@@ -72,7 +72,7 @@
         self.out.append(Send(connection, word))
         self.close(connection, cause.what)
 
-    def note(self, event: str, trouble: Trouble) -> None:
+    def note(self, event: str, trouble: DirectorError) -> None:
         self.out.append(Note(event, trouble.fields()))
 
     # ---- what subscribers say ----------------------------------------------------------------------
@@ -88,7 +88,7 @@
             handle(input.connection, input.message)
         except (NotServedNow, ScopeTooLarge) as cause:
             self.refuse(input.connection, cause)
-        except Trouble as trouble:
+        except DirectorError as trouble:
             self.note("subscriber_closed", trouble)
             self.close(input.connection, str(trouble))
 
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Collection, Mapping
 
-from ...errors import Unreadable
+from ...errors import InvalidDataError
 from ..members.leases import Holder
 from ..members.words import Renewed
 from .connecting import Connecting, Phase
@@ -195,7 +195,7 @@
         back = update.version < self.version
         try:
             changed = self.held.apply(update, scope)
-        except (OlderVersion, UnknownBase, DigestMismatch, Unreadable) as refused:
+        except (OlderVersion, UnknownBase, DigestMismatch, InvalidDataError) as refused:
             self.reject(update, refused)
             return
         if back:
@@ -216,7 +216,7 @@
         self.subscribe_anew()
 
     def reject(
-        self, update: Update, refused: OlderVersion | UnknownBase | DigestMismatch | Unreadable
+        self, update: Update, refused: OlderVersion | UnknownBase | DigestMismatch | InvalidDataError
     ) -> None:
         reason = REASONS[type(refused)]
         self.out.append(Say(Reject(update.number, reason, self.version, refused.what)))
--- a/indigohitch/fleet/hours.py
+++ b/indigohitch/fleet/hours.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..encoding.rows import Row
-from ..errors import Unfit
+from ..errors import InvalidRequestError
 from ..net.clock import SECOND
 from .ports import At, Wanted
 from .terms import Entry, Lease, Outcome
@@ -48,7 +48,9 @@
     def apply(self, at: At, word: str, body: Tick) -> int:
         """Raises Unfit for a tick that is not later than the last."""
         if body.time <= self.time:
-            raise Unfit("fleet time does not go back", remedy="nothing: the next tick is on its way")
+            raise InvalidRequestError(
+                "fleet time does not go back", remedy="nothing: the next tick is on its way"
+            )
         self.time = body.time
         return self.time
 
--- a/indigohitch/fleet/links/accepted.py
+++ b/indigohitch/fleet/links/accepted.py
@@ -5,7 +5,7 @@
 import socket
 from typing import Protocol
 
-from ...encoding.frames import Broken, Frames, Kinds
+from ...encoding.frames import BrokenFrameError, Frames, Kinds
 from ...encoding.rows import Row
 from ...net.connection import Connection
 from ...net.loop import Loop
@@ -28,7 +28,7 @@
     def stranger(self, why: str) -> None:
         """Someone who has not greeted is sent away."""
 
-    def spoilt(self, name: str, broken: Broken) -> None: ...
+    def spoilt(self, name: str, broken: BrokenFrameError) -> None: ...
 
 
 class Accepted:
@@ -51,8 +51,8 @@
                 if not connection.open:
                     return
             if not self.links.kinds.magic.startswith(self.frames.rest[:4]):
-                raise Broken("another protocol")  # less than a head: nobody need wait for the rest
-        except Broken as broken:
+                raise BrokenFrameError("another protocol")  # less than a head: nobody need wait for the rest
+        except BrokenFrameError as broken:
             self.links.spoilt(self.who.name if self.who else "", broken)
             self.close()
 
--- a/indigohitch/fleet/links/arrivals.py
+++ b/indigohitch/fleet/links/arrivals.py
@@ -5,7 +5,7 @@
 import socket
 from typing import Protocol
 
-from ...encoding.frames import Broken, Kinds
+from ...encoding.frames import BrokenFrameError, Kinds
 from ...encoding.rows import Row
 from ...log import Log
 from ...net.listener import Listener
@@ -48,12 +48,12 @@
     def start(self, at: tuple[str, int]) -> None:
         """Raises OSError where the address can't be had."""
         self.listener = Listener(
-            self.loop, at, self.knock, lambda why: self.log.trouble("accept_failed", why=why)
+            self.loop, at, self.knock, lambda why: self.log.warning("accept_failed", why=why)
         )
 
     def knock(self, sock: socket.socket) -> bool:
         if len(self.strangers) >= self.most:
-            self.log.trouble("strangers_too_many", remedy=f"keep others off the {self.whose}' port")
+            self.log.warning("strangers_too_many", remedy=f"keep others off the {self.whose}' port")
             return False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.strangers.add(Accepted(self, sock, self.pool))
@@ -80,9 +80,9 @@
             self.owner.gone(one)
 
     def stranger(self, why: str) -> None:
-        self.log.trouble("stranger", why=why, remedy=f"keep others off the {self.whose}' port")
+        self.log.warning("stranger", why=why, remedy=f"keep others off the {self.whose}' port")
 
-    def spoilt(self, name: str, broken: Broken) -> None:
+    def spoilt(self, name: str, broken: BrokenFrameError) -> None:
         spoilt(self.log, name, broken, self.whose)
 
     def close(self) -> None:
@@ -93,8 +93,8 @@
             one.close()
 
 
-def spoilt(log: Log, name: str, broken: Broken, whose: str) -> None:
-    log.trouble(
+def spoilt(log: Log, name: str, broken: BrokenFrameError, whose: str) -> None:
+    log.warning(
         "frame_spoilt",
         member=name or "unknown",
         why=broken.what,
--- a/indigohitch/fleet/links/ends.py
+++ b/indigohitch/fleet/links/ends.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ...encoding.frames import Broken, Frames, Kinds
+from ...encoding.frames import BrokenFrameError, Frames, Kinds
 from ...encoding.rows import Row
 from ...log import Log
 from ...net.clock import SECOND
@@ -60,7 +60,7 @@
     def replied(self, link: Dialled, word: Row) -> None:
         """A word that is not about the link itself came back over it."""
 
-    def spoilt(self, name: str, broken: Broken) -> None: ...
+    def spoilt(self, name: str, broken: BrokenFrameError) -> None: ...
 
 
 class Dialled:
@@ -94,7 +94,7 @@
             if now - self.since > GREET:
                 self.connection.close("no answer")
         elif now - self.alive > self.silent:
-            self.links.log.trouble(
+            self.links.log.warning(
                 "member_silent",
                 member=self.name,
                 ms=(now - self.alive) / 10,
@@ -129,7 +129,7 @@
                 self.take(word)
                 if not connection.open:
                     return
-        except Broken as broken:
+        except BrokenFrameError as broken:
             self.links.spoilt(self.name, broken)
             connection.close("spoilt")
 
@@ -145,7 +145,7 @@
                 self.be(Phase.OPEN)
                 self.links.up(self)
             case Refused(why):
-                self.links.log.trouble("refused_by_member", member=self.name, why=why)
+                self.links.log.warning("refused_by_member", member=self.name, why=why)
                 self.rest = LONGEST_REST
                 self.connection.close("refused")
             case Pulsed():
--- a/indigohitch/fleet/links/links.py
+++ b/indigohitch/fleet/links/links.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Mapping
 
-from ...encoding.frames import Broken, Kinds
+from ...encoding.frames import BrokenFrameError, Kinds
 from ...encoding.rows import Row
 from ...log import Log
 from ...net.loop import Loop
@@ -91,7 +91,7 @@
         why = f"{welcome.who.name} answers" if welcome.who.name != link.name else unspoken(welcome)
         why = why or self.on_met(welcome.who)
         if why:
-            self.log.trouble(
+            self.log.warning(
                 "not_who_was_dialled",
                 member=link.name,
                 why=why,
@@ -104,7 +104,7 @@
         self.on_up(link.name)
 
     def down(self, link: Dialled, why: str) -> None:
-        self.log.trouble("member_lost", member=link.name, why=why)
+        self.log.warning("member_lost", member=link.name, why=why)
         self.on_down(link.name)
 
     def unreached(self, link: Dialled, why: str) -> None:
@@ -113,7 +113,7 @@
     def replied(self, link: Dialled, word: Row) -> None:
         """Members say nothing over a connection that the other one dialled."""
 
-    def spoilt(self, name: str, broken: Broken) -> None:
+    def spoilt(self, name: str, broken: BrokenFrameError) -> None:
         spoilt(self.log, name, broken, "members")
 
     # ---- others' -----------------------------------------------------------------------------------
@@ -124,7 +124,7 @@
         if not why and greeting.who.number and (why := self.on_met(greeting.who)):
             kind = ""
         if why:
-            self.log.trouble("member_refused", why=why, remedy=REMEDIES.get(kind, "it will come again"))
+            self.log.warning("member_refused", why=why, remedy=REMEDIES.get(kind, "it will come again"))
             one.answer(Refused(why))
             one.close()
             return
--- a/indigohitch/fleet/members/roster.py
+++ b/indigohitch/fleet/members/roster.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ...encoding.rows import Row
-from ...errors import Unfit, Unreadable
+from ...errors import InvalidDataError, InvalidRequestError
 from ...net.clock import SECOND
 from ..ports import At, HearsEnded, HearsGone, HearsInForce, HearsJoined, HearsShutOut, hearing
 from ..state_machine import ReplicatedStateMachine
@@ -167,12 +167,14 @@
     def known(self, name: str, incarnation: int, *lives: Life) -> Member:
         member = self.members.get((name, incarnation))
         if member is None or member.life not in lives:
-            raise Unfit(f"{name} {incarnation} is {member.life.value if member else 'not known'}")
+            raise InvalidRequestError(
+                f"{name} {incarnation} is {member.life.value if member else 'not known'}"
+            )
         return member
 
     def on_leave(self, at: At, leave: Leave) -> None:
         if (at.proposer, at.incarnation) != (leave.name, leave.incarnation):
-            raise Unfit("a member leaves by itself")
+            raise InvalidRequestError("a member leaves by itself")
         member = self.known(leave.name, leave.incarnation, Life.COMPARED, Life.VALID, Life.SHUT_OUT)
         member.why = "left"
         self.end(at, member)
@@ -193,13 +195,13 @@
 
     def on_agreed(self, at: At, agreed: Agreed) -> None:
         if agreed.index <= self.agreed.index:
-            raise Unfit(f"point {agreed.index} after {self.agreed.index}")
+            raise InvalidRequestError(f"point {agreed.index} after {self.agreed.index}")
         self.agreed = agreed
 
     def on_back(self, at: At, back: Back) -> None:
         member = self.known(back.name, back.incarnation, Life.COMPARED)
         if back.index < member.joined:
-            raise Unfit(f"compared at {back.index}, joined at {member.joined}")
+            raise InvalidRequestError(f"compared at {back.index}, joined at {member.joined}")
         member.life, member.since = Life.VALID, at.index
 
     def on_change(self, at: At, change: Announce) -> int:
@@ -208,7 +210,7 @@
 
     def on_in_force(self, at: At, body: InForce) -> None:
         if not self.in_force < body.version < at.index:
-            raise Unfit(f"version {body.version} after {self.in_force}")
+            raise InvalidRequestError(f"version {body.version} after {self.in_force}")
         self.in_force = body.version
         self.changes = [change for change in self.changes if change.index > body.version]
         for part in hearing(self.state_machine.parts, HearsInForce):
@@ -231,7 +233,7 @@
         try:
             row = msgspec.msgpack.decode(row, type=RosterRow)
         except msgspec.MsgspecError as bad:
-            raise Unreadable(f"not a roster: {bad}") from None
+            raise InvalidDataError(f"not a roster: {bad}") from None
         self.members = {(member.name, member.incarnation): member for member in row.members}
         self.highest, self.tokens, self.changes = row.highest, row.tokens, row.changes
         self.in_force, self.compared, self.agreed = row.in_force, row.compared, row.agreed
--- a/indigohitch/fleet/node/admitting.py
+++ b/indigohitch/fleet/node/admitting.py
@@ -53,7 +53,7 @@
         try:
             held = self.node.disk.found(number, founders, members)
         except OSError as bad:
-            self.node.log.trouble("not_founded", why=str(bad), remedy="make room, or mend the disk")
+            self.node.log.warning("not_founded", why=str(bad), remedy="make room, or mend the disk")
             return
         self.node.take_part(held)
 
@@ -85,7 +85,7 @@
         machine = node.driver.machine
         who = self.admission.who(word, machine.members, node.disk.identity.met.get(name, 0))
         if who is None:
-            node.log.trouble(
+            node.log.warning(
                 "old_disk",
                 member=name,
                 number=word.number,
--- a/indigohitch/fleet/node/asked.py
+++ b/indigohitch/fleet/node/asked.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from ...errors import NotNow, Unfit
+from ...errors import InvalidRequestError, UnavailableError
 from ..batches.asking import batch_of, word_of
 from ..distribution.asking import entry_of
 from ..terms import Outcome
@@ -57,9 +57,9 @@
             return True
         try:
             action(rest, line)
-        except NotNow as late:
+        except UnavailableError as late:
             self.answer({"error": late.what, "again_ms": late.again / 10})
-        except Unfit as unfit:
+        except InvalidRequestError as unfit:
             self.answer({"error": str(unfit)})
         return True
 
--- a/indigohitch/fleet/node/belonging.py
+++ b/indigohitch/fleet/node/belonging.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ...encoding.rows import Row
-from ...errors import NotNow
+from ...errors import UnavailableError
 from ...log import Log
 from ...net.clock import Clock
 from ..ledger.ports import Became
@@ -61,7 +61,7 @@
         fields = {"was": was.value, "now": self.phase.value, "incarnation": membership.incarnation}
         if self.phase is Phase.DIFFERS:
             index, own, agreed = membership.evidence
-            self.log.trouble(
+            self.log.warning(
                 "state_differs",
                 index=index,
                 own=own.hex(),
@@ -69,7 +69,7 @@
                 remedy="keep the folder for who looks into it, and start the member without it",
             )
         elif self.phase is Phase.REPLACED:
-            self.log.trouble("replaced", **fields, remedy="another process bears this name: end one of them")
+            self.log.warning("replaced", **fields, remedy="another process bears this name: end one of them")
         else:
             self.log.event(
                 "membership", **fields, **({"why": membership.refusal} if membership.refusal else {})
@@ -100,7 +100,7 @@
 
                     try:
                         self.read(done)
-                    except NotNow:  # it asks again with the next renewals
+                    except UnavailableError:  # it asks again with the next renewals
                         self.log.count("reads_without_room")
                 case Answer(to, word):
                     self.tell(to, word)
--- a/indigohitch/fleet/node/inside.py
+++ b/indigohitch/fleet/node/inside.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ...config.fleet import FleetText
-from ...errors import Trouble, told
+from ...errors import DirectorError, error_fields
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Loop
@@ -44,16 +44,16 @@
         node = Node(self.loop, self.log, self.text, random.Random(secrets.randbits(64)), self.ended)
         try:
             node.open()
-        except (Trouble, OSError) as bad:
+        except (DirectorError, OSError) as bad:
             if self.alone and not self.follows:
                 raise
             self.failed(bad)
             return
         self.node, self.why = node, ""
 
-    def failed(self, bad: Trouble | OSError) -> None:
+    def failed(self, bad: DirectorError | OSError) -> None:
         self.why = str(bad)
-        self.log.trouble("member_not_open", **told(bad))
+        self.log.warning("member_not_open", **error_fields(bad))
         if isinstance(bad, ValueError):  # what lies there can't be read: it will not be better later
             self.on_ended(self.why)
         else:
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -171,7 +171,7 @@
         )
 
     def stop(self, why: str, remedy: str) -> None:
-        self.log.trouble("member_stops", why=why, remedy=remedy)
+        self.log.warning("member_stops", why=why, remedy=remedy)
         self.be(Phase.BROKEN)
         if self.beating is not None:
             self.beating.cancel()
--- a/indigohitch/fleet/node/notes.py
+++ b/indigohitch/fleet/node/notes.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ...encoding.rows import Row
-from ...errors import Unfit, Unreadable
+from ...errors import InvalidDataError, InvalidRequestError
 from ..ports import At
 from ..state_machine import ReplicatedStateMachine
 
@@ -35,7 +35,7 @@
 
     def apply(self, at: At, word: str, body: Add) -> int:
         if len(body.text) > LONGEST:
-            raise Unfit(f"a note of {len(body.text)} characters", remedy=f"{LONGEST} at most")
+            raise InvalidRequestError(f"a note of {len(body.text)} characters", remedy=f"{LONGEST} at most")
         self.texts.append((at.index, body.text))
         self.count += 1
         return self.count
@@ -47,5 +47,5 @@
         try:
             found = msgspec.msgpack.decode(row, type=NotesRow)
         except msgspec.MsgspecError as bad:
-            raise Unreadable(f"not notes: {bad}") from None
+            raise InvalidDataError(f"not notes: {bad}") from None
         self.texts, self.count = deque(found.texts, KEPT), found.count
--- a/indigohitch/fleet/node/proposals.py
+++ b/indigohitch/fleet/node/proposals.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ...errors import NotNow
+from ...errors import UnavailableError
 from ..state_machine import WINDOW
 from ..terms import Entry, Outcome, Proposal
 
@@ -44,7 +44,7 @@
         """Raises NotNow where too many are out."""
         first = next(iter(self.open), self.number + 1)
         if len(self.open) >= MOST or self.number + 1 - first >= WINDOW - 1:
-            raise NotNow(
+            raise UnavailableError(
                 f"{len(self.open)} proposals are out",
                 remedy="come back once some are known",
                 again=self.again,
--- a/indigohitch/fleet/node/reads.py
+++ b/indigohitch/fleet/node/reads.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from ...errors import NotNow
+from ...errors import UnavailableError
 from ...net.clock import SECOND
 
 WAIT = 2 * SECOND  # longer than an election: who asked asks again
@@ -24,7 +24,7 @@
     def begin(self, now: int, done: Done) -> int:
         """Raises NotNow."""
         if len(self.open) + len(self.behind) >= MOST:
-            raise NotNow(f"{MOST} reads are out", again=SECOND // 10)
+            raise UnavailableError(f"{MOST} reads are out", again=SECOND // 10)
         self.number += 1
         self.open[self.number] = (now + WAIT, done)
         return self.number
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -7,7 +7,7 @@
 
 from ...config.fleet import FleetText
 from ...encoding.rows import Row
-from ...errors import Trouble, told
+from ...errors import DirectorError, error_fields
 from ...log import Log
 from ...net.clock import Clock
 from ...net.loop import Loop
@@ -88,8 +88,8 @@
     hours = HoursWork(state_machine.parts["hours"], text.me, Clock.wall, place.voters)
     membership.judge.when = hours.time
 
-    def trouble(bad: Trouble) -> None:
-        place.log.trouble("audit", **told(bad))
+    def trouble(bad: DirectorError) -> None:
+        place.log.warning("audit", **error_fields(bad))
 
     acts = ChainedActs(
         text.me,
--- a/indigohitch/fleet/node/subscribing.py
+++ b/indigohitch/fleet/node/subscribing.py
@@ -10,7 +10,7 @@
 
 from ...config.fleet import FleetText
 from ...config.texts import Text
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Deadline, Loop
@@ -67,10 +67,14 @@
     def reread(self, text: FleetText | None) -> None:
         """Raises Unfit."""
         if text is None or not text.services:
-            raise Unfit("it has no `subscribe` lines any more", "", "start the program anew for it")
+            raise InvalidRequestError(
+                "it has no `subscribe` lines any more", "", "start the program anew for it"
+            )
         addresses = {name: one.address for name, one in text.distributors.items()}
         if addresses != {name: one.address for name, one in self.text.distributors.items()}:
-            raise Unfit("other distributors than at the start", "", "start the subscriber anew for these")
+            raise InvalidRequestError(
+                "other distributors than at the start", "", "start the subscriber anew for these"
+            )
         self.text = text
         if self.following is not None:
             self.following.rescope(text.services)
--- a/indigohitch/fleet/node/traffic.py
+++ b/indigohitch/fleet/node/traffic.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ...encoding.rows import Row
-from ...errors import NotNow
+from ...errors import UnavailableError
 from ...net.clock import Clock
 from ..ledger.ports import Heard, Propose
 from ..ledger.ports import Read as Ask
@@ -101,7 +101,7 @@
             return
         try:
             self.read(done)
-        except NotNow:
+        except UnavailableError:
             done(None)
 
     def on_read_at(self, who: Who, word: ReadAt) -> None:
--- a/indigohitch/fleet/node/without_front.py
+++ b/indigohitch/fleet/node/without_front.py
@@ -20,6 +20,6 @@
         try:
             self.beside.reread(self.file_now().fleet)
         except (OSError, ValueError) as bad:
-            self.log.trouble("reload_failed", why=str(bad))
+            self.log.warning("reload_failed", why=str(bad))
             return
         self.log.count("reloads")
--- a/indigohitch/fleet/node/working.py
+++ b/indigohitch/fleet/node/working.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ...errors import NotNow
+from ...errors import UnavailableError
 from ...log import Log
 from ...net.loop import Loop
 from ..ports import Holding, Wanted, Work
@@ -64,7 +64,7 @@
             body = msgspec.msgpack.encode(one.body)
             if len(body) > BODY or not self.may(work):
                 if len(body) > BODY:
-                    self.log.trouble("proposal_too_large", kind=one.kind, bytes=len(body))
+                    self.log.warning("proposal_too_large", kind=one.kind, bytes=len(body))
                 self.unmade.append((work, one.tag))
                 self.waiting.popleft()
                 continue
@@ -75,7 +75,7 @@
                     body,
                     lambda outcome, work=work, tag=one.tag: self.answered(work, tag, outcome),
                 )
-            except NotNow:
+            except UnavailableError:
                 break  # the next turn looks again
             self.waiting.popleft()
         self.send()
--- a/indigohitch/fleet/seats/part.py
+++ b/indigohitch/fleet/seats/part.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ...errors import Unfit, Unreadable
+from ...errors import InvalidDataError, InvalidRequestError
 from ..members.roster import changed
 from ..ports import At
 from .contract import Contract, FeatureRow, Grant, Recall, Return, SeatsRow, Share, Terms
@@ -113,17 +113,17 @@
         number."""
         named = {terms.feature: terms for terms in body.terms}
         if body.edition < self.edition:
-            raise Unfit(f"edition {body.edition} of the contracts is older than {self.edition}")
+            raise InvalidRequestError(f"edition {body.edition} of the contracts is older than {self.edition}")
         if body.edition == self.edition:
             if named != {f.terms.feature: f.terms for f in self.features.values() if f.terms.seats}:
-                raise Unfit(
+                raise InvalidRequestError(
                     f"another edition {body.edition} of the contracts stands",
                     remedy="give the changed file a higher edition",
                 )
             return self.edition
         bad = [t.feature for t in body.terms if t.seats < 1 or t.pools()[""] < 0]
         if bad or len(named) < len(body.terms):
-            raise Unfit(f"contracts that can't be: {', '.join(bad) or 'one feature twice'}")
+            raise InvalidRequestError(f"contracts that can't be: {', '.join(bad) or 'one feature twice'}")
         self.edition = body.edition
         cut = any(
             f.terms.seats > (named[name].seats if name in named else 0) for name, f in self.features.items()
@@ -143,9 +143,11 @@
     def on_grant(self, at: At, body: Grant) -> list[tuple[int, int]]:
         found = self.found(body.feature)
         if body.incarnation <= self.gone.get(body.member, 0):
-            raise Unfit(f"{body.member} {body.incarnation} is gone")
+            raise InvalidRequestError(f"{body.member} {body.incarnation} is gone")
         if body.count < 1 or body.count > found.room(body.pool):
-            raise Unfit(f"{body.count} seats of {body.feature}: {found.room(body.pool)} can be granted")
+            raise InvalidRequestError(
+                f"{body.count} seats of {body.feature}: {found.room(body.pool)} can be granted"
+            )
         share = found.shares.setdefault(
             (body.pool, body.member, body.incarnation), Share(body.pool, body.member, body.incarnation, [])
         )
@@ -160,7 +162,9 @@
         found = self.found(body.feature)
         share = found.shares.get((body.pool, body.member, body.incarnation))
         if share is None or not 0 < body.count <= share.net:
-            raise Unfit(f"{body.member} {body.incarnation} has not {body.count} seats of {body.feature}")
+            raise InvalidRequestError(
+                f"{body.member} {body.incarnation} has not {body.count} seats of {body.feature}"
+            )
         if not share.debt:
             share.due = at.time + found.terms.drain
         share.debt += body.count
@@ -178,7 +182,7 @@
 
     def found(self, feature: str) -> Feature:
         if feature not in self.features:
-            raise Unfit(f"no contract on {feature}")
+            raise InvalidRequestError(f"no contract on {feature}")
         return self.features[feature]
 
     def member_gone(self, at: At, name: str, incarnation: int) -> None:
@@ -210,7 +214,7 @@
         try:
             found = msgspec.msgpack.decode(row, type=SeatsRow)
         except msgspec.MsgspecError as bad:
-            raise Unreadable(f"not the seats of a book: {bad}") from None
+            raise InvalidDataError(f"not the seats of a book: {bad}") from None
         self.edition, self.gone, self.features = found.edition, dict(found.gone), {}
         for each in found.features:
             feature = self.features[each.terms.feature] = Feature(each.terms)
--- a/indigohitch/fleet/state_machine.py
+++ b/indigohitch/fleet/state_machine.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from ..encoding.rows import Row, digest
-from ..errors import Unfit, Unreadable
+from ..errors import InvalidDataError, InvalidRequestError
 from .ports import At, StateMachinePart
 from .terms import Entry, Outcome
 
@@ -86,7 +86,7 @@
             told = part.apply(
                 At(entry.index, entry.term, self.time, entry.proposer, entry.incarnation), word, body
             )
-        except Unfit as unfit:
+        except InvalidRequestError as unfit:
             return Outcome(entry.index, unfit.what)
         return Outcome(entry.index, "", msgspec.msgpack.encode(told))
 
@@ -101,9 +101,9 @@
         try:
             row = msgspec.msgpack.decode(data, type=StateMachineRow)
         except msgspec.MsgspecError as bad:
-            raise Unreadable(f"not a book: {bad}") from None
+            raise InvalidDataError(f"not a book: {bad}") from None
         if not FORM - 1 <= row.form <= FORM + 1:
-            raise Unreadable(
+            raise InvalidDataError(
                 f"a book of form {row.form}; this program reads {FORM - 1} to {FORM + 1}",
                 remedy="bring this member's program up to that of the others",
             )
--- a/indigohitch/load/command.py
+++ b/indigohitch/load/command.py
@@ -8,7 +8,7 @@
 import orjson
 
 from ..config import sidecar_file
-from ..errors import Unfit, Unreadable
+from ..errors import InvalidDataError, InvalidRequestError
 from .replay.command import replay
 from .timeline import RULES
 
@@ -123,7 +123,7 @@
     made = list(scaled(held, times, seed))
     told = compared(held, made, times)
     if max(told["ks_gaps"], told["ks_over_time"]) > most_apart:
-        raise Unfit(
+        raise InvalidRequestError(
             f"{told} is not like it: nothing is written",
             trace,
             "scale a longer trace, or allow more with --most-apart",
@@ -150,7 +150,7 @@
                 runs.append((path.rsplit("/", 1)[-1], orjson.loads(file.read())))
         text = made(title, runs)
     except (KeyError, ValueError, TypeError) as bad:
-        raise Unreadable(
+        raise InvalidDataError(
             f"no figures of a replay: {type(bad).__name__}: {bad}",
             ", ".join(saved),
             "save them with `load replay --save FILE`",
--- a/indigohitch/load/compiling.py
+++ b/indigohitch/load/compiling.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ..errors import Unreadable
+from ..errors import InvalidDataError
 from . import trace
 from .entry import Request
 from .kinds import Kind
@@ -18,7 +18,7 @@
 FORMATS = "har|json|common|combined, or the words of a LogFormat"
 
 
-class NothingRead(Unreadable):
+class NothingRead(InvalidDataError):
     """No request at all."""
 
 
--- a/indigohitch/load/entry.py
+++ b/indigohitch/load/entry.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ..errors import Unreadable
+from ..errors import InvalidDataError
 
 SECOND = 10_000
 
@@ -47,7 +47,7 @@
     kind: str = ""
 
 
-class Unread(Unreadable):
+class Unread(InvalidDataError):
     """A line that can't be read; who reads it knows where."""
 
 
--- a/indigohitch/load/replay/command.py
+++ b/indigohitch/load/replay/command.py
@@ -11,7 +11,7 @@
 import orjson
 
 from ...config import sidecar_file, words
-from ...errors import Trouble, Unfit
+from ...errors import DirectorError, InvalidRequestError
 from ...net.connection import address
 
 
@@ -94,7 +94,7 @@
     if through:
         text = sidecar_file.load(through)
         if text.single["listen"] != target:
-            raise Unfit(
+            raise InvalidRequestError(
                 f"its sidecar listens elsewhere than {target[0]}:{target[1]}",
                 through,
                 "name the address in its line `listen`",
@@ -212,5 +212,5 @@
             for name, value in one["told"].items():
                 told[name] = told.get(name, 0) + value if type(value) is int else told.get(name) or value
     if failed:
-        raise Trouble(f"{failed} of {count} processes failed", "", "what they said stands above")
+        raise DirectorError(f"{failed} of {count} processes failed", "", "what they said stands above")
     return figures, told
--- a/indigohitch/load/replay/journal.py
+++ b/indigohitch/load/replay/journal.py
@@ -15,10 +15,10 @@
 
 import orjson
 
-from ...errors import Unreadable
+from ...errors import InvalidDataError
 
 
-class Unusable(Unreadable):
+class Unusable(InvalidDataError):
     """A journal that is of another replay, or damaged."""
 
     remedy = "begin with a new journal, once it is known that the last replay may be sent again"
--- a/indigohitch/load/replay/safety.py
+++ b/indigohitch/load/replay/safety.py
@@ -7,14 +7,14 @@
 
 import hashlib
 
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ..entry import Request
 
 PATH = "/.well-known/indigohitch-stand-in"
 KEY = b"indigohitch stand-in"
 
 
-class Refused(Unfit):
+class Refused(InvalidRequestError):
     """The replay does not begin; the text names the line."""
 
 
--- a/indigohitch/load/replay/schedule.py
+++ b/indigohitch/load/replay/schedule.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ..entry import SECOND, Request
 
 FILTERS = ("rpc", "method", "path", "status")
@@ -16,7 +16,9 @@
     """`rpc=search`, `path=/vacancies/*`; ValueError for anything else."""
     name, equals, pattern = text.partition("=")
     if not equals or name not in FILTERS or not pattern:
-        raise Unfit(f"{text!r}: NAME=PATTERN is wanted, with one of {', '.join(FILTERS)}", "--filter")
+        raise InvalidRequestError(
+            f"{text!r}: NAME=PATTERN is wanted, with one of {', '.join(FILTERS)}", "--filter"
+        )
     return name, pattern
 
 
@@ -48,9 +50,11 @@
 
     def __post_init__(self) -> None:
         if not 0 < self.speed < 1e6:
-            raise Unfit(f"a speed of {self.speed} can't be kept", "--speed", "above 0, under a million")
+            raise InvalidRequestError(
+                f"a speed of {self.speed} can't be kept", "--speed", "above 0, under a million"
+            )
         if not 0 <= self.shard < self.shards:
-            raise Unfit(f"shard {self.shard + 1} of {self.shards}")
+            raise InvalidRequestError(f"shard {self.shard + 1} of {self.shards}")
 
     def text(self) -> str:
         """Of which part of a trace a journal is: stored in its head."""
--- a/indigohitch/load/replay/standins.py
+++ b/indigohitch/load/replay/standins.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from ...errors import Unreadable
+from ...errors import InvalidDataError
 from .safety import PATH, proof
 
 
@@ -42,7 +42,7 @@
         try:
             told = orjson.loads(asked(at, "/stats") or b"{}").get("acts", {})
         except (http.client.HTTPException, ValueError, AttributeError) as bad:
-            raise Unreadable(
+            raise InvalidDataError(
                 f"no answer that can be read: {type(bad).__name__}: {bad}",
                 "{}:{}".format(*at),
                 "once it answers, --resume with the same journal asks it again",
--- a/indigohitch/load/shape/scale.py
+++ b/indigohitch/load/shape/scale.py
@@ -12,7 +12,7 @@
 import numpy as np
 from scipy import stats
 
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ..entry import SECOND, Request
 from .fit import dispersion, gaps_to_rate
 
@@ -52,7 +52,7 @@
 def scaled(requests: Iterable[Request], times: float, seed: int = 1) -> Iterator[Request]:
     """In order of time; `times` is above 0."""
     if not 0 < times <= 1000:
-        raise Unfit(f"{times} times the rate", "--times", "above 0, 1000 at most")
+        raise InvalidRequestError(f"{times} times the rate", "--times", "above 0, 1000 at most")
     draw, held, begin = np.random.default_rng(seed), [], 0
     for request in requests:
         if held and request.at >= begin + WINDOW:
--- a/indigohitch/load/sources/logs.py
+++ b/indigohitch/load/sources/logs.py
@@ -8,7 +8,7 @@
 import orjson
 from apachelogs import COMBINED, COMMON, InvalidEntryError, LogParser
 
-from ...errors import Unfit
+from ...errors import InvalidRequestError
 from ..entry import SECOND, Entry, Unread, path_of
 from .opened import LINE, Truncated, lines
 
@@ -26,9 +26,11 @@
         try:
             self.parser = LogParser(text, encoding="latin-1")
         except ValueError as bad:
-            raise Unfit(f"the format {format!r} can't be read: {bad}", "--format", FORMATS) from None
+            raise InvalidRequestError(
+                f"the format {format!r} can't be read: {bad}", "--format", FORMATS
+            ) from None
         if not any(word in text for word in ("%r", "%U")) or not any(w in text for w in ("%t", "}t")):
-            raise Unfit(
+            raise InvalidRequestError(
                 f"the format {format!r} names no request (%r, %U) or no time (%t)", "--format", FORMATS
             )
 
--- a/indigohitch/load/sources/opened.py
+++ b/indigohitch/load/sources/opened.py
@@ -8,12 +8,12 @@
 import zlib
 from collections.abc import Callable, Iterator
 
-from ...errors import Unreadable
+from ...errors import InvalidDataError
 
 PIECE = 1 << 18  # read at once: large enough for the parsers, small beside their memory
 
 
-class Truncated(Unreadable):
+class Truncated(InvalidDataError):
     """The compressed stream ends, or can't be read, before its end."""
 
 
--- a/indigohitch/load/trace.py
+++ b/indigohitch/load/trace.py
@@ -17,7 +17,7 @@
 import xxhash
 import zstandard
 
-from ..errors import Unfit, Unreadable
+from ..errors import InvalidDataError, InvalidRequestError
 from .entry import Request
 
 MAGIC, VERSION = b"IHTRACE", 1
@@ -25,7 +25,7 @@
 LEVEL = 6  # of zstd: past it packing costs more than it saves
 
 
-class Damaged(Unreadable):
+class Damaged(InvalidDataError):
     """What is no trace, or not whole."""
 
     remedy = "compile it anew from its sources"
@@ -77,7 +77,7 @@
 
         for request in requests:
             if request.at < last:
-                raise Unfit("a trace is written in order of time", path)
+                raise InvalidRequestError("a trace is written in order of time", path)
             last, count, unsafe = request.at, count + 1, unsafe + request.unsafe
             held.append(request)
             if len(held) == BLOCK:
--- a/indigohitch/log.py
+++ b/indigohitch/log.py
@@ -36,7 +36,7 @@
         except OSError:  # nobody reads the log any more, or it is full: go on serving
             self.counts["log_lines_lost"] += 1
 
-    def trouble(self, what: str, **fields) -> None:
+    def warning(self, what: str, **fields) -> None:
         """Counted always, logged as often as the rate allows; what was left out is told with the next."""
         self.counts[what] += 1
         second = self.clock.now() // SECOND
--- a/indigohitch/pidfile.py
+++ b/indigohitch/pidfile.py
@@ -5,7 +5,7 @@
 import os
 
 from .encoding.files import write_whole
-from .errors import told
+from .errors import error_fields
 from .log import Log
 
 
@@ -19,4 +19,4 @@
             try:
                 write_whole(self.path, b"%d\n" % os.getpid())
             except OSError as bad:
-                self.log.trouble("no_pidfile", **told(bad))
+                self.log.warning("no_pidfile", **error_fields(bad))
--- a/indigohitch/platform_protocol/call_log.py
+++ b/indigohitch/platform_protocol/call_log.py
@@ -47,7 +47,7 @@
 
     def held(self, event: str, found: Occupancy, for_tenths: int, **fields) -> None:
         """The call at the head of the queue waits for the bound that `event` names."""
-        self.log.trouble(
+        self.log.warning(
             event,
             after_call=self.number,
             calls=found.waiting,
@@ -59,7 +59,7 @@
 
     def unclear(self, why: str, orders: Sequence[face.Order], answer: Answer) -> None:
         """Whether the call was carried out is not known."""
-        self.log.trouble(
+        self.log.warning(
             "relay_call_unclear",
             call=self.number,
             why=why,
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -146,7 +146,7 @@
                 self.watching = False  # the module hears that it failed and asks anew
                 self._failed(bad, answer)
                 return
-            self.log.trouble("discovery_not_there_yet", why=str(bad), status=answer.status)
+            self.log.warning("discovery_not_there_yet", why=str(bad), status=answer.status)
             self._watch_at(self.loop.clock.now() + min(self.AGAIN << self.tries, SECOND))
             self.tries = min(self.tries + 1, 4)
             return
@@ -167,7 +167,7 @@
             if self._judged(ask, answer).counts and self.watching:
                 self.left = self._ask(client, self.HOLD, False, self._watched)
         except ValueError as bad:
-            self.log.trouble("discovery_left_ended", why=str(bad), after_ms=answer.duration / 10)
+            self.log.warning("discovery_left_ended", why=str(bad), after_ms=answer.duration / 10)
         if self.left is None and self.again is not None:
             self._watch()
 
@@ -178,7 +178,7 @@
             self._failed(bad, answer)
 
     def _failed(self, why: ValueError, answer: Answer) -> None:
-        self.log.trouble("discovery_failed", why=str(why), after_ms=answer.duration / 10)
+        self.log.warning("discovery_failed", why=str(why), after_ms=answer.duration / 10)
         self.tell(face.BackendList("failed", self.version, ()), {})
 
     def _judged(self, ask: Ask, answer: Answer) -> Verdict:
@@ -192,9 +192,9 @@
         verdict = self.generations.judge(ask, news, self.loop.clock.now())
         self.log.count("discovery_answers")
         if verdict is Verdict.BEGUN_ANEW:
-            self.log.trouble("discovery_began_anew", generation=news.version, held=held)
+            self.log.warning("discovery_began_anew", generation=news.version, held=held)
         elif verdict is not Verdict.COUNTS:
-            self.log.trouble("discovery_older", verdict=verdict.value, generation=news.version, held=held)
+            self.log.warning("discovery_older", verdict=verdict.value, generation=news.version, held=held)
         if verdict.counts:
             self.tell(news, addresses)
         return verdict
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -159,7 +159,7 @@
             return
         if departure.done is not None:
             departure.done = None
-            self.log.trouble("line_back_at_leaving", backend=backend, slices=slices[: self.TOLD])
+            self.log.warning("line_back_at_leaving", backend=backend, slices=slices[: self.TOLD])
         bound = self.grace + self.SLACK
         time = self.time.at(now)
         late = [
@@ -171,7 +171,7 @@
         if late:
             departure.late.update(late)
             self.log.count("invariant_drain_overdue", len(late))
-            self.log.trouble(
+            self.log.warning(
                 "drain_overdue",
                 backend=backend,
                 state=departure.state,
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -205,7 +205,7 @@
                 case face.LogMessage(text):
                     self.log.event("decision", text=text)
                 case _:  # Bind, TellPeer: the protocol has no word for them
-                    self.log.trouble("order_without_a_call", order=NO_CALL.get(type(order), "unknown"))
+                    self.log.warning("order_without_a_call", order=NO_CALL.get(type(order), "unknown"))
         if call:
             self.log.count("orders", len(call))
             self.relay.order(call)
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -143,7 +143,7 @@
 
     def restore(self, state: shots.Snapshot, listeners: dict[str, socket.socket]) -> None:
         if state.coordinator is None:
-            raise shots.Unusable(f"the state of a {state.kind}")
+            raise shots.UnusableSnapshotError(f"the state of a {state.kind}")
         self.fresh(listeners)
         self.state, self.taken = state.coordinator, state.taken
         restore_front(self.front, self.state)
--- a/indigohitch/platform_protocol/inbound_connection.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -8,7 +8,7 @@
 from ..log import Log
 from ..net.connection import Connection
 from ..net.loop import Loop
-from .messages import Garbled, Known, Unreadable, report, split, text
+from .messages import GarbledConnectionError, InvalidLineError, Known, report, split, text
 
 
 class Owner(Protocol):
@@ -90,12 +90,12 @@
             else:
                 hub.hear(report(kind, words, hub.known))
                 hub.log.count(f"lines_{kind}")
-        except Garbled as bad:
+        except GarbledConnectionError as bad:
             hub.drop(connection, "connection_garbled", **bad.fields(), line=line[:80])
             return
-        except Unreadable as bad:
+        except InvalidLineError as bad:
             self.spoilt += 1
-            hub.log.trouble("line_spoilt", **bad.fields(), line=line[:80], zone=self.zone)
+            hub.log.warning("line_spoilt", **bad.fields(), line=line[:80], zone=self.zone)
             if not self.zone or self.spoilt >= self.SPOILT:
                 hub.drop(connection, "lines_all_spoilt")
             return
@@ -111,7 +111,7 @@
 
     def join(self, connection: Connection, zone: str) -> None:
         if zone not in self.collectors.known.zones:
-            raise Unreadable("site: no such zone")
+            raise InvalidLineError("site: no such zone")
         if not self.zone:
             self.zone = zone
             connection.incoming.allow(self.MESSAGE + self.STRANGER_LINE)
@@ -121,6 +121,6 @@
     def closed(self, connection: Connection, why: str) -> None:
         log = self.collectors.log
         if len(connection.incoming):
-            log.trouble("line_cut_off", zone=self.zone)
+            log.warning("line_cut_off", zone=self.zone)
         log.count(f"accepted_{why}")
         self.collectors.gone(connection)
--- a/indigohitch/platform_protocol/inbound_connections.py
+++ b/indigohitch/platform_protocol/inbound_connections.py
@@ -48,7 +48,7 @@
         self.strangers: OrderedDict[Connection, None] = OrderedDict()
         self.members: OrderedDict[Connection, None] = OrderedDict()
         self.listener = Listener(
-            loop, at, self.greet, lambda why: log.trouble("accept_failed", why=why), listening
+            loop, at, self.greet, lambda why: log.warning("accept_failed", why=why), listening
         )
         self.sweep: Deadline = loop.after(self.SWEEP, self.drop_late)
 
@@ -59,7 +59,7 @@
             oldest = next(iter(self.strangers), None)
             if oldest is None:
                 if (spare := self.spare_member()) is None:
-                    self.log.trouble("accepted_too_many")
+                    self.log.warning("accepted_too_many")
                     return False
                 self.drop(spare, "collector_dropped_for_room")
                 continue
@@ -104,7 +104,7 @@
         zone = connection.reader.zone
         self.strangers.pop(connection, None)
         self.members[connection] = None
-        self.log.trouble("collector", zone=zone)  # at a bounded rate: some join again and again
+        self.log.warning("collector", zone=zone)  # at a bounded rate: some join again and again
         same = [c for c in self.members if c.reader.zone == zone]
         if len(same) > self.ZONE:
             self.drop(same[0], "collector_replaced")
@@ -115,7 +115,7 @@
 
     def drop(self, connection: Connection, event: str, **fields) -> None:
         """A stranger hears that it is not wanted; nothing is ever written to a collector."""
-        self.log.trouble(event, zone=connection.reader.zone, **fields)
+        self.log.warning(event, zone=connection.reader.zone, **fields)
         connection.reader.answer(connection)
         if not connection.reader.zone:
             connection.write(b"reject\r\n")
--- a/indigohitch/platform_protocol/invariants.py
+++ b/indigohitch/platform_protocol/invariants.py
@@ -105,4 +105,4 @@
 
     def _violated(self, invariant: Invariant, **fields) -> None:
         self.log.count(f"invariant_{invariant.value}")
-        self.log.trouble("invariant_broken", invariant=invariant.value, **fields)
+        self.log.warning("invariant_broken", invariant=invariant.value, **fields)
--- a/indigohitch/platform_protocol/messages.py
+++ b/indigohitch/platform_protocol/messages.py
@@ -11,13 +11,13 @@
 from ..settings import parse_load_report, ticks_from_ms
 
 
-class Unreadable(errors.Unreadable):
+class InvalidLineError(errors.InvalidDataError):
     """A message that is not what the protocol page says."""
 
     remedy = "bring the sender to this program's version of the protocol"
 
 
-class Garbled(errors.Unreadable):
+class GarbledConnectionError(errors.InvalidDataError):
     """What came is no message at all: where the next one begins can't be known."""
 
     remedy = "find who connects there"
@@ -40,34 +40,34 @@
     try:
         value = float(words[name])
     except (KeyError, TypeError, ValueError):
-        raise Unreadable(f"{name}: not a number") from None
+        raise InvalidLineError(f"{name}: not a number") from None
     if not 0 <= value <= MOST:  # nor is NaN
-        raise Unreadable(f"{name}: out of range")
+        raise InvalidLineError(f"{name}: out of range")
     return value
 
 
 def whole(words: Mapping[str, str], name: str) -> int:
     value = words.get(name, "")
     if not (value.isascii() and value.isdigit() and len(value) < 16):
-        raise Unreadable(f"{name}: not a whole number")
+        raise InvalidLineError(f"{name}: not a whole number")
     return int(value)
 
 
 def flag(words: Mapping[str, str], name: str) -> bool:
     if words.get(name) not in ("0", "1"):
-        raise Unreadable(f"{name}: not 0 or 1")
+        raise InvalidLineError(f"{name}: not 0 or 1")
     return words[name] == "1"
 
 
 def text(words: Mapping[str, str], name: str) -> str:
     if not words.get(name):
-        raise Unreadable(f"{name}: missing")
+        raise InvalidLineError(f"{name}: missing")
     return words[name]
 
 
 def listed(words: Mapping[str, str], name: str, among: Container[str]) -> str:
     if text(words, name) not in among:
-        raise Unreadable(f"{name}: does not exist")
+        raise InvalidLineError(f"{name}: does not exist")
     return words[name]
 
 
@@ -79,7 +79,7 @@
             raise ValueError("no kind of message")
         return kind, dict(word.split("=", 1) for word in words)
     except ValueError as bad:
-        raise Garbled(str(bad)) from None
+        raise GarbledConnectionError(str(bad)) from None
 
 
 def _joined(words):
@@ -96,9 +96,9 @@
     """How many, how many failed, and over what time in ms."""
     count, fail, over = whole(words, "count"), whole(words, "fail"), number(words, "over")
     if max(count, fail) > MOST:
-        raise Unreadable("count: out of range")
+        raise InvalidLineError("count: out of range")
     if not 0 < over <= HOUR:
-        raise Unreadable("over: out of range")
+        raise InvalidLineError("over: out of range")
     return count, fail, over
 
 
@@ -108,10 +108,10 @@
 def _traffic(words, known: Known):
     count, fail, over = _sums(words)
     if fail > count:
-        raise Unreadable("fail: more than there were")
+        raise InvalidLineError("fail: more than there were")
     mean = number(words, "mean")
     if mean > HOUR:
-        raise Unreadable("mean: out of range")
+        raise InvalidLineError("mean: out of range")
     pairs = [pair.partition(":")[::2] for pair in filter(None, words.get("util", "").split(","))]
     return face.BackendTraffic(
         listed(words, "site", known.zones),
@@ -126,7 +126,7 @@
 
 def _demand(words, known: Known):
     if whole(words, "range") >= known.slices:
-        raise Unreadable("range: does not exist")
+        raise InvalidLineError("range: does not exist")
     # More may fail than came: what fails in one period came in an earlier one, and is told of good slices.
     count, fail, over = _sums(words)
     return face.SliceDemand(
@@ -144,7 +144,7 @@
 
 def report(kind: str, words: Mapping[str, str], known: Known) -> face.Event:
     if kind not in REPORTS:
-        raise Unreadable(f"{kind}: no such report")
+        raise InvalidLineError(f"{kind}: no such report")
     return REPORTS[kind](words, known)
 
 
--- a/indigohitch/platform_protocol/outbox.py
+++ b/indigohitch/platform_protocol/outbox.py
@@ -38,7 +38,7 @@
             # The relay is out of reach: what waits is bounded by what there is to set, nothing is lost.
             out, later = self.calls.popleft(), self.pending()
             self.calls = deque([out, *pieces(merge(later), self.methods)])
-            self.log.trouble("calls_merged", orders=len(later))
+            self.log.warning("calls_merged", orders=len(later))
 
     def gather(self) -> None:
         """Make as few calls of all that waits as can be, with what is urgent in the first."""
--- a/indigohitch/platform_protocol/probes.py
+++ b/indigohitch/platform_protocol/probes.py
@@ -59,7 +59,7 @@
         try:
             return load_values(orjson.loads(answer.body))
         except (ValueError, TypeError, AttributeError):  # Unreadable is of the first kind
-            self.log.trouble("load_report_unreadable", body=answer.body[:80])
+            self.log.warning("load_report_unreadable", body=answer.body[:80])
             return {}
 
     def close(self) -> None:
--- a/indigohitch/platform_protocol/relay.py
+++ b/indigohitch/platform_protocol/relay.py
@@ -29,7 +29,7 @@
             self._call()
         elif said == "ValidationError":
             # The same again would be turned away again: never in a loop.
-            self.log.trouble("relay_call_invalid", orders=len(orders), first=encode(orders[0], self.methods))
+            self.log.warning("relay_call_invalid", orders=len(orders), first=encode(orders[0], self.methods))
             self._came_to_nothing()
             self._drop(self.waiting.popleft())
             self._call()
@@ -122,7 +122,7 @@
         self.first.settled(more_to_come=bool(self.waiting))
         self.stands(stands)
         if refused:
-            self.log.trouble("order_refused", order=encode(refused[0], self.methods))
+            self.log.warning("order_refused", order=encode(refused[0], self.methods))
             self.dropped(refused)
 
     def close(self) -> None:
--- a/indigohitch/platform_protocol/relay_watch.py
+++ b/indigohitch/platform_protocol/relay_watch.py
@@ -117,19 +117,19 @@
         try:
             self.stream.feed(part)
         except ValueError as bad:  # UnicodeDecodeError and words.Unreadable are of its kind
-            self.log.trouble("news_unreadable", why=str(bad))
+            self.log.warning("news_unreadable", why=str(bad))
             exchange.end("unreadable")
 
     def _said(self, kind: str, data: str) -> None:
         event = event_of(kind, data)
         if event is None:  # of a later version, perhaps: no reason to break off
-            self.log.trouble("news_of_unknown_kind", kind=kind[:40])
+            self.log.warning("news_of_unknown_kind", kind=kind[:40])
             return
         self.log.count(f"news_{kind}")
         self.hearer.news(event)
 
     def _ended(self, exchange: Exchange, answer: Answer) -> None:
-        self.log.trouble("news_lost", why=answer.outcome, status=answer.status, after_ms=answer.duration / 10)
+        self.log.warning("news_lost", why=answer.outcome, status=answer.status, after_ms=answer.duration / 10)
         if exchange is self.current:
             self.current = None
             self.hearer.news_lost()
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -96,7 +96,7 @@
                     self.hear(event)
             case face.StoredRoute(number, backend, weight):
                 if number not in self.fresh and number not in self.stood:
-                    self.log.trouble("line_of_a_slice_not_given", slice=number)
+                    self.log.warning("line_of_a_slice_not_given", slice=number)
                     return
                 if number not in self.fresh:  # a line that comes late joins those told before
                     known = self.stood[number]
--- a/indigohitch/process.py
+++ b/indigohitch/process.py
@@ -37,10 +37,10 @@
 
     def delayed(self, error: OSError) -> None:
         """The start waits for what the system has not got just now."""
-        self.log.trouble("start_delayed", why=str(error))
+        self.log.warning("start_delayed", why=str(error))
 
     def failed(self, broken: BaseException) -> None:
-        self.log.trouble(
+        self.log.warning(
             "defect",
             error=f"{type(broken).__name__}: {broken}"[:500],
             trace="".join(traceback.format_exception(broken))[-2000:],
--- a/indigohitch/replaceable.py
+++ b/indigohitch/replaceable.py
@@ -12,7 +12,7 @@
 
 from .config.texts import Text
 from .control import Control
-from .errors import Trouble, told
+from .errors import DirectorError, error_fields
 from .net.clock import SECOND
 from .net.listener import Listener
 from .pidfile import PidFile
@@ -103,8 +103,10 @@
                 self.side.fresh({})
             self.side.begin(restored)
             self.open_control()
-        except (Trouble, OSError, ValueError, KeyError, TypeError, AttributeError) as bad:
-            self.log.event("cannot_start", **told(bad, "mend the file that this program was started with"))
+        except (DirectorError, OSError, ValueError, KeyError, TypeError, AttributeError) as bad:
+            self.log.event(
+                "cannot_start", **error_fields(bad, "mend the file that this program was started with")
+            )
             self.become(Phase.ENDED)
             return False
         self.begun()
@@ -134,7 +136,7 @@
             try:
                 self.open_control()
             except OSError as bad:
-                self.log.trouble("no_control", **told(bad))
+                self.log.warning("no_control", **error_fields(bad))
         self.pidfile.write()
         self.become(Phase.SERVING)
         if self.taking is not None and self.taking.reload:
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from .errors import told
+from .errors import error_fields
 from .net.clock import SECOND
 from .net.connection import address
 from .net.listener import Listener
@@ -66,7 +66,7 @@
         if passes(bad) and now < until:
             process.loop.after(RELOAD_AGAIN, lambda: reload_front(process, environ, front, done, until))
         else:
-            process.log.trouble("reload_failed", **told(bad, REMEDY))
+            process.log.warning("reload_failed", **error_fields(bad, REMEDY))
     else:
         done()
 
@@ -99,7 +99,7 @@
                 found = made_in_time(lambda: configuration(self.environ, "BALANCER_LISTEN"), self.delayed)
             self.front = Front(self.loop, self.log, found, listening)
         except UNUSABLE as bad:
-            self.log.event("cannot_start", **told(bad, REMEDY))
+            self.log.event("cannot_start", **error_fields(bad, REMEDY))
             self.become(Phase.ENDED)
             return 1
         self.become(Phase.LISTENING)
@@ -128,7 +128,7 @@
             except OSError as held:
                 if held.errno != errno.EADDRINUSE and not passes(held) or self.clock.now() >= until:
                     raise
-                self.log.trouble("address_held", listen=f"{at[0]}:{at[1]}", why=str(held))
+                self.log.warning("address_held", listen=f"{at[0]}:{at[1]}", why=str(held))
             self.loop.after(self.AGAIN, lambda: None)
             self.loop.turn()
         return None
--- a/indigohitch/settings.py
+++ b/indigohitch/settings.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from . import interface as face
-from .errors import Unfit
+from .errors import InvalidRequestError
 
 REMEDY = "mend `settings` in the configuration"
 
@@ -120,14 +120,16 @@
     """Guards against a coordinator that starts, and then fails at every turn."""
     every = found.get("report_every")
     if not isinstance(every, int):
-        raise Unfit("family-info.report-every is missing", "settings", REMEDY)
+        raise InvalidRequestError("family-info.report-every is missing", "settings", REMEDY)
     if every <= 0:
-        raise Unfit(f"family-info.report-every is {every / 10} ms", "settings", REMEDY)
+        raise InvalidRequestError(f"family-info.report-every is {every / 10} ms", "settings", REMEDY)
     if not found["methods"]:
-        raise Unfit("classes names no method", "settings", REMEDY)
+        raise InvalidRequestError("classes names no method", "settings", REMEDY)
     for method in found["methods"]:
         if min(method.soft_deadline, method.deadline) <= 0:
-            raise Unfit(f"{method.name}: aim and deadline have to be above 0", "settings", REMEDY)
+            raise InvalidRequestError(
+                f"{method.name}: aim and deadline have to be above 0", "settings", REMEDY
+            )
 
 
 def parse_settings(params: dict) -> tuple[dict, list[str]]:
@@ -145,7 +147,7 @@
         _usable(found)
         return found, list((params.get("report") or {}).get("columns") or ())
     except (KeyError, TypeError, AttributeError, OverflowError) as bad:
-        raise Unfit(f"{type(bad).__name__}: {bad}", "settings", REMEDY) from None
+        raise InvalidRequestError(f"{type(bad).__name__}: {bad}", "settings", REMEDY) from None
 
 
 def parse_load_report(pairs) -> dict[str, float]:
--- a/indigohitch/sidecar/framing.py
+++ b/indigohitch/sidecar/framing.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from ..errors import Unreadable
+from ..errors import InvalidDataError
 from ..net.ring_buffer import Ring
 
 
-class Malformed(Unreadable):
+class Malformed(InvalidDataError):
     """The body is not framed as its head said."""
 
     remedy = "its sender has to frame it as RFC 9112, 7.1, says"
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -194,7 +194,7 @@
 
     def restore(self, state: shots.Snapshot, listeners: dict[str, socket.socket]) -> None:
         if state.sidecar is None:
-            raise shots.Unusable(f"the state of a {state.kind}")
+            raise shots.UnusableSnapshotError(f"the state of a {state.kind}")
         self.given = listeners
         rows = {row.name: row for row in state.sidecar.pools}
         self.rows, self.taken = rows, state.taken
--- a/indigohitch/sidecar/heads.py
+++ b/indigohitch/sidecar/heads.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from ..errors import Unreadable
+from ..errors import InvalidDataError
 from .framing import Body
 
 # Of the hop, not of the RPC (RFC 9110, 7.6.1).  Framing headers are set anew.
@@ -43,7 +43,7 @@
 }
 
 
-class Refused(Unreadable):
+class Refused(InvalidDataError):
     """A head that is not passed on; `status` says why."""
 
     remedy = "its sender has to write it as RFC 9112 says"
--- a/indigohitch/sidecar/host.py
+++ b/indigohitch/sidecar/host.py
@@ -59,7 +59,7 @@
             self.loop,
             self.text.single["listen"],
             self.greet,
-            lambda why: self.log.trouble("accept_failed", why=why),
+            lambda why: self.log.warning("accept_failed", why=why),
             listening,
         )
 
@@ -68,7 +68,7 @@
 
     def greet(self, sock: socket.socket) -> bool:
         if len(self.clients) >= self.text.limits["clients"]:
-            self.log.trouble("accepted_too_many")
+            self.log.warning("accepted_too_many")
             return False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.take(sock)
--- a/indigohitch/sidecar/passing.py
+++ b/indigohitch/sidecar/passing.py
@@ -48,7 +48,7 @@
         try:
             head = AnswerHead(stream.incoming.take(end), rpc.head.method)
         except Refused as bad:
-            rpc.pool.host.log.trouble("answer_refused", server=rpc.server.name, why=str(bad))
+            rpc.pool.host.log.warning("answer_refused", server=rpc.server.name, why=str(bad))
             rpc.try_failed(request.SENT)
             return None
         if not head.interim:
@@ -71,7 +71,7 @@
                 to.write(out)
                 out = b""
     except Malformed as bad:
-        rpc.pool.host.log.trouble("answer_refused", server=rpc.server.name, why=str(bad))
+        rpc.pool.host.log.warning("answer_refused", server=rpc.server.name, why=str(bad))
         rpc.cut_off()
         return
     if body.done and rpc.chunks:
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -112,7 +112,7 @@
             pairs = [pair.split(":") for pair in report.decode("ascii").split(",")]
             server.load = parse_load_report((name.strip(), float(value)) for name, value in pairs)
         except (ValueError, UnicodeDecodeError):
-            self.host.log.trouble("load_report_unreadable", server=server.name, report=report[:80])
+            self.host.log.warning("load_report_unreadable", server=server.name, report=report[:80])
 
     def report_soon(self) -> None:
         self.report_due = self.host.loop.at(self.reported + self.boot["report_every"], self.report)
--- a/indigohitch/sidecar/rpc.py
+++ b/indigohitch/sidecar/rpc.py
@@ -96,7 +96,7 @@
         try:
             upstream.stream = Stream.dial(host.loop, server.address, upstream)
         except OSError as failed:
-            host.log.trouble("dial_failed", why=failed.strerror)
+            host.log.warning("dial_failed", why=failed.strerror)
             host.loop.after(0, lambda: self.try_failed(request.UNSENT, upstream))
             return
         self.connect_by = host.loop.after(
--- a/indigohitch/sidecar/seating.py
+++ b/indigohitch/sidecar/seating.py
@@ -74,7 +74,7 @@
                 boot, clock = told.decode("ascii").split()
                 self.nodes.heard(self.node(server), boot, int(clock), self.clock.now())
             except ValueError:
-                self.log.trouble("node_clock_unreadable", server=server.name, told=told[:80])
+                self.log.warning("node_clock_unreadable", server=server.name, told=told[:80])
 
     def refused(self, allocation: Allocation, head) -> str:
         """What became of a try that the server took for one without a seat; "" where it did not.  Of one
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -6,7 +6,7 @@
 
 from ..config import sidecar_file
 from ..config.texts import Text
-from ..errors import Unfit, told
+from ..errors import InvalidRequestError, error_fields
 from ..net.file_limits import allow
 from ..replaceable import Replaceable
 from ..upgrade import launch
@@ -60,9 +60,11 @@
         try:
             text = self.file_now()
             if text.pools.keys() != self.text.pools.keys():
-                raise Unfit("other pools", self.source, "`indigohitch upgrade` puts them in force")
+                raise InvalidRequestError(
+                    "other pools", self.source, "`indigohitch upgrade` puts them in force"
+                )
         except (OSError, ValueError) as bad:
-            self.log.trouble("reload_failed", **told(bad))
+            self.log.warning("reload_failed", **error_fields(bad))
             return
         self.log.count("reloads")
         if self.host.access is not None:
@@ -82,7 +84,7 @@
     def close(self) -> None:
         for client in self.host.clients:
             if client.rpc is not None:
-                self.log.trouble("rpc_outlived_the_bound", rpc=client.rpc.route.rpc.name)
+                self.log.warning("rpc_outlived_the_bound", rpc=client.rpc.route.rpc.name)
         self.host.close()
 
 
--- a/indigohitch/statefile.py
+++ b/indigohitch/statefile.py
@@ -4,14 +4,14 @@
 
 import os
 
-from .errors import told
+from .errors import error_fields
 from .log import Log
 from .net.clock import Clock
 from .upgrade import snapshot as shots
 from .upgrade.side import Side
 
 # What a state that does not fit shows itself by.
-UNFIT = (shots.Unusable, ValueError, IndexError, KeyError, TypeError, AttributeError)
+UNFIT = (shots.UnusableSnapshotError, ValueError, IndexError, KeyError, TypeError, AttributeError)
 
 
 class StateFile:
@@ -31,7 +31,9 @@
                 self.clock.follow(state.taken)
             side.restore(state, {})
         except (OSError, *UNFIT) as bad:
-            self.log.trouble("state_refused", path=self.path, **told(bad, shots.Unusable.remedy))
+            self.log.warning(
+                "state_refused", path=self.path, **error_fields(bad, shots.UnusableSnapshotError.remedy)
+            )
             return None
         self.log.event("state_read", path=self.path, age_ms=(self.clock.now() - state.taken) / 10)
         return True
@@ -44,7 +46,7 @@
         try:
             shots.write(self.path, data)
         except OSError as bad:
-            self.log.trouble("state_not_written", path=self.path, **told(bad))
+            self.log.warning("state_not_written", path=self.path, **error_fields(bad))
             return {"error": str(bad)}
         self.log.event("state_written", path=self.path, bytes=len(data))
         return {"path": self.path, "bytes": len(data)}
--- a/indigohitch/upgrade/channel.py
+++ b/indigohitch/upgrade/channel.py
@@ -12,7 +12,7 @@
 from ..net.clock import SECOND
 from ..net.connection import READ, WRITE
 from ..net.loop import Loop
-from .words import WORDS, Broken, Frames, Word, frame
+from .words import WORDS, BrokenFrameError, Frames, Word, frame
 
 
 class Channel:
@@ -115,11 +115,13 @@
             try:
                 for word, count in self.frames.feed(data):
                     if count > len(self.arrived):
-                        raise Broken(f"{type(word).__name__} lacks {count - len(self.arrived)} descriptors")
+                        raise BrokenFrameError(
+                            f"{type(word).__name__} lacks {count - len(self.arrived)} descriptors"
+                        )
                     self.heard(word, [self.arrived.popleft() for _ in range(count)])
                     if not self.open:
                         return
-            except Broken as bad:
+            except BrokenFrameError as bad:
                 self.end(str(bad), True)
                 return
 
--- a/indigohitch/upgrade/giving.py
+++ b/indigohitch/upgrade/giving.py
@@ -205,7 +205,7 @@
 
     def do_reclaim(self) -> None:
         passed = self.passing.back()
-        self.log.trouble("upgrade_taken_back", why=self.machine.result, connections=len(passed))
+        self.log.warning("upgrade_taken_back", why=self.machine.result, connections=len(passed))
         self.side.settle(False)
         self.side.accept(True)
         for connection in passed:
@@ -218,7 +218,7 @@
         self.state = b""
 
     def do_call_off(self) -> None:
-        self.log.trouble("upgrade_called_off", why=self.machine.result)
+        self.log.warning("upgrade_called_off", why=self.machine.result)
         self.say(words.CallOff(self.machine.result), last=True)
         self.side.settle(False)
 
--- a/indigohitch/upgrade/snapshot.py
+++ b/indigohitch/upgrade/snapshot.py
@@ -13,10 +13,10 @@
 
 from ..encoding.files import write_whole as write
 from ..encoding.rows import Row, digest
-from ..errors import Unreadable
+from ..errors import InvalidDataError
 from .module_rows import ModuleRow
 
-__all__ = ["Snapshot", "Unusable", "decode", "digest", "encode", "read", "write"]
+__all__ = ["Snapshot", "UnusableSnapshotError", "decode", "digest", "encode", "read", "write"]
 
 SCHEMA = 1
 MAGIC = b"IHSNAP\r\n"  # as in PNG: a transfer that changes line ends shows itself
@@ -24,7 +24,7 @@
 MOST = 1 << 30
 
 
-class Unusable(Unreadable):
+class UnusableSnapshotError(InvalidDataError):
     """A snapshot that is refused whole."""
 
     remedy = "the program begins without it; remove the file if it is of no use"
@@ -107,26 +107,28 @@
 def decode(data: bytes, own: int = SCHEMA) -> Snapshot:
     """Raises Unusable."""
     if len(data) < _HEAD.size:
-        raise Unusable("truncated: no whole head")
+        raise UnusableSnapshotError("truncated: no whole head")
     magic, version, length, found = _HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise Unusable("no snapshot")
+        raise UnusableSnapshotError("no snapshot")
     if not own - 1 <= version <= own + 1:
-        raise Unusable(f"of version {version}; this program reads {max(1, own - 1)} to {own + 1}")
+        raise UnusableSnapshotError(
+            f"of version {version}; this program reads {max(1, own - 1)} to {own + 1}"
+        )
     body = data[_HEAD.size :]
     if len(body) != length:
-        raise Unusable(f"truncated or added to: {len(body)} bytes of {length}")
+        raise UnusableSnapshotError(f"truncated or added to: {len(body)} bytes of {length}")
     if digest(body, version) != found:
-        raise Unusable("harmed: another digest")
+        raise UnusableSnapshotError("harmed: another digest")
     try:
         return msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as bad:
-        raise Unusable(f"not in this form: {bad}") from None
+        raise UnusableSnapshotError(f"not in this form: {bad}") from None
 
 
 def read(path: str) -> Snapshot:
     """Raises OSError, Unusable."""
     with open(path, "rb") as file:
         if os.fstat(file.fileno()).st_size > MOST:
-            raise Unusable("larger than any state")
+            raise UnusableSnapshotError("larger than any state")
         return decode(file.read())
--- a/indigohitch/upgrade/taking.py
+++ b/indigohitch/upgrade/taking.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from ..errors import told
+from ..errors import error_fields
 from ..log import Log
 from ..net.clock import SECOND
 from ..net.loop import Deadline, Loop
@@ -171,7 +171,7 @@
             self.side.take_rest(self.rest)
             self.side.begin(True)
         except Exception as bad:  # dead it makes room for the old one, which has everything yet
-            self.log.event("cannot_start", **told(bad))
+            self.log.event("cannot_start", **error_fields(bad))
             self.do_end()
             return
         self.say(words.Adopted([number for number, _ in passed]))  # before a byte is read of them
@@ -183,7 +183,7 @@
         """The old one is dead: with the state if it is whole, else as at any start; with its listeners if
         they came, else at the address, which is free now."""
         passed, self.passed = self.passed, []
-        self.log.trouble(
+        self.log.warning(
             "begun_as_orphan",
             restored=self.machine.state,
             listeners=len(self.listeners),
@@ -194,14 +194,14 @@
                 self.side.fresh(self.listeners)
             self.side.begin(self.machine.state)
         except OSError as bad:
-            self.log.event("cannot_start", **told(bad))
+            self.log.event("cannot_start", **error_fields(bad))
             self.ended(1)
             return
         self.adopt(passed)
         self.began()
 
     def do_refuse(self) -> None:
-        self.log.trouble("upgrade_refused", why=self.why)
+        self.log.warning("upgrade_refused", why=self.why)
         self.say(words.Refuse(self.why))
         if self.channel is not None:
             self.channel.flush_hard()
--- a/indigohitch/upgrade/words.py
+++ b/indigohitch/upgrade/words.py
@@ -3,10 +3,10 @@
 
 from __future__ import annotations
 
-from ..encoding.frames import MOST, Broken, Frames, Kinds
+from ..encoding.frames import MOST, BrokenFrameError, Frames, Kinds
 from ..encoding.rows import Row as Word
 
-__all__ = ["MOST", "Broken", "Frames", "Word", "WORDS", "frame"]
+__all__ = ["MOST", "BrokenFrameError", "Frames", "Word", "WORDS", "frame"]
 
 PROTOCOL = 1
 
--- a/indigohitch/versions/commands.py
+++ b/indigohitch/versions/commands.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from ..errors import Unfit
+from ..errors import InvalidRequestError
 from ..net.clock import SECOND
 from .cost import Price
 from .publisher import VersionPublisher
@@ -45,7 +45,7 @@
     name, *rest = [word for word in words if word not in flags] or [""]
     action = ACTIONS.get(name)
     if action is None or flags - FLAGS or len(rest) not in action.arguments:
-        raise Unfit(f"`{' '.join(words)}`", "", USAGE)
+        raise InvalidRequestError(f"`{' '.join(words)}`", "", USAGE)
     return cut(action.run(publisher, Request(now, rest, by, flags)))
 
 
@@ -76,7 +76,7 @@
 def show(publisher: VersionPublisher, request: Request) -> list[str]:
     version = publisher.history.get(request.arguments[0])
     if len(request.arguments) == 2 and not request.arguments[1].isdigit():
-        raise Unfit(f"slice {request.arguments[1]}", "", USAGE)
+        raise InvalidRequestError(f"slice {request.arguments[1]}", "", USAGE)
     some = (
         [(int(request.arguments[1]), version.root.get(int(request.arguments[1])))]
         if len(request.arguments) == 2
@@ -111,7 +111,7 @@
 
 def unpin(publisher: VersionPublisher, request: Request) -> list[str]:
     if publisher.pin is None:
-        raise Unfit("nothing is pinned", "", "`list` says what stands")
+        raise InvalidRequestError("nothing is pinned", "", "`list` says what stands")
     aside = frozenset({"blast", "halted"} if "--anyway" in request.flags else {"blast"})
     made = publisher.unpin(request.now, request.by, aside)
     return [fault.text() for fault in publisher.faults] or [
--- a/indigohitch/versions/delta.py
+++ b/indigohitch/versions/delta.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Sequence
 
-from ..errors import Unfit
+from ..errors import InvalidRequestError
 from .tables import Root, difference
 from .terms import Guard, LineUpdate
 
@@ -114,7 +114,7 @@
                     self.took(LineUpdate(slice, name, 1.0))
                     self.todo[slice].append(LineUpdate(slice, name, 0))
                     return
-        raise Unfit(
+        raise InvalidRequestError(
             "cold backends wait for each other's place, and no warm one can stand in",
             f"slice {slices[0]}",
             "wait until one of them is warm",
--- a/indigohitch/versions/history.py
+++ b/indigohitch/versions/history.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from ..errors import Unfit
+from ..errors import InvalidRequestError
 from .tables import Root
 from .terms import Version
 
@@ -34,7 +34,9 @@
     def add(self, version: Version) -> list[Version]:
         """Returns those forgotten for it.  Raises Unfit for a number that is not new."""
         if self.newest is not None and version.number <= self.newest.number:
-            raise Unfit(f"version {version.number} after {self.newest.number}", "", "numbers only grow")
+            raise InvalidRequestError(
+                f"version {version.number} after {self.newest.number}", "", "numbers only grow"
+            )
         self.by_number[version.number] = version
         self.by_digest[version.root.digest] = version
         return self.forget()
@@ -42,9 +44,11 @@
     def name(self, name: str, number: int) -> None:
         """Raises Unfit."""
         if number not in self.by_number:
-            raise Unfit(f"version {number} is not kept", "", "`show` what is kept, and name one of those")
+            raise InvalidRequestError(
+                f"version {number} is not kept", "", "`show` what is kept, and name one of those"
+            )
         if name not in self.names and len(self.names) >= NAMED:
-            raise Unfit(f"{NAMED} versions have names", name, "take one of the names away")
+            raise InvalidRequestError(f"{NAMED} versions have names", name, "take one of the names away")
         self.names[name] = number
 
     def unname(self, name: str) -> list[Version]:
@@ -59,7 +63,7 @@
             number = int(head)
         found = self.by_number.get(number) if number is not None else None
         if found is None or "-" in text and text not in self.names and found.version_id.text() != text:
-            raise Unfit(f"no version {text}", "", "list those that are kept")
+            raise InvalidRequestError(f"no version {text}", "", "list those that are kept")
         return found
 
     def find(self, digest: bytes) -> Root | None:
--- a/indigohitch/versions/rollout.py
+++ b/indigohitch/versions/rollout.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from ..errors import NotNow
+from ..errors import UnavailableError
 from ..net.clock import SECOND
 from .amends import amended
 from .canary import CanaryAnalysis, HaltBackoff, RequestCounts, Verdict
@@ -57,9 +57,11 @@
         Raises NotNow while there is nothing to go back to; OSError."""
         publisher = self.publisher
         if publisher.current is None or publisher.pin is not None:
-            raise NotNow("nothing to go back to, or a pin stands", "", "push without stages, or unpin first")
+            raise UnavailableError(
+                "nothing to go back to, or a pin stands", "", "push without stages, or unpin first"
+            )
         if now < self.backoff.until:
-            raise NotNow("a push was halted just now", again=self.backoff.until - now)
+            raise UnavailableError("a push was halted just now", again=self.backoff.until - now)
         if self.analysis is None:
             self.baseline = publisher.current
         publisher.store.pin(self.baseline.number, STAGED_BY, now)
--- a/indigohitch/versions/store_records.py
+++ b/indigohitch/versions/store_records.py
@@ -7,9 +7,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..encoding.frames import HEAD, Broken, Kinds
+from ..encoding.frames import HEAD, BrokenFrameError, Kinds
 from ..encoding.rows import Row
-from ..errors import Unreadable
+from ..errors import InvalidDataError
 from .tables import Root, difference
 from .terms import SliceLines, Version, VersionId
 
@@ -58,7 +58,7 @@
 RECORDS = Kinds(MAGIC, 1, [Begun, Made, More, Named, Pinned])
 
 
-class Harmed(Unreadable):
+class Harmed(InvalidDataError):
     remedy = "take the file away: relays are then set whole once, and the named versions are lost"
 
 
@@ -102,7 +102,7 @@
     while at < len(data):
         try:
             found = record(data, at)
-        except Broken as broken:
+        except BrokenFrameError as broken:
             if record_follows(data, at):
                 raise Harmed(broken.what, f"{where}, byte {at}") from None
             break
@@ -114,11 +114,11 @@
 def record(data: bytes, at: int) -> Record:
     """The one that begins there; raises Broken."""
     if len(data) - at < HEAD:
-        raise Broken("it ends within its head")
+        raise BrokenFrameError("it ends within its head")
     protocol, kind, descriptors, length, checksum = RECORDS.head(data, at)
     end = at + HEAD + length
     if end > len(data) or descriptors:
-        raise Broken("it ends early, or its head was changed")
+        raise BrokenFrameError("it ends early, or its head was changed")
     return Record(RECORDS.body(data[at + HEAD : end], protocol, kind, checksum), end)
 
 
@@ -130,6 +130,6 @@
                 return False
             record(data, at)
             return True
-        except Broken:
+        except BrokenFrameError:
             pass
     return False
--- a/indigohitch/versions/tables.py
+++ b/indigohitch/versions/tables.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 
 from ..encoding.rows import digest
-from ..errors import Unfit
+from ..errors import InvalidRequestError
 
 SLICES = 1 << 16  # numbers of tables in the module's orders
 FAN, LEVELS = 16, 4
@@ -29,7 +29,9 @@
         """Raises Unfit for a weight that is not a number above 0."""
         for backend, weight in lines.items():
             if not (math.isfinite(weight) and weight > 0):
-                raise Unfit(f"a weight of {weight}", backend, "give a number above 0, or leave the line out")
+                raise InvalidRequestError(
+                    f"a weight of {weight}", backend, "give a number above 0, or leave the line out"
+                )
         self.lines = dict(sorted(lines.items()))
         said = [f"{backend}\0".encode() + struct.pack("!d", weight) for backend, weight in self.lines.items()]
         self.digest = digest(b"".join(said), 1)
@@ -99,7 +101,7 @@
         """With these slices' lines in place of theirs (none: the slice goes).  Raises Unfit."""
         for slice in changes:
             if not 0 <= slice < SLICES:
-                raise Unfit(f"slice {slice}", "", f"slices have numbers below {SLICES}")
+                raise InvalidRequestError(f"slice {slice}", "", f"slices have numbers below {SLICES}")
         made = [(slice, Table(lines) if lines else None) for slice, lines in changes.items()]
         return Root(grown(self.node, 0, made)) if made else self
 
--- a/proofs/ledger_station.py
+++ b/proofs/ledger_station.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from indigohitch.encoding.rows import Row
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.ledger.machine import Machine
 from indigohitch.fleet.ledger.ports import Snap
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
@@ -54,7 +54,7 @@
             self.shut = self.shut or body.name == self.holder
         elif word == "hold":
             if not self.shut:
-                raise Unfit("it is held")
+                raise InvalidRequestError("it is held")
             self.holder, self.shut = body.name, False
         else:
             self.chain = zlib.crc32(b"%d %d" % (body.number, at.index), self.chain)
--- a/proofs/versions_program.py
+++ b/proofs/versions_program.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from indigohitch.encoding.frames import Broken, Frames
+from indigohitch.encoding.frames import BrokenFrameError, Frames
 from indigohitch.fleet.disk.files import Files
 from indigohitch.versions.checks import Facts
 from indigohitch.versions.publisher import VersionPublisher
@@ -61,7 +61,7 @@
                         writer.write(WORDS.frame(Welcome(connection)))
                     elif connection:
                         self.heard(name, connection, word)
-        except (OSError, Broken):
+        except (OSError, BrokenFrameError):
             pass
         finally:
             writer.transport.abort()
--- a/proofs/versions_relays.py
+++ b/proofs/versions_relays.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from indigohitch.encoding.frames import Broken, Frames
+from indigohitch.encoding.frames import BrokenFrameError, Frames
 from indigohitch.standins.table_relay import TableRelay
 from indigohitch.versions.tables import Root
 from indigohitch.versions.terms import Message, applied
@@ -46,7 +46,7 @@
                 reader, self.writer = await asyncio.open_connection(*self.at)
                 self.writer.write(WORDS.frame(Hello(self.name)))
                 await self.hear(reader)
-            except (OSError, Broken):
+            except (OSError, BrokenFrameError):
                 pass
             finally:
                 if self.writer is not None:
--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from indigohitch.encoding.rows import Row
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.audit.acts import ChainedActs
 from indigohitch.fleet.audit.heads import Heads
 from indigohitch.fleet.audit.work import Auditing
@@ -37,7 +37,7 @@
         if word == "alter":
             self.state_machine.parts["members"].changed(at, "contract", body.hard, SECOND)
         elif body.what in self.held or self.state_machine.parts["members"].unfit(at.proposer, at.incarnation):
-            raise Unfit("held")
+            raise InvalidRequestError("held")
         else:
             self.held[body.what] = (at.proposer, at.incarnation)
 
--- a/tests/golden_files_versions_said.py
+++ b/tests/golden_files_versions_said.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from golden_files import as_json
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.versions.checks import Facts, Fault, faults, weights
 from indigohitch.versions.commands import answer
 from indigohitch.versions.store import Store
@@ -46,7 +46,7 @@
 def told(publisher, words: str) -> list[str]:
     try:
         return answer(publisher, 50, words.split(), "operator")
-    except Unfit as bad:
+    except InvalidRequestError as bad:
         return ["unfit", bad.what, bad.where, bad.remedy]
 
 
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -20,7 +20,7 @@
 from relay_room import Room
 
 PACKAGE = Path(__file__).resolve().parent.parent / "indigohitch"
-TELLS = ("event", "trouble", "held", "drop", "Note")  # calls whose first or second word names an event
+TELLS = ("event", "warning", "held", "drop", "Note")  # calls whose first or second word names an event
 COUNTS = ("count",)
 
 
@@ -46,7 +46,7 @@
                 case "event":
                     log.event(what, **fields)
                 case "trouble":
-                    log.trouble(what, **fields)
+                    log.warning(what, **fields)
                 case "count":
                     log.count(what, fields["by"])
                 case "counters":
--- a/tests/golden_told.py
+++ b/tests/golden_told.py
@@ -13,11 +13,11 @@
 
 ENUMERATIONS = {"service phases": service.Phase, "verdicts": Verdict, "invariants": Invariant}
 ERRORS = {
-    "unreadable": errors.Unreadable,
-    "unfit": errors.Unfit,
-    "not now": errors.NotNow,
-    "line unreadable": messages.Unreadable,
-    "line garbled": messages.Garbled,
+    "unreadable": errors.InvalidDataError,
+    "unfit": errors.InvalidRequestError,
+    "not now": errors.UnavailableError,
+    "line unreadable": messages.InvalidLineError,
+    "line garbled": messages.GarbledConnectionError,
 }
 
 
@@ -44,9 +44,9 @@
 def error(given: dict) -> dict:
     """An error as the fields of a log line, and as the command line tells it."""
     if "errno" in given:
-        return {"fields": errors.told(OSError(getattr(errno, given["errno"]), "so"), given["remedy"])}
+        return {"fields": errors.error_fields(OSError(getattr(errno, given["errno"]), "so"), given["remedy"])}
     found = ERRORS[given["error"]](given["what"], given["where"], given["remedy"])
-    return {"fields": errors.told(found, "not used"), "text": str(found)}
+    return {"fields": errors.error_fields(found, "not used"), "text": str(found)}
 
 
 def enumeration(given: str) -> list[str]:
--- a/tests/test_access_log.py
+++ b/tests/test_access_log.py
@@ -10,7 +10,7 @@
 import pytest
 
 from field import Field
-from indigohitch.config.lines import Mistakes
+from indigohitch.config.lines import ConfigError
 from indigohitch.config.sidecar_file import read
 from indigohitch.load import trace
 from indigohitch.sidecar.access import QUEUE, AccessLog
@@ -51,7 +51,7 @@
         "route GET /x rpc a pool p\n"
     )
     assert read(lines + "access-log /x/y").single["access-log"] == "/x/y"
-    with pytest.raises(Mistakes, match=":6: .*json or combined"):
+    with pytest.raises(ConfigError, match=":6: .*json or combined"):
         read(lines + "access-log-form xml")
 
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -6,7 +6,7 @@
 import pytest
 
 from acting import Acting, begun, found, scrubbed
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.audit.check import acted
 from indigohitch.fleet.audit.files import read
 from indigohitch.fleet.audit.heads import EVIDENCE, KEPT, Head, Heads
@@ -95,10 +95,10 @@
     assert "contradicts" in heads.apply(at, "head", Head("m", 1, 7, b"older"))
     assert [f.kind for f in found(acting)] == ["contradiction"] * 2
     assert heads.of("m", 1).digest == acting.acts.chain.head
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidRequestError):
         heads.apply(At(61, 1, 0, "n", 1), "head", Head("m", 1, 50, b""))
     heads.member_ended(At(62, 1, 0, "l", 1), "m", 1, 0)
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidRequestError):
         heads.apply(at, "head", Head("m", 1, 50, b""))
     other = Heads()
     other.restore(msgspec.msgpack.encode(heads.row()))
--- a/tests/test_batches_contract.py
+++ b/tests/test_batches_contract.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from indigohitch.errors import Unfit, Unreadable
+from indigohitch.errors import InvalidDataError, InvalidRequestError
 from indigohitch.fleet.batches import contract, prices
 from indigohitch.fleet.batches.rows import Band, BatchClass, Contract, Site
 
@@ -80,7 +80,7 @@
     ],
 )
 def test_a_contract_that_can_t_be_says_so(site, classes, what):
-    with pytest.raises(Unfit, match=what) as told:
+    with pytest.raises(InvalidRequestError, match=what) as told:
         contract.check(Contract(1, HOUR // 4, (site,), classes))
     assert told.value.remedy
 
@@ -121,7 +121,7 @@
     ],
 )
 def test_a_spoilt_list_is_refused_with_its_line(change, line):
-    with pytest.raises(Unreadable) as told:
+    with pytest.raises(InvalidDataError) as told:
         prices.read(LIST.replace(*change), "prices.txt", EACH)
     assert told.value.where == f"prices.txt:{line}" and "last good prices stand" in told.value.remedy
 
@@ -139,13 +139,13 @@
     new = prices.read(LIST, "p", EACH)
     now = at("2026-12-02T14:30+01:00")
     prices.check(new, None, b"", now)
-    with pytest.raises(Unfit, match="late"):
+    with pytest.raises(InvalidRequestError, match="late"):
         prices.check(new, None, b"", at("2026-12-02T16:00+01:00"))
     held, known = prices.merged(new, None, 0), prices.fingerprint(new)
     prices.check(new, held, known, now)  # the same again does no harm
-    with pytest.raises(Unfit, match="another list"):
+    with pytest.raises(InvalidRequestError, match="another list"):
         prices.check(prices.read(LIST.replace("24.5", "24.6"), "p", EACH), held, known, now)
-    with pytest.raises(Unfit, match="older"):
+    with pytest.raises(InvalidRequestError, match="older"):
         prices.check(prices.read(LIST.replace("edition 7", "edition 6"), "p", EACH), held, known, now)
 
 
--- a/tests/test_batches_parts.py
+++ b/tests/test_batches_parts.py
@@ -3,8 +3,8 @@
 import pytest
 
 from indigohitch.config import operator_file, sidecar_file
-from indigohitch.config.lines import Mistakes
-from indigohitch.errors import Unfit
+from indigohitch.config.lines import ConfigError
+from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.batches.asking import batch_of, contract_of, word_of
 from indigohitch.fleet.batches.inside import PriceFile
 from indigohitch.fleet.batches.rows import Word
@@ -69,7 +69,7 @@
     if not why:
         assert operator_file.read(FILE.replace(*change)).fleet.parts["batches"][0].slot == 36_000_000
         return
-    with pytest.raises(Mistakes) as told:
+    with pytest.raises(ConfigError) as told:
         operator_file.read(FILE.replace(*change))
     assert (line, True) in [(at, why in text) for at, text in told.value.found], told.value.found
 
@@ -113,12 +113,12 @@
             for wrong in ({"steps": "many"}, {"work": "40"}, {"latest": "2026-12-03T06:00"})
         ),
     ):
-        with pytest.raises(Unfit) as told:
+        with pytest.raises(InvalidRequestError) as told:
             batch_of(spoilt)
         assert "dunning-7" in told.value.remedy
     assert word_of("b.1 from 8") == Word("b.1", "from", 8) and word_of("b.1 done") == Word("b.1", "done")
     for spoilt in ("", "b.1", "b.1 from", "b.1 from x", "b.1 again"):
-        with pytest.raises(Unfit):
+        with pytest.raises(InvalidRequestError):
             word_of(spoilt)
 
 
--- a/tests/test_batches_pieces.py
+++ b/tests/test_batches_pieces.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.batches.part import Batches
 from indigohitch.fleet.batches.rows import (
     Batch,
@@ -49,17 +49,17 @@
 def test_only_its_holder_speaks_of_a_piece():
     part, piece = state_machine_with()
     for who in (("m", 4), ("m", 6), ("n", 5)):
-        with pytest.raises(Unfit):
+        with pytest.raises(InvalidRequestError):
             part.apply(At(6, 1, TRUE, *who), "step", Step("x.0", 1, 4, "done"))
     part.apply(At(6, 1, TRUE, "m", 5), "step", Step("x.0", 1, 2, "rests"))
-    with pytest.raises(Unfit):  # a start that came late, of a piece that was given back
+    with pytest.raises(InvalidRequestError):  # a start that came late, of a piece that was given back
         part.apply(At(7, 1, TRUE, "m", 5), "start", Start("x.0", 2, Stamp("m", 5, 1, 3, 2)))
 
 
 def test_nothing_is_given_to_who_is_gone():
     part, piece = state_machine_with(idempotent=True)
     part.member_gone(At(6, 1, TRUE, "", 0), "m", 5)
-    with pytest.raises(Unfit, match="gone"):
+    with pytest.raises(InvalidRequestError, match="gone"):
         part.apply(At(7, 1, TRUE, "a", 1), "give", Give("x.0", "m", 5))
     part.apply(At(8, 1, TRUE, "a", 1), "give", Give("x.0", "m", 6))
 
@@ -71,9 +71,9 @@
     part, piece = state_machine_with()
     part.member_gone(At(6, 1, TRUE, "", 0), "m", 5)
     assert piece.state is State.UNCLEAR and "lost" in piece.why
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidRequestError):
         part.apply(At(7, 1, TRUE, "m", 5), "step", Step("x.0", 1, 4, "done"))  # of one that was given up
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidRequestError):
         part.apply(At(7, 1, TRUE, "a", 1), "give", Give("x.0", "n", 6))
 
 
@@ -91,7 +91,7 @@
     part, piece = state_machine_with()
     part.member_gone(At(6, 1, TRUE, "", 0), "m", 5)
     if state is None:
-        with pytest.raises(Unfit) as told:
+        with pytest.raises(InvalidRequestError) as told:
             part.apply(At(7, 1, TRUE, "op", 1), "word", Word("x.0", word, step))
         assert told.value.remedy and piece.state is State.UNCLEAR
         return
@@ -126,6 +126,6 @@
     placing = Placing("eros", kind, tuple((TRUE + a * SECOND, TRUE + b * SECOND) for a, b in runs))
     try:
         assert part.apply(At(3, 1, TRUE, "a", 1), "plan", PlanBody(base, {"x.0": placing})) == 0
-    except Unfit:
+    except InvalidRequestError:
         assert base
     assert part.pieces.all["x.0"].placing is None and part.version == 0
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from indigohitch.cli import main
-from indigohitch.errors import NotNow, Trouble, told
+from indigohitch.errors import DirectorError, UnavailableError, error_fields
 from test_directives import TEXT
 
 COMMON = b'10.0.0.1 - - [10/Oct/2025:13:55:36 +0000] "GET /a/%d HTTP/1.1" 200 23\n'
@@ -34,12 +34,12 @@
 
 
 def test_a_trouble_is_told_whole():
-    bad = Trouble("it broke", "a.log:3", "mend it")
+    bad = DirectorError("it broke", "a.log:3", "mend it")
     assert str(bad) == "a.log:3: it broke (mend it)"
-    assert told(bad) == {"why": "it broke", "where": "a.log:3", "remedy": "mend it"}
-    assert str(NotNow("no", again=7)) == "no" and NotNow("no", again=7).again == 7
-    assert told(OSError(errno.EADDRINUSE, "in use"))["remedy"].startswith("free the address")
-    assert told(KeyError("listen"), "mend it") == {"why": "KeyError: 'listen'", "remedy": "mend it"}
+    assert error_fields(bad) == {"why": "it broke", "where": "a.log:3", "remedy": "mend it"}
+    assert str(UnavailableError("no", again=7)) == "no" and UnavailableError("no", again=7).again == 7
+    assert error_fields(OSError(errno.EADDRINUSE, "in use"))["remedy"].startswith("free the address")
+    assert error_fields(KeyError("listen"), "mend it") == {"why": "KeyError: 'listen'", "remedy": "mend it"}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_directives.py
+++ b/tests/test_directives.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from indigohitch.config.lines import Mistakes
+from indigohitch.config.lines import ConfigError
 from indigohitch.config.sidecar_file import read
 
 TEXT = """listen 127.0.0.1:1
@@ -56,14 +56,14 @@
     ],
 )
 def test_every_mistake_is_told_with_its_line(line, why):
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         read(TEXT + "\n" + line + "\n", "f.conf")
     assert [at for at, _ in found.value.found] == [7] and why in str(found.value)
     assert str(found.value).startswith("f.conf:7: ")
 
 
 def test_all_mistakes_are_told_at_once():
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         read("nothing\nwait drain 3\n")
     assert [at for at, _ in found.value.found] == [1, 2, 3]
 
@@ -85,7 +85,7 @@
     ],
 )
 def test_one_line_tells_all_its_mistakes(line, whys):
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         read(TEXT + "\n" + line + "\n")
     told = [why for at, why in found.value.found if at == 7]
     assert len(told) == len(whys) == len(found.value.found)
@@ -93,6 +93,6 @@
 
 
 def test_what_follows_from_a_mistake_is_not_told_again():
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         read(TEXT.replace("slices 8", "slices 0").replace("soft 1s", "soft 1"))
     assert [at for at, _ in found.value.found] == [2, 3]
--- a/tests/test_directives_any.py
+++ b/tests/test_directives_any.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from indigohitch.config import either, operator_file, sidecar_file
-from indigohitch.config.lines import Mistakes
+from indigohitch.config.lines import ConfigError
 from test_directives import TEXT
 from test_directives_fleet import FLEET
 
@@ -52,7 +52,7 @@
 def test_any_text_is_read_or_each_mistake_has_its_line(read, text):
     try:
         found = read(text, "f")
-    except Mistakes as bad:
+    except ConfigError as bad:
         end = len((text + " ").splitlines())
         assert bad.found and all(1 <= line <= end and why for line, why in bad.found)
         assert len(set(bad.found)) == len(bad.found) == str(bad).count("f:")
--- a/tests/test_directives_batches.py
+++ b/tests/test_directives_batches.py
@@ -5,7 +5,7 @@
 
 from indigohitch.cli import main
 from indigohitch.config import operator_file
-from indigohitch.config.lines import Mistakes
+from indigohitch.config.lines import ConfigError
 from test_directives_fleet import FLEET
 
 SITE = "edition 1\nsite eros zone Europe/Berlin holidays DE-BE\nlanes eros std 8\n"
@@ -31,7 +31,7 @@
     ],
 )
 def test_every_mistake_of_batches_is_told_once_with_its_line(line, why):
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         operator_file.read(FLEET + SITE + line + "\n", "f")
     at = 11 if line.startswith("\n") else 10
     assert [line for line, _ in found.value.found] == [at] and why in found.value.found[0][1]
--- a/tests/test_directives_distribution.py
+++ b/tests/test_directives_distribution.py
@@ -3,7 +3,7 @@
 import pytest
 
 from indigohitch.config import operator_file, sidecar_file
-from indigohitch.config.lines import Mistakes
+from indigohitch.config.lines import ConfigError
 from test_directives import TEXT
 from test_directives_fleet import FLEET
 
@@ -17,7 +17,7 @@
 
 
 def mistakes(text, read=operator_file.read):
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         read(text)
     return found.value.found
 
--- a/tests/test_directives_fleet.py
+++ b/tests/test_directives_fleet.py
@@ -4,7 +4,7 @@
 
 from indigohitch.config import either, operator_file, sidecar_file
 from indigohitch.config.fleet import FleetText
-from indigohitch.config.lines import Mistakes, Reader, Vocabulary
+from indigohitch.config.lines import ConfigError, Reader, Vocabulary
 from test_directives import TEXT
 
 FLEET = """name n1
@@ -72,7 +72,7 @@
     ],
 )
 def test_every_mistake_of_a_fleet_is_told_with_its_line(line, at, why):
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         operator_file.read(FLEET + line + "\n", "f")
     assert [line for line, _ in found.value.found] == [at] and why in found.value.found[0][1]
 
@@ -86,27 +86,27 @@
     ],
 )
 def test_what_a_fleet_lacks_is_told(gone, at, why):
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         operator_file.read(FLEET.replace(gone, ""))
     assert [line for line, _ in found.value.found] == [at] and why in str(found.value)
 
 
 def test_words_of_a_fleet_need_one():
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         operator_file.read(FLEET.replace("fleet whk\n", "\n") + "wait lease 3s\nlimit ledger 1MB\n")
     assert [line for line, _ in found.value.found] == [3, 4, 5, 6, 7, 8]
     assert all("without a line `fleet`" in why for _, why in found.value.found)
 
 
 def test_somebody_votes():
-    with pytest.raises(Mistakes, match=":2: no member votes"):
+    with pytest.raises(ConfigError, match=":2: no member votes"):
         operator_file.read(FLEET.replace("votes", "follows"))
 
 
 def test_a_sidecar_only_follows_and_has_an_address_of_its_own():
-    with pytest.raises(Mistakes, match=":8: n1 is a sidecar"):
+    with pytest.raises(ConfigError, match=":8: n1 is a sidecar"):
         sidecar_file.read(TEXT + FLEET)
-    with pytest.raises(Mistakes, match=":10: the sidecar listens for its clients"):
+    with pytest.raises(ConfigError, match=":10: the sidecar listens for its clients"):
         sidecar_file.read(TEXT + FLEET.replace("n1\n", "eros-1\n", 1).replace(":7409", ":1"))
 
 
@@ -129,7 +129,7 @@
     reader = Reader("f", (VOCABULARY, own, Vocabulary({"contract": further})))
     try:
         assert len(reader.read(text).found(FleetText).parts["contract"]) == 1 and not found
-    except Mistakes as bad:
+    except ConfigError as bad:
         assert [line for line, _ in bad.found] == found
 
 
@@ -148,5 +148,5 @@
     file.write_bytes(b"\xef\xbb\xbf" + FLEET.encode())  # some editors put a mark before the text
     assert either.load(str(file)).fleet.me == "n1"
     file.write_bytes(TEXT.encode() + b"name \xff\n")
-    with pytest.raises(Mistakes, match=":6: not UTF-8"):
+    with pytest.raises(ConfigError, match=":6: not UTF-8"):
         either.load(str(file))
--- a/tests/test_directives_seats.py
+++ b/tests/test_directives_seats.py
@@ -3,7 +3,7 @@
 import pytest
 
 from indigohitch.config import operator_file, sidecar_file
-from indigohitch.config.lines import Mistakes
+from indigohitch.config.lines import ConfigError
 from indigohitch.fleet.seats.configured import contract_of
 from indigohitch.fleet.seats.contract import Contract, Terms
 from test_directives import TEXT
@@ -53,7 +53,7 @@
     ],
 )
 def test_mistakes_of_a_contract(line, why):
-    with pytest.raises(Mistakes) as found:
+    with pytest.raises(ConfigError) as found:
         sidecar_file.read(WHOLE + line + "\n")
     assert why in found.value.text() and len(found.value.found) == 1
 
@@ -63,5 +63,5 @@
         ("edition 3\n", "no line `edition`|without a line `edition`"),
         ("seat-tenant X-Tenant\n", "no line `seat-tenant`"),
     ):
-        with pytest.raises(Mistakes, match=why):
+        with pytest.raises(ConfigError, match=why):
             sidecar_file.read((WHOLE + "seats geocoder 4 keep a=1\n").replace(gone, ""))
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -5,7 +5,7 @@
 import pytest
 
 from disks import MEMBERS, Bench, Faulty, entry, held
-from indigohitch.errors import NotNow, Unreadable
+from indigohitch.errors import InvalidDataError, UnavailableError
 from indigohitch.fleet.disk.records import Harmed
 from indigohitch.fleet.disk.store import State
 from indigohitch.fleet.ledger.ports import Ballot, DiskBack, DiskFailed, Snap, Snapped, Write, Written
@@ -25,7 +25,7 @@
 
 def test_two_processes_never_share_a_folder(tmp_path):
     bench = Bench(tmp_path).founded()
-    with pytest.raises(NotNow, match="another process"):
+    with pytest.raises(UnavailableError, match="another process"):
         Bench(tmp_path).disk.open()
     bench.close()
     assert held(tmp_path) is not None
@@ -35,7 +35,7 @@
     Bench(tmp_path).founded().close()
     bench = Bench(tmp_path)
     bench.disk.folder.identity.name = "b"
-    with pytest.raises(Unreadable, match="the disk of a"):
+    with pytest.raises(InvalidDataError, match="the disk of a"):
         bench.disk.open()
 
 
--- a/tests/test_distribution_catalogue.py
+++ b/tests/test_distribution_catalogue.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from indigohitch.errors import Unfit, Unreadable
+from indigohitch.errors import InvalidDataError, InvalidRequestError
 from indigohitch.fleet.distribution import catalogue as catalogue_module
 from indigohitch.fleet.distribution.catalogue import Catalogue
 from indigohitch.fleet.distribution.holding import decoded
@@ -90,7 +90,7 @@
             assert bytes(other.catalogue.change(service, since)) == bytes(
                 part.catalogue.change(service, since)
             )
-    with pytest.raises(Unreadable):
+    with pytest.raises(InvalidDataError):
         other.restore(b"\xc1")
 
 
@@ -118,6 +118,6 @@
 )
 def test_what_is_out_of_bounds_is_refused_and_changes_nothing(services):
     part = Distribution()
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidRequestError):
         part.apply(at(1), "set", Set(services))
     assert not part.catalogue.services
--- a/tests/test_fleet_hours.py
+++ b/tests/test_fleet_hours.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet import hours
 from indigohitch.fleet.hours import Hours, HoursWork, Running, Tick, proposed
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
@@ -119,7 +119,7 @@
     part = Hours()
     state_machine = ReplicatedStateMachine([part])
     part.apply(None, "tick", Tick(10))
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidRequestError):
         part.apply(None, "tick", Tick(10))
     assert state_machine.time == 10
 
--- a/tests/test_fleet_state_machine.py
+++ b/tests/test_fleet_state_machine.py
@@ -6,7 +6,7 @@
 import pytest
 
 from indigohitch.encoding.rows import Row
-from indigohitch.errors import Unfit, Unreadable
+from indigohitch.errors import InvalidDataError, InvalidRequestError
 from indigohitch.fleet.state_machine import WINDOW, ReplicatedStateMachine
 from indigohitch.fleet.terms import Entry
 
@@ -24,7 +24,7 @@
 
     def apply(self, at, word, body):
         if body.much < 0:
-            raise Unfit("below 0")
+            raise InvalidRequestError("below 0")
         self.sums[body.what] = self.sums.get(body.what, 0) + body.much
         return self.sums[body.what]
 
@@ -59,7 +59,7 @@
     assert state_machine.parts["sums"].sums == {} and state_machine.apply(Entry(5, 2, "", b"")).refused == ""
     with pytest.raises(ValueError):
         state_machine.apply(entry(5, 5))
-    with pytest.raises(Unreadable):
+    with pytest.raises(InvalidDataError):
         ReplicatedStateMachine([Sums()]).restore(b"\x93")
 
 
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -48,7 +48,7 @@
     def event(self, *_, **__):
         pass
 
-    trouble = event
+    warning = event
 
     def hear(self, *events):
         for e in events:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -116,9 +116,9 @@
     os.set_blocking(write, False)
     log = Log(hours, "n0", write)
     for _ in range(100):
-        log.trouble("line_unreadable", why=b"\xff")
+        log.warning("line_unreadable", why=b"\xff")
     hours.time += 10_000
-    log.trouble("line_unreadable")
+    log.warning("line_unreadable")
     lines = [orjson.loads(line) for line in os.read(read, 1 << 16).splitlines()]
     assert len(lines) == Log.RATE + 1 and lines[-1]["left_out"] == 100 - Log.RATE
     assert log.counts["line_unreadable"] == 101 and lines[0]["coordinator"] == "n0"
@@ -133,7 +133,7 @@
     read, write = os.pipe()
     os.set_blocking(write, False)
     log = Log(Hours(), "n0", write)
-    log.trouble("line_spoilt", why="x" * (1 << 20), line=b"x" * 80)
+    log.warning("line_spoilt", why="x" * (1 << 20), line=b"x" * 80)
     (line,) = os.read(read, 1 << 20).splitlines()
     assert len(line) < 4096 and orjson.loads(line)["why"] == "x" * 1000
     log.event("reloaded", needs_restart=["settings"] * 20_000)  # more than the pipe takes at once
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -6,7 +6,7 @@
 import pytest
 
 from disks import Faulty
-from indigohitch.errors import NotNow
+from indigohitch.errors import UnavailableError
 from indigohitch.fleet.members.work import Phase as Member
 from indigohitch.fleet.node.node import Node
 from indigohitch.fleet.node.phases import Phase
@@ -123,7 +123,7 @@
     for name in [n for n in world.nodes if n != leader]:
         world.kill(name)
     told = []
-    with pytest.raises(NotNow) as full:
+    with pytest.raises(UnavailableError) as full:
         for _ in range(1000):
             world.nodes[leader].traffic.propose("notes.add", b"\x91\xa1x", told.append)
     assert full.value.again > 0 and len(world.nodes[leader].traffic.proposals.open) < 200
--- a/tests/test_node_inside.py
+++ b/tests/test_node_inside.py
@@ -3,7 +3,7 @@
 import pytest
 
 from indigohitch.config.fleet import MemberText
-from indigohitch.errors import NotNow
+from indigohitch.errors import UnavailableError
 from indigohitch.fleet.node import inside as within
 from indigohitch.fleet.node.alone import Bare
 from indigohitch.fleet.node.asked import Asked
@@ -88,7 +88,7 @@
     second = Inside(world.loop, log, world.text("v1"), True, True, world.ended.append)
     second.open()  # an upgrade's new process while the old one has it still
     assert second.node is None and log.said("member_not_open")[0]["remedy"]
-    with pytest.raises(NotNow):
+    with pytest.raises(UnavailableError):
         Inside(world.loop, log, world.text("v1"), True, False, world.ended.append).open()
     world.kill("v1")
     world.until(lambda: second.node is not None)
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from indigohitch.errors import NotNow
+from indigohitch.errors import UnavailableError
 from indigohitch.fleet.ledger.ports import Members
 from indigohitch.fleet.links.words import Welcome
 from indigohitch.fleet.node.founding import Admission, Way, way
@@ -37,7 +37,7 @@
                     lambda outcome, n=put: answers.setdefault(n, []).append(outcome),
                 )
                 put += 1
-            except NotNow:
+            except UnavailableError:
                 assert len(proposals.open) >= MOST or put - min(proposals.open) > MOST
         for one in proposals.due(now):
             if chance.random() < 0.8:
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -9,7 +9,14 @@
 from indigohitch.platform_protocol import stored_tables
 from indigohitch.platform_protocol.call_codec import BYTES, encode, merge, pieces, read_answer
 from indigohitch.platform_protocol.discovery import read_list
-from indigohitch.platform_protocol.messages import NEWS, Garbled, Known, Unreadable, report, split
+from indigohitch.platform_protocol.messages import (
+    NEWS,
+    GarbledConnectionError,
+    InvalidLineError,
+    Known,
+    report,
+    split,
+)
 from indigohitch.platform_protocol.relay_watch import EventStream
 
 
@@ -139,17 +146,17 @@
                 if (name, value) in (("util", None), ("util", "")):
                     assert report(kind, changed, known).load == {}  # may be missing
                     continue
-                with pytest.raises(Unreadable):
+                with pytest.raises(InvalidLineError):
                     report(kind, changed, known)
     late = report("range_stats", split(demand.encode())[1] | {"count": "0", "fail": "2"}, known)
     assert (late.total, late.unanswered) == (0, 2)  # what came earlier: no collector's fault
-    with pytest.raises(Unreadable):
+    with pytest.raises(InvalidLineError):
         report("upstream_stats", split(traffic.encode())[1] | {"count": "2", "fail": "3"}, known)
     for util in ("inflight", "inflight:x", "inflight:7,util:-1", "inflight:nan", "inflight:1e30"):
-        with pytest.raises(Unreadable):
+        with pytest.raises(InvalidLineError):
             report("upstream_stats", split(traffic.encode())[1] | {"util": util}, known)
     for line in (b"", b"\xff a=1", b"range_stats range", b"GET / HTTP/1.1", b"a\0b=1", b"-1 a=1"):
-        with pytest.raises(Garbled):
+        with pytest.raises(GarbledConnectionError):
             split(line)
     assert NEWS["attach"](words("id=17 site=a rps=21.5 new=1")) == face.ProxyJoined(17, "a", 21.5, True)
     assert NEWS["owner"](words("range=88 flag=0")) == face.SliceOwnership(88, False)
@@ -161,7 +168,7 @@
         ("detach", "id=" + "9" * 40),
         ("entry", "range=88 target=s rps=1e999"),
     ):
-        with pytest.raises(Unreadable):
+        with pytest.raises(InvalidLineError):
             NEWS[kind](words(text))
 
 
--- a/tests/test_seats_part.py
+++ b/tests/test_seats_part.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.ports import At
 from indigohitch.fleet.seats.allocator import Allocation, SeatAllocator, SeatSettings
 from indigohitch.fleet.seats.contract import Contract, Grant, Recall, Return, Terms
@@ -58,12 +58,12 @@
 def test_nothing_is_granted_beyond_the_contract_or_to_one_that_is_gone():
     one = One(Terms("geo", 3, keep=(("ta", 1),)))
     for pool, count in (("", 3), ("ta", 2), ("tb", 1)):
-        with pytest.raises(Unfit):
+        with pytest.raises(InvalidRequestError):
             one.grant(count, pool=pool)
     one.grant(2)
     one.part.member_gone(At(9, 1, 0, "lead", 1), "a", 1)
     assert not one.part.features["geo"].held()
-    with pytest.raises(Unfit, match="gone"):
+    with pytest.raises(InvalidRequestError, match="gone"):
         one.grant(1)
     one.grant(2, incarnation=2)
 
@@ -84,7 +84,7 @@
     one.contract(Terms("geo", 4, drain=5 * SECOND))
     found = one.part.features["geo"]
     assert {k[1]: s.net for k, s in found.shares.items()} == {"a": 1, "b": 1, "c": 2} and found.over() == 8
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidRequestError):
         one.grant(1, "c")
     out = [one.ask() for _ in range(2)]  # a keeps one: the other six are owed
     assert out[0] and not out[1]
@@ -98,7 +98,7 @@
     one = One(Terms("geo", 2))
     one.does("contract", Contract(1, (Terms("geo", 2),)))
     for edition, seats in ((1, 3), (0, 2), (2, 0)):
-        with pytest.raises(Unfit):
+        with pytest.raises(InvalidRequestError):
             one.does("contract", Contract(edition, (Terms("geo", seats),)))
     one.grant(1)
     one.does("contract", Contract(2, ()))
--- a/tests/test_subscribed_backends.py
+++ b/tests/test_subscribed_backends.py
@@ -6,7 +6,7 @@
 import pytest
 
 from indigohitch import interface as face
-from indigohitch.backend_subscription.errors import UnreadableInstance
+from indigohitch.backend_subscription.errors import InvalidInstanceError
 from indigohitch.backend_subscription.instances import Instances, read_instance
 from indigohitch.backend_subscription.source import SubscribedBackends
 
@@ -34,7 +34,7 @@
     def __init__(self):
         self.said, self.counted = [], []
 
-    def trouble(self, event, **fields):
+    def warning(self, event, **fields):
         self.said.append((event, fields))
 
     def count(self, name):
@@ -150,7 +150,7 @@
     ],
 )
 def test_what_is_no_entry_of_discovery_is_refused(wrong):
-    with pytest.raises(UnreadableInstance):
+    with pytest.raises(InvalidInstanceError):
         read_instance("maps", "a", wrong)
 
 
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -109,14 +109,14 @@
     assert shots.decode(data).taken == 7
     rng = random.Random(1)
     for cut in [0, 1, 30, len(data) - 1, *(rng.randrange(len(data)) for _ in range(200))]:
-        with pytest.raises(shots.Unusable):
+        with pytest.raises(shots.UnusableSnapshotError):
             shots.decode(data[:cut])
     for _ in range(2000):
         harmed = bytearray(data)
         harmed[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
-        with pytest.raises(shots.Unusable):
+        with pytest.raises(shots.UnusableSnapshotError):
             shots.decode(bytes(harmed))
-    with pytest.raises(shots.Unusable):
+    with pytest.raises(shots.UnusableSnapshotError):
         shots.decode(data + b"x")
 
 
@@ -137,7 +137,7 @@
     if read:
         assert shots.decode(data).coordinator.module == module
     else:
-        with pytest.raises(shots.Unusable, match="version"):
+        with pytest.raises(shots.UnusableSnapshotError, match="version"):
             shots.decode(data)
 
 
@@ -154,7 +154,7 @@
     monkeypatch.undo()
     assert (tmp_path / "state").read_bytes() == b"first" and os.listdir(tmp_path) == ["state"]
     (tmp_path / "state").write_bytes(shots.encode(shot())[:1000])  # as a disk that is full leaves it
-    with pytest.raises(shots.Unusable, match="truncated"):
+    with pytest.raises(shots.UnusableSnapshotError, match="truncated"):
         shots.read(path)
 
 
--- a/tests/test_versions_canary.py
+++ b/tests/test_versions_canary.py
@@ -5,7 +5,7 @@
 import pytest
 from scipy.stats import fisher_exact
 
-from indigohitch.errors import NotNow
+from indigohitch.errors import UnavailableError
 from indigohitch.versions.canary import SIGNIFICANCE, CanaryAnalysis, RequestCounts, Verdict, p_value
 from indigohitch.versions.checks import Facts
 from tests.publishing import FACTS, READY, Room, moved
@@ -26,7 +26,7 @@
     room.go()
     assert all(relay.root == good.root for relay in room.relays.values()) and room.publisher.pin.by == "halt"
     assert room.publisher.unpin(4, "op") is None and room.publisher.faults[0].rule == "halted"
-    with pytest.raises(NotNow):
+    with pytest.raises(UnavailableError):
         room.publisher.rollout.begin(5)
 
 
--- a/tests/test_versions_commands.py
+++ b/tests/test_versions_commands.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.versions.checks import Facts
 from indigohitch.versions.commands import answer
 from tests.publishing import FACTS, READY, Room, moved
@@ -61,6 +61,6 @@
     ],
 )
 def test_what_can_not_be_is_refused_with_a_remedy(words):
-    with pytest.raises(Unfit) as bad:
+    with pytest.raises(InvalidRequestError) as bad:
         answer(Room().publisher, 1, words, "op")
     assert bad.value.remedy
--- a/tests/test_versions_publisher.py
+++ b/tests/test_versions_publisher.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.versions import checks
 from indigohitch.versions.checks import Facts
 from indigohitch.versions.history import VersionHistory
@@ -216,7 +216,7 @@
     history.count_holder([roots[2].digest], [])
     history.unname("good")
     assert list(history.by_number) == [18, 19, 20]
-    with pytest.raises(Unfit):
+    with pytest.raises(InvalidRequestError):
         history.get(5)
     assert history.get(history.get(19).version_id.text()).number == 19
 
--- a/tests/test_versions_store.py
+++ b/tests/test_versions_store.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from indigohitch.errors import Unfit
+from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.disk.files import Files
 from indigohitch.versions.store import Store
 from indigohitch.versions.store_records import Harmed, read
@@ -125,7 +125,7 @@
         number = max(self.made, default=0) - back
         try:
             self.store.name(name, max(0, number))
-        except Unfit:
+        except InvalidRequestError:
             assert number not in self.store.history.by_number
             return
         self.names.pop(name, None)
