--- a/benchmarks/capacitykit/entries_cell.py
+++ b/benchmarks/capacitykit/entries_cell.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from indigohitch.encoding.frames import Frames
+from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.disk.records import RECORDS, Group, One
 from indigohitch.fleet.ledger.ports import Commit, Heard, Propose, Write
 from indigohitch.fleet.ledger.words import Append, Appended
@@ -89,7 +89,7 @@
 
     def hear() -> None:
         for frame in frames:
-            for word, _ in Frames(KINDS).feed(frame):
+            for word, _ in FrameDecoder(KINDS).feed(frame):
                 applied.carry_out(voter.step(Heard(members.voters[0], word)))
 
     spent, _ = processor_ms(hear)
--- a/benchmarks/capacitykit/leases_cell.py
+++ b/benchmarks/capacitykit/leases_cell.py
@@ -5,7 +5,7 @@
 
 import statistics
 
-from indigohitch.encoding.frames import Frames
+from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.audit.heads import Heads
 from indigohitch.fleet.hours import Hours
 from indigohitch.fleet.members.entries import Join, Life
@@ -60,7 +60,7 @@
         """All of them heard, one confirmed read for as many as wait, and the answers encoded."""
         out = []
         for name, frame in zip(self.names, frames):
-            for word, _ in Frames(KINDS).feed(frame):
+            for word, _ in FrameDecoder(KINDS).feed(frame):
                 out += self.membership.heard(self.now, name, word)
         answers = []
         while out:
--- a/benchmarks/capacitykit/ledger_cell.py
+++ b/benchmarks/capacitykit/ledger_cell.py
@@ -7,7 +7,7 @@
 import statistics
 from collections.abc import Iterable
 
-from indigohitch.encoding.frames import Frames
+from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.ledger.machine import Machine
 from indigohitch.fleet.ledger.members import encoded
 from indigohitch.fleet.ledger.ports import (
@@ -84,7 +84,7 @@
         """An answer of each, decoded as it comes off a connection."""
         outputs = []
         for who, frame in zip(self.others, frames):
-            for word, _ in Frames(KINDS).feed(frame):
+            for word, _ in FrameDecoder(KINDS).feed(frame):
                 outputs += self.step(Heard(who, word))
         return outputs
 
@@ -152,7 +152,7 @@
 
         def hear(frame=frame) -> list[bytes]:
             outputs = []
-            for word, _ in Frames(KINDS).feed(frame):
+            for word, _ in FrameDecoder(KINDS).feed(frame):
                 outputs += one.step(Heard(leader, word))
             return frames_of(outputs)
 
--- a/benchmarks/capacitykit/links_cell.py
+++ b/benchmarks/capacitykit/links_cell.py
@@ -20,7 +20,7 @@
 from indigohitch.fleet.terms import Who
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from waiting import free_address
 
 from .measuring import Memory
@@ -41,7 +41,7 @@
 
     def __init__(self, connections: int) -> None:
         self.clock = Clock()
-        self.loop = Loop(self.clock, self.failed)
+        self.loop = EventLoop(self.clock, self.failed)
         self.log = Log(self.clock, "near", out=-1)  # lines are lost, and counted
         self.links = Links(self.loop, self.log, KINDS, FLEET, Who("near", 1), 1, lambda: 0.5)
         self.heard = 0
--- a/benchmarks/capacitykit/links_far.py
+++ b/benchmarks/capacitykit/links_far.py
@@ -12,7 +12,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "benchmarks"), str(ROOT / "tests")]
 
 from capacitykit.links_cell import FLEET, KINDS, listeners, said_frame  # noqa: E402
-from indigohitch.encoding.frames import Frames  # noqa: E402
+from indigohitch.encoding.frames import FrameDecoder  # noqa: E402
 from indigohitch.fleet.links.words import Greeting, Pulse, Pulsed, Welcome  # noqa: E402
 from indigohitch.fleet.terms import Who  # noqa: E402
 
@@ -23,7 +23,7 @@
     """A connection that the near end dialled."""
 
     def __init__(self, sock: socket.socket, number: int) -> None:
-        self.sock, self.number, self.frames = sock, number, Frames(KINDS)
+        self.sock, self.number, self.frames = sock, number, FrameDecoder(KINDS)
 
     def read(self) -> bool:
         """False once it has ended."""
--- a/benchmarks/distribution_cost.py
+++ b/benchmarks/distribution_cost.py
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from indigohitch.encoding.frames import Frames  # noqa: E402
+from indigohitch.encoding.frames import FrameDecoder  # noqa: E402
 from indigohitch.fleet.distribution import ports  # noqa: E402
 from indigohitch.fleet.distribution.distributor import Distributor  # noqa: E402
 from indigohitch.fleet.distribution.limits import Limits, SubscriberLimits  # noqa: E402
@@ -90,7 +90,7 @@
         machine = self.subscribers[number]
         began = time.process_time()
         frames = []
-        for message, _ in Frames(KINDS).feed(frame):
+        for message, _ in FrameDecoder(KINDS).feed(frame):
             kind = "update" if type(message).__name__ == "Update" else "other"
             self.updates += kind == "update"
             self.bytes[kind] += len(frame)
@@ -102,7 +102,7 @@
 
     def heard(self, number: int, frames: list[bytes]) -> list[ports.Heard]:
         began = time.process_time()
-        found = [ports.Heard(number, word) for frame in frames for word, _ in Frames(KINDS).feed(frame)]
+        found = [ports.Heard(number, word) for frame in frames for word, _ in FrameDecoder(KINDS).feed(frame)]
         self.time["distributor"] += time.process_time() - began
         self.bytes["other"] += sum(map(len, frames))
         return found
--- a/indigohitch/cli.py
+++ b/indigohitch/cli.py
@@ -112,7 +112,7 @@
 ) -> None:
     """A stand-in server on ADDRESS (loopback only), for trials."""
     from .errors import InvalidRequestError
-    from .net.connection import address as read
+    from .net.connection import parse_address as read
     from .standins.server import main as serve
 
     try:
--- a/indigohitch/config/batches.py
+++ b/indigohitch/config/batches.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 
 from ..net.clock import SECOND
-from ..net.connection import address
+from ..net.connection import parse_address
 from . import words
 from .fleet import FleetText
 from .lines import Reader, Vocabulary
@@ -173,7 +173,7 @@
     if len(rest) not in (3, 5) or rest[3:4] not in ([], ["to"]):
         raise ValueError("runs SITE KIND LANES [to HOST:PORT]")
     reader.once(at, "runs", f"{rest[0]} {rest[1]}")
-    to = reader.told("runs", address, rest[4]) if len(rest) == 5 else None
+    to = reader.told("runs", parse_address, rest[4]) if len(rest) == 5 else None
     text_of(reader, at).runs.append(
         RunsText(
             reader.told("runs", words.name, rest[0]),
--- a/indigohitch/config/sidecar_file.py
+++ b/indigohitch/config/sidecar_file.py
@@ -14,7 +14,7 @@
 
 from .. import interface as face
 from ..net.clock import SECOND
-from ..net.connection import address
+from ..net.connection import parse_address
 from . import fleet
 from .checks import CHECKS
 from .further import VOCABULARIES
@@ -27,7 +27,7 @@
 # parent's phone sends heads of under 2 KB; 60 s is what clients keep idle; 10 s carries 16 KB at any speed.
 SINGLE = {
     "name": (name, "sidecar"),
-    "listen": (address, None),
+    "listen": (parse_address, None),
     "control": (socket_path, ""),
     "state": (path, ""),
     "pidfile": (path, ""),
@@ -122,7 +122,7 @@
     if len(rest) < 2:
         raise ValueError("server NAME HOST:PORT pool POOL ...")
     id = reader.guarded(at, reader.told, "server", name, rest[0])
-    where = reader.guarded(at, reader.told, "server", address, rest[1])
+    where = reader.guarded(at, reader.told, "server", parse_address, rest[1])
     told = reader.options(at, rest[2:], SERVER)
     pool = named(reader, "pool", rest[2:], told, reader.found(Carried).pools)
     reader.found(Carried).wanted.add(pool.name)
--- a/indigohitch/config/words.py
+++ b/indigohitch/config/words.py
@@ -7,7 +7,7 @@
 import socket
 
 from ..net.clock import SECOND
-from ..net.connection import address
+from ..net.connection import parse_address
 
 _SPANS = {"ms": SECOND // 1000, "s": SECOND, "m": 60 * SECOND, "h": 3600 * SECOND}
 _SIZES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
@@ -75,7 +75,7 @@
 
 def place(text: str) -> tuple[str, int]:
     """`HOST:PORT`; digits and dots alone are an address, not a name that could be looked up."""
-    host, port = address(text)
+    host, port = parse_address(text)
     if not host.strip("0123456789."):
         try:
             socket.inet_pton(socket.AF_INET, host)
--- a/indigohitch/control.py
+++ b/indigohitch/control.py
@@ -11,7 +11,7 @@
 from .errors import InvalidDataError
 from .net.connection import Connection
 from .net.listener import Listener
-from .net.loop import Loop
+from .net.loop import EventLoop
 
 
 class Asker:
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         path: str,
         asked: Callable[[str, dict, Callable[[dict], None]], None],
         listening: socket.socket | None = None,
--- a/indigohitch/encoding/files.py
+++ b/indigohitch/encoding/files.py
@@ -5,7 +5,7 @@
 import os
 
 
-def write_whole(path: str, data: bytes) -> None:
+def write_atomically(path: str, data: bytes) -> None:
     """What stood there before stays until all of the new one is on the disk.  Raises OSError."""
     part = f"{path}.{os.getpid()}.part"
     try:
--- a/indigohitch/encoding/frames.py
+++ b/indigohitch/encoding/frames.py
@@ -13,19 +13,21 @@
 from .rows import Row
 
 _HEAD = struct.Struct("!4sBBHIQ")
-HEAD = _HEAD.size
-MOST = 8 << 20  # of one frame; what is larger goes in several
+HEADER_BYTES = _HEAD.size
+MAX_FRAME_BYTES = 8 << 20  # of one frame; what is larger goes in several
 
 
 class BrokenFrameError(InvalidDataError):
     """Not what the other side would say."""
 
 
-class Kinds:
+class MessageTypes:
     """A protocol: `magic` (4 bytes), `protocol` (its version), and its rows in the order of their numbers, to
     which rows are only ever added at the end."""
 
-    def __init__(self, magic: bytes, protocol: int, rows: Sequence[type[Row]], most: int = MOST) -> None:
+    def __init__(
+        self, magic: bytes, protocol: int, rows: Sequence[type[Row]], most: int = MAX_FRAME_BYTES
+    ) -> None:
         self.magic, self.protocol, self.rows, self.most = magic, protocol, list(rows), most
         self.numbers = {kind: number for number, kind in enumerate(rows)}
 
@@ -67,19 +69,19 @@
             raise BrokenFrameError(f"{self.rows[number].__name__}: {bad}") from None
 
 
-class Frames:
+class FrameDecoder:
     """Frames out of the pieces in which they come."""
 
-    def __init__(self, kinds: Kinds) -> None:
+    def __init__(self, kinds: MessageTypes) -> None:
         self.kinds, self.rest = kinds, bytearray()
 
     def feed(self, data: bytes) -> Iterator[tuple[Row, int]]:
         """Rows with the number of their descriptors; raises Broken, and then is of no more use."""
         self.rest += data
-        while len(self.rest) >= HEAD:
+        while len(self.rest) >= HEADER_BYTES:
             protocol, number, descriptors, length, checksum = self.kinds.head(self.rest)
-            if len(self.rest) < HEAD + length:
+            if len(self.rest) < HEADER_BYTES + length:
                 return
-            body = bytes(self.rest[HEAD : HEAD + length])
-            del self.rest[: HEAD + length]
+            body = bytes(self.rest[HEADER_BYTES : HEADER_BYTES + length])
+            del self.rest[: HEADER_BYTES + length]
             yield self.kinds.body(body, protocol, number, checksum), descriptors
--- a/indigohitch/event_batch.py
+++ b/indigohitch/event_batch.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from . import interface as face
-from .net.loop import Loop
+from .net.loop import EventLoop
 
 
 class EventBatch:
@@ -13,7 +13,7 @@
     # them would look like a jump of demand.  Little beside the time that a message takes to the proxies.
     SPAN = 100
 
-    def __init__(self, loop: Loop, gap: int, hand_over: Callable[[int, list[face.Event]], None]) -> None:
+    def __init__(self, loop: EventLoop, gap: int, hand_over: Callable[[int, list[face.Event]], None]) -> None:
         """No sooner than `gap` after the last time, as the settings say."""
         self.loop, self.gap, self.hand_over = loop, gap, hand_over
         self.events: list[face.Event] = []
--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -8,13 +8,13 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ...encoding.files import sync_folder, write_whole
-from ...encoding.frames import HEAD, BrokenFrameError, Kinds
+from ...encoding.files import sync_folder, write_atomically
+from ...encoding.frames import HEADER_BYTES, BrokenFrameError, MessageTypes
 from ...errors import InvalidDataError
-from ...net.worker_thread import Worker
+from ...net.worker_thread import WorkerThread
 from .chain import Record
 
-KINDS = Kinds(b"IHAU", 1, [Record])
+KINDS = MessageTypes(b"IHAU", 1, [Record])
 FILE = 1 << 20  # bytes, then the next one: some 8,000 records, read within 50 ms
 FILES = 64  # kept; the ledger is told which records lie there before those go
 NAME = re.compile(r"chain-(\d+)-(\d+)$")
@@ -28,7 +28,7 @@
         folder: str | os.PathLike,
         file: int = FILE,
         files: int = FILES,
-        begun: Callable[[], Worker] | None = None,
+        begun: Callable[[], WorkerThread] | None = None,
     ) -> None:
         """Touches nothing yet: as long as another process has this member's disk, the folder is its own.
         `begun`: the thread that waits for the disk; without one the caller does."""
@@ -174,7 +174,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         path = self.folder / f"evidence-{name}"
         if not path.exists():
-            write_whole(str(path), data)
+            write_atomically(str(path), data)
 
 
 def chains(folder: Path) -> list[tuple[tuple[int, int], Path]]:
@@ -188,26 +188,30 @@
     """The records, where the last whole one ends, and what is spoilt there ("": all was read, or the rest is
     a frame that was never finished)."""
     found, at = [], 0
-    while at + HEAD <= len(data) and any(data[at : at + HEAD]):  # zeros: space that was never written
+    while at + HEADER_BYTES <= len(data) and any(
+        data[at : at + HEADER_BYTES]
+    ):  # zeros: space that was never written
         try:
             protocol, number, descriptors, length, checksum = KINDS.head(data, at)
             if descriptors:  # the one field that the checksum doesn't hold
                 raise BrokenFrameError("a frame with descriptors")
-            if at + HEAD + length > len(data):
+            if at + HEADER_BYTES + length > len(data):
                 break
-            found.append(KINDS.body(data[at + HEAD : at + HEAD + length], protocol, number, checksum))
+            found.append(
+                KINDS.body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
+            )
         except BrokenFrameError as bad:
             return found, at, bad.what
-        at += HEAD + length
+        at += HEADER_BYTES + length
     return found, at, "a length that can't be" if followed(data, at) else ""
 
 
 def followed(data: bytes, at: int) -> bool:
     """A whole frame lies somewhere after: what begins there is no torn tail."""
-    while (at := data.find(KINDS.magic, at + 1)) >= 0 and at + HEAD <= len(data):
+    while (at := data.find(KINDS.magic, at + 1)) >= 0 and at + HEADER_BYTES <= len(data):
         try:
             protocol, number, _, length, checksum = KINDS.head(data, at)
-            KINDS.body(data[at + HEAD : at + HEAD + length], protocol, number, checksum)
+            KINDS.body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
             return True
         except BrokenFrameError:
             continue
--- a/indigohitch/fleet/batches/inside.py
+++ b/indigohitch/fleet/batches/inside.py
@@ -10,7 +10,7 @@
 from ...errors import DirectorError, InvalidRequestError, error_fields
 from ...log import Log
 from ...net.clock import SECOND
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from ..ports import Acts
 from ..seats.contract import COMMON
 from . import contract, prices
@@ -65,7 +65,7 @@
 
 
 def work_of(
-    loop: Loop, log: Log, text: FleetText, part: Batches, acts: Acts, fleet_time: Callable[[int], int]
+    loop: EventLoop, log: Log, text: FleetText, part: Batches, acts: Acts, fleet_time: Callable[[int], int]
 ) -> BatchesWork:
     """Of this member.  A file without a word on batches makes a member that runs none, and leads by what the
     state machine has."""
--- a/indigohitch/fleet/batches/sending.py
+++ b/indigohitch/fleet/batches/sending.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Mapping
 
 from ...net.clock import SECOND
-from ...net.http_client import Client
-from ...net.http_exchange import Answer, Exchange
-from ...net.loop import Loop
+from ...net.http_client import HttpClient
+from ...net.http_exchange import HttpExchange, HttpResponse
+from ...net.loop import EventLoop
 from ..terms import Stamp
 from .part import Batches
 
@@ -18,7 +18,7 @@
 UNSENT = b"no server now"
 
 
-def outcome(answer: Answer) -> tuple[str, str]:
+def outcome(answer: HttpResponse) -> tuple[str, str]:
     """In the runner's words, and why.  Only what surely never ran counts as that."""
     if answer.outcome in ("connect_failed", "unreached"):
         return "not run", ""
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         part: Batches,
         to: Mapping[tuple[str, str], tuple[str, int]],
         back: Callable[[str, int, Stamp, str, str], None],
@@ -49,7 +49,7 @@
         self.loop, self.part, self.back = loop, part, back
         # Each step on a connection of its own: one that had rested may close as the RPC goes out, and then
         # nobody knows whether it ran.
-        self.clients = {place: Client(loop, where) for place, where in to.items()}
+        self.clients = {place: HttpClient(loop, where) for place, where in to.items()}
 
     def send(self, piece: str, step: int, stamp: Stamp) -> None:
         known = self.part.pieces.all[piece]
@@ -64,10 +64,10 @@
             f"X-Stamp: {mark(stamp)}\r\nContent-Length: 0\r\n\r\n"
         ).encode()
 
-        def done(answer: Answer) -> None:
+        def done(answer: HttpResponse) -> None:
             self.back(piece, step, stamp, *outcome(answer))
 
-        Exchange(client, data, max(LEAST, 2 * known.cut.work // known.cut.steps), done).start()
+        HttpExchange(client, data, max(LEAST, 2 * known.cut.work // known.cut.steps), done).start()
 
     def close(self) -> None:
         for client in self.clients.values():
--- a/indigohitch/fleet/disk/files.py
+++ b/indigohitch/fleet/disk/files.py
@@ -5,7 +5,7 @@
 import fcntl
 import os
 
-from ...encoding.files import sync_folder, write_whole
+from ...encoding.files import sync_folder, write_atomically
 
 
 class Files:
@@ -23,7 +23,7 @@
 
     def whole(self, path: str, data: bytes) -> None:
         """There whole and on the disk, or not there."""
-        write_whole(path, data)
+        write_atomically(path, data)
 
     def append_to(self, path: str) -> int:
         return os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
--- a/indigohitch/fleet/disk/records.py
+++ b/indigohitch/fleet/disk/records.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from ...encoding.frames import HEAD, BrokenFrameError, Kinds
+from ...encoding.frames import HEADER_BYTES, BrokenFrameError, MessageTypes
 from ...encoding.rows import Row
 from ...errors import InvalidDataError
 from ..ledger.ports import Ballot
@@ -43,7 +43,7 @@
     writes: tuple[One, ...]
 
 
-RECORDS = Kinds(MAGIC, 1, [Begin, Group])
+RECORDS = MessageTypes(MAGIC, 1, [Begin, Group])
 
 
 class Harmed(InvalidDataError):
@@ -70,29 +70,29 @@
 
 def record(data: bytes, at: int) -> tuple[Row, int]:
     """The record that begins there, and where it ends; raises Broken."""
-    if len(data) - at < HEAD:
+    if len(data) - at < HEADER_BYTES:
         raise BrokenFrameError("it ends within its head")
     protocol, number, descriptors, length, checksum = RECORDS.head(data, at)
     if descriptors:
         raise BrokenFrameError(
             "its head was changed"
         )  # records have none; the checksum does not cover their number
-    end = at + HEAD + length
+    end = at + HEADER_BYTES + length
     if end > len(data):
         raise BrokenFrameError(f"it ends {end - len(data)} bytes early")
-    return RECORDS.body(data[at + HEAD : end], protocol, number, checksum), end
+    return RECORDS.body(data[at + HEADER_BYTES : end], protocol, number, checksum), end
 
 
 def torn(data: bytes, at: int) -> bool:
     """Whether the bad record there may be one that a crash left unfinished: nothing was begun after it."""
-    if len(data) - at < HEAD:
+    if len(data) - at < HEADER_BYTES:
         return True
     try:
         length = RECORDS.head(data, at)[3]
     except BrokenFrameError:
         pass  # its head did not all reach the disk, or was harmed
     else:
-        if at + HEAD + length < len(data):
+        if at + HEADER_BYTES + length < len(data):
             return False
     place = data.find(MAGIC, at + 1)
     while place >= 0:
--- a/indigohitch/fleet/disk/store.py
+++ b/indigohitch/fleet/disk/store.py
@@ -12,8 +12,8 @@
 from ...errors import error_fields
 from ...log import Log
 from ...net.clock import SECOND
-from ...net.loop import Deadline, Loop
-from ...net.worker_thread import Worker
+from ...net.loop import Deadline, EventLoop
+from ...net.worker_thread import WorkerThread
 from ..ledger.ports import Ballot, DiskBack, DiskFailed, Held, Input, Members, Snap, Snapped, Write, Written
 from ..terms import Who
 from .files import Files
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         folder: str,
         fleet: str,
@@ -54,7 +54,7 @@
         self.files = files or Files()
         self.folder = Folder(self.files, folder, fleet, name)
         self.state, self.why = State.CLOSED, ""
-        self.worker: Worker | None = None
+        self.worker: WorkerThread | None = None
         self.segments: Segments | None = None
         self.kept, self.snap, self.ballot = Kept(0), Snap(0, 0, Members(()), b""), Ballot(0)
         self.waiting: list[tuple[int, One] | tuple[Snap, bool]] = []
@@ -73,7 +73,7 @@
         self.folder.take()
         try:
             found = self.folder.read()
-            self.worker = Worker(self.loop)
+            self.worker = WorkerThread(self.loop)
             if found is None:
                 self.state = State.FRESH
                 return None
--- a/indigohitch/fleet/distribution/connections.py
+++ b/indigohitch/fleet/distribution/connections.py
@@ -7,8 +7,8 @@
 from ...encoding.rows import Row
 from ...log import Log
 from ...net.clock import SECOND
-from ...net.loop import Loop
-from ...net.ring_buffer import Pool
+from ...net.loop import EventLoop
+from ...net.ring_buffer import BufferPool
 from ..links import words as links
 from ..links.accepted import Accepted
 from ..links.arrivals import Arrivals
@@ -31,11 +31,11 @@
 
 class Connections:
     def __init__(
-        self, loop: Loop, log: Log, fleet: str, me: Who, token: int, machine: Distributor, limits: Limits
+        self, loop: EventLoop, log: Log, fleet: str, me: Who, token: int, machine: Distributor, limits: Limits
     ) -> None:
         self.loop, self.log, self.fleet, self.me, self.token = loop, log, fleet, me, token
         self.limits = limits
-        self.arrivals = Arrivals(loop, log, KINDS, self, "subscribers", STRANGERS, Pool(BUFFERS))
+        self.arrivals = Arrivals(loop, log, KINDS, self, "subscribers", STRANGERS, BufferPool(BUFFERS))
         self.connections: dict[int, Accepted] = {}
         self.numbers: dict[Accepted, int] = {}
         self.last = self.sent = 0  # number of the last connection; bytes
--- a/indigohitch/fleet/distribution/following.py
+++ b/indigohitch/fleet/distribution/following.py
@@ -9,7 +9,7 @@
 from ...encoding.rows import Row
 from ...errors import error_fields
 from ...log import Log
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from ..links.arrivals import spoilt
 from ..links.ends import Dialled
 from ..links.greeting import unspoken
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         fleet: str,
         name: SubscriberName,
--- a/indigohitch/fleet/distribution/role.py
+++ b/indigohitch/fleet/distribution/role.py
@@ -11,8 +11,8 @@
 from ...errors import UnavailableError, error_fields
 from ...log import Log
 from ...net.clock import SECOND
-from ...net.file_limits import allow
-from ...net.loop import Loop
+from ...net.file_limits import raise_file_limit
+from ...net.loop import EventLoop
 from ..ports import Wanted
 from ..terms import Entry, Lease, Outcome, Who
 from .connections import STRANGERS, Connections
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         fleet: str,
         me: str,
@@ -102,7 +102,7 @@
 
     def listen(self, now: int) -> None:
         wanted = LIMITS.subscribers + OTHER_DESCRIPTORS
-        if (allowed := allow(wanted)) < wanted:
+        if (allowed := raise_file_limit(wanted)) < wanted:
             remedy = f"raise the limit on descriptors to {wanted}"
             self.log.warning("descriptors_few", allowed=allowed, wanted=wanted, remedy=remedy)
         try:
--- a/indigohitch/fleet/distribution/stepping.py
+++ b/indigohitch/fleet/distribution/stepping.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from ...net.due_timer import DueTimer
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from .ports import Due
 
 
@@ -19,7 +19,7 @@
 
 
 class Stepping:
-    def __init__(self, loop: Loop, machine: Machine, carry: Callable[[object], None]) -> None:
+    def __init__(self, loop: EventLoop, machine: Machine, carry: Callable[[object], None]) -> None:
         self.loop, self.machine, self.carry = loop, machine, carry
         self.waiting: deque = deque()
         self.busy = self.ended = False
--- a/indigohitch/fleet/links/accepted.py
+++ b/indigohitch/fleet/links/accepted.py
@@ -5,19 +5,19 @@
 import socket
 from typing import Protocol
 
-from ...encoding.frames import BrokenFrameError, Frames, Kinds
+from ...encoding.frames import BrokenFrameError, FrameDecoder, MessageTypes
 from ...encoding.rows import Row
 from ...net.connection import Connection
-from ...net.loop import Loop
-from ...net.ring_buffer import Pool
+from ...net.loop import EventLoop
+from ...net.ring_buffer import BufferPool
 from .words import Greeting, Pulse, Pulsed
 
 
 class Host(Protocol):
     """Who accepts connections."""
 
-    loop: Loop
-    kinds: Kinds
+    loop: EventLoop
+    kinds: MessageTypes
 
     def greeted(self, one: Accepted, greeting: Greeting) -> None: ...
 
@@ -34,11 +34,11 @@
 class Accepted:
     """Another one's words to us; a stranger until it has greeted."""
 
-    def __init__(self, links: Host, sock: socket.socket, pool: Pool | None = None) -> None:
+    def __init__(self, links: Host, sock: socket.socket, pool: BufferPool | None = None) -> None:
         """`pool`: of its buffers, the loop's own where none is named."""
         self.links, self.who, self.token = links, None, 0
         self.since = self.heard_at = links.loop.clock.now()
-        self.frames = Frames(links.kinds)
+        self.frames = FrameDecoder(links.kinds)
         self.connection = Connection.accepted(
             links.loop, sock, self, links.kinds.most + (64 << 10), pool or links.loop.pool
         )
--- a/indigohitch/fleet/links/arrivals.py
+++ b/indigohitch/fleet/links/arrivals.py
@@ -5,12 +5,12 @@
 import socket
 from typing import Protocol
 
-from ...encoding.frames import BrokenFrameError, Kinds
+from ...encoding.frames import BrokenFrameError, MessageTypes
 from ...encoding.rows import Row
 from ...log import Log
 from ...net.listener import Listener
-from ...net.loop import Loop
-from ...net.ring_buffer import Pool
+from ...net.loop import EventLoop
+from ...net.ring_buffer import BufferPool
 from .accepted import Accepted
 from .ends import GREET
 from .words import Greeting
@@ -31,13 +31,13 @@
 class Arrivals:
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
-        kinds: Kinds,
+        kinds: MessageTypes,
         owner: Hosting,
         whose: str,
         most: int,
-        pool: Pool | None = None,
+        pool: BufferPool | None = None,
     ) -> None:
         """`whose`: port it is, for the log; `most` strangers at a time; `pool`: of the buffers."""
         self.loop, self.log, self.kinds, self.owner = loop, log, kinds, owner
--- a/indigohitch/fleet/links/ends.py
+++ b/indigohitch/fleet/links/ends.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ...encoding.frames import BrokenFrameError, Frames, Kinds
+from ...encoding.frames import BrokenFrameError, FrameDecoder, MessageTypes
 from ...encoding.rows import Row
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.connection import Connection
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from ..terms import Who
 from .words import Greeting, Pulse, Pulsed, Refused, Welcome
 
@@ -40,9 +40,9 @@
 class Dialler(Protocol):
     """Who owns dialled connections.  `chance`: of a seeded generator, for the spread of diallings."""
 
-    loop: Loop
+    loop: EventLoop
     log: Log
-    kinds: Kinds
+    kinds: MessageTypes
     chance: Callable[[], float]
 
     def greeting(self) -> Greeting: ...
@@ -114,7 +114,7 @@
             self.lost(str(bad))
             return
         self.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
-        self.frames = Frames(self.links.kinds)
+        self.frames = FrameDecoder(self.links.kinds)
         self.be(Phase.DIALLING)
 
     def opened(self, connection: Connection) -> None:
--- a/indigohitch/fleet/links/links.py
+++ b/indigohitch/fleet/links/links.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Mapping
 
-from ...encoding.frames import BrokenFrameError, Kinds
+from ...encoding.frames import BrokenFrameError, MessageTypes
 from ...encoding.rows import Row
 from ...log import Log
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from ..terms import Who
 from .accepted import Accepted
 from .arrivals import Arrivals, spoilt
@@ -25,7 +25,14 @@
     don't any more.  `chance`: of a seeded generator, for the spread of diallings."""
 
     def __init__(
-        self, loop: Loop, log: Log, kinds: Kinds, fleet: str, me: Who, token: int, chance: Callable[[], float]
+        self,
+        loop: EventLoop,
+        log: Log,
+        kinds: MessageTypes,
+        fleet: str,
+        me: Who,
+        token: int,
+        chance: Callable[[], float],
     ) -> None:
         self.loop, self.log, self.kinds, self.fleet, self.token = loop, log, kinds, fleet, token
         self.me, self.chance = me, chance
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -12,7 +12,7 @@
 from ...encoding.rows import digest
 from ...log import Log
 from ...net.due_timer import DueTimer
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from ..disk.store import Disk
 from ..ledger.machine import Machine
 from ..ledger.ports import (
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         disk: Disk,
         links: Links,
--- a/indigohitch/fleet/node/inside.py
+++ b/indigohitch/fleet/node/inside.py
@@ -10,7 +10,7 @@
 from ...errors import DirectorError, error_fields
 from ...log import Log
 from ...net.clock import SECOND
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from ...replaceable import Replaceable
 from ...upgrade.side import Side
 from ..ports import Work
@@ -29,7 +29,13 @@
     without the fleet.  `follows`: it was started for an upgrade.  `ended`: the member can't go on."""
 
     def __init__(
-        self, loop: Loop, log: Log, text: FleetText, alone: bool, follows: bool, ended: Callable[[str], None]
+        self,
+        loop: EventLoop,
+        log: Log,
+        text: FleetText,
+        alone: bool,
+        follows: bool,
+        ended: Callable[[str], None],
     ) -> None:
         self.loop, self.log, self.text, self.alone, self.follows = loop, log, text, alone, follows
         self.on_ended = ended
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -8,7 +8,7 @@
 from ...config.fleet import FleetText
 from ...log import Log
 from ...net.clock import SECOND
-from ...net.loop import Deadline, Loop
+from ...net.loop import Deadline, EventLoop
 from ..disk.files import Files
 from ..disk.store import Disk
 from ..distribution.messages import Report
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         text: FleetText,
         chance: random.Random,
--- a/indigohitch/fleet/node/ports.py
+++ b/indigohitch/fleet/node/ports.py
@@ -6,7 +6,7 @@
 
 from ...config.fleet import FleetText
 from ...log import Log
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from ..disk.store import Disk
 from ..ledger.ports import Held
 from ..links.links import Links
@@ -20,7 +20,7 @@
 class NodeContext(Protocol):
     """A member in its process (node.Node)."""
 
-    loop: Loop
+    loop: EventLoop
     log: Log
     text: FleetText
     token: int  # of this start, 62 random bits
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -10,8 +10,8 @@
 from ...errors import DirectorError, error_fields
 from ...log import Log
 from ...net.clock import Clock
-from ...net.loop import Loop
-from ...net.worker_thread import Worker
+from ...net.loop import EventLoop
+from ...net.worker_thread import WorkerThread
 from ..audit.acts import ChainedActs
 from ..audit.files import Store
 from ..audit.heads import Heads
@@ -36,7 +36,7 @@
 class Place:
     """What a work may know of the process it is in."""
 
-    loop: Loop
+    loop: EventLoop
     log: Log
     text: FleetText
     voters: Callable[[], Collection[str]]
@@ -95,7 +95,7 @@
         text.me,
         place.lease,
         state_machine,
-        Store(f"{text.folder}/audit", begun=lambda: Worker(place.loop)),
+        Store(f"{text.folder}/audit", begun=lambda: WorkerThread(place.loop)),
         trouble,
         when=hours.time,
     )
--- a/indigohitch/fleet/node/subscribing.py
+++ b/indigohitch/fleet/node/subscribing.py
@@ -13,7 +13,7 @@
 from ...errors import InvalidRequestError
 from ...log import Log
 from ...net.clock import SECOND
-from ...net.loop import Deadline, Loop
+from ...net.loop import Deadline, EventLoop
 from ...upgrade import launch
 from ...upgrade.side import Side
 from ..distribution.following import Following
@@ -29,7 +29,7 @@
 
     left = True
 
-    def __init__(self, loop: Loop, log: Log, text: FleetText) -> None:
+    def __init__(self, loop: EventLoop, log: Log, text: FleetText) -> None:
         self.loop, self.log, self.text = loop, log, text
         # Of a front here, if there is one: the ledger's entry, and the services held.
         self.heard: Callable[[int, Collection[str]], None] = lambda index, services: None
--- a/indigohitch/fleet/node/words.py
+++ b/indigohitch/fleet/node/words.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from ...encoding.frames import Kinds
+from ...encoding.frames import MessageTypes
 from ...encoding.rows import Row
 from ..distribution import messages as distribution
 from ..ledger import words as ledger
@@ -86,5 +86,5 @@
 )
 MACHINE = frozenset(ledger.WORDS)
 # Of one frame: four messages of entries; a proposal's body is a tenth of it at most.
-KINDS = Kinds(b"IHfl", links.PROTOCOL, WORDS, 512 << 10)
+KINDS = MessageTypes(b"IHfl", links.PROTOCOL, WORDS, 512 << 10)
 BODY = 48 << 10
--- a/indigohitch/fleet/node/working.py
+++ b/indigohitch/fleet/node/working.py
@@ -9,7 +9,7 @@
 
 from ...errors import UnavailableError
 from ...log import Log
-from ...net.loop import Loop
+from ...net.loop import EventLoop
 from ..ports import Holding, Wanted, Work
 from ..terms import Entry, Lease, Outcome
 from .proposals import Proposals
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         works: Iterable[Work],
         proposals: Proposals,
--- a/indigohitch/load/replay/command.py
+++ b/indigohitch/load/replay/command.py
@@ -12,7 +12,7 @@
 
 from ...config import sidecar_file, words
 from ...errors import DirectorError, InvalidRequestError
-from ...net.connection import address
+from ...net.connection import parse_address
 
 
 class Span(click.ParamType):
@@ -34,7 +34,7 @@
 
     def convert(self, value, param, ctx):
         try:
-            return value if isinstance(value, tuple) else address(value)
+            return value if isinstance(value, tuple) else parse_address(value)
         except ValueError as bad:
             self.fail(str(bad), param, ctx)
 
--- a/indigohitch/load/replay/drive.py
+++ b/indigohitch/load/replay/drive.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterator
 
 from ...net.clock import SECOND, Clock
-from ...net.loop import Deadline, Loop
-from ...net.request_connection import Wire
+from ...net.loop import Deadline, EventLoop
+from ...net.request_connection import RequestConnection
 from ..entry import Request
 from .figures import Figures
 from .journal import Journal
@@ -49,17 +49,19 @@
         def failed(broken: BaseException) -> None:
             raise broken
 
-        self.loop = Loop(Clock(), failed)
+        self.loop = EventLoop(Clock(), failed)
         self.loop.pool.left = 1 << 30  # a tool: no limit but the machine's
         self.to, self.due, self.figures, self.pace, self.most = to, due, figures, pace, connections
         self.journal, self.name, self.host = journal, name, f"{to[0]}:{to[1]}"
         self.begin = self.loop.clock.now()  # of the schedule, Unix time; may be set until `run`
         self.next: Job | None = None
         self.waiting: deque[Job] = deque()  # due, and no wire for them
-        self.idle: OrderedDict[Wire, int] = OrderedDict()  # each with its connection, oldest first
-        self.rests: dict[int, list[Wire]] = {}  # the same by connection
-        self.of: dict[Wire, int] = {}  # all wires
-        self.out: dict[int, tuple[Wire, Deadline]] = {}  # by the request's number
+        self.idle: OrderedDict[RequestConnection, int] = (
+            OrderedDict()
+        )  # each with its connection, oldest first
+        self.rests: dict[int, list[RequestConnection]] = {}  # the same by connection
+        self.of: dict[RequestConnection, int] = {}  # all wires
+        self.out: dict[int, tuple[RequestConnection, Deadline]] = {}  # by the request's number
         self.stopped = False
         self.tell: Callable[[], None] = lambda: None
 
@@ -102,7 +104,7 @@
         )
         return True
 
-    def wire(self, connection: int) -> Wire | None:
+    def wire(self, connection: int) -> RequestConnection | None:
         rests = self.rests.get(connection)
         if rests:
             wire = rests.pop()
@@ -115,23 +117,23 @@
             self.forget(oldest, owner)
             oldest.stream.close()
         try:
-            wire = Wire(self)
+            wire = RequestConnection(self)
         except OSError:  # no descriptor left: as if the ceiling were reached
             return None
         self.of[wire] = connection
         return wire
 
-    def forget(self, wire: Wire, connection: int) -> None:
+    def forget(self, wire: RequestConnection, connection: int) -> None:
         if self.idle.pop(wire, None) is not None:
             self.rests[connection].remove(wire)
         self.of.pop(wire, None)
 
     # ---- hearing
 
-    def ended(self, wire: Wire) -> None:
+    def ended(self, wire: RequestConnection) -> None:
         self.forget(wire, self.of.get(wire, 0))
 
-    def over(self, wire: Wire, job: Job, status: int, why: str) -> None:
+    def over(self, wire: RequestConnection, job: Job, status: int, why: str) -> None:
         due, number, request = job
         self.out.pop(number)[1].cancel()
         if why in ("ended", "reset") and wire.answers and not request.unsafe:
--- a/indigohitch/load/replay/running.py
+++ b/indigohitch/load/replay/running.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from ...net.clock import SECOND
-from ...net.file_limits import allow
+from ...net.file_limits import raise_file_limit
 from ..trace import Trace
 from . import standins
 from .drive import Driver, Job
@@ -85,7 +85,7 @@
 def run(trace: Trace, wanted: Wanted) -> tuple[Figures, dict]:
     """Raises Refused, Unusable, OSError, Damaged.  Returns the figures, and what else is to be said."""
     plan, name = wanted.plan, trace.identity[:12]
-    allow(wanted.connections + 64)  # with fewer, requests wait as at the ceiling
+    raise_file_limit(wanted.connections + 64)  # with fewer, requests wait as at the ceiling
     unsafe = next((request for _, _, request in selected(trace, plan) if request.unsafe), None)
     proven = standins.proven(wanted.servers)
     may_begin(wanted.to[0], proven, wanted.allowed, bool(wanted.journal), unsafe, trace.head.sources)
--- a/indigohitch/net/connection.py
+++ b/indigohitch/net/connection.py
@@ -8,13 +8,13 @@
 from typing import Protocol
 
 from .graceful_close import close_in_order
-from .loop import Loop
-from .ring_buffer import Pool, Ring
+from .loop import EventLoop
+from .ring_buffer import BufferPool, RingBuffer
 
 READ, WRITE = selectors.EVENT_READ, selectors.EVENT_WRITE
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """`host:port` as the socket calls want it; ValueError if it is not that."""
     host, colon, port = text.rpartition(":")
     # A host that no request can name would be found out by the first one, half way through a move to it.
@@ -40,11 +40,16 @@
     READS = 16  # reads a turn: one busy peer must not starve the others
 
     def __init__(
-        self, loop: Loop, sock: socket.socket, reader: Reader, most: int = BOUND, pool: Pool | None = None
+        self,
+        loop: EventLoop,
+        sock: socket.socket,
+        reader: Reader,
+        most: int = BOUND,
+        pool: BufferPool | None = None,
     ) -> None:
         self.loop, self.sock, self.reader = loop, sock, reader
-        self.incoming = Ring(most, pool or loop.pool)
-        self.outgoing = Ring(self.BOUND, pool or loop.pool)
+        self.incoming = RingBuffer(most, pool or loop.pool)
+        self.outgoing = RingBuffer(self.BOUND, pool or loop.pool)
         self.connecting, self.open = False, True
         self.received = 0  # bytes read since it began
         self.reads, self.step = self.READS, self.BOUND
@@ -52,14 +57,16 @@
         self._number = -1
 
     @classmethod
-    def accepted(cls, loop: Loop, sock: socket.socket, reader: Reader, most: int, pool: Pool) -> Connection:
+    def accepted(
+        cls, loop: EventLoop, sock: socket.socket, reader: Reader, most: int, pool: BufferPool
+    ) -> Connection:
         """One that came to us; its rings have a pool of their own, or callers could starve what we call."""
         connection = cls(loop, sock, reader, most, pool)
         connection._number = loop.watch(sock, connection, READ)
         return connection
 
     @classmethod
-    def dial(cls, loop: Loop, to: tuple[str, int], reader: Reader) -> Connection:
+    def dial(cls, loop: EventLoop, to: tuple[str, int], reader: Reader) -> Connection:
         """Begin to connect; raises OSError where not even that can be done."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
--- a/indigohitch/net/due_timer.py
+++ b/indigohitch/net/due_timer.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from .loop import Deadline, Loop
+from .loop import Deadline, EventLoop
 
 
 class DueTimer:
     """`due()`: when the machine is to be stepped at the latest, None: not until something else happens.
     Where that has moved later, the deadline that stands looks again."""
 
-    def __init__(self, loop: Loop, due: Callable[[], int | None], step: Callable[[], None]) -> None:
+    def __init__(self, loop: EventLoop, due: Callable[[], int | None], step: Callable[[], None]) -> None:
         self.loop, self.due, self.step = loop, due, step
         self.deadline: Deadline | None = None
 
--- a/indigohitch/net/file_limits.py
+++ b/indigohitch/net/file_limits.py
@@ -5,7 +5,7 @@
 import resource
 
 
-def allow(wanted: int) -> int:
+def raise_file_limit(wanted: int) -> int:
     """Raises the soft limit to that number, or as far as the hard one goes; returns what is allowed."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= wanted:
--- a/indigohitch/net/http_client.py
+++ b/indigohitch/net/http_client.py
@@ -6,9 +6,9 @@
 
 from .clock import SECOND
 from .connection import Connection
-from .http_exchange import Answer, Exchange, stands
-from .loop import Deadline, Loop
-from .slot_table import Slots
+from .http_exchange import HttpExchange, HttpResponse, is_connection_open
+from .loop import Deadline, EventLoop
+from .slot_table import SlotTable
 
 
 def form(method: str, target: str, host: str, body: bytes = b"", kind: str = "") -> bytes:
@@ -19,16 +19,16 @@
     return head.encode("ascii") + b"\r\n" + body
 
 
-class Client:
+class HttpClient:
     """Requests to one address.  A connection that ended its exchange in order rests for `idle_span`
     and serves the next one; none rests where that is 0."""
 
     def __init__(
-        self, loop: Loop, to: tuple[str, int], connect_span: int = SECOND // 2, idle_span: int = 0
+        self, loop: EventLoop, to: tuple[str, int], connect_span: int = SECOND // 2, idle_span: int = 0
     ) -> None:
         self.loop, self.to, self.connect_span, self.idle_span = loop, to, connect_span, idle_span
         self.host = f"{to[0]}:{to[1]}"
-        self.exchanges: Slots[Exchange] = Slots()
+        self.exchanges: SlotTable[HttpExchange] = SlotTable()
         self._resting: Connection | None = None
         self._deadline: Deadline | None = None
 
@@ -37,19 +37,19 @@
         method: str,
         target: str,
         span: int,
-        done: Callable[[Answer], None],
+        done: Callable[[HttpResponse], None],
         body: bytes = b"",
         kind: str = "",
         stream=None,
-    ) -> Exchange:
-        exchange = Exchange(self, form(method, target, self.host, body, kind), span, done, stream)
+    ) -> HttpExchange:
+        exchange = HttpExchange(self, form(method, target, self.host, body, kind), span, done, stream)
         exchange.start()
         return exchange
 
     def spare(self) -> Connection | None:
         """The connection at rest, if it can serve: what meets its end may have been done or not."""
         connection = self._wake()
-        if connection is None or stands(connection.sock):
+        if connection is None or is_connection_open(connection.sock):
             return connection
         connection.close()
         return None
--- a/indigohitch/net/http_exchange.py
+++ b/indigohitch/net/http_exchange.py
@@ -11,13 +11,13 @@
 
 from .clock import SECOND
 from .connection import Connection
-from .loop import Deadline, Loop
-from .slot_table import Slots
-from .transient_errors import dial_passes
+from .loop import Deadline, EventLoop
+from .slot_table import SlotTable
+from .transient_errors import is_transient_connect_error
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class HttpResponse:
     """`outcome`: "answered", or why not: "connect_failed", "unreached" (no word on the connect),
     "timeout", "reset", "unreadable".  With the last three the other side may have done what was asked."""
 
@@ -27,20 +27,20 @@
     duration: int = 0
 
 
-class Exchanging(Protocol):
+class ExchangeOwner(Protocol):
     """What an exchange needs of its client (http.Client)."""
 
-    loop: Loop
+    loop: EventLoop
     to: tuple[str, int]
     connect_span: int
     idle_span: int
-    exchanges: Slots[Exchange]
+    exchanges: SlotTable[HttpExchange]
 
     def spare(self) -> Connection | None: ...
     def rest(self, connection: Connection) -> None: ...
 
 
-def stands(sock: socket.socket) -> bool:
+def is_connection_open(sock: socket.socket) -> bool:
     """Of a connection at rest: neither its end has come, nor a byte, which nobody can have asked for.  Looked
     at before each reuse: in the turn that brings it, whoever takes the connection may be first."""
     try:
@@ -52,7 +52,7 @@
     return False
 
 
-class Exchange:
+class HttpExchange:
     """One request and its answer, in a numbered slot of its client while it lasts."""
 
     CROSSED = SECOND // 20  # a close that crosses the request is here by then; later it is an answer
@@ -62,10 +62,10 @@
 
     def __init__(
         self,
-        client: Exchanging,
+        client: ExchangeOwner,
         request: bytes,
         span: int,
-        done: Callable[[Answer], None],
+        done: Callable[[HttpResponse], None],
         stream: Callable[[bytes], None] | None = None,
     ) -> None:
         self.client, self.request, self.done, self.stream = client, request, done, stream
@@ -95,7 +95,7 @@
         try:
             self.connection = Connection.dial(loop, client.to, self)
         except OSError as failed:
-            if dial_passes(failed) and loop.clock.now() < self.began + client.connect_span:
+            if is_transient_connect_error(failed) and loop.clock.now() < self.began + client.connect_span:
                 self.deadline = loop.after(self.DIAL_AGAIN, self._dial)
             else:  # told like any refused connect
                 self.deadline = loop.after(0, lambda: self.end("connect_failed"))
@@ -115,7 +115,7 @@
         """What came in time counts, also where this process stood still and one turn does not read it all."""
         now = self.client.loop.clock.now()
         until = until or now + self.UNREAD
-        if now > until or stands(self.connection.sock):
+        if now > until or is_connection_open(self.connection.sock):
             self.end("timeout")
         else:
             self.deadline = self.client.loop.after(1, lambda: self._late(until))
@@ -198,7 +198,7 @@
                 client.rest(connection)
             else:
                 connection.close()
-        self.done(Answer(outcome, self.status, bytes(self.body), client.loop.clock.now() - self.began))
+        self.done(HttpResponse(outcome, self.status, bytes(self.body), client.loop.clock.now() - self.began))
 
     def drop(self) -> None:
         """End it without a word to who waits."""
--- a/indigohitch/net/listener.py
+++ b/indigohitch/net/listener.py
@@ -8,8 +8,8 @@
 from .clock import SECOND
 from .connection import READ
 from .graceful_close import close_in_order
-from .loop import Deadline, Loop
-from .transient_errors import made_in_time, passes
+from .loop import Deadline, EventLoop
+from .transient_errors import is_transient, retry_transient
 
 
 class Listener:
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         at: tuple[str, int],
         greet: Callable[[socket.socket], bool],
         trouble: Callable[[str], None],
@@ -31,7 +31,7 @@
         """`listening`: a socket that listens already, come from another process.  Without it one is opened,
         which may block for PATIENCE where no descriptor is left.  Raises OSError."""
         self.loop, self.greet, self.trouble = loop, greet, trouble
-        self.sock = listening or made_in_time(lambda: self.opened(at), patience=self.PATIENCE)
+        self.sock = listening or retry_transient(lambda: self.opened(at), patience=self.PATIENCE)
         self.sock.setblocking(False)
         self._number = loop.watch(self.sock, self, READ)
         self._paused: Deadline | None = None
@@ -85,7 +85,7 @@
             except BlockingIOError:
                 return False
             except OSError as failed:
-                if passes(failed):
+                if is_transient(failed):
                     # The waiting connection stays readable: without a pause the loop would spin on it.
                     self.trouble(failed.strerror)
                     self.loop.pause(self.sock)
--- a/indigohitch/net/loop.py
+++ b/indigohitch/net/loop.py
@@ -8,8 +8,8 @@
 from typing import Protocol
 
 from .clock import SECOND, Clock
-from .ring_buffer import Pool
-from .slot_table import Slots
+from .ring_buffer import BufferPool
+from .slot_table import SlotTable
 
 
 class Watched(Protocol):
@@ -30,15 +30,15 @@
         self.action = None
 
 
-class Loop:
+class EventLoop:
     POOL = 16 << 20  # for the connections that are ours, until the limits are read
     SWEPT = 256  # deadlines in the heap before the cancelled are looked for
     CROWD = 32  # of those in the crowd a turn: with what one may bring, 10 ms at the worst
 
     def __init__(self, clock: Clock, failed: Callable[[BaseException], None]) -> None:
         self.clock, self.failed = clock, failed
-        self.pool = Pool(self.POOL)
-        self.watched: Slots[Watched] = Slots()
+        self.pool = BufferPool(self.POOL)
+        self.watched: SlotTable[Watched] = SlotTable()
         self._selector = selectors.DefaultSelector()
         self._due: list[tuple[int, int, Deadline]] = []
         self._sweep_at = self.SWEPT
--- a/indigohitch/net/request_connection.py
+++ b/indigohitch/net/request_connection.py
@@ -6,24 +6,24 @@
 
 import httptools
 
-from .loop import Loop
+from .loop import EventLoop
 from .stream import Stream
 
 
 class Load(Protocol):
     """Who sends over wires."""
 
-    loop: Loop
+    loop: EventLoop
     to: tuple[str, int]
 
-    def over(self, wire: Wire, job, status: int, why: str) -> None:
+    def over(self, wire: RequestConnection, job, status: int, why: str) -> None:
         """A request's end: its status, or 0 and why there is none."""
 
-    def ended(self, wire: Wire) -> None:
+    def ended(self, wire: RequestConnection) -> None:
         """The wire can't be used any more; `over` for what was out on it comes after."""
 
 
-class Wire:
+class RequestConnection:
     def __init__(self, load: Load) -> None:
         """Begins to connect; raises OSError."""
         self.load, self.job = load, None
--- a/indigohitch/net/ring_buffer.py
+++ b/indigohitch/net/ring_buffer.py
@@ -5,7 +5,7 @@
 import socket
 
 
-class Pool:
+class BufferPool:
     """What all rings together may hold beyond their first block: many connections that each stay
     within their own bound must not fill the memory together."""
 
@@ -22,10 +22,10 @@
         self.left += size
 
 
-class Ring:
+class RingBuffer:
     FIRST = 4096  # most messages are far smaller; a thousand of these are 4 MB
 
-    def __init__(self, most: int, pool: Pool) -> None:
+    def __init__(self, most: int, pool: BufferPool) -> None:
         self.most, self._pool = most, pool
         self._block = bytearray()  # most connections never have anything to wait
         self._head = self._size = self._scanned = 0
--- a/indigohitch/net/slot_table.py
+++ b/indigohitch/net/slot_table.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class Slots(Generic[T]):
+class SlotTable(Generic[T]):
     def __init__(self) -> None:
         self._items: list[T | None] = []
         self._free: list[int] = []
--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -6,8 +6,8 @@
 import socket
 
 from .connection import READ, WRITE, Connection
-from .loop import Loop
-from .ring_buffer import Pool
+from .loop import EventLoop
+from .ring_buffer import BufferPool
 
 
 class Stream(Connection):
@@ -17,7 +17,7 @@
     BOUND = 64 << 10  # a ring: 1 GB passes through two of these a direction; more only adds delay
 
     def __init__(
-        self, loop: Loop, sock: socket.socket, reader, most: int = BOUND, pool: Pool | None = None
+        self, loop: EventLoop, sock: socket.socket, reader, most: int = BOUND, pool: BufferPool | None = None
     ) -> None:
         super().__init__(loop, sock, reader, most, pool)
         self.held = False  # the ring is full: the socket is not read
@@ -25,7 +25,7 @@
         self._dialled = False
 
     @classmethod
-    def dial(cls, loop: Loop, to: tuple[str, int], reader) -> Stream:
+    def dial(cls, loop: EventLoop, to: tuple[str, int], reader) -> Stream:
         connection = super().dial(loop, to, reader)
         connection._mask = READ | WRITE
         connection._dialled = True
--- a/indigohitch/net/transient_errors.py
+++ b/indigohitch/net/transient_errors.py
@@ -16,17 +16,17 @@
 AGAIN = 0.02  # s between tries
 
 
-def passes(error: BaseException) -> bool:
+def is_transient(error: BaseException) -> bool:
     """Whether the same call may well succeed in a moment."""
     return isinstance(error, OSError) and error.errno in PASSING
 
 
-def dial_passes(error: OSError) -> bool:
+def is_transient_connect_error(error: OSError) -> bool:
     """Whether a connect that failed before anything went out may well succeed in a moment."""
     return error.errno in UNREACHED
 
 
-def made_in_time(
+def retry_transient(
     make: Callable[[], Made],
     told: Callable[[OSError], None] = lambda error: None,
     patience: float = PATIENCE,
@@ -38,7 +38,7 @@
         try:
             return make()
         except OSError as error:
-            if not passes(error) or time.monotonic() >= until:
+            if not is_transient(error) or time.monotonic() >= until:
                 raise
             told(error)
         time.sleep(AGAIN)
--- a/indigohitch/net/worker_thread.py
+++ b/indigohitch/net/worker_thread.py
@@ -13,14 +13,14 @@
 from collections.abc import Callable
 
 from .connection import READ
-from .loop import Loop
+from .loop import EventLoop
 
 
-class Worker:
+class WorkerThread:
     # How long the thread may hold the interpreter while the loop waits for it: a tenth of a fast answer.
     SWITCH = 0.0005
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
         self._calls: queue.SimpleQueue = queue.SimpleQueue()
         self._results: deque[tuple[Callable, object, BaseException | None]] = deque()
--- a/indigohitch/pidfile.py
+++ b/indigohitch/pidfile.py
@@ -4,7 +4,7 @@
 
 import os
 
-from .encoding.files import write_whole
+from .encoding.files import write_atomically
 from .errors import error_fields
 from .log import Log
 
@@ -17,6 +17,6 @@
     def write(self) -> None:
         if self.path:
             try:
-                write_whole(self.path, b"%d\n" % os.getpid())
+                write_atomically(self.path, b"%d\n" % os.getpid())
             except OSError as bad:
                 self.log.warning("no_pidfile", **error_fields(bad))
--- a/indigohitch/platform_protocol/call_codec.py
+++ b/indigohitch/platform_protocol/call_codec.py
@@ -7,7 +7,7 @@
 from xml.etree import ElementTree
 
 from .. import interface as face
-from ..net.http_exchange import Answer
+from ..net.http_exchange import HttpResponse
 
 BYTES = 60_000  # of orders that a call may carry, says the protocol
 FORM = "application/x-www-form-urlencoded"
@@ -103,7 +103,7 @@
     )
 
 
-def read_answer(answer: Answer) -> int | str:
+def read_answer(answer: HttpResponse) -> int | str:
     """How many orders were taken, or the name of the error; ValueError: nothing that can be read."""
     if answer.outcome != "answered":
         raise ValueError(answer.outcome)
--- a/indigohitch/platform_protocol/call_log.py
+++ b/indigohitch/platform_protocol/call_log.py
@@ -7,7 +7,7 @@
 
 from .. import interface as face
 from ..log import Log
-from ..net.http_exchange import Answer
+from ..net.http_exchange import HttpResponse
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,7 +57,7 @@
             **fields,
         )
 
-    def unclear(self, why: str, orders: Sequence[face.Order], answer: Answer) -> None:
+    def unclear(self, why: str, orders: Sequence[face.Order], answer: HttpResponse) -> None:
         """Whether the call was carried out is not known."""
         self.log.warning(
             "relay_call_unclear",
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -12,9 +12,9 @@
 from ..log import Log
 from ..logic.rate_limit import MessageRateLimit
 from ..net.clock import SECOND
-from ..net.http_client import Client
-from ..net.http_exchange import Answer
-from ..net.loop import Deadline, Loop
+from ..net.http_client import HttpClient
+from ..net.http_exchange import HttpResponse
+from ..net.loop import Deadline, EventLoop
 from .call_codec import FORM, encode, form
 from .call_log import CallLog
 from .call_resolution import Effect
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         to: tuple[str, int],
         methods: Sequence[str],
@@ -57,7 +57,7 @@
         # before it goes; False: it may not.
         self.allowed: Callable[[str], bool] | None = None
         self.doubted: Callable[[], None] = lambda: None  # a dropped call may stand: read what does
-        self.client = Client(loop, to, self.CONNECT, self.IDLE)
+        self.client = HttpClient(loop, to, self.CONNECT, self.IDLE)
         self.idle = True
         self.held = self.out = False  # no call begins; one has gone and nothing is known of it yet
         self.bounded = False  # the next one waits for the bounds of the channel
@@ -94,7 +94,7 @@
         if to == self.client.to:
             return False
         self.client.retire()
-        self.client = Client(self.loop, to, self.CONNECT, self.IDLE)
+        self.client = HttpClient(self.loop, to, self.CONNECT, self.IDLE)
         self.first.inquiry.drop()
         if self.first.in_doubt and not self.out:
             self._call()  # what is in doubt stays so, and is looked up there
@@ -201,7 +201,7 @@
 
     # ---- what relay.py says ------------------------------------------------------------------------
 
-    def _answered(self, answer: Answer) -> None:
+    def _answered(self, answer: HttpResponse) -> None:
         raise NotImplementedError
 
     def _found(self, effect: Effect, proved: int) -> None:
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -13,9 +13,9 @@
 
 from .. import interface as face
 from ..net.clock import SECOND
-from ..net.http_client import Client
-from ..net.http_exchange import Answer, Exchange
-from ..net.loop import Deadline, Loop
+from ..net.http_client import HttpClient
+from ..net.http_exchange import HttpExchange, HttpResponse
+from ..net.loop import Deadline, EventLoop
 from . import stored_tables
 from .relay_watch import EventStream, event_of
 
@@ -132,14 +132,14 @@
     AGAIN = SECOND // 10
     DOUBLINGS = 3  # of that wait, where what was read did not tell
 
-    def __init__(self, loop: Loop, told: Callable[[Effect, int], None]) -> None:
+    def __init__(self, loop: EventLoop, told: Callable[[Effect, int], None]) -> None:
         """`told` hears the effect, and how many orders are proved to stand by it."""
         self.loop, self.told = loop, told
         self.to: tuple[str, int] | None = None
         self.evidence: Evidence | None = None  # while one is open
         self.until_known = False
         self.due: Deadline | None = None
-        self.exchange: Exchange | None = None
+        self.exchange: HttpExchange | None = None
         self.heard = False  # in this try: the relay is in reach
         self.read_in_vain = 0  # tries that were answered and did not tell
 
@@ -155,7 +155,7 @@
         self.heard = False
         stream = EventStream(self._said, lambda: None)
         self.due = self.loop.after(self.SPAN, self._again)
-        self.exchange = Client(self.loop, self.to, self.CONNECT).request(
+        self.exchange = HttpClient(self.loop, self.to, self.CONNECT).request(
             "GET", "/stream", self.SPAN, self._ended, stream=lambda part: self._part(stream, part)
         )
 
@@ -180,7 +180,7 @@
             case face.StoredRoute(table, backend, weight):
                 self.evidence.line(table, backend, weight)
 
-    def _ended(self, answer: Answer) -> None:
+    def _ended(self, answer: HttpResponse) -> None:
         self._again()
 
     def _again(self) -> None:
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -10,9 +10,9 @@
 from .. import interface as face
 from ..log import Log
 from ..net.clock import SECOND
-from ..net.http_client import Client
-from ..net.http_exchange import Answer, Exchange
-from ..net.loop import Deadline, Loop
+from ..net.http_client import HttpClient
+from ..net.http_exchange import HttpExchange, HttpResponse
+from ..net.loop import Deadline, EventLoop
 from ..settings import ticks_from_ms
 from .backend_source import Tell
 from .list_versions import Ask, Generations, Verdict
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         to: tuple[str, int],
         version: int,
@@ -70,13 +70,13 @@
         self.generations = Generations(version)
         self.client = self._client(to)
         self.subscribed = self.watching = False  # `watching` ends where the module has to ask anew
-        self.watch: Exchange | None = None
+        self.watch: HttpExchange | None = None
         self.again: Deadline | None = None
-        self.left: Exchange | None = None  # the watch at the address that it moves away from
+        self.left: HttpExchange | None = None  # the watch at the address that it moves away from
         self.based, self.tries = True, 0  # a list from this address is held, or changes would not do
 
-    def _client(self, to: tuple[str, int]) -> Client:
-        return Client(self.loop, to, connect_span=SECOND, idle_span=SECOND)
+    def _client(self, to: tuple[str, int]) -> HttpClient:
+        return HttpClient(self.loop, to, connect_span=SECOND, idle_span=SECOND)
 
     @property
     def version(self) -> int:
@@ -113,8 +113,12 @@
         self._ask(self.client, 0, True, self._fetched)
 
     def _ask(
-        self, client: Client, hold: int, whole: bool, done: Callable[[Client, Ask, Answer], None]
-    ) -> Exchange:
+        self,
+        client: HttpClient,
+        hold: int,
+        whole: bool,
+        done: Callable[[HttpClient, Ask, HttpResponse], None],
+    ) -> HttpExchange:
         ask = self.generations.ask(self.loop.clock.now(), whole, left=client is not self.client)
         target = self.PATH if whole else f"{self.PATH}?from={ask.base}&hold_ms={hold * 1000 // SECOND}"
         return client.request(
@@ -134,7 +138,7 @@
     def _watch_at(self, when: int) -> None:
         self.again = self.loop.at(when, self._watch)
 
-    def _watched(self, client: Client, ask: Ask, answer: Answer) -> None:
+    def _watched(self, client: HttpClient, ask: Ask, answer: HttpResponse) -> None:
         if client is not self.client:
             self._watched_left(client, ask, answer)
             return
@@ -160,7 +164,7 @@
         elif self.watching:
             self._watch(self.HOLD)
 
-    def _watched_left(self, client: Client, ask: Ask, answer: Answer) -> None:
+    def _watched_left(self, client: HttpClient, ask: Ask, answer: HttpResponse) -> None:
         """What it had to tell counts; its end says nothing of the new address, which alone is left then."""
         self.left = None
         try:
@@ -171,17 +175,17 @@
         if self.left is None and self.again is not None:
             self._watch()
 
-    def _fetched(self, client: Client, ask: Ask, answer: Answer) -> None:
+    def _fetched(self, client: HttpClient, ask: Ask, answer: HttpResponse) -> None:
         try:
             self._judged(ask, answer)
         except ValueError as bad:
             self._failed(bad, answer)
 
-    def _failed(self, why: ValueError, answer: Answer) -> None:
+    def _failed(self, why: ValueError, answer: HttpResponse) -> None:
         self.log.warning("discovery_failed", why=str(why), after_ms=answer.duration / 10)
         self.tell(face.BackendList("failed", self.version, ()), {})
 
-    def _judged(self, ask: Ask, answer: Answer) -> Verdict:
+    def _judged(self, ask: Ask, answer: HttpResponse) -> Verdict:
         """Tell what counts; ValueError if it is no list."""
         if answer.outcome != "answered":
             raise ValueError(answer.outcome)
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -13,7 +13,7 @@
 from ..log import Log
 from ..logic.state import DEPARTING_STATES
 from ..net.clock import SECOND
-from ..net.loop import Loop
+from ..net.loop import EventLoop
 from .stored_tables import Tables
 
 
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         grace: int,
         stood: Callable[[], Tables],
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -13,9 +13,9 @@
 from ..logic.call_scheduling import urgent_tables
 from ..logic.update_channel import MAX_PENDING_SHARE, UNACKNOWLEDGED_DRAIN_SHARE
 from ..net.clock import SECOND
-from ..net.connection import address
-from ..net.loop import Loop
-from ..net.ring_buffer import Pool
+from ..net.connection import parse_address
+from ..net.loop import EventLoop
+from ..net.ring_buffer import BufferPool
 from ..settings import parse_settings
 from .backend_list_log import log_list
 from .backend_source import BackendSource, Tell
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         found: dict,
         listening: socket.socket | None = None,
@@ -50,7 +50,7 @@
         self.loop, self.log = loop, log
         self.found = found
         self.seed, limits, self.boot, columns, known, self.addresses, store, discovery = self._read(found)
-        loop.pool = Pool(limits.calls_pool)
+        loop.pool = BufferPool(limits.calls_pool)
         self.starts = Starts()
         known = self.starts.carried_over(known, loop.clock.now(), loop.clock.wall())
         self.listed = {entry.backend: entry for entry in known.entries}
@@ -105,7 +105,7 @@
             self.heard_of,
         )
         self.collectors = Collectors(
-            loop, log, self.hear, address(found["listen"]), limits, self.known, listening
+            loop, log, self.hear, parse_address(found["listen"]), limits, self.known, listening
         )
 
     @staticmethod
@@ -121,8 +121,8 @@
             columns,
             known,
             addresses,
-            address(found["store"]["address"]),
-            address(found["discovery"]),
+            parse_address(found["store"]["address"]),
+            parse_address(found["discovery"]),
         )
 
     def _figure(self, name: str) -> float:
--- a/indigohitch/platform_protocol/in_flight_call.py
+++ b/indigohitch/platform_protocol/in_flight_call.py
@@ -6,13 +6,13 @@
 
 from .. import interface as face
 from ..logic.call_scheduling import BLIND_RETRY_DELAY, retry_delay
-from ..net.loop import Loop
+from ..net.loop import EventLoop
 from . import stored_tables
 from .call_resolution import Effect, Evidence, Inquiry, MarkProof
 
 
 class FirstCall:
-    def __init__(self, loop: Loop, found: Callable[[Effect, int], None]) -> None:
+    def __init__(self, loop: EventLoop, found: Callable[[Effect, int], None]) -> None:
         """`found` hears what the store tells of a call in doubt (Inquiry)."""
         self.loop = loop
         self.failures = 0  # tries that may have been carried out
--- a/indigohitch/platform_protocol/inbound_connection.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -7,14 +7,14 @@
 
 from ..log import Log
 from ..net.connection import Connection
-from ..net.loop import Loop
+from ..net.loop import EventLoop
 from .messages import GarbledConnectionError, InvalidLineError, Known, report, split, text
 
 
 class Owner(Protocol):
     """What a caller needs of the table that holds all of them."""
 
-    loop: Loop
+    loop: EventLoop
     log: Log
     known: Known
     hear: Callable
--- a/indigohitch/platform_protocol/inbound_connections.py
+++ b/indigohitch/platform_protocol/inbound_connections.py
@@ -10,8 +10,8 @@
 from ..net.clock import SECOND
 from ..net.connection import Connection
 from ..net.listener import Listener
-from ..net.loop import Deadline, Loop
-from ..net.ring_buffer import Pool
+from ..net.loop import Deadline, EventLoop
+from ..net.ring_buffer import BufferPool
 from .inbound_connection import Caller
 from .messages import Known
 from .resource_limits import Limits
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         hear: Callable,
         at: tuple[str, int],
@@ -43,7 +43,7 @@
         listening: socket.socket | None = None,
     ) -> None:
         self.loop, self.log, self.hear, self.most, self.known = loop, log, hear, limits.callers, known
-        self.pool = Pool(limits.callers_pool)
+        self.pool = BufferPool(limits.callers_pool)
         # Oldest first, both.
         self.strangers: OrderedDict[Connection, None] = OrderedDict()
         self.members: OrderedDict[Connection, None] = OrderedDict()
--- a/indigohitch/platform_protocol/probes.py
+++ b/indigohitch/platform_protocol/probes.py
@@ -10,10 +10,10 @@
 from .. import interface as face
 from ..log import Log
 from ..net.clock import SECOND
-from ..net.connection import address
-from ..net.http_client import Client
-from ..net.http_exchange import Answer
-from ..net.loop import Loop
+from ..net.connection import parse_address
+from ..net.http_client import HttpClient
+from ..net.http_exchange import HttpResponse
+from ..net.loop import EventLoop
 from .messages import load_values
 
 
@@ -21,16 +21,16 @@
     SPAN = SECOND * 6 // 10  # a backend that runs answers in a tenth of that
 
     def __init__(
-        self, loop: Loop, log: Log, reports: bool, most: int, tell: Callable[[face.ProbeResult], None]
+        self, loop: EventLoop, log: Log, reports: bool, most: int, tell: Callable[[face.ProbeResult], None]
     ) -> None:
         self.loop, self.log, self.most, self.tell = loop, log, most, tell
         self.waiting: deque[tuple[str, str]] = deque()  # for a descriptor: each backend once, says the module
         self.path = "/stats" if reports else "/health/live"
-        self.clients: set[Client] = set()  # of the probes that are out
+        self.clients: set[HttpClient] = set()  # of the probes that are out
 
     def send(self, backend: str, at: str | None) -> None:
         try:
-            client = Client(self.loop, address(at or ""), self.SPAN)
+            client = HttpClient(self.loop, parse_address(at or ""), self.SPAN)
         except ValueError:  # discovery gave no address that can be dialled
             self.tell(face.ProbeResult(backend, "connect_failed", 0))
             return
@@ -41,7 +41,7 @@
         self.clients.add(client)
         client.request("GET", self.path, self.SPAN, lambda answer: self._answered(backend, client, answer))
 
-    def _answered(self, backend: str, client: Client, answer: Answer) -> None:
+    def _answered(self, backend: str, client: HttpClient, answer: HttpResponse) -> None:
         self.clients.discard(client)
         outcome = answer.outcome
         if outcome == "answered":
@@ -53,7 +53,7 @@
         if self.waiting:
             self.send(*self.waiting.popleft())
 
-    def _load(self, answer: Answer) -> dict[str, float]:
+    def _load(self, answer: HttpResponse) -> dict[str, float]:
         if answer.outcome != "answered" or not answer.body or self.path != "/stats":
             return {}
         try:
--- a/indigohitch/platform_protocol/relay.py
+++ b/indigohitch/platform_protocol/relay.py
@@ -5,7 +5,7 @@
 from .. import interface as face
 from ..logic.call_scheduling import resend_delay
 from ..net.clock import SECOND
-from ..net.http_exchange import Answer
+from ..net.http_exchange import HttpResponse
 from .call_codec import encode, read_answer
 from .call_queue import CallQueue
 from .call_resolution import Effect
@@ -15,7 +15,7 @@
     THROTTLED = SECOND // 20  # soon: before the run begins every call is turned away
     UNSENT = ("connect_failed", "unreached")  # outcomes by which nothing can have been carried out
 
-    def _answered(self, answer: Answer) -> None:
+    def _answered(self, answer: HttpResponse) -> None:
         orders, self.out = self.waiting[0], False
         try:
             said = read_answer(answer)
--- a/indigohitch/platform_protocol/relay_watch.py
+++ b/indigohitch/platform_protocol/relay_watch.py
@@ -9,9 +9,9 @@
 from .. import interface as face
 from ..log import Log
 from ..net.clock import SECOND
-from ..net.http_client import Client
-from ..net.http_exchange import Answer, Exchange
-from ..net.loop import Deadline, Loop
+from ..net.http_client import HttpClient
+from ..net.http_exchange import HttpExchange, HttpResponse
+from ..net.loop import Deadline, EventLoop
 from .messages import NEWS
 
 
@@ -69,12 +69,12 @@
     CONNECT = SECOND // 4  # on one network a connect takes a few ms
     AGAIN = SECOND // 10  # before the next try: a relay out of reach is not asked without pause
 
-    def __init__(self, loop: Loop, log: Log, to: tuple[str, int], hearer: Hearer) -> None:
+    def __init__(self, loop: EventLoop, log: Log, to: tuple[str, int], hearer: Hearer) -> None:
         self.loop, self.log, self.hearer = loop, log, hearer
-        self.client = Client(loop, to, self.CONNECT)
+        self.client = HttpClient(loop, to, self.CONNECT)
         self.stream = EventStream(self._said, hearer.news_alive)
-        self.current: Exchange | None = None  # the stream that tells
-        self.coming: Exchange | None = None  # one asked for, that has told nothing yet
+        self.current: HttpExchange | None = None  # the stream that tells
+        self.coming: HttpExchange | None = None  # one asked for, that has told nothing yet
         self.again: Deadline | None = None
 
     def open(self) -> None:
@@ -92,7 +92,7 @@
         """Ask at another address.  The stream that tells goes on until one there does."""
         if to == self.client.to:
             return False
-        self.client = Client(self.loop, to, self.CONNECT)
+        self.client = HttpClient(self.loop, to, self.CONNECT)
         self.anew()
         return True
 
@@ -104,7 +104,7 @@
             self.coming.drop()
         self.open()
 
-    def _part(self, exchange: Exchange, part: bytes) -> None:
+    def _part(self, exchange: HttpExchange, part: bytes) -> None:
         if exchange is self.coming:
             if self.current is not None:
                 if self.current.connection is not None:
@@ -128,7 +128,7 @@
         self.log.count(f"news_{kind}")
         self.hearer.news(event)
 
-    def _ended(self, exchange: Exchange, answer: Answer) -> None:
+    def _ended(self, exchange: HttpExchange, answer: HttpResponse) -> None:
         self.log.warning("news_lost", why=answer.outcome, status=answer.status, after_ms=answer.duration / 10)
         if exchange is self.current:
             self.current = None
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -8,7 +8,7 @@
 from .. import interface as face
 from ..log import Log
 from ..net.clock import SECOND
-from ..net.loop import Deadline, Loop
+from ..net.loop import Deadline, EventLoop
 from . import stored_tables
 
 
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         hear: Callable[..., None],
         pending: Callable[[], list[face.Order]],
--- a/indigohitch/process.py
+++ b/indigohitch/process.py
@@ -10,8 +10,8 @@
 from .log import Log
 from .net.clock import Clock
 from .net.connection import READ
-from .net.loop import Loop
-from .net.transient_errors import made_in_time
+from .net.loop import EventLoop
+from .net.transient_errors import retry_transient
 
 
 class Process:
@@ -21,8 +21,8 @@
         self.phase = phase
         self.clock = Clock()
         self.log = Log(self.clock, name)
-        self.loop = made_in_time(lambda: Loop(self.clock, self.failed), self.delayed)
-        self._wake, wake = made_in_time(socket.socketpair, self.delayed)
+        self.loop = retry_transient(lambda: EventLoop(self.clock, self.failed), self.delayed)
+        self._wake, wake = retry_transient(socket.socketpair, self.delayed)
         for end in (self._wake, wake):
             end.setblocking(False)
         self._woken_by = wake  # held, or it would close
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -13,9 +13,9 @@
 
 from .errors import error_fields
 from .net.clock import SECOND
-from .net.connection import address
+from .net.connection import parse_address
 from .net.listener import Listener
-from .net.transient_errors import made_in_time, passes
+from .net.transient_errors import is_transient, retry_transient
 from .platform_protocol.front import Front
 from .process import Process
 
@@ -63,7 +63,7 @@
     try:
         moved.reload(configuration(environ, "BALANCER_LISTEN"))
     except UNUSABLE as bad:
-        if passes(bad) and now < until:
+        if is_transient(bad) and now < until:
             process.loop.after(RELOAD_AGAIN, lambda: reload_front(process, environ, front, done, until))
         else:
             process.log.warning("reload_failed", **error_fields(bad, REMEDY))
@@ -89,14 +89,14 @@
     def run(self) -> int:
         """Returns the exit code."""
         try:
-            found = made_in_time(
+            found = retry_transient(
                 lambda: configuration(self.environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY"), self.delayed
             )
-            listening = self.listening(address(found["listen"]))
+            listening = self.listening(parse_address(found["listen"]))
             if listening is None:
                 return 0
             if self.file_is_newer:
-                found = made_in_time(lambda: configuration(self.environ, "BALANCER_LISTEN"), self.delayed)
+                found = retry_transient(lambda: configuration(self.environ, "BALANCER_LISTEN"), self.delayed)
             self.front = Front(self.loop, self.log, found, listening)
         except UNUSABLE as bad:
             self.log.event("cannot_start", **error_fields(bad, REMEDY))
@@ -126,7 +126,7 @@
             try:
                 return Listener.opened(at)
             except OSError as held:
-                if held.errno != errno.EADDRINUSE and not passes(held) or self.clock.now() >= until:
+                if held.errno != errno.EADDRINUSE and not is_transient(held) or self.clock.now() >= until:
                     raise
                 self.log.warning("address_held", listen=f"{at[0]}:{at[1]}", why=str(held))
             self.loop.after(self.AGAIN, lambda: None)
--- a/indigohitch/sidecar/clients.py
+++ b/indigohitch/sidecar/clients.py
@@ -8,7 +8,7 @@
 import termios
 
 from ..net.clock import SECOND
-from ..net.http_exchange import stands
+from ..net.http_exchange import is_connection_open
 from ..net.stream import Stream
 from .framing import Body
 from .heads import Refused, RequestHead, plain
@@ -159,7 +159,7 @@
     def part(self) -> None:
         """The process ends and nothing is out for this one.  Closed over bytes unread, or met by more while
         an answer still is on its way, the connection would be reset, and the answer lost."""
-        if not self.close_after and not stands(self.stream.sock):
+        if not self.close_after and not is_connection_open(self.stream.sock):
             self.close_after = True  # the next turn reads it: what stands whole there is the last
         elif self.close_after or len(self.stream.incoming) or self.unsent():
             self.linger()
--- a/indigohitch/sidecar/framing.py
+++ b/indigohitch/sidecar/framing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..errors import InvalidDataError
-from ..net.ring_buffer import Ring
+from ..net.ring_buffer import RingBuffer
 
 
 class Malformed(InvalidDataError):
@@ -27,7 +27,7 @@
         self.done = kind == self.NONE or kind == self.LENGTH and not length
         self._state, self._trailers = "size", 0
 
-    def take(self, ring: Ring, most: int) -> bytes:
+    def take(self, ring: RingBuffer, most: int) -> bytes:
         """Up to `most` bytes of data that have come; raises Malformed."""
         if self.done or most <= 0:
             return b""
@@ -48,7 +48,7 @@
         self.done |= self.kind == self.TO_END
         return self.done
 
-    def _line(self, ring: Ring, most: int) -> bytes | None:
+    def _line(self, ring: RingBuffer, most: int) -> bytes | None:
         end = ring.until(b"\r\n")
         if not end:
             if len(ring) > most:
@@ -61,7 +61,7 @@
             raise Malformed("a line of the chunks does not end in CRLF")
         return line
 
-    def _chunks(self, ring: Ring, most: int) -> bytes:
+    def _chunks(self, ring: RingBuffer, most: int) -> bytes:
         parts, got = [], 0
         while not self.done and got < most:
             if self._state == "data":
--- a/indigohitch/sidecar/host.py
+++ b/indigohitch/sidecar/host.py
@@ -9,11 +9,11 @@
 from ..log import Log
 from ..net.clock import SECOND
 from ..net.listener import Listener
-from ..net.loop import Loop
-from ..net.ring_buffer import Pool as Memory
-from ..net.slot_table import Slots
+from ..net.loop import EventLoop
+from ..net.ring_buffer import BufferPool as Memory
+from ..net.slot_table import SlotTable
 from ..net.stream import Stream
-from ..net.worker_thread import Worker
+from ..net.worker_thread import WorkerThread
 from .access import AccessLog
 from .clients import Client
 from .pool import Pool
@@ -23,14 +23,14 @@
     SWEEP = SECOND // 2  # slow clients are ended as late as that: their waits are seconds
     QUEUE = 1024  # as many may wait to be accepted, says Listener.opened
 
-    def __init__(self, loop: Loop, log: Log, text: Text) -> None:
+    def __init__(self, loop: EventLoop, log: Log, text: Text) -> None:
         self.loop, self.log, self.text = loop, log, text
         self.seating = None  # where the file has a fleet: sidecar/seating.py
         self.felt = lambda now, rpc, latency: None  # where the file has a fleet, its batches hear it
         loop.pool = Memory(text.limits["memory"])
         self.memory = Memory(text.limits["memory"])
-        self.clients: Slots[Client] = Slots()
-        self.worker = Worker(loop)
+        self.clients: SlotTable[Client] = SlotTable()
+        self.worker = WorkerThread(loop)
         self.pools = self.make_pools()
         self.listener: Listener | None = None
         self.holding = self.passing = False  # no RPC begins; idle clients go to another process
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -9,8 +9,8 @@
 from ..config.texts import PoolText
 from ..event_batch import EventBatch
 from ..logic import Coordinator
-from ..net.http_client import Client as Caller
-from ..net.http_exchange import Answer
+from ..net.http_client import HttpClient as Caller
+from ..net.http_exchange import HttpResponse
 from ..request import RouteTable
 from ..settings import parse_load_report
 from .servers import Server
@@ -235,7 +235,7 @@
             "GET", self.text.probe, self.PROBE, lambda answer: self.probed(backend, caller, answer)
         )
 
-    def probed(self, backend: str, caller: Caller, answer: Answer) -> None:
+    def probed(self, backend: str, caller: Caller, answer: HttpResponse) -> None:
         self.probes.discard(caller)
         outcome = (
             ("ok" if answer.status == 200 else "error")
--- a/indigohitch/sidecar/servers.py
+++ b/indigohitch/sidecar/servers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..net.http_exchange import stands
+from ..net.http_exchange import is_connection_open
 from ..net.stream import Stream
 
 
@@ -38,7 +38,7 @@
         twice, and bytes that nobody asked for would be the answer to the next."""
         while self.idle:
             found = self.idle.pop()
-            if stands(found.stream.sock):
+            if is_connection_open(found.stream.sock):
                 return found
             found.stream.close()
         return None
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -7,7 +7,7 @@
 from ..config import sidecar_file
 from ..config.texts import Text
 from ..errors import InvalidRequestError, error_fields
-from ..net.file_limits import allow
+from ..net.file_limits import raise_file_limit
 from ..replaceable import Replaceable
 from ..upgrade import launch
 from ..upgrade.side import Side
@@ -93,5 +93,5 @@
     channel = launch.inherited()
     text = sidecar_file.load(source)
     os.set_blocking(1, False)  # a log that nobody reads must not hold up the service
-    allow(2 * text.limits["clients"] + 256)  # each client may have a server's connection
+    raise_file_limit(2 * text.limits["clients"] + 256)  # each client may have a server's connection
     return Sidecar(source, text, channel is not None).run(channel)
--- a/indigohitch/standins/breaker.py
+++ b/indigohitch/standins/breaker.py
@@ -24,7 +24,7 @@
 
 from ..net.clock import SECOND, Clock
 from ..net.connection import READ
-from ..net.loop import Loop
+from ..net.loop import EventLoop
 from .lanes import NONE, Fault, Gate, Lane
 
 
@@ -34,7 +34,7 @@
     def __init__(self, seed: int = 1) -> None:
         self.uniform = random.Random(seed).random
         self.broken: list[BaseException] = []
-        self.loop = Loop(Clock(), self.broken.append)
+        self.loop = EventLoop(Clock(), self.broken.append)
         self.loop.pool.left = 1 << 30  # a stand-in's memory is nobody's concern
         self.gates: dict[tuple[str, str], Gate] = {}
         self.lanes: dict[tuple[str, str], Lane] = {}
--- a/indigohitch/standins/lanes.py
+++ b/indigohitch/standins/lanes.py
@@ -14,7 +14,7 @@
 
 from ..net.clock import SECOND
 from ..net.listener import Listener
-from ..net.loop import Deadline, Loop
+from ..net.loop import Deadline, EventLoop
 from ..net.stream import Stream
 
 # How often a trickling lane lets something through: twenty times a second is slow, and no burst.
@@ -61,7 +61,7 @@
 class Half:
     """Bytes of one direction of a passage: out of `source`, into `sink`."""
 
-    def __init__(self, loop: Loop, lane: Lane) -> None:
+    def __init__(self, loop: EventLoop, lane: Lane) -> None:
         self.loop, self.lane = loop, lane
         self.source: Stream | None = None
         self.sink: Stream | None = None
@@ -188,7 +188,7 @@
 class Gate:
     """The port that one member's file names for another."""
 
-    def __init__(self, loop: Loop, forth: Lane, back: Lane, to: tuple[str, int]) -> None:
+    def __init__(self, loop: EventLoop, forth: Lane, back: Lane, to: tuple[str, int]) -> None:
         self.loop, self.forth, self.back, self.to = loop, forth, back, to
         self.passages: set[Passage] = set()
         # Bound and never listening: it keeps the port ours while a refusing gate listens nowhere.
--- a/indigohitch/standins/load.py
+++ b/indigohitch/standins/load.py
@@ -12,9 +12,9 @@
 import orjson
 
 from ..net.clock import SECOND, Clock
-from ..net.connection import address
-from ..net.loop import Loop
-from ..net.request_connection import Wire
+from ..net.connection import parse_address
+from ..net.loop import EventLoop
+from ..net.request_connection import RequestConnection
 
 
 class Load:
@@ -31,13 +31,13 @@
         def failed(broken: BaseException) -> None:
             raise broken
 
-        self.loop = Loop(Clock(), failed)
+        self.loop = EventLoop(Clock(), failed)
         self.loop.pool.left = 1 << 30
         self.to, self.kept, self.fresh, self.reserve, self.keys = to, kept, fresh, reserve, keys
         rng = random.Random(seed)
         self.uniform, self.randrange, self.prefix = rng.random, rng.randrange, prefix
-        self.spare: dict[Wire, None] = {}
-        self.once: set[Wire] = set()  # wires for one request
+        self.spare: dict[RequestConnection, None] = {}
+        self.once: set[RequestConnection] = set()  # wires for one request
         self.kept_open = self.out = self.number = 0
         self.results: list[tuple[int, int, int, str, str]] = []  # due, took, status, id, why
         self.reserves: set[str] = set()
@@ -61,31 +61,31 @@
         id, data = self.form(act)
         self.out += 1
         if self.uniform() < self.fresh:
-            wire = Wire(self)
+            wire = RequestConnection(self)
             self.once.add(wire)
         elif self.spare and self.kept_open >= self.kept:
             wire = next(iter(self.spare))  # the one that rested longest: all stay in use
             del self.spare[wire]
         else:
-            wire = Wire(self)
+            wire = RequestConnection(self)
             self.kept_open += 1
         wire.send((due, id), data)
 
-    def free(self, wire: Wire) -> None:
+    def free(self, wire: RequestConnection) -> None:
         if len(self.spare) < self.kept:
             self.spare[wire] = None
         else:
             wire.stream.close()
             self.kept_open -= 1
 
-    def ended(self, wire: Wire) -> None:
+    def ended(self, wire: RequestConnection) -> None:
         self.spare.pop(wire, None)
         if wire in self.once:
             self.once.discard(wire)
         else:
             self.kept_open -= 1
 
-    def over(self, wire: Wire, job: tuple, status: int, why: str) -> None:
+    def over(self, wire: RequestConnection, job: tuple, status: int, why: str) -> None:
         if wire in self.once:
             self.once.discard(wire)
             wire.stream.close()
@@ -153,7 +153,7 @@
 def main(words: list[str]) -> None:
     """TARGET open RATE SECONDS [KEPT FRESH RESERVE SEED] | TARGET closed CONNECTIONS SECONDS"""
     target, how, first, seconds, *rest = words
-    to = address(target)
+    to = parse_address(target)
     if not to[0].startswith("127."):
         raise SystemExit("a stand-in sends to loopback only")
     kept, fresh, reserve, seed = [*map(float, rest), *(50, 0.2, 0.24, 1)[len(rest) :]]
--- a/indigohitch/standins/peer.py
+++ b/indigohitch/standins/peer.py
@@ -12,8 +12,8 @@
 
 from ..load.replay.safety import PATH, proof
 from ..net.clock import SECOND
-from ..net.loop import Loop
-from ..net.ring_buffer import Pool
+from ..net.loop import EventLoop
+from ..net.ring_buffer import BufferPool
 from ..net.stream import Stream
 from .seated import Seated
 from .stamped import Stamped
@@ -26,8 +26,8 @@
     """What a connection needs of its server.  `acts`: by id how often each was acted on; `service`: ms that
     every answer takes; `lose`: every so many RPCs one is acted on, and reset."""
 
-    loop: Loop
-    memory: Pool
+    loop: EventLoop
+    memory: BufferPool
     name: bytes
     service: float
     lose: int
--- a/indigohitch/standins/seated.py
+++ b/indigohitch/standins/seated.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable
 
 from ..fleet.seats.nodeclock import Meter, Verdict, read
-from ..net.loop import Loop
+from ..net.loop import EventLoop
 
 
 class Seated:
-    def __init__(self, loop: Loop, paths: tuple[str, ...], log: str) -> None:
+    def __init__(self, loop: EventLoop, paths: tuple[str, ...], log: str) -> None:
         """`paths`: RPCs whose path begins so need a seat.  Raises OSError for a log that can't be had."""
         self.loop, self.paths = loop, tuple(path.encode() for path in paths)
         self.meter = Meter(f"{os.getpid():x}-{secrets.token_hex(4)}")
--- a/indigohitch/standins/server.py
+++ b/indigohitch/standins/server.py
@@ -21,8 +21,8 @@
 
 from ..net.clock import Clock
 from ..net.listener import Listener
-from ..net.loop import Loop
-from ..net.ring_buffer import Pool
+from ..net.loop import EventLoop
+from ..net.ring_buffer import BufferPool
 from .peer import Peer
 from .seated import Seated
 from .stamped import Stamped
@@ -35,7 +35,7 @@
 class Server:
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         name: str,
         at: tuple[str, int],
         service: float = 0.0,
@@ -45,7 +45,7 @@
         """`service`: ms that every answer takes; `lose`: every so many RPCs one is acted on, and reset."""
         self.seated, self.stamped = seated, Stamped()
         self.loop, self.name, self.service, self.lose = loop, name.encode(), service, lose
-        self.memory = Pool(1 << 30)
+        self.memory = BufferPool(1 << 30)
         self.counts: Counter[str] = Counter()
         self.acts: dict[str, int] = {}
         self.peers: set[Peer] = set()
@@ -77,7 +77,7 @@
     def failed(broken: BaseException) -> None:
         print(f"stand-in: {type(broken).__name__}: {broken}", file=sys.stderr, flush=True)
 
-    loop = Loop(Clock(), failed)
+    loop = EventLoop(Clock(), failed)
     seated = Seated(loop, licensed, meter) if licensed else None
     Server(loop, name, at, service, lose, seated).also(also, at[1])
     print(f"{name} on {at[0]}:{at[1]}", flush=True)
--- a/indigohitch/upgrade/channel.py
+++ b/indigohitch/upgrade/channel.py
@@ -11,8 +11,8 @@
 
 from ..net.clock import SECOND
 from ..net.connection import READ, WRITE
-from ..net.loop import Loop
-from .words import WORDS, BrokenFrameError, Frames, Word, frame
+from ..net.loop import EventLoop
+from .words import WORDS, BrokenFrameError, FrameDecoder, Word, frame
 
 
 class Channel:
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         sock: socket.socket,
         heard: Callable[[Word, list[int]], None],
         ended: Callable[[str, bool], None],
@@ -29,7 +29,7 @@
         """`ended(why, broken)` once: at the end of the channel, or as soon as what comes can't be read."""
         self.loop, self.sock, self.heard, self.ended = loop, sock, heard, ended
         sock.setblocking(False)
-        self.frames = Frames(WORDS)
+        self.frames = FrameDecoder(WORDS)
         self.arrived: deque[int] = deque()  # descriptors not given to a word yet
         self.out: deque[tuple[memoryview, list[int]]] = deque()
         self.open, self._mask, self._waiting = True, READ, False
--- a/indigohitch/upgrade/giving.py
+++ b/indigohitch/upgrade/giving.py
@@ -7,7 +7,7 @@
 
 from ..log import Log
 from ..net.clock import SECOND
-from ..net.loop import Loop
+from ..net.loop import EventLoop
 from . import hearing, words
 from .channel import Channel
 from .figures import Figures
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         side: Side,
         program: Sequence[str],
--- a/indigohitch/upgrade/launch.py
+++ b/indigohitch/upgrade/launch.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 
 from ..net.connection import READ
-from ..net.loop import Loop
+from ..net.loop import EventLoop
 
 VARIABLE = "INDIGOHITCH_CHANNEL"  # tells the new process its end of the channel and our pid
 
@@ -23,7 +23,7 @@
 class Watch:
     """Another process' death, heard in the loop; it need not be a child."""
 
-    def __init__(self, loop: Loop, pid: int, died: Callable[[], None]) -> None:
+    def __init__(self, loop: EventLoop, pid: int, died: Callable[[], None]) -> None:
         """Raises OSError, ProcessLookupError where it is dead already."""
         self.loop, self.died = loop, died
         self.fd = os.pidfd_open(pid)
@@ -51,7 +51,7 @@
 class Started:
     """A new program, with the other end of its channel."""
 
-    def __init__(self, loop: Loop, program: Sequence[str], died: Callable[[Started, str], None]) -> None:
+    def __init__(self, loop: EventLoop, program: Sequence[str], died: Callable[[Started, str], None]) -> None:
         """Raises OSError where it can't be started."""
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
         told = {VARIABLE: f"{theirs.fileno()}:{os.getpid()}"}
--- a/indigohitch/upgrade/phase_deadline.py
+++ b/indigohitch/upgrade/phase_deadline.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable, Mapping
 
-from ..net.loop import Deadline, Loop
+from ..net.loop import Deadline, EventLoop
 
 
 class PhaseDeadline:
-    def __init__(self, loop: Loop, waits: Mapping[str, int], overdue: Callable[[], None]) -> None:
+    def __init__(self, loop: EventLoop, waits: Mapping[str, int], overdue: Callable[[], None]) -> None:
         """`waits`: spans in tenths of a ms by name."""
         self.loop, self.waits, self.overdue = loop, waits, overdue
         self.deadline: Deadline | None = None
--- a/indigohitch/upgrade/snapshot.py
+++ b/indigohitch/upgrade/snapshot.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from ..encoding.files import write_whole as write
+from ..encoding.files import write_atomically as write
 from ..encoding.rows import Row, digest
 from ..errors import InvalidDataError
 from .module_rows import ModuleRow
--- a/indigohitch/upgrade/taking.py
+++ b/indigohitch/upgrade/taking.py
@@ -9,7 +9,7 @@
 from ..errors import error_fields
 from ..log import Log
 from ..net.clock import SECOND
-from ..net.loop import Deadline, Loop
+from ..net.loop import Deadline, EventLoop
 from . import snapshot as shots
 from . import words
 from .channel import Channel
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         log: Log,
         side: Side,
         channel: socket.socket,
--- a/indigohitch/upgrade/urgency.py
+++ b/indigohitch/upgrade/urgency.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from ..net.clock import SECOND
-from ..net.loop import Loop
+from ..net.loop import EventLoop
 
 
 class Urgency:
@@ -14,7 +14,7 @@
     LONGEST = SECOND
 
     def __init__(
-        self, loop: Loop, waits: Callable[[], bool | None], step: Callable[[str, str], None]
+        self, loop: EventLoop, waits: Callable[[], bool | None], step: Callable[[str, str], None]
     ) -> None:
         """`waits`: something with a time limit does, None: the process stands still no more; `step(event,
         why)`: of the upgrade's machine, which calls it off.  Another may be asked for."""
--- a/indigohitch/upgrade/words.py
+++ b/indigohitch/upgrade/words.py
@@ -3,10 +3,10 @@
 
 from __future__ import annotations
 
-from ..encoding.frames import MOST, BrokenFrameError, Frames, Kinds
+from ..encoding.frames import MAX_FRAME_BYTES, BrokenFrameError, FrameDecoder, MessageTypes
 from ..encoding.rows import Row as Word
 
-__all__ = ["MOST", "BrokenFrameError", "Frames", "Word", "WORDS", "frame"]
+__all__ = ["MAX_FRAME_BYTES", "BrokenFrameError", "FrameDecoder", "Word", "WORDS", "frame"]
 
 PROTOCOL = 1
 
@@ -89,7 +89,7 @@
     why: str
 
 
-WORDS = Kinds(
+WORDS = MessageTypes(
     b"IHup",
     PROTOCOL,
     [
--- a/indigohitch/versions/store_records.py
+++ b/indigohitch/versions/store_records.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..encoding.frames import HEAD, BrokenFrameError, Kinds
+from ..encoding.frames import HEADER_BYTES, BrokenFrameError, MessageTypes
 from ..encoding.rows import Row
 from ..errors import InvalidDataError
 from .tables import Root, difference
@@ -55,7 +55,7 @@
     records: int
 
 
-RECORDS = Kinds(MAGIC, 1, [Begun, Made, More, Named, Pinned])
+RECORDS = MessageTypes(MAGIC, 1, [Begun, Made, More, Named, Pinned])
 
 
 class Harmed(InvalidDataError):
@@ -113,20 +113,20 @@
 
 def record(data: bytes, at: int) -> Record:
     """The one that begins there; raises Broken."""
-    if len(data) - at < HEAD:
+    if len(data) - at < HEADER_BYTES:
         raise BrokenFrameError("it ends within its head")
     protocol, kind, descriptors, length, checksum = RECORDS.head(data, at)
-    end = at + HEAD + length
+    end = at + HEADER_BYTES + length
     if end > len(data) or descriptors:
         raise BrokenFrameError("it ends early, or its head was changed")
-    return Record(RECORDS.body(data[at + HEAD : end], protocol, kind, checksum), end)
+    return Record(RECORDS.body(data[at + HEADER_BYTES : end], protocol, kind, checksum), end)
 
 
 def record_follows(data: bytes, at: int) -> bool:
     """Whether a record that can be read begins after the bad one: then it was no crash."""
     while (at := data.find(MAGIC, at + 1)) >= 0:
         try:
-            if len(data) - at < HEAD:
+            if len(data) - at < HEADER_BYTES:
                 return False
             record(data, at)
             return True
--- a/indigohitch/versions/words.py
+++ b/indigohitch/versions/words.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..encoding.frames import Kinds
+from ..encoding.frames import MessageTypes
 from ..encoding.rows import Row
 from .terms import Ack, Claim, Message, Nack
 
@@ -26,4 +26,4 @@
     claim: Claim
 
 
-WORDS = Kinds(b"IHvw", 1, [Hello, Welcome, Joined, Message, Ack, Nack])
+WORDS = MessageTypes(b"IHvw", 1, [Hello, Welcome, Joined, Message, Ack, Nack])
--- a/proofs/batchkit/crowded.py
+++ b/proofs/batchkit/crowded.py
@@ -9,8 +9,8 @@
 sys.path.insert(0, str(Path(__file__).parent.parent.parent))
 
 from indigohitch.net.clock import Clock  # noqa: E402
-from indigohitch.net.connection import address  # noqa: E402
-from indigohitch.net.loop import Loop  # noqa: E402
+from indigohitch.net.connection import parse_address  # noqa: E402
+from indigohitch.net.loop import EventLoop  # noqa: E402
 from indigohitch.standins.server import Server  # noqa: E402
 
 
@@ -31,8 +31,8 @@
     def failed(broken: BaseException) -> None:
         print(f"stand-in: {type(broken).__name__}: {broken}", file=sys.stderr, flush=True)
 
-    loop = Loop(Clock(), failed)
-    Crowded(loop, name, address(at), float(ms)).cores = int(cores)
+    loop = EventLoop(Clock(), failed)
+    Crowded(loop, name, parse_address(at), float(ms)).cores = int(cores)
     print(f"{name} on {at}", flush=True)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     while True:
--- a/proofs/scalekit/hollow.py
+++ b/proofs/scalekit/hollow.py
@@ -24,7 +24,7 @@
 from indigohitch.log import Log  # noqa: E402
 from indigohitch.net.clock import Clock  # noqa: E402
 from indigohitch.net.connection import READ  # noqa: E402
-from indigohitch.net.loop import Loop  # noqa: E402
+from indigohitch.net.loop import EventLoop  # noqa: E402
 from proofs.scalekit import judging  # noqa: E402
 from proofs.scalekit.records import Record, clock  # noqa: E402
 
@@ -57,7 +57,7 @@
 class Worker:
     def __init__(self) -> None:
         self.broken: list[str] = []
-        self.loop = Loop(Clock(), lambda bad: self.broken.append(repr(bad)))
+        self.loop = EventLoop(Clock(), lambda bad: self.broken.append(repr(bad)))
         self.loop.pool.left = 1 << 30  # the proof's memory, not a subscriber's
         self.log = Log(self.loop.clock, "hollow", os.open(os.devnull, os.O_WRONLY))
         self.subscribers: list[Hollow] = []
--- a/proofs/soakkit/cell.py
+++ b/proofs/soakkit/cell.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from indigohitch.net.clock import SECOND
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from proofs.fleetkit.files import held_port
 
 from . import settings
@@ -22,7 +22,7 @@
 class Cell:
     LOOK = SECOND // 10  # for a process that ended by itself
 
-    def __init__(self, loop: Loop, folder: Path, seed: int, broken: str) -> None:
+    def __init__(self, loop: EventLoop, folder: Path, seed: int, broken: str) -> None:
         folder.mkdir()
         self.loop, self.seed, self.chance = loop, seed, random.Random(seed)
         self.truth = Truth(loop)
--- a/proofs/soakkit/channel.py
+++ b/proofs/soakkit/channel.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from indigohitch.net.clock import SECOND
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 
 from . import settings
 
@@ -23,7 +23,9 @@
 
 
 class Channel:
-    def __init__(self, loop: Loop, chance: random.Random, arrived: Callable[[Sequence[Order]], None]) -> None:
+    def __init__(
+        self, loop: EventLoop, chance: random.Random, arrived: Callable[[Sequence[Order]], None]
+    ) -> None:
         self.loop, self.chance, self.arrived = loop, chance, arrived
         self.waiting: deque[Message] = deque()
         self.written: deque[int] = deque()  # when messages were written, within the window
--- a/proofs/soakkit/collector.py
+++ b/proofs/soakkit/collector.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from indigohitch.net.clock import SECOND
-from indigohitch.net.connection import Connection, address
+from indigohitch.net.connection import Connection, parse_address
 
 from . import settings
 
@@ -41,7 +41,7 @@
             return
         if self.connection is None:
             try:
-                at = address(self.cell.coordinator.listen)
+                at = parse_address(self.cell.coordinator.listen)
                 self.connection = Connection.dial(self.cell.loop, at, self)
             except OSError:
                 return
--- a/proofs/soakkit/discovery.py
+++ b/proofs/soakkit/discovery.py
@@ -9,7 +9,7 @@
 from urllib.parse import parse_qsl, urlsplit
 
 from indigohitch.net.clock import SECOND
-from indigohitch.net.loop import Deadline, Loop
+from indigohitch.net.loop import Deadline, EventLoop
 
 from . import settings
 from .http_server import Peer, Server
@@ -25,7 +25,9 @@
 
 
 class Discovery:
-    def __init__(self, loop: Loop, chance: random.Random, truth: Truth, backends: dict[str, str]) -> None:
+    def __init__(
+        self, loop: EventLoop, chance: random.Random, truth: Truth, backends: dict[str, str]
+    ) -> None:
         """`backends`: their addresses."""
         self.loop, self.chance, self.truth, self.backends = loop, chance, truth, backends
         self.server = Server(loop, self.asked, self.left)
--- a/proofs/soakkit/http_server.py
+++ b/proofs/soakkit/http_server.py
@@ -10,7 +10,7 @@
 
 from indigohitch.net.connection import Connection
 from indigohitch.net.listener import Listener
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 
 Asked = Callable[["Peer", str, str, str], None]  # who asks, method, target, body
 MOST = 4 << 20  # bytes that a request may hold
@@ -80,7 +80,9 @@
 class Server:
     """Listens on loopback; its port stays its own while it is closed for a move."""
 
-    def __init__(self, loop: Loop, asked: Asked, left: Callable[[Peer], None] = lambda peer: None) -> None:
+    def __init__(
+        self, loop: EventLoop, asked: Asked, left: Callable[[Peer], None] = lambda peer: None
+    ) -> None:
         self.loop, self.asked, self.left = loop, asked, left
         self.peers: set[Peer] = set()
         self.listener = Listener(loop, ("127.0.0.1", 0), self._greet, lambda why: None)
--- a/proofs/soakkit/process.py
+++ b/proofs/soakkit/process.py
@@ -10,8 +10,8 @@
 import time
 from pathlib import Path
 
-from indigohitch.net.connection import Connection, address
-from indigohitch.net.loop import Deadline, Loop
+from indigohitch.net.connection import Connection, parse_address
+from indigohitch.net.loop import Deadline, EventLoop
 
 from . import settings
 
@@ -22,7 +22,7 @@
     LAST = 7000  # tenths of a ms from SIGTERM to SIGKILL
     HEARTBEAT = 200  # between questions whether it is ready
 
-    def __init__(self, loop: Loop, folder: Path, listen: str, broken: str) -> None:
+    def __init__(self, loop: EventLoop, folder: Path, listen: str, broken: str) -> None:
         self.loop, self.folder, self.listen = loop, folder, listen
         self.config, self.faults = folder / "config.json", folder / "faults.json"
         self.environment = {
@@ -81,7 +81,7 @@
         """Whether it answers `hb`."""
         self.asking = self.loop.after(self.HEARTBEAT, self.ask)
         try:
-            connection = Connection.dial(self.loop, address(self.listen), _Heartbeat(self))
+            connection = Connection.dial(self.loop, parse_address(self.listen), _Heartbeat(self))
         except OSError:
             return
         self.loop.after(self.HEARTBEAT, connection.close)
--- a/proofs/soakkit/relay.py
+++ b/proofs/soakkit/relay.py
@@ -7,7 +7,7 @@
 from urllib.parse import parse_qs, urlencode
 
 from indigohitch.net.clock import SECOND
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 
 from . import settings
 from .channel import Channel, Order
@@ -22,7 +22,7 @@
 class Relay:
     LIFE = SECOND  # between signs of life
 
-    def __init__(self, loop: Loop, chance: random.Random, truth: Truth, known: Sequence[str]) -> None:
+    def __init__(self, loop: EventLoop, chance: random.Random, truth: Truth, known: Sequence[str]) -> None:
         self.loop, self.chance, self.truth, self.known = loop, chance, truth, set(known)
         self.server = Server(loop, self.asked, self.left)
         self.streams: dict[Peer, None] = {}
--- a/proofs/soakkit/truth.py
+++ b/proofs/soakkit/truth.py
@@ -5,7 +5,7 @@
 from dataclasses import asdict, dataclass
 
 from indigohitch.net.clock import SECOND
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.drain_monitor import PausedTime
 
 from . import settings
@@ -27,7 +27,7 @@
     TOLD_AT_LATEST = 6 * SECOND  # after a change of the list
     READY_LIMITS = SECOND  # after the first sign of life of a process, time limits begin
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: EventLoop) -> None:
         self.loop, self.began = loop, loop.clock.now()
         self.tables: dict[int, dict[str, float]] = {}  # as the proxies have applied them
         # Backends that drain or are gone: when the coordinator counts as told, by the time that stands still;
--- a/proofs/soakkit/worker.py
+++ b/proofs/soakkit/worker.py
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(Path(__file__).parent.parent.parent))
 
 from indigohitch.net.clock import SECOND, Clock  # noqa: E402
-from indigohitch.net.loop import Loop  # noqa: E402
+from indigohitch.net.loop import EventLoop  # noqa: E402
 from proofs.soakkit import settings  # noqa: E402
 from proofs.soakkit.cell import Cell  # noqa: E402
 from proofs.soakkit.faults import Faults  # noqa: E402
@@ -63,7 +63,7 @@
 class Worker:
     def __init__(self, folder: Path, seed: int, cells: int, seconds: float, broken: str) -> None:
         self.errors: list[str] = []
-        self.loop = Loop(Clock(), self.failed)
+        self.loop = EventLoop(Clock(), self.failed)
         self.cells = [Cell(self.loop, folder / f"c{seed + n}", seed + n, broken) for n in range(cells)]
         self.span = int(seconds * SECOND)
 
--- a/proofs/versions_program.py
+++ b/proofs/versions_program.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from indigohitch.encoding.frames import BrokenFrameError, Frames
+from indigohitch.encoding.frames import BrokenFrameError, FrameDecoder
 from indigohitch.fleet.disk.files import Files
 from indigohitch.versions.checks import Facts
 from indigohitch.versions.publisher import VersionPublisher
@@ -48,7 +48,7 @@
         await asyncio.sleep(0)
 
     async def relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        name, frames, connection = "", Frames(WORDS), 0
+        name, frames, connection = "", FrameDecoder(WORDS), 0
         try:
             while data := await reader.read(1 << 16):
                 for word, _ in frames.feed(data):
--- a/proofs/versions_relays.py
+++ b/proofs/versions_relays.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from indigohitch.encoding.frames import BrokenFrameError, Frames
+from indigohitch.encoding.frames import BrokenFrameError, FrameDecoder
 from indigohitch.standins.table_relay import TableRelay
 from indigohitch.versions.tables import Root
 from indigohitch.versions.terms import Message, applied
@@ -55,7 +55,7 @@
             await asyncio.sleep(self.chance.uniform(0.01, 0.1))
 
     async def hear(self, reader: asyncio.StreamReader) -> None:
-        frames = Frames(WORDS)
+        frames = FrameDecoder(WORDS)
         while data := await reader.read(1 << 16):
             for word, _ in frames.feed(data):
                 if isinstance(word, Welcome):
--- a/tests/collector_room.py
+++ b/tests/collector_room.py
@@ -6,7 +6,7 @@
 
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.inbound_connections import Collectors
 from indigohitch.platform_protocol.messages import Known
 from indigohitch.platform_protocol.resource_limits import Limits
@@ -49,7 +49,7 @@
         self.clock = Ticking()
         self.defects, self.heard, self.callers = [], [], []
         self.log = Log(self.clock, "n0", self.out)
-        self.loop = Loop(self.clock, self.defects.append)
+        self.loop = EventLoop(self.clock, self.defects.append)
         self.hub = Collectors(
             self.loop,
             self.log,
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -9,7 +9,7 @@
 from indigohitch.fleet.terms import Entry, Who
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 
 NOWHERE = os.open(os.devnull, os.O_WRONLY)
 MEMBERS = Members((Who("a", 1), Who("b", 1), Who("c", 1)))
@@ -43,7 +43,7 @@
     def __init__(self, folder, files=None):
         self.failed = []
         clock = Clock()
-        self.loop = Loop(clock, self.failed.append)
+        self.loop = EventLoop(clock, self.failed.append)
         self.told = []
         self.disk = Disk(self.loop, Log(clock, out=NOWHERE), str(folder), "whk", "a", self.told.append, files)
 
--- a/tests/distribution_network.py
+++ b/tests/distribution_network.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from distribution_truth import MS
-from indigohitch.encoding.frames import Frames
+from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.distribution import ports
 from indigohitch.fleet.distribution.messages import KINDS
 
@@ -13,7 +13,7 @@
     number: int
     subscriber: str
     server: str
-    frames: tuple = field(default_factory=lambda: (Frames(KINDS), Frames(KINDS)))
+    frames: tuple = field(default_factory=lambda: (FrameDecoder(KINDS), FrameDecoder(KINDS)))
     last: list = field(default_factory=lambda: [0, 0])
 
 
--- a/tests/golden_files_versions.py
+++ b/tests/golden_files_versions.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace
 
-from indigohitch.encoding.frames import Frames
+from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.encoding.rows import Row
 from indigohitch.versions.store import Store
 from indigohitch.versions.store_records import Begun, Made, More, Named, Pinned
@@ -129,7 +129,7 @@
 
 
 def read_words(data: bytes) -> list[Row]:
-    return [row for row, _ in Frames(WORDS).feed(data)]
+    return [row for row, _ in FrameDecoder(WORDS).feed(data)]
 
 
 def removals(some: tuple[LineUpdate, ...]) -> tuple[LineUpdate, ...]:
--- a/tests/golden_files_versions_made.py
+++ b/tests/golden_files_versions_made.py
@@ -8,7 +8,7 @@
 from golden_files import as_json
 from golden_files_versions import RECORD_VALUES, WORD_VALUES, kept, read_words, values
 from golden_files_versions_said import commands, rules
-from indigohitch.encoding.frames import HEAD
+from indigohitch.encoding.frames import HEADER_BYTES
 from indigohitch.fleet.disk.files import Files
 from indigohitch.standins.table_relay import TableRelay
 from indigohitch.versions.session import Session
@@ -143,5 +143,5 @@
         "session.json": as_json(values(read_words(session()), WORD_VALUES)),
         "commands.json": commands(),
         "rules.json": rules(),
-        "heads.json": as_json({"bytes": HEAD, "records": RECORDS.magic, "words": WORDS.magic}),
+        "heads.json": as_json({"bytes": HEADER_BYTES, "records": RECORDS.magic, "words": WORDS.magic}),
     }
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -10,7 +10,7 @@
 from golden_wire import order
 from indigohitch import interface as face
 from indigohitch.log import Log
-from indigohitch.net.http_exchange import Answer
+from indigohitch.net.http_exchange import HttpResponse
 from indigohitch.platform_protocol import stored_tables
 from indigohitch.platform_protocol.backend_list_log import log_list
 from indigohitch.platform_protocol.call_log import CallLog, Occupancy
@@ -62,7 +62,7 @@
     told.sent(orders, 12, full)
     told.held("call_held_back", full, 125)
     told.held("call_waits_for_the_channel", full, 30, lines=9)
-    told.unclear("reset", orders, Answer("reset", 0, b"", 215))
+    told.unclear("reset", orders, HttpResponse("reset", 0, b"", 215))
     told.sent(orders, 12, full)
     told.stands(2, "answer")
 
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -12,8 +12,8 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
 from indigohitch.net.http_client import form as http_form
-from indigohitch.net.http_exchange import Answer
-from indigohitch.net.loop import Loop
+from indigohitch.net.http_exchange import HttpResponse
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol import call_queue, call_resolution, discovery, probes, relay_watch
 from indigohitch.platform_protocol.call_codec import FORM, encode, form, read_answer
 from indigohitch.platform_protocol.call_resolution import Evidence, Inquiry
@@ -71,7 +71,7 @@
 def answer(given: dict) -> dict:
     """What the relay's answer says."""
     try:
-        said = read_answer(Answer(given["outcome"], given["status"], given["body"].encode("latin-1")))
+        said = read_answer(HttpResponse(given["outcome"], given["status"], given["body"].encode("latin-1")))
     except ValueError:
         return {"refused": True}
     return {"taken": said} if isinstance(said, int) else {"error": said}
@@ -91,7 +91,7 @@
 
     asked: list
 
-    def __init__(self, loop: Loop, to: tuple[str, int], *spans: int, **more: int) -> None:
+    def __init__(self, loop: EventLoop, to: tuple[str, int], *spans: int, **more: int) -> None:
         self.to, self.asked, self.done = to, Recorder.asked, None
 
     def request(self, method, target, span, done, body=b"", kind="", stream=None) -> SimpleNamespace:
@@ -112,7 +112,7 @@
 
     def __enter__(self) -> "Desk":
         self.defects: list = []
-        self.loop = Loop(Hands(), self.defects.append)
+        self.loop = EventLoop(Hands(), self.defects.append)
         self.out = os.open(os.devnull, os.O_WRONLY)
         self.log = Log(self.loop.clock, "n0", self.out)
         self.patch = mock.patch.object(self.module, "Client", Recorder)
@@ -126,7 +126,7 @@
         assert not self.defects
 
     def answered(self, status: int, body: str, outcome: str = "answered", duration: int = 0) -> None:
-        Recorder.done(Answer(outcome, status, body.encode("latin-1"), duration))
+        Recorder.done(HttpResponse(outcome, status, body.encode("latin-1"), duration))
 
 
 def probe(given: dict) -> dict:
--- a/tests/listroom.py
+++ b/tests/listroom.py
@@ -8,7 +8,7 @@
 
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.discovery import Discovery
 from peers import reset
 
@@ -111,7 +111,7 @@
 class Room:
     def __init__(self, version=41):
         self.clock, self.defects, self.told = Hands(), [], []
-        self.loop = Loop(self.clock, self.defects.append)
+        self.loop = EventLoop(self.clock, self.defects.append)
         self.lines = os.memfd_create("log")
         self.log = Log(self.clock, "n0", self.lines)
         self.registry = Registry(self)
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -9,15 +9,15 @@
 from indigohitch.fleet.node.node import Node
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
-from indigohitch.net.connection import address
-from indigohitch.net.loop import Loop
+from indigohitch.net.connection import parse_address
+from indigohitch.net.loop import EventLoop
 from waiting import free_address
 
 NOWHERE = os.open(os.devnull, os.O_WRONLY)
 
 
 def free() -> tuple[str, int]:
-    return address(free_address())
+    return parse_address(free_address())
 
 
 class Kept(Log):
@@ -37,7 +37,7 @@
 class Looped:
     def __init__(self):
         self.clock, self.failed = Clock(), []
-        self.loop = Loop(self.clock, self.failed.append)
+        self.loop = EventLoop(self.clock, self.failed.append)
 
     def until(self, holds, seconds=30):
         end = time.monotonic() + seconds
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -8,8 +8,8 @@
 from indigohitch.log import Log
 from indigohitch.logic.update_channel import MAX_PENDING_SHARE, UNACKNOWLEDGED_DRAIN_SHARE
 from indigohitch.net.clock import SECOND
-from indigohitch.net.http_exchange import Answer
-from indigohitch.net.loop import Loop
+from indigohitch.net.http_exchange import HttpResponse
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol import call_queue, call_resolution, stored_tables
 from indigohitch.platform_protocol import relay as calls
 from indigohitch.platform_protocol.channel_backlog import Backlog
@@ -49,7 +49,7 @@
         monkeypatch.setattr(call_resolution, "Client", lambda *words: Store(self))
         self.store, self.stood, self.mute = {}, {}, False
         self.clock = Shifted()
-        self.loop = Loop(self.clock, self.fail)
+        self.loop = EventLoop(self.clock, self.fail)
         self.log = Log(self.clock, "t", os.open(os.devnull, os.O_WRONLY))
         self.proxies = proxies
         self.relay = calls.Relay(
@@ -88,7 +88,7 @@
             if code
             else f"<R><results><item><ok_count>{taken}</ok_count></item></results></R>"
         )
-        self.out()[1](Answer(outcome, 400 if code else 200, body.encode()))
+        self.out()[1](HttpResponse(outcome, 400 if code else 200, body.encode()))
 
     def until(self, holds, within=SECOND):
         """Time passes in steps of 1 ms."""
--- a/tests/seam.py
+++ b/tests/seam.py
@@ -8,8 +8,8 @@
 from indigohitch.config.sidecar_file import read
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND, Clock
-from indigohitch.net.http_client import Client
-from indigohitch.net.loop import Loop
+from indigohitch.net.http_client import HttpClient
+from indigohitch.net.loop import EventLoop
 from indigohitch.sidecar.host import Host
 
 TEXT = """listen {}:{}
@@ -48,9 +48,9 @@
 class Wire:
     def __init__(self, idle=SECOND):
         self.broken, self.answers = [], []
-        self.loop = Loop(Shifted(), self.broken.append)
+        self.loop = EventLoop(Shifted(), self.broken.append)
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.client = Client(self.loop, self.listener.getsockname(), idle_span=idle)
+        self.client = HttpClient(self.loop, self.listener.getsockname(), idle_span=idle)
         self.peers = []
 
     def turn(self, until):
@@ -95,7 +95,7 @@
     def __init__(self):
         self.broken = []
         self.clock = Shifted()
-        self.loop = Loop(self.clock, self.broken.append)
+        self.loop = EventLoop(self.clock, self.broken.append)
         self.server = socket.create_server(("127.0.0.1", 0))
         ours = socket.create_server(("127.0.0.1", 0))
         self.at = ours.getsockname()
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_gate.py
@@ -5,7 +5,7 @@
 from indigohitch.fleet.terms import Stamp
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.channel_backlog import Backlog
 from indigohitch.platform_protocol.relay import Relay
 from indigohitch.standins.stamped import Stamped
@@ -37,7 +37,7 @@
     """What was decided while this coordinator might act doesn't go later (platform_protocol/relay)."""
     clock = Clock()
     relay = Relay(
-        Loop(clock, print),
+        EventLoop(clock, print),
         Log(clock, out=-1),
         ("127.0.0.1", 1),
         ["search"],
--- a/tests/test_batches_parts.py
+++ b/tests/test_batches_parts.py
@@ -11,7 +11,7 @@
 from indigohitch.fleet.batches.sending import outcome
 from indigohitch.fleet.batches.strain import Strain
 from indigohitch.log import Log
-from indigohitch.net.http_exchange import Answer
+from indigohitch.net.http_exchange import HttpResponse
 
 FILE = """name n1
 fleet whk
@@ -125,16 +125,16 @@
 @pytest.mark.parametrize(
     "answer, word",
     [
-        (Answer("answered", 200), "ok"),
-        (Answer("connect_failed"), "not run"),
-        (Answer("unreached"), "not run"),
-        (Answer("timeout"), "unknown"),
-        (Answer("reset"), "unknown"),
-        (Answer("answered", 502), "unknown"),
-        (Answer("answered", 503, b"no server now\n"), "not run"),
-        (Answer("answered", 503, b"eh"), "unknown"),
-        (Answer("answered", 404), "refused"),
-        (Answer("answered", 429), "not run"),
+        (HttpResponse("answered", 200), "ok"),
+        (HttpResponse("connect_failed"), "not run"),
+        (HttpResponse("unreached"), "not run"),
+        (HttpResponse("timeout"), "unknown"),
+        (HttpResponse("reset"), "unknown"),
+        (HttpResponse("answered", 502), "unknown"),
+        (HttpResponse("answered", 503, b"no server now\n"), "not run"),
+        (HttpResponse("answered", 503, b"eh"), "unknown"),
+        (HttpResponse("answered", 404), "refused"),
+        (HttpResponse("answered", 429), "not run"),
     ],
 )
 def test_only_what_surely_never_ran_counts_as_that(answer, word):
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -10,8 +10,8 @@
 from indigohitch import interface as face
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.http_exchange import Answer
-from indigohitch.net.loop import Loop
+from indigohitch.net.http_exchange import HttpResponse
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol import call_resolution, stored_tables
 from indigohitch.platform_protocol.front import Front
 from relay_room import Store
@@ -30,7 +30,7 @@
     def __init__(self, seed, share, faults, monkeypatch):
         self.chance, self.share, self.faults = random.Random(seed), share, faults
         self.clock = Shifted()
-        self.loop = Loop(self.clock, self.broken)
+        self.loop = EventLoop(self.clock, self.broken)
         self.log = Log(self.clock, "t", os.open(os.devnull, os.O_WRONLY))
         monkeypatch.setattr(call_resolution, "Client", lambda *words: Store(self))
         self.mute = False  # what Store asks: the store tells
@@ -83,7 +83,7 @@
             self.carry_out(list(self.front.relay.waiting[0]))
         taken = parse_qs(body.decode())["orders"][0].count(";") + 1
         said = b"<R><results><item><ok_count>%d</ok_count></item></results></R>" % taken
-        answer = Answer("answered", 200, said) if how > self.faults else Answer("reset")
+        answer = HttpResponse("answered", 200, said) if how > self.faults else HttpResponse("reset")
         self.loop.after(5, lambda: done(answer))
         return SimpleNamespace(drop=lambda: None)
 
--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_crossing_lists_program.py
@@ -5,7 +5,7 @@
 
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND, Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.handover import Handover
 from indigohitch.upgrade import snapshot as shots
@@ -54,7 +54,7 @@
 def test_a_change_heard_as_the_state_is_taken_reaches_the_next_process(platform):
     """Its generation is in the state, and the module that goes with it had not heard it before."""
     defects = []
-    loop = Loop(Clock(), defects.append)
+    loop = EventLoop(Clock(), defects.append)
     log = Log(loop.clock, "n0", os.memfd_create("log"))
 
     def made(listening=None):
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -7,7 +7,7 @@
 
 from indigohitch import interface as face
 from indigohitch.net.clock import Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.relay_watch import News
 from indigohitch.platform_protocol.store_mirror import Holdings
 from test_holdings import Told
@@ -58,7 +58,7 @@
         self.told.count = lambda *_: None
         self.lost = []
         self.told.trouble = lambda what, **words: self.lost.append((what, words.get("why")))
-        self.loop = Loop(Clock(), self.failed)
+        self.loop = EventLoop(Clock(), self.failed)
         self.relays = [Relay(), Relay()]
         self.marks = []
         self.holdings = Holdings(self.loop, self.told, self.hear, list, lambda orders: None)
--- a/tests/test_crossing_relay.py
+++ b/tests/test_crossing_relay.py
@@ -7,8 +7,8 @@
 from indigohitch import interface as face
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.http_exchange import Answer
-from indigohitch.net.loop import Loop
+from indigohitch.net.http_exchange import HttpResponse
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol import relay as calls
 from indigohitch.platform_protocol.front import Front
 from relay_room import Room
@@ -100,7 +100,9 @@
     assert room.relay.move(("127.0.0.1", 2)) and old.retired
     room.order(2)
     assert not room.relay.client.asked
-    old.asked[0][1](Answer(outcome, 200, b"<R><results><item><ok_count>1</ok_count></item></results></R>"))
+    old.asked[0][1](
+        HttpResponse(outcome, 200, b"<R><results><item><ok_count>1</ok_count></item></results></R>")
+    )
     room.until_out()
     seen = [orders for orders, _ in room.relay.client.asked]
     assert len(old.asked) == 1 and seen == ["put,1,b1,1.0" if outcome != "answered" else "put,1,b1,2.0"]
@@ -153,7 +155,7 @@
     def fail(broken):
         raise broken
 
-    loop = Loop(Shifted(), fail)
+    loop = EventLoop(Shifted(), fail)
     log = Log(loop.clock, "t", os.open(os.devnull, os.O_WRONLY))
     front = Front(
         loop,
--- a/tests/test_crossing_reload.py
+++ b/tests/test_crossing_reload.py
@@ -10,8 +10,8 @@
 
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
-from indigohitch.net.connection import address
-from indigohitch.net.loop import Loop
+from indigohitch.net.connection import parse_address
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
 from peers import Peer
 from stage import SETTINGS, Platform, drain, none_lost
@@ -129,7 +129,7 @@
 
 @pytest.fixture
 def front():
-    loop = Loop(Clock(), lambda broken: pytest.fail(repr(broken)))
+    loop = EventLoop(Clock(), lambda broken: pytest.fail(repr(broken)))
     found = {
         "name": "n0",
         "listen": free_address(),
@@ -210,5 +210,5 @@
     )
     front.reload(found)  # back to what is in force: nothing waits any more
     assert told[-1] == ("reloaded", {"moved": False}) and standing(front) == before
-    assert front.discovery.client.to == address(found["discovery"])
-    assert front.relay.client.to == front.news.client.to == address(found["store"]["address"])
+    assert front.discovery.client.to == parse_address(found["discovery"])
+    assert front.relay.client.to == front.news.client.to == parse_address(found["store"]["address"])
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -13,7 +13,7 @@
 from indigohitch.log import Log
 from indigohitch.logic import Coordinator
 from indigohitch.net.clock import Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.relay import encode
 from indigohitch.settings import parse_settings
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_fronts_in_one_process(days, seed):
-    loop, made = Loop(Clock(), lambda broken: pytest.fail(repr(broken))), []
+    loop, made = EventLoop(Clock(), lambda broken: pytest.fail(repr(broken))), []
 
     def make(place):
         made.append(front(place, loop))
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -9,8 +9,8 @@
 from indigohitch.log import Log
 from indigohitch.logic import Coordinator
 from indigohitch.net.clock import Clock
-from indigohitch.net.http_exchange import Answer
-from indigohitch.net.loop import Loop
+from indigohitch.net.http_exchange import HttpResponse
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.handover import Handover
 from indigohitch.upgrade import snapshot as shots
@@ -20,7 +20,9 @@
 
 def taken(count):
     """The relay's answer."""
-    return Answer("answered", 200, b"<R><results><item><ok_count>%d</ok_count></item></results></R>" % count)
+    return HttpResponse(
+        "answered", 200, b"<R><results><item><ok_count>%d</ok_count></item></results></R>" % count
+    )
 
 
 class Bench:
@@ -30,7 +32,7 @@
         self.clock = Clock()
         self.log = Log(self.clock, "n0")
         self.defects = []
-        self.loop = Loop(self.clock, self.defects.append)
+        self.loop = EventLoop(self.clock, self.defects.append)
         entries = [
             {
                 "instanceId": f"b{n}",
@@ -113,7 +115,7 @@
     entry = bench.found["known"]["instances"][1] | {"lifecycle": "DRAINING"}
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
     discovery = bench.front.discovery
-    discovery._judged(discovery.generations.ask(0, False), Answer("answered", 200, body))
+    discovery._judged(discovery.generations.ask(0, False), HttpResponse("answered", 200, body))
     bench.news(
         face.ProxyLeft(1),
         face.SliceOwnership(3, False),
@@ -143,7 +145,7 @@
     entry = bench.found["known"]["instances"][1] | {"lifecycle": "DRAINING"}
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
     bench.front.discovery._judged(
-        bench.front.discovery.generations.ask(0, False), Answer("answered", 200, body)
+        bench.front.discovery.generations.ask(0, False), HttpResponse("answered", 200, body)
     )
     bench.handed()
     if went != "not yet":
@@ -152,7 +154,7 @@
             asked.pop()(taken(len(orders)))
         relay.hold(True)
         if went == "reset":
-            asked.pop()(Answer("reset"))
+            asked.pop()(HttpResponse("reset"))
     lines, now = relay.backlog.lines, bench.clock.now()
     relay = bench.over().relay
     assert bool(relay.waiting) == (went != "answered")
--- a/tests/test_distribution_role.py
+++ b/tests/test_distribution_role.py
@@ -48,7 +48,7 @@
     limits, given = (256, 1_024), []
     monkeypatch.setattr(file_limits.resource, "getrlimit", lambda what: limits)
     monkeypatch.setattr(file_limits.resource, "setrlimit", lambda what, told: given.append(told))
-    assert [file_limits.allow(wanted) for wanted in (100, 512, 4_096)] == [256, 512, 1_024]
+    assert [file_limits.raise_file_limit(wanted) for wanted in (100, 512, 4_096)] == [256, 512, 1_024]
     assert given == [(512, 1_024), (1_024, 1_024)]
 
 
--- a/tests/test_drain_watch.py
+++ b/tests/test_drain_watch.py
@@ -7,7 +7,7 @@
 from indigohitch import interface as face
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.drain_monitor import DrainWatch, PausedTime
 from indigohitch.platform_protocol.stored_tables import Table
 from seam import Shifted
@@ -20,7 +20,7 @@
 class WatchRoom:
     def __init__(self, path, gone_binds=True):
         self.clock, self.file = Shifted(), open(path / "log", "w+b")
-        self.loop = Loop(self.clock, self.fail)
+        self.loop = EventLoop(self.clock, self.fail)
         self.log = Log(self.clock, "t", self.file.fileno())
         self.stood = {1: Table({"b1": 1.0}), 2: Table({"b2": 1.0})}
         self.watch = DrainWatch(self.loop, self.log, GRACE, lambda: self.stood, lambda: 7, gone_binds)
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -7,7 +7,7 @@
 from golden_files_versions import RECORD_VALUES, WORD_VALUES, as_sent, kept, read_words, values
 from golden_files_versions_made import FIRST, SECOND, records, session, words, write_store
 from golden_files_versions_said import commands, rules
-from indigohitch.encoding.frames import HEAD
+from indigohitch.encoding.frames import HEADER_BYTES
 from indigohitch.fleet.disk.files import Files
 from indigohitch.versions.store import Store
 from indigohitch.versions.store_records import RECORDS, frames, read
@@ -65,7 +65,7 @@
 
 
 def test_heads_of_frames():
-    head = {"bytes": HEAD, "records": RECORDS.magic, "words": WORDS.magic}
+    head = {"bytes": HEADER_BYTES, "records": RECORDS.magic, "words": WORDS.magic}
     assert as_json(head) == golden("versions/heads.json")
 
 
--- a/tests/test_golden_fleet_frames.py
+++ b/tests/test_golden_fleet_frames.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from indigohitch.encoding.frames import Frames
+from indigohitch.encoding.frames import FrameDecoder
 
 GOLDEN = Path(__file__).parent / "golden" / "fleet"
 SCRIPT = runpy.run_path(str(GOLDEN / "write_frames.py"))
@@ -24,7 +24,7 @@
     kinds, words = TABLES[name]
     for line, word in zip(lines(name), words, strict=True):
         data = bytes.fromhex(line["frame"])
-        ((row, descriptors),) = Frames(kinds).feed(data)
+        ((row, descriptors),) = FrameDecoder(kinds).feed(data)
         assert descriptors == 0 and kinds.numbers[type(row)] == line["number"]
         assert plain(row) == line["values"]
         assert kinds.frame(row) == data
--- a/tests/test_golden_places.py
+++ b/tests/test_golden_places.py
@@ -8,7 +8,7 @@
 from indigohitch import interface as face
 from indigohitch.upgrade import events
 from indigohitch.upgrade import snapshot as shots
-from indigohitch.upgrade.words import WORDS, Frames
+from indigohitch.upgrade.words import WORDS, FrameDecoder
 from test_golden_upgrade import coordinator, log, loop, plain, recorded, sidecar  # noqa: F401
 
 ITEMS = [
@@ -118,7 +118,7 @@
 
 def test_values_of_frames_are_where_they_were():
     def word(name):
-        ((found, _),) = Frames(WORDS).feed(recorded(f"{name}.frame"))
+        ((found, _),) = FrameDecoder(WORDS).feed(recorded(f"{name}.frame"))
         return found
 
     values = {name: given for name, _, given in FRAMES}
--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -30,7 +30,7 @@
 from indigohitch.config.sidecar_file import read
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.handover import Handover
 from indigohitch.settings import parse_settings
@@ -40,7 +40,7 @@
 from indigohitch.upgrade import snapshot as shots
 from indigohitch.upgrade.module_rows import ModuleRow
 from indigohitch.upgrade.module_state import freeze, thaw
-from indigohitch.upgrade.words import WORDS, Frames, frame
+from indigohitch.upgrade.words import WORDS, FrameDecoder, frame
 from waiting import free_address
 
 TEXT = """listen {}
@@ -71,7 +71,7 @@
 
 @pytest.fixture
 def loop():
-    found = Loop(Clock(), lambda broken: None)
+    found = EventLoop(Clock(), lambda broken: None)
     yield found
     found.close()
 
@@ -117,7 +117,7 @@
         module = plain("coordinator")[3][0]
         orders = side.rehearse_copy(state, module[1] + REHEARSED_AFTER)
         assert orders == ordered_next(data)
-        word, _ = next(Frames(WORDS).feed(recorded("proven.frame")))
+        word, _ = next(FrameDecoder(WORDS).feed(recorded("proven.frame")))
         assert msgspec.structs.astuple(word) == (orders,)
         assert side.rehearse(module[1] + REHEARSED_AFTER) == orders
     finally:
@@ -167,7 +167,7 @@
 def test_a_frame_is_read_and_written_as_it_was(number):
     name, descriptors, given = FRAMES[number]
     data = recorded(f"{name}.frame")
-    ((word, count),) = Frames(WORDS).feed(data)
+    ((word, count),) = FrameDecoder(WORDS).feed(data)
     assert type(word) is WORDS.rows[number] and count == descriptors
     assert frame(word, count) == data
     found = values(name, given, recorded("coordinator.snapshot"))
@@ -181,7 +181,7 @@
 
 
 def test_what_came_since_the_state_is_read_and_written_as_it_was():
-    ((commit, _),) = Frames(WORDS).feed(recorded("commit.frame"))
+    ((commit, _),) = FrameDecoder(WORDS).feed(recorded("commit.frame"))
     rest = msgspec.structs.astuple(commit)[0]
     assert msgspec.msgpack.encode(events.pack_all(events.unpack_all(msgspec.msgpack.decode(rest)))) == rest
     assert msgspec.msgpack.decode(rest) == REST
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from indigohitch.net.ring_buffer import Pool, Ring
+from indigohitch.net.ring_buffer import BufferPool, RingBuffer
 from indigohitch.sidecar.framing import LAST_CHUNK, Body, Malformed, chunk
 from indigohitch.sidecar.heads import AnswerHead, Refused, RequestHead
 
@@ -15,7 +15,7 @@
     parts = [rng.randbytes(rng.randint(1, 5000)) for _ in range(rng.randint(0, 8))]
     last = b"0\r\nX-T: 1\r\n\r\n" if rng.random() < 0.5 else LAST_CHUNK
     wire = b"".join(map(chunk, parts)) + last + b"NEXT"
-    ring, body, got = Ring(1 << 16, Pool(1 << 20)), Body(Body.CHUNKED), b""
+    ring, body, got = RingBuffer(1 << 16, BufferPool(1 << 20)), Body(Body.CHUNKED), b""
     while not body.done:
         count = rng.randint(1, 900)
         assert ring.push(wire[:count])
@@ -41,7 +41,7 @@
     ],
 )
 def test_chunks_that_two_could_read_differently_are_refused(wire):
-    ring, body = Ring(1 << 16, Pool(1 << 20)), Body(Body.CHUNKED)
+    ring, body = RingBuffer(1 << 16, BufferPool(1 << 20)), Body(Body.CHUNKED)
     ring.push(wire)
     with pytest.raises(Malformed):
         for _ in range(5):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from indigohitch.encoding.frames import Frames
+from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.ledger.words import Append, Vote
 from indigohitch.fleet.links import ends
 from indigohitch.fleet.links.greeting import refused
@@ -127,7 +127,7 @@
             return not part
 
         pair.until(closed)
-    return [word for word, _ in Frames(KINDS).feed(bytes(got))]
+    return [word for word, _ in FrameDecoder(KINDS).feed(bytes(got))]
 
 
 def test_strangers_are_closed_counted_and_told_why(pair):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,16 +10,16 @@
 from hours import Hours
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
-from indigohitch.net.connection import address
-from indigohitch.net.loop import Loop
-from indigohitch.net.ring_buffer import Pool, Ring
-from indigohitch.net.slot_table import Slots
+from indigohitch.net.connection import parse_address
+from indigohitch.net.loop import EventLoop
+from indigohitch.net.ring_buffer import BufferPool, RingBuffer
+from indigohitch.net.slot_table import SlotTable
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_ring_is_a_queue_of_bytes(seed):
-    rng, pool = random.Random(seed), Pool(1 << 20)
-    ring, model = Ring(20_000, pool), b""
+    rng, pool = random.Random(seed), BufferPool(1 << 20)
+    ring, model = RingBuffer(20_000, pool), b""
     ours, theirs = socket.socketpair()
     for sock in (ours, theirs):
         sock.setblocking(False)
@@ -58,8 +58,8 @@
 
 
 def test_rings_together_stay_within_their_pool():
-    pool = Pool(12_288)
-    first, second = Ring(1 << 20, pool), Ring(1 << 20, pool)
+    pool = BufferPool(12_288)
+    first, second = RingBuffer(1 << 20, pool), RingBuffer(1 << 20, pool)
     assert first.push(b"x" * 12_000) and not second.push(b"x" * 5000) and second.push(b"x" * 4096)
     assert second.full
     first.close()
@@ -67,7 +67,7 @@
 
 
 def test_slots_are_used_again():
-    rng, slots, model, most = random.Random(1), Slots(), {}, 0
+    rng, slots, model, most = random.Random(1), SlotTable(), {}, 0
     for n in range(2000):
         if model and rng.random() < 0.5:
             number = rng.choice(sorted(model))
@@ -83,7 +83,7 @@
 
 def test_deadlines_come_in_order_and_a_defect_stops_none():
     said, broken = [], []
-    loop = Loop(Clock(), broken.append)
+    loop = EventLoop(Clock(), broken.append)
     now = loop.clock.now()
     loop.at(now + 30, lambda: said.append("late"))
     loop.at(now + 20, lambda: said.append(1 / 0))
@@ -104,10 +104,10 @@
 
 
 def test_addresses():
-    assert address("127.0.0.1:80") == ("127.0.0.1", 80)
+    assert parse_address("127.0.0.1:80") == ("127.0.0.1", 80)
     for bad in ("", "host", ":80", "host:", "host:0", "host:65536", "host:x", "host:-1"):
         with pytest.raises(ValueError):
-            address(bad)
+            parse_address(bad)
 
 
 def test_the_log_neither_floods_nor_blocks():
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -5,7 +5,7 @@
 import pytest
 
 from indigohitch import interface as face
-from indigohitch.net.http_exchange import Answer
+from indigohitch.net.http_exchange import HttpResponse
 from indigohitch.platform_protocol import stored_tables
 from indigohitch.platform_protocol.call_codec import BYTES, encode, merge, pieces, read_answer
 from indigohitch.platform_protocol.discovery import read_list
@@ -103,7 +103,7 @@
 
 def test_answers_of_the_relay():
     def said(body, status=200, outcome="answered"):
-        return read_answer(Answer(outcome, status, body))
+        return read_answer(HttpResponse(outcome, status, body))
 
     count = (
         b'<?xml version="1.0"?><Response><results><item><ok_count>%s</ok_count></item></results></Response>'
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -5,14 +5,14 @@
 from indigohitch.config.sidecar_file import read
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND, Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.sidecar.host import Host
 from test_directives import TEXT
 
 
 def test_a_defect_of_the_module_makes_a_new_one_that_is_told_what_stands():
     failures = []
-    loop = Loop(Clock(), failures.append)
+    loop = EventLoop(Clock(), failures.append)
     host = Host(loop, Log(loop.clock, "t", os.open(os.devnull, os.O_WRONLY)), read(TEXT))
     pool = host.pools["nodes"]
     pool.start()
--- a/tests/test_transient.py
+++ b/tests/test_transient.py
@@ -41,15 +41,15 @@
 @pytest.mark.parametrize("code", PASSING)
 def test_a_start_waits_for_what_passes(code):
     told = []
-    assert transient_errors.made_in_time(failing(lambda: 7, code, 3), told.append) == 7
+    assert transient_errors.retry_transient(failing(lambda: 7, code, 3), told.append) == 7
     assert [error.errno for error in told] == [code] * 3
 
 
 def test_a_start_does_not_wait_for_what_stays_or_for_ever():
     with pytest.raises(OSError):
-        transient_errors.made_in_time(failing(lambda: 7, errno.EACCES, 1))
+        transient_errors.retry_transient(failing(lambda: 7, errno.EACCES, 1))
     with pytest.raises(OSError):
-        transient_errors.made_in_time(failing(lambda: 7, errno.ENFILE, 1000), patience=0.1)
+        transient_errors.retry_transient(failing(lambda: 7, errno.ENFILE, 1000), patience=0.1)
 
 
 @pytest.mark.parametrize("code", AT_CONNECT)
--- a/tests/test_upgrade_channel.py
+++ b/tests/test_upgrade_channel.py
@@ -9,14 +9,14 @@
 
 from indigohitch.encoding import frames
 from indigohitch.net.clock import Clock
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.upgrade import words
 from indigohitch.upgrade.channel import Channel
 
 
 class Ends:
     def __init__(self):
-        self.loop = Loop(Clock(), self.fail)
+        self.loop = EventLoop(Clock(), self.fail)
         self.heard, self.ended = [], []
         self.ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
         self.channel = Channel(
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -8,7 +8,7 @@
 from indigohitch import interface as face
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.loop import Loop
+from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
 from seam import Shifted
 from stage import SETTINGS
@@ -25,7 +25,7 @@
         real = time.time_ns
         monkeypatch.setattr(time, "time_ns", lambda: real() + self.shift() + self.step * 10**9)
         self.clock = Shifted()
-        self.loop = Loop(self.clock, self.fail)
+        self.loop = EventLoop(self.clock, self.fail)
         self.front = Front(
             self.loop,
             Log(self.clock, "t", os.open(os.devnull, os.O_WRONLY)),
