--- a/benchmarks/capacitykit/platform_cell.py
+++ b/benchmarks/capacitykit/platform_cell.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from indigohitch.platform_protocol.discovery import read_list
+from indigohitch.platform_protocol.discovery import parse_backend_list
 from indigohitch.platform_protocol.messages import Known, report, split
 
 from .measuring import Memory, processor_ms
@@ -37,7 +37,7 @@
     }
     body = orjson.dumps(found)
     del found
-    spent = [processor_ms(lambda: read_list(orjson.loads(body)))[0] for _ in range(TIMES)]
+    spent = [processor_ms(lambda: parse_backend_list(orjson.loads(body)))[0] for _ in range(TIMES)]
     return {
         "list_ms": statistics.median(spent),
         "list_kb": len(body) / 1024,
--- a/benchmarks/subscribed_cost.py
+++ b/benchmarks/subscribed_cost.py
@@ -18,7 +18,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from indigohitch.control import ask  # noqa: E402
+from indigohitch.control import send_command  # noqa: E402
 from installation import Installation  # noqa: E402
 from proofs.fleetkit.processes import until  # noqa: E402
 from proofs.scalekit.sizes import ORDINARY  # noqa: E402
@@ -143,7 +143,7 @@
         control = path / "c1" / "control"
 
         def received():
-            return ask(str(control), "status", 5.0)["distribution"]["bytes_received"]
+            return send_command(str(control), "status", 5.0)["distribution"]["bytes_received"]
 
         return measured(program.process.pid, received, change) | {"backends": PART}
     finally:
--- a/indigohitch/backend_subscription/instances.py
+++ b/indigohitch/backend_subscription/instances.py
@@ -11,7 +11,7 @@
 import orjson
 
 from .. import interface as face
-from ..platform_protocol.discovery import read_list
+from ..platform_protocol.discovery import parse_backend_list
 from .errors import InvalidInstanceError
 
 PREFIX = "instance/"
@@ -39,7 +39,7 @@
     where = f"service {service}, resource {PREFIX}{backend}"
     try:
         found = {"generation": 0, "reset": False, "instances": [orjson.loads(body)]}
-        news, addresses = read_list(found)
+        news, addresses = parse_backend_list(found)
     except ValueError as bad:
         raise InvalidInstanceError(str(bad), where) from None
     (listed,) = news.entries
--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -6,7 +6,7 @@
 
 from ..errors import DirectorError
 from ..log import Log
-from ..platform_protocol.backend_source import Tell
+from ..platform_protocol.backend_source import ListCallback
 from .errors import NoInstancesError
 from .instances import Instances, Told
 
@@ -16,7 +16,7 @@
 class SubscribedBackends:
     """`resources(service)`: what the subscription holds of it."""
 
-    def __init__(self, log: Log, resources: Resources, tell: Tell) -> None:
+    def __init__(self, log: Log, resources: Resources, tell: ListCallback) -> None:
         self.log, self.resources, self.tell = log, resources, tell
         self.instances = Instances()
         self.version = 0  # the ledger's entry at which the content held stands
--- a/indigohitch/cli.py
+++ b/indigohitch/cli.py
@@ -145,7 +145,7 @@
 
 def asked(file: str, what: str, wait: float) -> dict:
     from .config import either
-    from .control import ask
+    from .control import send_command
     from .errors import InvalidRequestError, UnavailableError
 
     path = either.load(file).single["control"]
@@ -154,7 +154,7 @@
             "no line `control`", file, "add `control /run/...sock` and start the program anew"
         )
     try:
-        return ask(path, what, wait)
+        return send_command(path, what, wait)
     except OSError as bad:
         raise UnavailableError(
             f"no answer: {bad.strerror or bad}", path, f"start the program of {file}"
--- a/indigohitch/control.py
+++ b/indigohitch/control.py
@@ -17,7 +17,7 @@
 class Asker:
     LINE = 64 << 10  # a proposal's body is the longest thing that is told
 
-    def __init__(self, control: Control) -> None:
+    def __init__(self, control: ControlSocket) -> None:
         self.control, self.connection = control, None
 
     def heard(self, connection: Connection) -> None:
@@ -47,7 +47,7 @@
         self.control.askers.discard(self)
 
 
-class Control:
+class ControlSocket:
     MOST = 16  # askers at once: people, and scripts of theirs
 
     def __init__(
@@ -103,7 +103,7 @@
         self.listener.close()
 
 
-def ask(path: str, what: str, wait: float = 60.0) -> dict:
+def send_command(path: str, what: str, wait: float = 60.0) -> dict:
     """For the command line: ask and wait.  Raises OSError, Unreadable."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(wait)
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -10,24 +10,24 @@
 from .config import operator_file
 from .config.texts import Text
 from .errors import error_fields
-from .platform_protocol.backend_source import BackendSource, Tell
+from .platform_protocol.backend_source import BackendSource, ListCallback
 from .platform_protocol.front import Front
-from .platform_protocol.handover import Handover
-from .replaceable import Replaceable
-from .replaceable_parts import Phase
-from .service import configuration, reload_front
-from .upgrade import launch
-from .upgrade.side import Side
+from .platform_protocol.handover import CoordinatorHandover
+from .service import read_configuration, reload_front
+from .upgradable_parts import ProcessPhase
+from .upgradable_process import UpgradableProcess
+from .upgrade import process_launch
+from .upgrade.handover_participant import HandoverParticipant
 
 
-class Coordinating(Replaceable):
+class Coordinating(UpgradableProcess):
     def __init__(self, environ: MutableMapping[str, str], text: Text, follows: bool) -> None:
         self.environ, self.source, self.fleet, self.follows = environ, text.source, text.fleet, follows
         self.decided = False  # while it ends: on all that was told before
         super().__init__(environ.get("BALANCER_NAME", ""), text.single, text.waits)
 
-    def make_side(self) -> Side:
-        side = Handover(None, self.make, self.controls, self.control_taken, self.reload)
+    def make_side(self) -> HandoverParticipant:
+        side = CoordinatorHandover(None, self.make, self.controls, self.control_taken, self.reload)
         if self.fleet is None:
             return side
         if self.fleet.services:
@@ -36,14 +36,14 @@
 
         return beside(self, side, self.fleet, False, self.follows)
 
-    def subscriber_side(self, side: Side) -> Side:
+    def subscriber_side(self, side: HandoverParticipant) -> HandoverParticipant:
         from .fleet.node.subscribing import SubscriberSide, Subscription
 
         if self.beside is None:
             self.beside = Subscription(self.loop, self.log, self.fleet)
         return SubscriberSide(side, self.beside)
 
-    def subscribed_backends(self, tell: Tell) -> BackendSource:
+    def subscribed_backends(self, tell: ListCallback) -> BackendSource:
         from .backend_subscription.source import SubscribedBackends
 
         source = SubscribedBackends(self.log, self.beside.resources, tell)
@@ -55,7 +55,7 @@
         front = Front(
             self.loop,
             self.log,
-            configuration(self.environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY"),
+            read_configuration(self.environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY"),
             listening,
             self.subscribed_backends if subscribes else None,
         )
@@ -69,7 +69,7 @@
         if self.side.front is not None:
             gathering = self.side.front.gathering
             gathering.turn()
-            self.decided = self.phase is Phase.ENDING and (self.decided or not gathering.events)
+            self.decided = self.phase is ProcessPhase.ENDING and (self.decided or not gathering.events)
 
     def without_state(self) -> None:
         if self.side.front is not None:
@@ -124,6 +124,6 @@
     text = operator_file.load(file)
     if text.fleet is not None and "BALANCER_CONFIG" not in os.environ:
         return without_front(text)
-    channel = launch.inherited()
+    channel = process_launch.inherited_channel()
     os.set_blocking(1, False)
     return Coordinating(os.environ, text, channel is not None).run(channel)
--- a/indigohitch/fleet/node/alone.py
+++ b/indigohitch/fleet/node/alone.py
@@ -5,8 +5,8 @@
 import os
 
 from ...config.texts import Text
-from ...upgrade import launch
-from ...upgrade.side import Side
+from ...upgrade import process_launch
+from ...upgrade.handover_participant import HandoverParticipant
 from .bare import Bare
 from .inside import beside
 from .without_front import WithoutFront
@@ -17,13 +17,13 @@
         self.follows = follows
         super().__init__(text)
 
-    def make_side(self) -> Side:
+    def make_side(self) -> HandoverParticipant:
         side = Bare(self.clock, self.controls, self.control_taken, self.reload)
         return beside(self, side, self.text.fleet, True, self.follows)
 
 
 def main(text: Text) -> int:
     """Raises OSError."""
-    channel = launch.inherited()
+    channel = process_launch.inherited_channel()
     os.set_blocking(1, False)
     return Alone(text, channel is not None).run(channel)
--- a/indigohitch/fleet/node/inside.py
+++ b/indigohitch/fleet/node/inside.py
@@ -11,8 +11,8 @@
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import EventLoop
-from ...replaceable import Replaceable
-from ...upgrade.side import Side
+from ...upgradable_process import UpgradableProcess
+from ...upgrade.handover_participant import HandoverParticipant
 from ..ports import Work
 from .asked import Asked
 from .figures import figures
@@ -121,7 +121,7 @@
     """A side of an upgrade (upgrade.side.Side) whose process has a node too.  Disk and port have one owner:
     the old process closes them before its word goes out, the new one opens them after."""
 
-    def __init__(self, side: Side, inside: Inside) -> None:
+    def __init__(self, side: HandoverParticipant, inside: Inside) -> None:
         self.side, self.inside = side, inside
 
     def __getattr__(self, name: str):
@@ -151,7 +151,9 @@
         self.inside.open()
 
 
-def beside(process: Replaceable, side: Side, text: FleetText | None, alone: bool, follows: bool) -> Side:
+def beside(
+    process: UpgradableProcess, side: HandoverParticipant, text: FleetText | None, alone: bool, follows: bool
+) -> HandoverParticipant:
     """Puts a node beside the process' front, where its file has a fleet."""
     if text is None:
         return side
--- a/indigohitch/fleet/node/subscribing.py
+++ b/indigohitch/fleet/node/subscribing.py
@@ -14,8 +14,8 @@
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Deadline, EventLoop
-from ...upgrade import launch
-from ...upgrade.side import Side
+from ...upgrade import process_launch
+from ...upgrade.handover_participant import HandoverParticipant
 from ..distribution.following import Following
 from ..distribution.ports import Applied
 from .bare import Bare
@@ -104,7 +104,7 @@
     """The side of an upgrade (upgrade.side.Side) of a process that subscribes: the new one subscribes once
     the old one has let go, and resumes from nothing."""
 
-    def __init__(self, side: Side, subscription: Subscription) -> None:
+    def __init__(self, side: HandoverParticipant, subscription: Subscription) -> None:
         self.side, self.subscription = side, subscription
 
     def __getattr__(self, name: str):
@@ -123,7 +123,7 @@
 
 
 class SubscriberProcess(WithoutFront):
-    def make_side(self) -> Side:
+    def make_side(self) -> HandoverParticipant:
         if self.beside is None:
             self.beside = Subscription(self.loop, self.log, self.text.fleet)
         bare = Bare(self.clock, self.controls, self.control_taken, self.reload)
@@ -132,6 +132,6 @@
 
 def main(text: Text) -> int:
     """Raises OSError."""
-    channel = launch.inherited()
+    channel = process_launch.inherited_channel()
     os.set_blocking(1, False)
     return SubscriberProcess(text).run(channel)
--- a/indigohitch/fleet/node/without_front.py
+++ b/indigohitch/fleet/node/without_front.py
@@ -4,10 +4,10 @@
 
 from ...config import operator_file
 from ...config.texts import Text
-from ...replaceable import Replaceable
+from ...upgradable_process import UpgradableProcess
 
 
-class WithoutFront(Replaceable):
+class WithoutFront(UpgradableProcess):
     def __init__(self, text: Text) -> None:
         self.text = text
         super().__init__(text.single["name"], text.single, text.waits)
--- a/indigohitch/platform_protocol/backend_source.py
+++ b/indigohitch/platform_protocol/backend_source.py
@@ -7,7 +7,7 @@
 
 from .. import interface as face
 
-Tell = Callable[[face.BackendList, dict[str, str]], None]  # a list, and the addresses in it
+ListCallback = Callable[[face.BackendList, dict[str, str]], None]  # a list, and the addresses in it
 
 
 class BackendSource(Protocol):
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -14,13 +14,13 @@
 from ..net.http_exchange import HttpExchange, HttpResponse
 from ..net.loop import Deadline, EventLoop
 from ..settings import ticks_from_ms
-from .backend_source import Tell
+from .backend_source import ListCallback
 from .list_versions import Ask, Generations, Verdict
 
 _STATE = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 
 
-def read_list(found, remembered: bool = False) -> tuple[face.BackendList, dict[str, str]]:
+def parse_backend_list(found, remembered: bool = False) -> tuple[face.BackendList, dict[str, str]]:
     """A list in discovery's form as the module's event, and the addresses in it.  ValueError if it is
     none: half a list would make backends vanish."""
     try:
@@ -64,7 +64,7 @@
         log: Log,
         to: tuple[str, int],
         version: int,
-        tell: Tell,
+        tell: ListCallback,
     ) -> None:
         self.loop, self.log, self.tell = loop, log, tell
         self.generations = Generations(version)
@@ -191,7 +191,7 @@
             raise ValueError(answer.outcome)
         if answer.status != 200:
             raise ValueError(f"status {answer.status}")
-        news, addresses = read_list(orjson.loads(answer.body))
+        news, addresses = parse_backend_list(orjson.loads(answer.body))
         held = self.version
         verdict = self.generations.judge(ask, news, self.loop.clock.now())
         self.log.count("discovery_answers")
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -18,11 +18,11 @@
 from ..net.ring_buffer import BufferPool
 from ..settings import parse_settings
 from .backend_list_log import log_list
-from .backend_source import BackendSource, Tell
+from .backend_source import BackendSource, ListCallback
 from .backend_start_times import Starts
 from .call_codec import NO_CALL
 from .channel_backlog import Backlog
-from .discovery import Discovery, read_list
+from .discovery import Discovery, parse_backend_list
 from .drain_monitor import DrainWatch
 from .inbound_connections import Collectors
 from .messages import Known
@@ -43,7 +43,7 @@
         log: Log,
         found: dict,
         listening: socket.socket | None = None,
-        source: Callable[[Tell], BackendSource] | None = None,
+        source: Callable[[ListCallback], BackendSource] | None = None,
     ) -> None:
         """Of the configuration `found`, ValueError and KeyError tell what can't be read; of the address
         to listen on, OSError.  `source`: of the backends, where that is not discovery."""
@@ -113,7 +113,7 @@
         """All that is read of a configuration, before any of it counts."""
         boot, columns = parse_settings(found["settings"])
         boot["discovery"] = "ask"  # on sockets nothing comes unasked, also where the settings say `push`
-        known, addresses = read_list(found["known"], remembered=True)
+        known, addresses = parse_backend_list(found["known"], remembered=True)
         return (
             int(str(found["seed"]), 16),
             Limits.of(found["limits"]),
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .. import interface as face
-from ..upgrade import events
+from ..upgrade import event_codec
 from ..upgrade import snapshot as shots
 from ..upgrade.module_state import freeze, thaw
 from . import stored_tables
@@ -16,27 +16,27 @@
     relay, holdings = front.relay, front.holdings
     return shots.CoordinatorState(
         freeze(front.coordinator),
-        [list(events.listed(entry)) for entry in front.listed.values()],
+        [list(event_codec.pack_entry(entry)) for entry in front.listed.values()],
         front.addresses,
         list(front.heard_of),
         front.discovery.version,
         front.discovery.watching,
-        [[list(events.pack(order)) for order in call] for call in relay.waiting],
+        [[list(event_codec.pack(order)) for order in call] for call in relay.waiting],
         list(relay.written),
         relay.first.failures,
-        [list(events.pack(joined)) for joined in holdings.proxies.values()],
+        [list(event_codec.pack(joined)) for joined in holdings.proxies.values()],
         [
-            shots.StoodRow(
+            shots.StoredTableRow(
                 number,
                 [(b, float(w)) for b, w in table.lines.items()],
-                None if table.level is None else list(events.pack(table.level)),
+                None if table.level is None else list(event_codec.pack(table.level)),
             )
             for number, table in holdings.stood.items()
         ],
         holdings.begun,
         sorted(holdings.lost),
         [b.id for b in front.coordinator.backends.values() if b.probe_out],
-        [list(events.pack(order)) for order in relay.first.maybe],
+        [list(event_codec.pack(order)) for order in relay.first.maybe],
         [(backend, start.told, start.at) for backend, start in front.starts.known.items()],
         front.starts.heard,
     )
@@ -45,7 +45,7 @@
 def restore_front(front: Front, state: shots.CoordinatorState) -> None:
     front.coordinator = thaw(state.module, front.boot)
     front.gathering.take()  # the list of the configuration is older than the state
-    front.listed = {entry.backend: entry for entry in map(events.unlisted, state.listed)}
+    front.listed = {entry.backend: entry for entry in map(event_codec.unlisted, state.listed)}
     front.addresses = dict(state.addresses)
     front.starts.known = {backend: Start(told, at) for backend, told, at in state.starts}
     front.starts.heard = state.list_heard
@@ -54,12 +54,14 @@
     front.discovery.restore(state.version)
     relay, holdings = front.relay, front.holdings
     relay.held = True
-    waiting = [[events.unpack(order) for order in call] for call in state.waiting]
-    relay.restore(waiting, state.written, state.failures, [events.unpack(order) for order in state.maybe])
+    waiting = [[event_codec.unpack(order) for order in call] for call in state.waiting]
+    relay.restore(
+        waiting, state.written, state.failures, [event_codec.unpack(order) for order in state.maybe]
+    )
     _restore_backlog(front)
-    holdings.proxies = {joined.proxy: joined for joined in map(events.unpack, state.proxies)}
+    holdings.proxies = {joined.proxy: joined for joined in map(event_codec.unpack, state.proxies)}
     holdings.stood = {
-        row.number: stored_tables.Table(dict(row.lines), row.level and events.unpack(row.level))
+        row.number: stored_tables.Table(dict(row.lines), row.level and event_codec.unpack(row.level))
         for row in state.stood
     }
     holdings.begun, holdings.lost = state.begun, set(state.lost)
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -16,10 +16,10 @@
 from ..logic.state import DEPARTING_STATES
 from ..net.connection import Connection as Wire
 from ..net.listener import Listener
-from ..upgrade import events
+from ..upgrade import event_codec
 from ..upgrade import snapshot as shots
+from ..upgrade.handover_participant import PassedConnection
 from ..upgrade.module_state import thaw
-from ..upgrade.side import Connection
 from .front import Front
 from .front_state import front_state, restore_front
 
@@ -28,7 +28,7 @@
 HANDED_ON = (face.SliceDemand, face.ProxyDemand, face.BackendTraffic, face.UpdateAcknowledged)
 
 
-class Handover:
+class CoordinatorHandover:
     """Of a front; see upgrade.side.Side.  In the new process `make(listening)` makes the front."""
 
     def __init__(
@@ -45,7 +45,7 @@
         self.kept: list[face.Event] = []  # given on, until the upgrade stands
         self.state: shots.CoordinatorState | None = None
         self.taken = 0
-        self.pass_on: Callable[[Connection], bool] = lambda connection: False
+        self.pass_on: Callable[[PassedConnection], bool] = lambda connection: False
         self.passing = False
 
     # ---- in the old process ------------------------------------------------------------------------
@@ -108,13 +108,13 @@
     def rest(self) -> bytes:
         taken = self.front.gathering.take()
         self.kept += taken
-        return msgspec.msgpack.encode(events.pack_all(e for e in taken if isinstance(e, HANDED_ON)))
+        return msgspec.msgpack.encode(event_codec.pack_all(e for e in taken if isinstance(e, HANDED_ON)))
 
-    def idle(self) -> list[Connection]:
+    def idle(self) -> list[PassedConnection]:
         hub = self.front.collectors
         return [self.take_out(c) for c in [*hub.strangers, *hub.members] if not len(c.outgoing)]
 
-    def take_out(self, connection: Wire) -> Connection:
+    def take_out(self, connection: Wire) -> PassedConnection:
         caller = connection.reader
         self.front.collectors.gone(connection)
         kind = orjson.dumps(
@@ -125,7 +125,7 @@
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
         self.front.collectors.adopt(sock, rest, *orjson.loads(kind))
 
-    def drain(self, pass_on: Callable[[Connection], bool]) -> None:
+    def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
         self.pass_on, self.passing = pass_on, True
 
     def drained(self) -> bool:
@@ -137,7 +137,7 @@
         return not hub.strangers and not hub.members
 
     def rehearse(self, at: int) -> bytes:
-        return events.rehearsed([self.front.coordinator], at)
+        return event_codec.rehearsal_digest([self.front.coordinator], at)
 
     # ---- in the new process ------------------------------------------------------------------------
 
@@ -155,10 +155,10 @@
         return again
 
     def rehearse_copy(self, state: shots.Snapshot, at: int) -> bytes:
-        return events.rehearsed([thaw(state.coordinator.module, self.front.boot)], at)
+        return event_codec.rehearsal_digest([thaw(state.coordinator.module, self.front.boot)], at)
 
     def take_rest(self, rest: bytes) -> None:
-        self.front.hear(*events.unpack_all(msgspec.msgpack.decode(rest)))
+        self.front.hear(*event_codec.unpack_all(msgspec.msgpack.decode(rest)))
 
     def fresh(self, listeners: dict[str, socket.socket]) -> None:
         self.given = listeners
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -32,7 +32,7 @@
     ENDED = "ended"
 
 
-def configuration(environ: Mapping[str, str], *variables: str) -> dict:
+def read_configuration(environ: Mapping[str, str], *variables: str) -> dict:
     """What the platform hands over; the variables named win over the file, which says more."""
     with open(environ["BALANCER_CONFIG"], "rb") as file:
         found = orjson.loads(file.read())
@@ -61,7 +61,7 @@
     now = process.clock.now()
     until = until or now + RELOAD_PATIENCE
     try:
-        moved.reload(configuration(environ, "BALANCER_LISTEN"))
+        moved.reload(read_configuration(environ, "BALANCER_LISTEN"))
     except UNUSABLE as bad:
         if is_transient(bad) and now < until:
             process.loop.after(RELOAD_AGAIN, lambda: reload_front(process, environ, front, done, until))
@@ -90,13 +90,16 @@
         """Returns the exit code."""
         try:
             found = retry_transient(
-                lambda: configuration(self.environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY"), self.delayed
+                lambda: read_configuration(self.environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY"),
+                self.delayed,
             )
             listening = self.listening(parse_address(found["listen"]))
             if listening is None:
                 return 0
             if self.file_is_newer:
-                found = retry_transient(lambda: configuration(self.environ, "BALANCER_LISTEN"), self.delayed)
+                found = retry_transient(
+                    lambda: read_configuration(self.environ, "BALANCER_LISTEN"), self.delayed
+                )
             self.front = Front(self.loop, self.log, found, listening)
         except UNUSABLE as bad:
             self.log.event("cannot_start", **error_fields(bad, REMEDY))
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -11,10 +11,10 @@
 from .. import interface as face
 from ..config.texts import Server as Told
 from ..net.listener import Listener
-from ..upgrade import events
+from ..upgrade import event_codec
 from ..upgrade import snapshot as shots
+from ..upgrade.handover_participant import PassedConnection
 from ..upgrade.module_state import freeze, thaw
-from ..upgrade.side import Connection
 from .clients import Client
 from .host import Host
 from .pool import Pool
@@ -75,7 +75,7 @@
     }
 
 
-class Handover:
+class SidecarHandover:
     """Of a host; see upgrade.side.Side."""
 
     def __init__(
@@ -157,20 +157,20 @@
             taken = [*pool.gathering.take(), *pool.sums(now)]
             self.kept.setdefault(pool.name, []).extend(taken)
             # Probes that are out are sent again by the new process: their answers here would count twice.
-            rows[pool.name] = (events.pack_all(e for e in taken if type(e) is not face.ProbeResult), now)
+            rows[pool.name] = (event_codec.pack_all(e for e in taken if type(e) is not face.ProbeResult), now)
         return msgspec.msgpack.encode(rows)
 
-    def idle(self) -> list[Connection]:
+    def idle(self) -> list[PassedConnection]:
         return [self.take_out(client) for client in list(self.host.clients) if client.idle]
 
-    def take_out(self, client: Client) -> Connection:
+    def take_out(self, client: Client) -> PassedConnection:
         self.host.forget(client)
         return ("client", *client.stream.detach())
 
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
         self.host.take(sock, rest).next()
 
-    def drain(self, pass_on: Callable[[Connection], bool]) -> None:
+    def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
         host = self.host
 
         def passed(client: Client) -> None:
@@ -188,7 +188,7 @@
         return not len(self.host.clients)
 
     def rehearse(self, at: int) -> bytes:
-        return events.rehearsed((pool.coordinator for pool in self.host.pools.values()), at)
+        return event_codec.rehearsal_digest((pool.coordinator for pool in self.host.pools.values()), at)
 
     # ---- in the new process ------------------------------------------------------------------------
 
@@ -214,7 +214,7 @@
 
     def rehearse_copy(self, state: shots.Snapshot, at: int) -> bytes:
         boots = {name: pool.boot for name, pool in self.host.pools.items() if name not in self.cold}
-        return events.rehearsed(
+        return event_codec.rehearsal_digest(
             (thaw(row.module, boots[row.name]) for row in state.sidecar.pools if row.name in boots), at
         )
 
@@ -223,7 +223,7 @@
             pool = self.host.pools.get(name)
             if pool is not None and name not in self.cold:
                 pool.reported = max(pool.reported, until)
-                pool.gathering.add(*events.unpack_all(rows))
+                pool.gathering.add(*event_codec.unpack_all(rows))
 
     def fresh(self, listeners: dict[str, socket.socket]) -> None:
         self.given, self.cold = listeners, list(self.host.pools)
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -8,21 +8,21 @@
 from ..config.texts import Text
 from ..errors import InvalidRequestError, error_fields
 from ..net.file_limits import raise_file_limit
-from ..replaceable import Replaceable
-from ..upgrade import launch
-from ..upgrade.side import Side
-from .handover import Handover
+from ..upgradable_process import UpgradableProcess
+from ..upgrade import process_launch
+from ..upgrade.handover_participant import HandoverParticipant
+from .handover import SidecarHandover
 from .host import Host
 
 
-class Sidecar(Replaceable):
+class Sidecar(UpgradableProcess):
     def __init__(self, source: str, text: Text, follows: bool = False) -> None:
         self.source, self.text, self.follows = source, text, follows
         super().__init__(text.single["name"], text.single, text.waits)
 
-    def make_side(self) -> Side:
+    def make_side(self) -> HandoverParticipant:
         self.host = Host(self.loop, self.log, self.text)
-        side = Handover(self.host, self.controls, self.control_taken, self.reload)
+        side = SidecarHandover(self.host, self.controls, self.control_taken, self.reload)
         if self.text.fleet is None:
             return side
         from ..fleet.node.inside import beside
@@ -90,7 +90,7 @@
 
 def main(source: str) -> int:
     """Raises Mistakes, OSError."""
-    channel = launch.inherited()
+    channel = process_launch.inherited_channel()
     text = sidecar_file.load(source)
     os.set_blocking(1, False)  # a log that nobody reads must not hold up the service
     raise_file_limit(2 * text.limits["clients"] + 256)  # each client may have a server's connection
--- a/indigohitch/statefile.py
+++ b/indigohitch/state_file.py
@@ -8,7 +8,7 @@
 from .log import Log
 from .net.clock import Clock
 from .upgrade import snapshot as shots
-from .upgrade.side import Side
+from .upgrade.handover_participant import HandoverParticipant
 
 # What a state that does not fit shows itself by.
 UNFIT = (shots.UnusableSnapshotError, ValueError, IndexError, KeyError, TypeError, AttributeError)
@@ -19,7 +19,7 @@
         """`path` empty: none is kept."""
         self.path, self.clock, self.log = path, clock, log
 
-    def restore(self, side: Side) -> bool | None:
+    def restore(self, side: HandoverParticipant) -> bool | None:
         """From the file, if there is one that fits; None: it was refused half way, and `side` is of no more
         use."""
         if not self.path or not os.path.exists(self.path):
@@ -38,7 +38,7 @@
         self.log.event("state_read", path=self.path, age_ms=(self.clock.now() - state.taken) / 10)
         return True
 
-    def save(self, side: Side) -> dict:
+    def save(self, side: HandoverParticipant) -> dict:
         """Whole or not at all."""
         if not self.path:
             return {"error": "the file has no line `state`"}
--- a/indigohitch/replaceable_parts.py
+++ b/indigohitch/upgradable_parts.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 
-class Beside(Protocol):
+class Companion(Protocol):
     """What lives in the process beside its front: a member of the fleet (fleet/node/inside)."""
 
     left: bool  # nothing is waited for any more
@@ -18,7 +18,7 @@
     def close(self) -> None: ...
 
 
-class Phase(enum.Enum):
+class ProcessPhase(enum.Enum):
     STARTING = "starting"
     TAKING_OVER = "taking over"
     SERVING = "serving"
--- a/indigohitch/replaceable.py
+++ b/indigohitch/upgradable_process.py
@@ -11,43 +11,43 @@
 from collections.abc import Callable
 
 from .config.texts import Text
-from .control import Control
+from .control import ControlSocket
 from .errors import DirectorError, error_fields
 from .net.clock import SECOND
 from .net.listener import Listener
-from .pidfile import PidFile
+from .pid_file import PidFile
 from .process import Process
-from .replaceable_parts import Beside, Phase
-from .statefile import StateFile
-from .upgrade.giving import Giving
+from .state_file import StateFile
+from .upgradable_parts import Companion, ProcessPhase
+from .upgrade.handover_participant import HandoverParticipant
 from .upgrade.phases import Phase as Handing
-from .upgrade.side import Side
-from .upgrade.taking import Taking
+from .upgrade.predecessor_driver import PredecessorDriver
+from .upgrade.successor_driver import SuccessorDriver
 
 
-class Replaceable(Process):
+class UpgradableProcess(Process):
     SIGNALS = (*Process.SIGNALS, signal.SIGUSR2)
     POLL = SECOND // 100  # while it ends: whether the last thing in hand is done
 
     def __init__(self, name: str, lines: dict, waits: dict) -> None:
         """`lines`: the operator's `control`, `state`, `pidfile`, `program`; `waits`: `drain`, `start`."""
-        super().__init__(Phase.STARTING, name)
+        super().__init__(ProcessPhase.STARTING, name)
         self.lines, self.waits, self.code = lines, waits, 0
-        self.control: Control | None = None
-        self.beside: Beside | None = None
+        self.control: ControlSocket | None = None
+        self.beside: Companion | None = None
         self.state = StateFile(lines["state"], self.clock, self.log)
         self.pidfile = PidFile(lines["pidfile"], self.log)
-        self.side: Side = self.make_side()
+        self.side: HandoverParticipant = self.make_side()
         self.askers: list[Callable[[dict], None]] = []
-        self.giving = Giving(
+        self.giving = PredecessorDriver(
             self.loop, self.log, self.side, lines["program"], waits, self.handed_over, self.reported
         )
         self.giving.taken_back = self.pidfile.write
-        self.taking: Taking | None = None
+        self.taking: SuccessorDriver | None = None
 
     # ---- what a program adds -----------------------------------------------------------------------
 
-    def make_side(self) -> Side:
+    def make_side(self) -> HandoverParticipant:
         raise NotImplementedError
 
     def turn(self) -> None:
@@ -85,12 +85,12 @@
         """Returns the exit code; `channel`: where the process is that this one follows."""
         self.log.event("starts", pid=os.getpid(), follows=channel[1] if channel else None)
         if channel is not None:
-            self.become(Phase.TAKING_OVER)
-            self.taking = Taking(self.loop, self.log, self.side, *channel, self.begun, self.end_with)
+            self.become(ProcessPhase.TAKING_OVER)
+            self.taking = SuccessorDriver(self.loop, self.log, self.side, *channel, self.begun, self.end_with)
             self.taking.start()
         elif not self.start():
             return 1
-        while self.phase is not Phase.ENDED:
+        while self.phase is not ProcessPhase.ENDED:
             self.loop.turn()
             self.loop.guarded(self.turn)
         self.log.counters()
@@ -107,7 +107,7 @@
             self.log.event(
                 "cannot_start", **error_fields(bad, "mend the file that this program was started with")
             )
-            self.become(Phase.ENDED)
+            self.become(ProcessPhase.ENDED)
             return False
         self.begun()
         return True
@@ -120,14 +120,14 @@
 
     def open_control(self) -> None:
         if self.control is None and self.lines["control"]:
-            self.control = Control(self.loop, self.lines["control"], self.asked)
+            self.control = ControlSocket(self.loop, self.lines["control"], self.asked)
 
     def controls(self) -> Listener | None:
         return self.control and self.control.listener
 
     def control_taken(self, sock: socket.socket) -> None:
         if sock.getsockname() == self.lines["control"]:
-            self.control = Control(self.loop, self.lines["control"], self.asked, sock)
+            self.control = ControlSocket(self.loop, self.lines["control"], self.asked, sock)
         else:
             sock.close()  # the file names another path by now
 
@@ -138,13 +138,13 @@
             except OSError as bad:
                 self.log.warning("no_control", **error_fields(bad))
         self.pidfile.write()
-        self.become(Phase.SERVING)
+        self.become(ProcessPhase.SERVING)
         if self.taking is not None and self.taking.reload:
             self.reload()
 
     def end_with(self, code: int) -> None:
         self.code = code
-        self.become(Phase.ENDED)
+        self.become(ProcessPhase.ENDED)
 
     # ---- signals and people ------------------------------------------------------------------------
 
@@ -156,14 +156,14 @@
         elif number == signal.SIGHUP:
             if self.giving.under_way:
                 self.giving.reload_later()
-            elif self.phase is Phase.TAKING_OVER:
+            elif self.phase is ProcessPhase.TAKING_OVER:
                 self.taking.reload = True
-            elif self.phase is Phase.SERVING:
+            elif self.phase is ProcessPhase.SERVING:
                 self.reload()
         else:
             if self.taking is not None:  # once it serves it only tells the one that stands by
                 self.taking.step("told_to_end", "SIGTERM")
-            if self.phase is Phase.SERVING:
+            if self.phase is ProcessPhase.SERVING:
                 self.giving.step("told_to_end", "SIGTERM")
 
     def asked(self, what: str, line: dict, answer: Callable[[dict], None]) -> None:
@@ -189,7 +189,7 @@
 
     def upgrade(self, answer: Callable[[dict], None]) -> None:
         follows = self.taking is not None and not self.taking.over
-        if self.phase is not Phase.SERVING or self.giving.under_way or follows:
+        if self.phase is not ProcessPhase.SERVING or self.giving.under_way or follows:
             why = (
                 "an upgrade is under way"
                 if self.giving.under_way
@@ -218,17 +218,17 @@
 
     def handed_over(self) -> None:
         """The upgrade's machine has no more to do here: a new one is the service, or this was told to end."""
-        if self.handed or self.phase is not Phase.SERVING:
+        if self.handed or self.phase is not ProcessPhase.SERVING:
             self.end()
             return
-        self.become(Phase.ENDING)
+        self.become(ProcessPhase.ENDING)
         self.begin_to_end()
         self.state.save(self.side)  # and again at the end, where that is reached
         self.loop.after(self.waits["drain"], self.end)
         self.wait_for_last()
 
     def wait_for_last(self) -> None:
-        if self.phase is Phase.ENDING:
+        if self.phase is ProcessPhase.ENDING:
             if self.all_done() and (self.beside is None or self.leaves_beside()):
                 self.end()
             else:
@@ -240,12 +240,12 @@
         return self.beside.left
 
     def end(self) -> None:
-        if self.phase is not Phase.ENDED:
-            if self.phase is Phase.ENDING:  # with what was still sent, and counts, since
+        if self.phase is not ProcessPhase.ENDED:
+            if self.phase is ProcessPhase.ENDING:  # with what was still sent, and counts, since
                 self.state.save(self.side)
             if self.beside is not None:
                 self.beside.close()
             self.close()
             if self.control is not None:
                 self.control.close(unlink=not self.handed)
-            self.become(Phase.ENDED)
+            self.become(ProcessPhase.ENDED)
--- a/indigohitch/upgrade/channel.py
+++ b/indigohitch/upgrade/channel.py
@@ -12,7 +12,7 @@
 from ..net.clock import SECOND
 from ..net.connection import READ, WRITE
 from ..net.loop import EventLoop
-from .words import WORDS, BrokenFrameError, FrameDecoder, Word, frame
+from .messages import WORDS, BrokenFrameError, FrameDecoder, Word, frame
 
 
 class Channel:
--- a/indigohitch/upgrade/passing.py
+++ b/indigohitch/upgrade/connection_transfer.py
@@ -4,20 +4,20 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from . import words
+from . import messages
 from .channel import Channel
-from .side import Connection
+from .handover_participant import PassedConnection
 
 
-class Passing:
+class ConnectionTransfer:
     MOST_RESTS = 1 << 20  # unread bytes of connections in one frame: an eighth of its bound
 
-    def __init__(self, say: Callable[[words.Word, Sequence[int]], None]) -> None:
+    def __init__(self, say: Callable[[messages.Word, Sequence[int]], None]) -> None:
         self.say = say
-        self.out: dict[int, Connection] = {}  # not known to have their owner
+        self.out: dict[int, PassedConnection] = {}  # not known to have their owner
         self.number = 0
 
-    def own(self, connections: Iterable[Connection]) -> None:
+    def own(self, connections: Iterable[PassedConnection]) -> None:
         """Each is ours to take back from here on."""
         for connection in connections:
             self.number += 1
@@ -35,7 +35,7 @@
                 batch, size = [], 0
         self._send(batch)
 
-    def one(self, connection: Connection) -> bool:
+    def one(self, connection: PassedConnection) -> bool:
         """False: it could not be sent, and stays with whoever has it."""
         self.own([connection])
         try:
@@ -49,7 +49,7 @@
         if numbers:
             batch = [self.out[number] for number in numbers]
             self.say(
-                words.Passed(numbers, [rest for _, _, rest in batch], [kind for kind, _, _ in batch]),
+                messages.Passed(numbers, [rest for _, _, rest in batch], [kind for kind, _, _ in batch]),
                 [sock.fileno() for _, sock, _ in batch],
             )
 
@@ -59,7 +59,7 @@
             if number in self.out:
                 self.out.pop(number)[1].close()
 
-    def back(self) -> list[Connection]:
+    def back(self) -> list[PassedConnection]:
         """All that have no owner yet; ours again."""
         out, self.out = self.out, {}
         return list(out.values())
--- a/indigohitch/upgrade/events.py
+++ b/indigohitch/upgrade/event_codec.py
@@ -44,7 +44,7 @@
 _LISTED = ("backend", "state", "weight", "zone", "cell", "kind", "started")
 
 
-def listed(entry: face.BackendEntry) -> tuple:
+def pack_entry(entry: face.BackendEntry) -> tuple:
     return tuple(getattr(entry, field) for field in _LISTED)
 
 
@@ -57,7 +57,7 @@
     name, fields = _WIRE[type(item)]
     values = [getattr(item, field) for field in fields]
     if type(item) is face.BackendList:
-        values[-1] = [listed(entry) for entry in item.entries]
+        values[-1] = [pack_entry(entry) for entry in item.entries]
     return (name, *values)
 
 
@@ -82,7 +82,7 @@
     return [unpack(row) for row in rows]
 
 
-def rehearsed(coordinators: Iterable, at: int) -> bytes:
+def rehearsal_digest(coordinators: Iterable, at: int) -> bytes:
     """Digest of what these modules order next, one after another; it moves them."""
     orders = [pack_all(coordinator.handle(at, [])) for coordinator in coordinators]
     return hashlib.blake2b(msgspec.msgpack.encode(orders), digest_size=16).digest()
--- a/indigohitch/upgrade/side.py
+++ b/indigohitch/upgrade/handover_participant.py
@@ -8,10 +8,12 @@
 
 from . import snapshot as shots
 
-Connection = tuple[str, socket.socket, bytes]  # its kind, the socket, and what it brought that nobody read
+PassedConnection = tuple[
+    str, socket.socket, bytes
+]  # its kind, the socket, and what it brought that nobody read
 
 
-class Side(Protocol):
+class HandoverParticipant(Protocol):
     """What a program offers so that it can be handed over."""
 
     # in the old process
@@ -25,9 +27,9 @@
     def thaw(self) -> None: ...  # it goes on
     def accept(self, on: bool) -> None: ...
     def rest(self) -> bytes: ...  # what came since the state or the last rest
-    def idle(self) -> list[Connection]: ...  # take out what can be passed on
+    def idle(self) -> list[PassedConnection]: ...  # take out what can be passed on
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None: ...
-    def drain(self, pass_on: Callable[[Connection], bool]) -> None: ...
+    def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None: ...
     def drained(self) -> bool: ...
     def rehearse(self, at: int) -> bytes: ...  # digest of the next orders; moves the module
     def reload(self) -> None: ...
--- a/indigohitch/upgrade/hearing.py
+++ b/indigohitch/upgrade/message_events.py
@@ -2,24 +2,24 @@
 
 from __future__ import annotations
 
+from . import messages
 from . import snapshot as shots
-from . import words
 
 
-def event(word: words.Word, state: bytes) -> tuple[str, str]:
+def event(word: messages.Word, state: bytes) -> tuple[str, str]:
     """The event, and why; `state`: what was handed over."""
     match word:
-        case words.Hello(protocol, schema):
-            if abs(protocol - words.PROTOCOL) > 1 or abs(schema - shots.SCHEMA) > 1:
+        case messages.Hello(protocol, schema):
+            if abs(protocol - messages.PROTOCOL) > 1 or abs(schema - shots.SCHEMA) > 1:
                 return "refused", f"the new program reads schema {schema}, this one {shots.SCHEMA}"
             return "hello", ""
-        case words.Restored(digest):
+        case messages.Restored(digest):
             same = digest == shots.digest(state)
             return ("restored", "") if same else ("refused", "the state came out different")
-        case words.Proven():
+        case messages.Proven():
             return "proven", ""
-        case words.Accepting():
+        case messages.Accepting():
             return "accepting", ""
-        case words.Refuse(why):
+        case messages.Refuse(why):
             return "refused", why
     return "broken", f"{type(word).__name__} from the new process"
--- a/indigohitch/upgrade/giver.py
+++ b/indigohitch/upgrade/predecessor.py
@@ -5,7 +5,7 @@
 from .phases import Act, Phase
 
 
-class Giver:
+class Predecessor:
     WAITS = {
         Phase.OFFERED: "start",
         Phase.SETTLING: "settle",
--- a/indigohitch/upgrade/giving.py
+++ b/indigohitch/upgrade/predecessor_driver.py
@@ -8,21 +8,21 @@
 from ..log import Log
 from ..net.clock import SECOND
 from ..net.loop import EventLoop
-from . import hearing, words
+from . import message_events, messages
 from .channel import Channel
-from .figures import Figures
-from .giver import Giver
-from .launch import Started
-from .passing import Passing
+from .connection_transfer import ConnectionTransfer
+from .handover_participant import HandoverParticipant, PassedConnection
 from .phase_deadline import PhaseDeadline
+from .phase_timeouts import waits as waits_told
 from .phases import STANDING_STILL, Phase
-from .sending_state import send_state
-from .side import Connection, Side
-from .urgency import Urgency
-from .waits import waits as waits_told
+from .predecessor import Predecessor
+from .process_launch import Started
+from .state_transfer import send_state
+from .upgrade_report import UpgradeReport
+from .urgent_work import Urgency
 
 
-class Giving:
+class PredecessorDriver:
     POLL = SECOND // 200
     ENDING = SECOND // 5  # from the end of its channel to the death of a process that ends
     REHEARSE = 2 * SECOND  # ahead: four beats, so that the module has something to order
@@ -31,7 +31,7 @@
         self,
         loop: EventLoop,
         log: Log,
-        side: Side,
+        side: HandoverParticipant,
         program: Sequence[str],
         waits: dict[str, int],
         ended: Callable[[], None],
@@ -42,15 +42,15 @@
         self.waits = waits_told(waits)
         self.deadline = PhaseDeadline(loop, self.waits, self.overdue)
         self.ended, self.reported = ended, reported
-        self.machine = Giver()
+        self.machine = Predecessor()
         self.urgency = Urgency(loop, self.urgent_waits, self.step)
         self.started: Started | None = None
         self.channel: Channel | None = None
-        self.passing = Passing(self.say)
+        self.passing = ConnectionTransfer(self.say)
         self.reload = False  # SIGHUP came meanwhile
         self.taken_back: Callable[[], None] = lambda: None  # this process is the service again
         self.state, self.theirs = b"", b""
-        self.figures = Figures(loop.clock.now())
+        self.figures = UpgradeReport(loop.clock.now())
 
     def urgent_waits(self) -> bool | None:
         """Whether something with a time limit does, while this process stands still; None: it does not."""
@@ -88,13 +88,13 @@
 
     # ---- what is heard -----------------------------------------------------------------------------
 
-    def heard(self, word: words.Word, descriptors: list[int]) -> None:
-        if isinstance(word, words.Adopted):
+    def heard(self, word: messages.Word, descriptors: list[int]) -> None:
+        if isinstance(word, messages.Adopted):
             self.passing.adopted(word.numbers)
             return
-        if isinstance(word, words.Proven):
+        if isinstance(word, messages.Proven):
             self.theirs = word.orders
-        self.step(*hearing.event(word, self.state))
+        self.step(*message_events.event(word, self.state))
 
     def channel_ended(self, why: str, broken: bool) -> None:
         started = self.started
@@ -118,14 +118,14 @@
 
     # ---- what is done ------------------------------------------------------------------------------
 
-    def say(self, word: words.Word, descriptors: Sequence[int] = (), last: bool = False) -> None:
+    def say(self, word: messages.Word, descriptors: Sequence[int] = (), last: bool = False) -> None:
         if self.channel is not None:
             self.channel.say(word, descriptors)
             if last:
                 self.channel.flush_hard()
 
     def do_spawn(self) -> None:
-        self.figures = Figures(self.loop.clock.now())
+        self.figures = UpgradeReport(self.loop.clock.now())
         self.reload = False
         try:
             self.started = Started(self.loop, self.program, self.died)
@@ -174,7 +174,7 @@
             self.passing.own(self.side.idle())
             self.figures.add(passed=len(self.passing.out))
             self.passing.all()
-            self.say(words.Commit(self.side.rest(), self.reload))
+            self.say(messages.Commit(self.side.rest(), self.reload))
         except OSError as bad:  # whatever this process lacks now, it can take back
             self.step("refused", f"nothing could be passed: {bad}")
 
@@ -195,7 +195,7 @@
             "drained",
         )
 
-    def pass_on(self, connection: Connection) -> bool:
+    def pass_on(self, connection: PassedConnection) -> bool:
         """One that came free while we drain; False: the new process can't be reached."""
         reached = self.channel is not None and self.machine.phase is Phase.DRAINING
         if not reached or not self.passing.one(connection):
@@ -219,7 +219,7 @@
 
     def do_call_off(self) -> None:
         self.log.warning("upgrade_called_off", why=self.machine.result)
-        self.say(words.CallOff(self.machine.result), last=True)
+        self.say(messages.CallOff(self.machine.result), last=True)
         self.side.settle(False)
 
     def do_kill(self) -> None:
@@ -240,8 +240,8 @@
     def do_done(self) -> None:
         # Our module has retired: its next step shows whether the new one's is the same.
         self.log.event("state_compared", equal=self.side.rehearse(self.rehearse_at) == self.theirs)
-        self.say(words.Rest(self.side.rest()))
-        self.say(words.Done(), last=True)
+        self.say(messages.Rest(self.side.rest()))
+        self.say(messages.Done(), last=True)
 
     def do_end(self) -> None:
         self.close()
--- a/indigohitch/upgrade/launch.py
+++ b/indigohitch/upgrade/process_launch.py
@@ -85,7 +85,7 @@
         self.process.returncode = self.process.returncode or 0  # no word of a child that still runs
 
 
-def inherited() -> tuple[socket.socket, int] | None:
+def inherited_channel() -> tuple[socket.socket, int] | None:
     """The new process' end of the channel and the old process' pid, if it was started for an upgrade."""
     text = os.environ.pop(VARIABLE, "")
     if not text:
--- a/indigohitch/upgrade/snapshot.py
+++ b/indigohitch/upgrade/snapshot.py
@@ -64,7 +64,7 @@
     pools: list[PoolRow]
 
 
-class StoodRow(Row):
+class StoredTableRow(Row):
     number: int
     lines: list[tuple[str, float]]
     level: list | None  # the order that set it
@@ -83,7 +83,7 @@
     written: list[int]  # when calls went out that count as messages to the proxies
     failures: int
     proxies: list[list]  # as they joined
-    stood: list[StoodRow]
+    stood: list[StoredTableRow]
     begun: bool
     lost: list[int]  # tables to be told anew
     probing: list[str]
--- a/indigohitch/upgrade/sending_state.py
+++ b/indigohitch/upgrade/state_transfer.py
@@ -5,7 +5,7 @@
 import socket
 from collections.abc import Callable, Mapping
 
-from . import words
+from . import messages
 
 PIECE = 1 << 16  # of the state: a frame that a socket's buffer takes in one go
 
@@ -19,6 +19,6 @@
 ) -> None:
     """The listeners by name, then the state in pieces; what modules order at `rehearse_at` is compared."""
     descriptors = [sock.fileno() for sock in listeners.values()]
-    say(words.Listeners(list(listeners), now, len(state), rehearse_at), descriptors)
+    say(messages.Listeners(list(listeners), now, len(state), rehearse_at), descriptors)
     for at in range(0, len(state), PIECE):
-        say(words.Piece(state[at : at + PIECE]))
+        say(messages.Piece(state[at : at + PIECE]))
--- a/indigohitch/upgrade/taker.py
+++ b/indigohitch/upgrade/successor.py
@@ -5,7 +5,7 @@
 from .phases import Act, Phase
 
 
-class Taker:
+class Successor:
     WAITS = {Phase.ORPHAN: "orphan"}
 
     def __init__(self) -> None:
--- a/indigohitch/upgrade/taking.py
+++ b/indigohitch/upgrade/successor_driver.py
@@ -10,23 +10,23 @@
 from ..log import Log
 from ..net.clock import SECOND
 from ..net.loop import Deadline, EventLoop
+from . import messages
 from . import snapshot as shots
-from . import words
 from .channel import Channel
-from .launch import Watch
+from .handover_participant import HandoverParticipant, PassedConnection
 from .phases import Phase
-from .side import Connection, Side
-from .taker import Taker
+from .process_launch import Watch
+from .successor import Successor
 
 
-class Taking:
+class SuccessorDriver:
     ORPHAN = 2 * SECOND  # a process that ends closes its channel first; it is dead within a moment
 
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
-        side: Side,
+        side: HandoverParticipant,
         channel: socket.socket,
         old: int,
         began: Callable[[], None],
@@ -35,12 +35,12 @@
         """`began`: this process is the service.  `ended(code)`: it is not to be."""
         self.loop, self.log, self.side = loop, log, side
         self.began, self.ended = began, ended
-        self.machine = Taker()
+        self.machine = Successor()
         self.deadline: Deadline | None = None
         self.listeners: dict[str, socket.socket] = {}
         self.parts, self.size, self.rehearse_at = bytearray(), 0, 0
         self.shot: shots.Snapshot | None = None
-        self.passed: list[tuple[int, Connection]] = []
+        self.passed: list[tuple[int, PassedConnection]] = []
         self.why, self.rest, self.reload = "", b"", False
         self.channel: Channel | None = Channel(loop, channel, self.heard, self.channel_ended)
         try:
@@ -77,9 +77,9 @@
 
     # ---- what is heard -----------------------------------------------------------------------------
 
-    def heard(self, word: words.Word, descriptors: list[int]) -> None:
+    def heard(self, word: messages.Word, descriptors: list[int]) -> None:
         match word:
-            case words.Listeners(names, now, size, at):
+            case messages.Listeners(names, now, size, at):
                 if len(descriptors) != len(names):
                     self.step("failed", "listeners without descriptors")
                     return
@@ -87,11 +87,11 @@
                 self.size, self.rehearse_at = size, at
                 self.loop.clock.follow(now)
                 self.step("listeners")
-            case words.Piece(data):
+            case messages.Piece(data):
                 self.parts += data
                 if len(self.parts) >= self.size:
                     self.step("state")
-            case words.Passed(numbers, rests, kinds):
+            case messages.Passed(numbers, rests, kinds):
                 if not len(numbers) == len(rests) == len(kinds) == len(descriptors):
                     self.step("failed", "connections without descriptors")
                     return
@@ -100,19 +100,19 @@
                     for number, kind, fd, rest in zip(numbers, kinds, descriptors, rests)
                 ]
                 if self.machine.accepting:
-                    self.say(words.Adopted(numbers))  # before a byte is read of them
+                    self.say(messages.Adopted(numbers))  # before a byte is read of them
                     self.adopt(found)
                 else:
                     self.passed += found
-            case words.Commit(rest, reload):
+            case messages.Commit(rest, reload):
                 self.rest = rest
                 self.reload |= reload
                 self.step("commit")
-            case words.Rest(rest):
+            case messages.Rest(rest):
                 self.side.take_rest(rest)
-            case words.Done():
+            case messages.Done():
                 self.step("done")
-            case words.CallOff(why):
+            case messages.CallOff(why):
                 self.step("call_off", why)
             case _:
                 self.step("failed", f"{type(word).__name__} from the old process")
@@ -128,18 +128,18 @@
             self.channel.read()  # what it said before counts: connections may be among it
         self.step("died", "the old process is dead")
 
-    def say(self, word: words.Word) -> None:
+    def say(self, word: messages.Word) -> None:
         if self.channel is not None:
             self.channel.say(word)
 
-    def adopt(self, found: list[tuple[int, Connection]]) -> None:
+    def adopt(self, found: list[tuple[int, PassedConnection]]) -> None:
         for _, connection in found:
             self.side.adopt(*connection)
 
     # ---- what is done ------------------------------------------------------------------------------
 
     def do_hello(self) -> None:
-        self.say(words.Hello(words.PROTOCOL, shots.SCHEMA, os.getpid()))
+        self.say(messages.Hello(messages.PROTOCOL, shots.SCHEMA, os.getpid()))
 
     def do_restore(self) -> None:
         try:
@@ -150,7 +150,7 @@
         except Exception as bad:  # whatever is wrong with it: the old one carries on
             self.step("failed", f"restore: {type(bad).__name__}: {bad}")
             return
-        self.say(words.Restored(shots.digest(built)))
+        self.say(messages.Restored(shots.digest(built)))
         self.step("built")
 
     def do_prove(self) -> None:
@@ -162,7 +162,7 @@
         except Exception as bad:
             self.step("failed", f"proof: {type(bad).__name__}: {bad}")
             return
-        self.say(words.Proven(orders))
+        self.say(messages.Proven(orders))
         self.step("works")
 
     def do_accept(self) -> None:
@@ -174,8 +174,8 @@
             self.log.event("cannot_start", **error_fields(bad))
             self.do_end()
             return
-        self.say(words.Adopted([number for number, _ in passed]))  # before a byte is read of them
-        self.say(words.Accepting())
+        self.say(messages.Adopted([number for number, _ in passed]))  # before a byte is read of them
+        self.say(messages.Accepting())
         self.adopt(passed)
         self.began()
 
@@ -202,12 +202,12 @@
 
     def do_refuse(self) -> None:
         self.log.warning("upgrade_refused", why=self.why)
-        self.say(words.Refuse(self.why))
+        self.say(messages.Refuse(self.why))
         if self.channel is not None:
             self.channel.flush_hard()
 
     def do_leave(self) -> None:
-        self.say(words.Refuse("told to end"))
+        self.say(messages.Refuse("told to end"))
         if self.channel is not None:
             self.channel.flush_hard()
 
--- a/indigohitch/upgrade/figures.py
+++ b/indigohitch/upgrade/upgrade_report.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Figures:
+class UpgradeReport:
     """Times are of the process's clock, tenths of a ms."""
 
     def __init__(self, now: int) -> None:
--- a/proofs/fleetkit/fleet.py
+++ b/proofs/fleetkit/fleet.py
@@ -224,7 +224,7 @@
         """What the member answered: {"result": "upgraded", ...}."""
         self.did(f"upgrade {name}")
         try:
-            told = control.ask(self.places[name].control, "upgrade", wait)
+            told = control.send_command(self.places[name].control, "upgrade", wait)
         except (OSError, ValueError):
             return None
         until(lambda: len(self.members[name].pids()) <= 1, wait, f"the process that {name} replaced to end")
--- a/proofs/fleetkit/processes.py
+++ b/proofs/fleetkit/processes.py
@@ -103,7 +103,7 @@
         if self.stopped:
             return None
         try:
-            return control.ask(self.socket, what, wait)
+            return control.send_command(self.socket, what, wait)
         except (OSError, ValueError):
             return None
 
--- a/tests/apart.py
+++ b/tests/apart.py
@@ -12,7 +12,7 @@
 from indigohitch import interface as face
 from indigohitch.logic import Coordinator
 from indigohitch.settings import parse_settings
-from indigohitch.upgrade.events import pack_all
+from indigohitch.upgrade.event_codec import pack_all
 from test_rules import random_day
 
 
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -10,9 +10,9 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from indigohitch.sidecar.host import Host  # noqa: E402
+from indigohitch.upgrade import messages  # noqa: E402
 from indigohitch.upgrade import snapshot as shots  # noqa: E402
-from indigohitch.upgrade import words  # noqa: E402
-from indigohitch.upgrade.taking import Taking  # noqa: E402
+from indigohitch.upgrade.successor_driver import SuccessorDriver  # noqa: E402
 
 
 def struck(how):
@@ -32,28 +32,28 @@
 
 
 def main(point, how):
-    heard, say, begin = Taking.heard, Taking.say, Taking.do_accept
+    heard, say, begin = SuccessorDriver.heard, SuccessorDriver.say, SuccessorDriver.do_accept
 
     def on_heard(self, word, descriptors):
-        if (point, type(word)) == ("commit", words.Commit):
+        if (point, type(word)) == ("commit", messages.Commit):
             struck(how)
         heard(self, word, descriptors)
-        if (point, type(word)) == ("half", words.Piece) and len(self.parts) < self.size:
+        if (point, type(word)) == ("half", messages.Piece) and len(self.parts) < self.size:
             struck(how)
-        if (point, type(word)) == ("listener", words.Listeners):
+        if (point, type(word)) == ("listener", messages.Listeners):
             struck(how)
 
     def on_say(self, word):
-        if point == "newer" and type(word) is words.Hello:
-            word = words.Hello(word.protocol, shots.SCHEMA + 2, word.pid)
+        if point == "newer" and type(word) is messages.Hello:
+            word = messages.Hello(word.protocol, shots.SCHEMA + 2, word.pid)
             struck("none")
-        if point == "differs" and type(word) is words.Restored:
-            word = words.Restored(b"another digest..")
+        if point == "differs" and type(word) is messages.Restored:
+            word = messages.Restored(b"another digest..")
             struck("none")
-        if point == "garbled" and type(word) is words.Restored:
+        if point == "garbled" and type(word) is messages.Restored:
             self.channel.out.append((memoryview(b"rubbish" * 20), []))
             struck("none")
-        if point == "descriptors" and type(word) is words.Hello:
+        if point == "descriptors" and type(word) is messages.Hello:
             import resource
 
             say(self, word)
@@ -64,10 +64,10 @@
             return
         say(self, word)
         if (point, type(word)) in (
-            ("restored", words.Restored),
-            ("proven", words.Proven),
-            ("hello", words.Hello),
-            ("acked", words.Accepting),
+            ("restored", messages.Restored),
+            ("proven", messages.Proven),
+            ("hello", messages.Hello),
+            ("acked", messages.Accepting),
         ):
             struck(how)
 
@@ -76,7 +76,7 @@
         if point == "drain":
             self.loop.after(1500, lambda: struck(how))
 
-    Taking.heard, Taking.say, Taking.do_accept = on_heard, on_say, on_accept
+    SuccessorDriver.heard, SuccessorDriver.say, SuccessorDriver.do_accept = on_heard, on_say, on_accept
     if point == "start":
         struck(how)
     if point == "accept":
--- a/tests/field.py
+++ b/tests/field.py
@@ -97,7 +97,7 @@
         return self
 
     def ask(self, what, wait=20):
-        return control.ask(self.socket, what, wait)
+        return control.send_command(self.socket, what, wait)
 
     def pid(self):
         """Of the one that serves now."""
--- a/tests/golden/decision_days.py
+++ b/tests/golden/decision_days.py
@@ -13,7 +13,7 @@
 from golden.decision_settings import SETTINGS
 from indigohitch.logic import Coordinator
 from indigohitch.settings import parse_settings
-from indigohitch.upgrade import events
+from indigohitch.upgrade import event_codec
 
 SECOND = 10_000  # tenths of a millisecond
 
@@ -71,7 +71,7 @@
             self.handle(list(rows))
 
     def handle(self, rows: list[list]) -> None:
-        orders = events.pack_all(self.module.handle(self.now, events.unpack_all(rows)))
+        orders = event_codec.pack_all(self.module.handle(self.now, event_codec.unpack_all(rows)))
         self.batches.append({"now": self.now, "events": rows, "orders": orders})
         for kind, *values in orders:
             if kind == "SetLine":
--- a/tests/golden/upgrade_states.py
+++ b/tests/golden/upgrade_states.py
@@ -13,7 +13,7 @@
 from golden.decision_days import Day
 from golden.decision_settings import SETTINGS
 from indigohitch.settings import parse_settings
-from indigohitch.upgrade import events, module_state
+from indigohitch.upgrade import event_codec, module_state
 from indigohitch.upgrade import snapshot as shots
 
 FOLDER = Path(__file__).parent / "upgrade"
@@ -189,7 +189,7 @@
     body = msgspec.msgpack.decode(coordinator[34:])
     row = msgspec.convert(body[3][0], module_state.ModuleRow)
     boot, _ = parse_settings(SETTINGS_OF_COORDINATOR)
-    return events.rehearsed([module_state.thaw(row, boot)], body[3][0][1] + REHEARSED_AFTER)
+    return event_codec.rehearsal_digest([module_state.thaw(row, boot)], body[3][0][1] + REHEARSED_AFTER)
 
 
 def values(name: str, given: list, coordinator: bytes) -> list:
--- a/tests/golden/write_upgrade.py
+++ b/tests/golden/write_upgrade.py
@@ -11,7 +11,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 from golden.upgrade_states import FRAMES, states, values  # noqa: E402
-from indigohitch.upgrade.words import WORDS, frame  # noqa: E402
+from indigohitch.upgrade.messages import WORDS, frame  # noqa: E402
 
 
 def main(folder: Path) -> None:
--- a/tests/golden_files_control.py
+++ b/tests/golden_files_control.py
@@ -14,14 +14,14 @@
 
 from golden_files import as_json
 from indigohitch.config import operator_file, sidecar_file
-from indigohitch.control import Control
+from indigohitch.control import ControlSocket
 from indigohitch.fleet.ledger.state import Role
 from indigohitch.fleet.node.alone import Alone
 from indigohitch.fleet.node.phases import Phase as MemberPhase
 from indigohitch.fleet.node.subscribing import SubscriberProcess
-from indigohitch.replaceable import Replaceable
-from indigohitch.replaceable_parts import Phase
 from indigohitch.sidecar.service import Sidecar
+from indigohitch.upgradable_parts import ProcessPhase
+from indigohitch.upgradable_process import UpgradableProcess
 from indigohitch.upgrade.phases import Phase as UpgradePhase
 from nodes import Looped, World
 
@@ -55,7 +55,7 @@
 
     with tempfile.TemporaryDirectory() as folder:
         path = f"{folder}/control"
-        control = Control(looped.loop, path, asked)
+        control = ControlSocket(looped.loop, path, asked)
         mode = os.stat(path).st_mode & 0o777
         with socket.socket(socket.AF_UNIX) as sock:
             sock.connect(path)
@@ -79,7 +79,7 @@
 @contextmanager
 def signals_kept() -> Iterator[None]:
     """A process takes the signals for itself."""
-    kept = {number: signal.getsignal(number) for number in Replaceable.SIGNALS}
+    kept = {number: signal.getsignal(number) for number in UpgradableProcess.SIGNALS}
     wakeup = signal.set_wakeup_fd(-1)
     try:
         yield
@@ -95,7 +95,7 @@
         return sock.getsockname()[1]
 
 
-def processes(folder: str) -> dict[str, Replaceable]:
+def processes(folder: str) -> dict[str, UpgradableProcess]:
     """Not started: no socket of theirs is open."""
     sidecar = sidecar_file.read(SIDECAR.format(port=free_port()))
     member = operator_file.read(MEMBER.format(folder=folder))
@@ -106,7 +106,7 @@
     }
 
 
-def told(process: Replaceable, what: str) -> dict:
+def told(process: UpgradableProcess, what: str) -> dict:
     found: list[dict] = []
     process.asked(what, {"ask": what}, found.append)
     return orjson.loads(orjson.dumps(found[0], default=str))
@@ -156,7 +156,7 @@
     """All words that `phase`, `upgrade` and `role` can have."""
     return as_json(
         {
-            "phase": sorted(one.value for one in Phase),
+            "phase": sorted(one.value for one in ProcessPhase),
             "upgrade": sorted(one.value for one in UpgradePhase),
             "fleet.phase": sorted(one.value for one in MemberPhase),
             "fleet.role": sorted(one.value for one in Role),
--- a/tests/golden_files_running.py
+++ b/tests/golden_files_running.py
@@ -14,7 +14,7 @@
 from indigohitch.config import operator_file
 from indigohitch.coordinator import Coordinating
 from indigohitch.fleet.node.subscribing import SubscriberProcess
-from indigohitch.replaceable import Replaceable
+from indigohitch.upgradable_process import UpgradableProcess
 from stage import SETTINGS
 from waiting import free_address
 
@@ -26,7 +26,7 @@
     return {key: tree(one) if key != "counters" else None for key, one in value.items()}
 
 
-def status(process: Replaceable) -> object:
+def status(process: UpgradableProcess) -> object:
     found: list[dict] = []
     process.asked("status", {"ask": "status"}, found.append)
     return tree(orjson.loads(orjson.dumps(found[0], default=str)))
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -80,7 +80,7 @@
 def registry(given: dict) -> dict:
     """A list of discovery's, and the addresses in it."""
     try:
-        found, addresses = discovery.read_list(orjson.loads(given["body"]), given["remembered"])
+        found, addresses = discovery.parse_backend_list(orjson.loads(given["body"]), given["remembered"])
     except ValueError:
         return {"refused": True}
     return plain(found) | {"addresses": addresses}
@@ -170,7 +170,7 @@
     with MonkeyPatch.context() as patch:
         Recorder.asked = []
         room = Room(patch)
-        patch.setattr(call_queue, "Client", Recorder)
+        patch.setattr(call_queue, "HttpClient", Recorder)
         room.relay.client = Recorder(room.loop, TO)
         room.order(1.0, 2.5)
         room.loop.close()
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -136,7 +136,7 @@
         with open(path, "w", encoding="ascii") as file:
             json.dump(given["file"], file)
         environ = given["environ"] | {"BALANCER_CONFIG": path}
-        found = service.configuration(environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY")
+        found = service.read_configuration(environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY")
     found["limits"] = Watched(found["limits"])
     seed, _, boot, columns, known, addresses, store, discovery = Front._read(found)
     return {
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -45,8 +45,8 @@
 
 class Room:
     def __init__(self, monkeypatch, most=0, over=0, cap=0, pace=0, proxies=0, head=0):
-        monkeypatch.setattr(call_queue, "Client", Told)
-        monkeypatch.setattr(call_resolution, "Client", lambda *words: Store(self))
+        monkeypatch.setattr(call_queue, "HttpClient", Told)
+        monkeypatch.setattr(call_resolution, "HttpClient", lambda *words: Store(self))
         self.store, self.stood, self.mute = {}, {}, False
         self.clock = Shifted()
         self.loop = EventLoop(self.clock, self.fail)
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -32,7 +32,7 @@
         self.clock = Shifted()
         self.loop = EventLoop(self.clock, self.broken)
         self.log = Log(self.clock, "t", os.open(os.devnull, os.O_WRONLY))
-        monkeypatch.setattr(call_resolution, "Client", lambda *words: Store(self))
+        monkeypatch.setattr(call_resolution, "HttpClient", lambda *words: Store(self))
         self.mute = False  # what Store asks: the store tells
         family = SETTINGS["family-info"] | {"queue-cap": CAP, "egress-per-s": PACE}
         entries = [self.entry(n, "SERVING") for n in range(BACKENDS)]
--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_crossing_lists_program.py
@@ -7,7 +7,7 @@
 from indigohitch.net.clock import SECOND, Clock
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
-from indigohitch.platform_protocol.handover import Handover
+from indigohitch.platform_protocol.handover import CoordinatorHandover
 from indigohitch.upgrade import snapshot as shots
 from peers import http
 from stage import SETTINGS, drain
@@ -86,10 +86,10 @@
     until(lambda: front.coordinator.list_fresh, front)
     platform.change("b1", "DRAINING")
     until(lambda: front.discovery.version == platform.version)  # the module is not asked meanwhile
-    old, states = Handover(front, made, lambda: None, None, None), []
+    old, states = CoordinatorHandover(front, made, lambda: None, None, None), []
     old.freeze(lambda state, broken: states.append(state))
     assert front.coordinator.backends["b1"].state == "draining"  # it hears what waits, at the latest now
-    new = Handover(None, made, lambda: None, None, None)
+    new = CoordinatorHandover(None, made, lambda: None, None, None)
     new.restore(shots.decode(states[0]), {})
     new.take_rest(old.rest())
     new.begin(True)
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -12,7 +12,7 @@
 from indigohitch.net.http_exchange import HttpResponse
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
-from indigohitch.platform_protocol.handover import Handover
+from indigohitch.platform_protocol.handover import CoordinatorHandover
 from indigohitch.upgrade import snapshot as shots
 from stage import SETTINGS
 from waiting import free_address
@@ -74,7 +74,7 @@
         self.handed()
 
     def side(self):
-        return Handover(None, self.make, lambda: None, lambda sock: None, lambda: None)
+        return CoordinatorHandover(None, self.make, lambda: None, lambda sock: None, lambda: None)
 
     def make(self, listening):
         return Front(self.loop, self.log, self.found | {"listen": free_address()})
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -11,7 +11,7 @@
 from golden.decision_settings import SETTINGS
 from indigohitch.logic import Coordinator
 from indigohitch.settings import parse_settings
-from indigohitch.upgrade import events
+from indigohitch.upgrade import event_codec
 from indigohitch.upgrade.module_state import ModuleRow, freeze, thaw
 
 DAYS = [(name, seed) for name in SETTINGS for seed in SEEDS]
@@ -38,12 +38,16 @@
     module, found = Coordinator(head["seed"], boot), [lines[0]]
     for number, line in enumerate(lines[1:]):
         batch = msgspec.json.decode(line)
-        heard = events.unpack_all(batch["events"])
+        heard = event_codec.unpack_all(batch["events"])
         if upgraded_every and number % upgraded_every == 0:
             frozen = msgspec.msgpack.encode(freeze(module))
             module = thaw(msgspec.msgpack.decode(frozen, type=ModuleRow), boot)
         orders = module.handle(batch["now"], heard)
-        again = {"now": batch["now"], "events": events.pack_all(heard), "orders": events.pack_all(orders)}
+        again = {
+            "now": batch["now"],
+            "events": event_codec.pack_all(heard),
+            "orders": event_codec.pack_all(orders),
+        }
         found.append(msgspec.json.encode(again))
     return found
 
--- a/tests/test_golden_places.py
+++ b/tests/test_golden_places.py
@@ -6,9 +6,9 @@
 
 from golden.upgrade_states import FRAMES, TAKEN, states
 from indigohitch import interface as face
-from indigohitch.upgrade import events
+from indigohitch.upgrade import event_codec
 from indigohitch.upgrade import snapshot as shots
-from indigohitch.upgrade.words import WORDS, FrameDecoder
+from indigohitch.upgrade.messages import WORDS, FrameDecoder
 from test_golden_upgrade import coordinator, log, loop, plain, recorded, sidecar  # noqa: F401
 
 ITEMS = [
@@ -52,8 +52,8 @@
 
 @pytest.mark.parametrize("row, item", ITEMS, ids=[row[0] for row, _ in ITEMS])
 def test_a_row_is_the_event_or_order_that_it_was(row, item):
-    assert events.unpack(row) == item
-    assert msgspec.msgpack.encode(events.pack(item)) == msgspec.msgpack.encode(row)
+    assert event_codec.unpack(row) == item
+    assert msgspec.msgpack.encode(event_codec.pack(item)) == msgspec.msgpack.encode(row)
 
 
 def test_an_entry_of_a_list_is_what_it_was():
@@ -61,8 +61,8 @@
         backend="b1", state="ready", weight=6.0, zone="east", cell=2, kind="std", started=7
     )
     row = ["BackendList", "full", 3, [["b1", "ready", 6.0, "east", 2, "std", 7]]]
-    assert events.unpack(row).entries == (entry,)
-    assert list(events.listed(entry)) == row[3][0]
+    assert event_codec.unpack(row).entries == (entry,)
+    assert list(event_codec.pack_entry(entry)) == row[3][0]
 
 
 def test_days_lived_again_come_to_the_recorded_states():
@@ -77,10 +77,12 @@
     front = side.front
     try:
         assert front.coordinator.now == row[0][1] and side.taken == TAKEN
-        assert [events.listed(entry) for entry in front.listed.values()] == [tuple(e) for e in row[1]]
+        assert [event_codec.pack_entry(entry) for entry in front.listed.values()] == [
+            tuple(e) for e in row[1]
+        ]
         assert (front.addresses, list(front.heard_of)) == (row[2], row[3])
         assert (front.discovery.version, side.state.watching) == (row[4], row[5])
-        assert [events.pack_all(call) for call in front.relay.waiting] == [
+        assert [event_codec.pack_all(call) for call in front.relay.waiting] == [
             [tuple(order) if order[0] != "SetLevel" else levelled(order) for order in call] for call in row[6]
         ]
         assert (list(front.relay.written), front.relay.first.failures) == (row[7], row[8])
@@ -89,7 +91,7 @@
         assert {number: table.lines for number, table in front.holdings.stood.items()} == stood
         assert (front.holdings.begun, sorted(front.holdings.lost)) == (row[11], row[12])
         assert side.state.probing == row[13]
-        assert [events.pack(order) for order in front.relay.first.maybe] == [tuple(o) for o in row[14]]
+        assert [event_codec.pack(order) for order in front.relay.first.maybe] == [tuple(o) for o in row[14]]
         starts = [[name, start.told, start.at] for name, start in front.starts.known.items()]
         assert starts == row[15] and front.starts.heard == row[16]
     finally:
--- a/tests/test_golden_row_places.py
+++ b/tests/test_golden_row_places.py
@@ -5,7 +5,7 @@
 import pytest
 
 from indigohitch.encoding.rows import Row
-from indigohitch.upgrade import module_rows, snapshot, words
+from indigohitch.upgrade import messages, module_rows, snapshot
 
 PLACES = {
     module_rows.SumsRow: "span at values",
@@ -26,25 +26,25 @@
     snapshot.TableRow: "lines level levels tries",
     snapshot.PoolRow: "name slices module servers tables chance version turn reported listed probing",
     snapshot.SidecarState: "pools",
-    snapshot.StoodRow: "number lines level",
+    snapshot.StoredTableRow: "number lines level",
     snapshot.CoordinatorState: (
         "module listed addresses heard_of version watching waiting written failures proxies stood begun "
         "lost probing maybe starts list_heard"
     ),
     snapshot.Snapshot: "kind taken sidecar coordinator",
-    words.Hello: "protocol schema pid version",
-    words.Listeners: "names now state_bytes rehearse_at",
-    words.Piece: "data",
-    words.Restored: "digest",
-    words.Proven: "orders",
-    words.Passed: "numbers rests kinds",
-    words.Commit: "rest reload",
-    words.Accepting: "",
-    words.Adopted: "numbers",
-    words.Rest: "rest",
-    words.Done: "",
-    words.CallOff: "why",
-    words.Refuse: "why",
+    messages.Hello: "protocol schema pid version",
+    messages.Listeners: "names now state_bytes rehearse_at",
+    messages.Piece: "data",
+    messages.Restored: "digest",
+    messages.Proven: "orders",
+    messages.Passed: "numbers rests kinds",
+    messages.Commit: "rest reload",
+    messages.Accepting: "",
+    messages.Adopted: "numbers",
+    messages.Rest: "rest",
+    messages.Done: "",
+    messages.CallOff: "why",
+    messages.Refuse: "why",
 }
 
 
@@ -57,7 +57,7 @@
 def test_every_row_has_its_places():
     found = {
         kind
-        for module in (module_rows, snapshot, words)
+        for module in (module_rows, snapshot, messages)
         for kind in vars(module).values()
         if isinstance(kind, type) and issubclass(kind, Row) and kind is not Row
     }
@@ -65,5 +65,5 @@
 
 
 def test_a_row_is_written_by_place():
-    word = words.Hello(protocol=2, schema=3, pid=4, version="v")
+    word = messages.Hello(protocol=2, schema=3, pid=4, version="v")
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(word)) == [2, 3, 4, "v"]
--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -32,15 +32,15 @@
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
-from indigohitch.platform_protocol.handover import Handover
+from indigohitch.platform_protocol.handover import CoordinatorHandover
 from indigohitch.settings import parse_settings
-from indigohitch.sidecar.handover import Handover as SidecarHandover
+from indigohitch.sidecar.handover import SidecarHandover as SidecarHandover
 from indigohitch.sidecar.host import Host
-from indigohitch.upgrade import events
+from indigohitch.upgrade import event_codec
 from indigohitch.upgrade import snapshot as shots
+from indigohitch.upgrade.messages import WORDS, FrameDecoder, frame
 from indigohitch.upgrade.module_rows import ModuleRow
 from indigohitch.upgrade.module_state import freeze, thaw
-from indigohitch.upgrade.words import WORDS, FrameDecoder, frame
 from waiting import free_address
 
 TEXT = """listen {}
@@ -83,7 +83,7 @@
     os.close(fd)
 
 
-def coordinator(loop, log) -> Handover:
+def coordinator(loop, log) -> CoordinatorHandover:
     found = {
         "name": "n0",
         "discovery": free_address(),
@@ -93,7 +93,7 @@
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "known": {"generation": 1, "reset": True, "instances": []},
     }
-    return Handover(
+    return CoordinatorHandover(
         None,
         lambda listening: Front(loop, log, found | {"listen": free_address()}),
         lambda: None,
@@ -133,7 +133,7 @@
     side.restore(state, {})
     assert side.cold == [] and shots.encode(side.again()) == data
     side.take_rest(msgspec.msgpack.encode(SIDECAR_REST))
-    told = {name: events.pack_all(pool.gathering.take()) for name, pool in host.pools.items()}
+    told = {name: event_codec.pack_all(pool.gathering.take()) for name, pool in host.pools.items()}
     assert {name: [list(row) for row in rows] for name, rows in told.items()} == {
         name: rows for name, (rows, _) in SIDECAR_REST.items()
     }
@@ -183,11 +183,16 @@
 def test_what_came_since_the_state_is_read_and_written_as_it_was():
     ((commit, _),) = FrameDecoder(WORDS).feed(recorded("commit.frame"))
     rest = msgspec.structs.astuple(commit)[0]
-    assert msgspec.msgpack.encode(events.pack_all(events.unpack_all(msgspec.msgpack.decode(rest)))) == rest
+    assert (
+        msgspec.msgpack.encode(event_codec.pack_all(event_codec.unpack_all(msgspec.msgpack.decode(rest))))
+        == rest
+    )
     assert msgspec.msgpack.decode(rest) == REST
 
 
 @pytest.mark.parametrize("place", range(len(ORDERS)))
 def test_orders_that_wait_are_read_and_written_as_they_were(place):
     rows = ORDERS[place]
-    assert msgspec.msgpack.encode(events.pack_all(events.unpack_all(rows))) == msgspec.msgpack.encode(rows)
+    assert msgspec.msgpack.encode(
+        event_codec.pack_all(event_codec.unpack_all(rows))
+    ) == msgspec.msgpack.encode(rows)
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -8,7 +8,7 @@
 from indigohitch.net.http_exchange import HttpResponse
 from indigohitch.platform_protocol import stored_tables
 from indigohitch.platform_protocol.call_codec import BYTES, encode, merge, pieces, read_answer
-from indigohitch.platform_protocol.discovery import read_list
+from indigohitch.platform_protocol.discovery import parse_backend_list
 from indigohitch.platform_protocol.messages import (
     NEWS,
     GarbledConnectionError,
@@ -183,11 +183,11 @@
         "weight": 1.0,
         "startedAtMs": 1796137077499.5,
     }
-    news, addresses = read_list({"generation": 43, "reset": False, "instances": [entry]})
+    news, addresses = parse_backend_list({"generation": 43, "reset": False, "instances": [entry]})
     listed = face.BackendEntry("s-1", "draining", 1.0, "a", 3, "m2", 17961370774995)
     assert news == face.BackendList("changes", 43, (listed,)) and addresses == {"s-1": "h:1"}
     bad = [{k: v for k, v in entry.items() if k != gone} for gone in entry]
     bad += [entry | {"lifecycle": "RESTING"}, entry | {"weight": "x"}, entry | {"startedAtMs": 1e999}, 3]
     for one in bad:
         with pytest.raises(ValueError):
-            read_list({"generation": 43, "reset": True, "instances": [entry, one]})
+            parse_backend_list({"generation": 43, "reset": True, "instances": [entry, one]})
--- a/tests/test_transient.py
+++ b/tests/test_transient.py
@@ -108,9 +108,9 @@
 
 def test_a_reload_waits_until_the_file_can_be_opened(platform, monkeypatch):
     """Found by reading: SIGHUP came to nothing, and the relay had moved for good."""
-    made = service.configuration
+    made = service.read_configuration
     loaded = []
-    monkeypatch.setattr(service, "configuration", failing(made, errno.EMFILE, 3))
+    monkeypatch.setattr(service, "read_configuration", failing(made, errno.EMFILE, 3))
     config = platform.path / "config.json"
     config.write_text("{}")
     monkeypatch.setattr(signal, "set_wakeup_fd", lambda *words, **more: None)
@@ -122,7 +122,7 @@
     while not loaded:
         process.loop.turn()
     assert loaded == [{}] and not process.log.counts["reload_failed"]
-    monkeypatch.setattr(service, "configuration", failing(made, errno.EACCES, 1))
+    monkeypatch.setattr(service, "read_configuration", failing(made, errno.EACCES, 1))
     process.reload()
     assert process.log.counts["reload_failed"] == 1 and len(loaded) == 1
     process.loop.close()
--- a/tests/test_upgrade_channel.py
+++ b/tests/test_upgrade_channel.py
@@ -10,7 +10,7 @@
 from indigohitch.encoding import frames
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import EventLoop
-from indigohitch.upgrade import words
+from indigohitch.upgrade import messages
 from indigohitch.upgrade.channel import Channel
 
 
@@ -41,8 +41,10 @@
     rng = random.Random(3)
     data, sent = b"", []
     for n in range(30):
-        word = rng.choice([words.Piece(os.urandom(rng.randrange(3000))), words.Adopted([n]), words.Done()])
-        data += words.frame(word)
+        word = rng.choice(
+            [messages.Piece(os.urandom(rng.randrange(3000))), messages.Adopted([n]), messages.Done()]
+        )
+        data += messages.frame(word)
         sent.append(word)
     while data:
         count = rng.randint(1, 700)
@@ -52,7 +54,7 @@
     assert [word for word, _ in a.heard] == sent
     read, write = os.pipe()
     other = Channel(b.loop, a.ours.dup(), lambda *_: None, lambda *_: None)
-    other.say(words.Passed([1, 2], [b"", b"x"], ["c", "c"]), [read, write])
+    other.say(messages.Passed([1, 2], [b"", b"x"], ["c", "c"]), [read, write])
     a.turn()
     word, (got, put) = a.heard[-1]
     os.write(put, b"hello")
@@ -72,7 +74,7 @@
 )
 def test_what_is_not_a_word_ends_the_channel(harm, why):
     ends = Ends()
-    frame = bytearray(words.frame(words.Hello(1, 1, 5), 2 if harm == "few" else 0))
+    frame = bytearray(messages.frame(messages.Hello(1, 1, 5), 2 if harm == "few" else 0))
     if harm == "cut":
         frame = frame[:-2]
     elif harm == "flip":
@@ -85,7 +87,7 @@
         body = msgspec.msgpack.encode(["x"])
         frame = (
             frames._HEAD.pack(
-                words.WORDS.magic, 1, 0, 0, len(body), frames.xxhash.xxh3_64_intdigest(body, 1 << 8)
+                messages.WORDS.magic, 1, 0, 0, len(body), frames.xxhash.xxh3_64_intdigest(body, 1 << 8)
             )
             + body
         )
@@ -102,11 +104,11 @@
     ends.loop.clock.now = lambda: now  # the failed write is dealt with in this turn
 
     def meanwhile():
-        ends.ours.send(words.frame(words.Refuse("no room")))
+        ends.ours.send(messages.frame(messages.Refuse("no room")))
         ends.ours.close()
-        ends.channel.say(words.Piece(b"x" * 1000))
+        ends.channel.say(messages.Piece(b"x" * 1000))
 
     ends.loop.after(0, meanwhile)
     ends.loop.turn()
-    assert [word for word, _ in ends.heard] == [words.Refuse("no room")]
+    assert [word for word, _ in ends.heard] == [messages.Refuse("no room")]
     assert len(ends.ended) == 1 and not ends.ended[0][1]
--- a/tests/test_upgrade_crossings.py
+++ b/tests/test_upgrade_crossings.py
@@ -6,8 +6,8 @@
 import pytest
 
 import upgrade_pair
-from indigohitch.upgrade.giver import Giver
 from indigohitch.upgrade.phases import Act, Phase
+from indigohitch.upgrade.predecessor import Predecessor
 from upgrade_pair import Pair
 
 
@@ -58,7 +58,7 @@
     for side, process in (("old", pair.old), ("new", pair.new)):
         if process and process.alive:
             name = f"term {side}"
-            if side == "old" and process.machine.phase in Giver.BEFORE_COMMIT:
+            if side == "old" and process.machine.phase in Predecessor.BEFORE_COMMIT:
                 name = "term old before"
             if not {name, "term old before"} & done:
                 found.append((name, lambda p, side=side: p.step(side, "told_to_end")))
@@ -155,6 +155,6 @@
     ],
 )
 def test_a_giver_that_is_wrong_in_one_crossing_is_found(name, broken, monkeypatch):
-    monkeypatch.setattr(Giver, name, broken)
+    monkeypatch.setattr(Predecessor, name, broken)
     with pytest.raises(AssertionError):
         explore(False)
--- a/tests/test_upgrade_machine.py
+++ b/tests/test_upgrade_machine.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from indigohitch.upgrade.giver import Giver
 from indigohitch.upgrade.phases import Act, Phase
+from indigohitch.upgrade.predecessor import Predecessor
 from upgrade_pair import CONNECTIONS, Pair
 
 
@@ -58,7 +58,7 @@
         self.phase = Phase.SERVING
         return [Act.KILL]
 
-    monkeypatch.setattr(Giver, "reclaim", hasty)
+    monkeypatch.setattr(Predecessor, "reclaim", hasty)
     monkeypatch.setattr(Pair, "old_kill", lambda self: None)  # SIGKILL takes its time
     with pytest.raises(AssertionError):
         for seed in range(2000):
@@ -66,7 +66,7 @@
 
 
 def test_only_one_upgrade_at_a_time():
-    giver = Giver()
+    giver = Predecessor()
     assert giver.step("asked") == [Act.SPAWN]
     assert giver.step("asked") == []
     assert giver.step("died") == [Act.CALL_OFF, Act.KILL, Act.REPORT]
@@ -74,14 +74,14 @@
 
 
 def test_told_to_end_before_the_commit_calls_off_and_ends():
-    giver = Giver()
+    giver = Predecessor()
     for event in ("asked", "hello", "settled"):
         giver.step(event)
     assert giver.step("told_to_end")[-2:] == [Act.THAW, Act.END]
 
 
 def test_both_told_to_end_while_the_old_one_drains_end_both():
-    giver = Giver()
+    giver = Predecessor()
     for event in ("asked", "hello", "settled", "restored", "proven", "accepting", "told_to_end"):
         giver.step(event)
     assert giver.phase is Phase.DRAINING
@@ -89,7 +89,7 @@
 
 
 def test_told_to_end_after_the_word_waits_until_it_is_known_who_accepts():
-    giver = Giver()
+    giver = Predecessor()
     for event in ("asked", "hello", "settled", "restored", "proven"):
         giver.step(event)
     assert giver.step("told_to_end") == []
--- a/tests/test_upgrade_signals.py
+++ b/tests/test_upgrade_signals.py
@@ -11,10 +11,10 @@
 
 from field import Field
 from indigohitch import control
-from indigohitch.upgrade import giving, words
+from indigohitch.upgrade import messages, predecessor_driver
 from indigohitch.upgrade import snapshot as shots
 from indigohitch.upgrade.phases import Phase
-from indigohitch.upgrade.taking import Taking
+from indigohitch.upgrade.successor_driver import SuccessorDriver
 from stage import Platform
 from waiting import eventually
 
@@ -83,7 +83,7 @@
     file.write_text(f"control {tmp_path / 'control'}\nwait watch 60s\nwait drain 60s\n")
     try:
         program = platform.serving(["run", "--operator", str(file)])
-        assert control.ask(str(tmp_path / "control"), "upgrade")["result"] == "upgraded"
+        assert control.send_command(str(tmp_path / "control"), "upgrade")["result"] == "upgraded"
         eventually(lambda: len(program.said("news_begun")) == 2)
         left = platform.move()  # the signal goes to the process that was started
         eventually(lambda: program.said("reloaded", moved=True))
@@ -100,14 +100,18 @@
 
 def test_an_earlier_upgrades_time_to_stand_by_does_not_end_a_later_one(monkeypatch):
     """Taken back, and asked for again within that time."""
-    monkeypatch.setattr(giving, "Started", mock.MagicMock(side_effect=lambda *_: mock.MagicMock()))
-    monkeypatch.setattr(giving, "Channel", mock.MagicMock())
+    monkeypatch.setattr(
+        predecessor_driver, "Started", mock.MagicMock(side_effect=lambda *_: mock.MagicMock())
+    )
+    monkeypatch.setattr(predecessor_driver, "Channel", mock.MagicMock())
     loop, side, due = mock.MagicMock(), mock.MagicMock(), []
     loop.clock.now.return_value = 1000
     loop.after = lambda span, action: due.append((span, action)) or mock.MagicMock()
     side.settled.return_value = side.drained.return_value = False
     side.listeners.return_value, side.idle.return_value, side.rest.return_value = {}, [], b""
-    given = giving.Giving(loop, mock.MagicMock(), side, [], {"watch": 7}, lambda: None, lambda told: None)
+    given = predecessor_driver.PredecessorDriver(
+        loop, mock.MagicMock(), side, [], {"watch": 7}, lambda: None, lambda told: None
+    )
     stood = []
     for end in ("died", ""):
         for event in ("asked", "hello", "settled", "restored", "proven", "accepting"):
@@ -132,7 +136,7 @@
         eventually(platform.agrees)
         platform.relay_faults += ["Throttling"] * 10**6
         platform.change("b1", "DRAINING")
-        eventually(lambda: control.ask(str(tmp_path / "control"), "status")["calls_waiting"])
+        eventually(lambda: control.send_command(str(tmp_path / "control"), "status")["calls_waiting"])
         program.process.send_signal(signal.SIGTERM)
         eventually(lambda: program.said("state_written"))
         first, calls, turned = shots.read(str(state)), len(platform.calls), len(platform.relay_faults)
@@ -153,9 +157,11 @@
     side.begin.side_effect = RuntimeError("no")
     pair = socket.socketpair()
     loop = mock.MagicMock()
-    taking = Taking(loop, mock.MagicMock(), side, pair[0], os.getpid(), lambda: began.append(1), ended.append)
+    taking = SuccessorDriver(
+        loop, mock.MagicMock(), side, pair[0], os.getpid(), lambda: began.append(1), ended.append
+    )
     taking.machine.phase = Phase.PROVEN
-    taking.heard(words.Commit(b""), [])
+    taking.heard(messages.Commit(b""), [])
     assert pair[1].recv(100) == b""  # closed without a word
     pair[1].close()
     assert ended == [1] and not began and not side.adopt.called
--- a/tests/test_upgrade_state.py
+++ b/tests/test_upgrade_state.py
@@ -8,7 +8,7 @@
 
 import test_rules
 from indigohitch.interface import ALL_TABLES, SetAdmission
-from indigohitch.upgrade import events, module_rows, module_state
+from indigohitch.upgrade import event_codec, module_rows, module_state
 from indigohitch.upgrade import snapshot as shots
 from world import World, entry
 
@@ -162,12 +162,14 @@
     w = World()
     w.start()
     items = [order for _, orders in w.log for order in orders] + [SetAdmission(ALL_TABLES, (1,), 0.5, 2)]
-    rows = msgspec.msgpack.decode(msgspec.msgpack.encode(events.pack_all(items)))
-    assert events.unpack_all(rows) == items
-    listed = events.face.BackendList("full", 3, (entry("b0"),))
-    assert events.unpack(msgspec.msgpack.decode(msgspec.msgpack.encode(events.pack(listed)))) == listed
+    rows = msgspec.msgpack.decode(msgspec.msgpack.encode(event_codec.pack_all(items)))
+    assert event_codec.unpack_all(rows) == items
+    listed = event_codec.face.BackendList("full", 3, (entry("b0"),))
+    assert (
+        event_codec.unpack(msgspec.msgpack.decode(msgspec.msgpack.encode(event_codec.pack(listed)))) == listed
+    )
     with pytest.raises(ValueError):
-        events.unpack(("os", 1))
+        event_codec.unpack(("os", 1))
 
 
 # ---- the channel ---------------------------------------------------------------------------------------
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -11,15 +11,15 @@
 from golden.upgrade_states import FRAMES
 from indigohitch import interface as face
 from indigohitch.logic.state import DueAction
-from indigohitch.platform_protocol.handover import Handover
-from indigohitch.sidecar.handover import Handover as SidecarHandover
-from indigohitch.upgrade import events
-from indigohitch.upgrade.giver import Giver
-from indigohitch.upgrade.giving import Giving
+from indigohitch.platform_protocol.handover import CoordinatorHandover
+from indigohitch.sidecar.handover import SidecarHandover as SidecarHandover
+from indigohitch.upgrade import event_codec
 from indigohitch.upgrade.module_state import freeze, thaw
 from indigohitch.upgrade.phases import Act, Phase
-from indigohitch.upgrade.taker import Taker
-from indigohitch.upgrade.taking import Taking
+from indigohitch.upgrade.predecessor import Predecessor
+from indigohitch.upgrade.predecessor_driver import PredecessorDriver
+from indigohitch.upgrade.successor import Successor
+from indigohitch.upgrade.successor_driver import SuccessorDriver
 from world import BOOT, World
 
 ALL = [*get_args(face.Event), *get_args(face.Order)]
@@ -39,25 +39,27 @@
 
 
 def test_each_event_and_order_has_its_wire_name_and_fields():
-    assert set(events._WIRE) == set(ALL)
-    assert {name: len(fields) for name, fields in events._WIRE.values()} == {
+    assert set(event_codec._WIRE) == set(ALL)
+    assert {name: len(fields) for name, fields in event_codec._WIRE.values()} == {
         name: len(places) for name, places in (KINDS | UNRECORDED).items()
     }
-    assert [name for name, _ in events._WIRE.values()] == list(dict.fromkeys(events._KINDS))
+    assert [name for name, _ in event_codec._WIRE.values()] == list(dict.fromkeys(event_codec._KINDS))
 
 
 @pytest.mark.parametrize("kind", ALL)
 def test_the_table_names_all_fields_of_a_class(kind):
-    _, fields = events._WIRE[kind]
+    _, fields = event_codec._WIRE[kind]
     assert sorted(fields) == sorted(field.name for field in dataclasses.fields(kind))
 
 
 def test_an_entry_of_a_list_has_all_fields():
-    assert sorted(events._LISTED) == sorted(field.name for field in dataclasses.fields(face.BackendEntry))
+    assert sorted(event_codec._LISTED) == sorted(
+        field.name for field in dataclasses.fields(face.BackendEntry)
+    )
     row = ["b0", "ready", 6.0, "east", 2, "std", 7]
-    assert len(row) == len(LISTED) and list(events.listed(events.unlisted(row))) == row
+    assert len(row) == len(LISTED) and list(event_codec.pack_entry(event_codec.unlisted(row))) == row
     with pytest.raises(ValueError):
-        events.unlisted(row[:-1])
+        event_codec.unlisted(row[:-1])
 
 
 def test_classes_and_fields_may_be_renamed_without_a_byte_changed(monkeypatch):
@@ -70,16 +72,16 @@
         server: str
 
     rows = [("SetLine", 3, "b1", 1.0), ("SetLine", 9, "b2", 0.0)]
-    monkeypatch.setitem(events._WIRE, Share, ("SetLine", ("room", "server", "worth")))
-    monkeypatch.setitem(events._KINDS, "SetLine", (Share, ("room", "server", "worth")))
-    items = events.unpack_all(rows)
-    assert items == [Share(1.0, 3, "b1"), Share(0.0, 9, "b2")] and events.pack_all(items) == rows
+    monkeypatch.setitem(event_codec._WIRE, Share, ("SetLine", ("room", "server", "worth")))
+    monkeypatch.setitem(event_codec._KINDS, "SetLine", (Share, ("room", "server", "worth")))
+    items = event_codec.unpack_all(rows)
+    assert items == [Share(1.0, 3, "b1"), Share(0.0, 9, "b2")] and event_codec.pack_all(items) == rows
 
 
 @pytest.mark.parametrize("row", [("SetLine", 3, "b1"), ("Share", 3, "b1", 1.0), ("FetchList", 1)])
 def test_a_row_of_another_kind_or_length_is_refused(row):
     with pytest.raises(ValueError, match="no event or order"):
-        events.unpack(row)
+        event_codec.unpack(row)
 
 
 def test_what_is_due_has_its_name_on_the_wire():
@@ -111,13 +113,20 @@
 
 def test_each_act_and_each_event_has_its_method():
     """Acts and events call methods by name; those of events stand in the log."""
-    done = {name.removeprefix("do_") for side in (Giving, Taking) for name in dir(side) if name[:3] == "do_"}
+    done = {
+        name.removeprefix("do_")
+        for side in (PredecessorDriver, SuccessorDriver)
+        for name in dir(side)
+        if name[:3] == "do_"
+    }
     assert done == {act.value for act in Act}
-    heard = {side: {name[3:] for name in dir(side) if name.startswith("on_")} for side in (Giver, Taker)}
+    heard = {
+        side: {name[3:] for name in dir(side) if name.startswith("on_")} for side in (Predecessor, Successor)
+    }
     told = "asked told_to_end hello settled restored proven accepting drained watched refused eof broken"
-    assert heard[Giver] == {*told.split(), "deadline", "died"}
+    assert heard[Predecessor] == {*told.split(), "deadline", "died"}
     told = "started listeners state built works commit done failed call_off told_to_end eof died deadline"
-    assert heard[Taker] == set(told.split())
+    assert heard[Successor] == set(told.split())
 
 
 def test_passed_connections_are_of_the_kinds_that_frames_have():
@@ -128,7 +137,7 @@
     front = SimpleNamespace(collectors=SimpleNamespace(gone=lambda connection: None))
     caller = SimpleNamespace(zone="east", began=1, heard_at=20_000_000, unfinished_since=None, spoilt=False)
     connection = SimpleNamespace(reader=caller, detach=lambda: (None, b""))
-    of_caller = Handover.take_out(SimpleNamespace(front=front), connection)
+    of_caller = CoordinatorHandover.take_out(SimpleNamespace(front=front), connection)
     assert of_client == ("client", None, b"GET /a") and of_caller[1:] == (None, b"")
     (kinds,) = [given[2] for name, _, given in FRAMES if name == "passed"]
     assert [of_client[0], of_caller[0]] == kinds
--- a/tests/upgrade_pair.py
+++ b/tests/upgrade_pair.py
@@ -1,9 +1,9 @@
 """Both sides of an upgrade on lists: what giving.py and taking.py do for the machines, with the rules checked
 after every step."""
 
-from indigohitch.upgrade.giver import Giver
 from indigohitch.upgrade.phases import Phase
-from indigohitch.upgrade.taker import Taker
+from indigohitch.upgrade.predecessor import Predecessor
+from indigohitch.upgrade.successor import Successor
 
 CONNECTIONS = range(6)
 
@@ -27,7 +27,7 @@
 
     def __init__(self, rng):
         self.rng, self.steps = rng, []
-        self.old, self.new = Process(Giver()), None
+        self.old, self.new = Process(Predecessor()), None
         self.old.reads = set(CONNECTIONS)
         self.passed = set()  # of the old one: not known to have their owner
         self.held = set()  # of the new one: before the commit
@@ -54,7 +54,7 @@
 
     def old_spawn(self):
         assert self.new is None or not self.new.alive, "a second new process beside a living one"
-        self.new = Process(Taker())
+        self.new = Process(Successor())
         self.held = set()
         self.old.inbox, self.old.cut, self.old.heard_cut = [], False, False
         self.old.sees_death = self.old.saw_death = False
