--- a/benchmarks/batches_model.py
+++ b/benchmarks/batches_model.py
@@ -31,8 +31,8 @@
     Word,
 )
 from indigohitch.fleet.batches.rows import Plan as Changes
-from indigohitch.fleet.ports import At
-from indigohitch.fleet.terms import Stamp
+from indigohitch.fleet.interfaces import EntryContext
+from indigohitch.fleet.types import Stamp
 
 SECOND = 10_000
 HOUR = 3600 * SECOND
@@ -111,7 +111,7 @@
 
     def at(self, proposer="leader", incarnation=1):
         self.index += 1
-        return At(self.index, 1, self.now, proposer, incarnation)
+        return EntryContext(self.index, 1, self.now, proposer, incarnation)
 
     def tell(self, word, body, *who):
         return self.part.apply(self.at(*who), word, body)
--- a/benchmarks/capacitykit/audit_cell.py
+++ b/benchmarks/capacitykit/audit_cell.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from indigohitch.fleet.audit.acts import ChainedActs
+from indigohitch.fleet.audit.acts import ActionChain
 from indigohitch.fleet.audit.check import check
 from indigohitch.fleet.audit.files import Store, read
 from indigohitch.fleet.audit.heads import Facts, Head, Heads, Kept
-from indigohitch.fleet.members.roster import Roster
+from indigohitch.fleet.membership.roster import Roster
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry, Lease
+from indigohitch.fleet.types import Lease, LogEntry
 
 from .measuring import Memory, processor_ms
 
@@ -26,7 +26,7 @@
     """Written without waiting for the disk, as acts are between two beats."""
     with tempfile.TemporaryDirectory(prefix="bench-capacity-") as folder:
         memory, state_machine = Memory(), ReplicatedStateMachine([Roster()])
-        acts = ChainedActs("member", lambda now: Lease(1, FAR), state_machine, Store(folder), print)
+        acts = ActionChain("member", lambda now: Lease(1, FAR), state_machine, Store(folder), print)
 
         def act() -> None:
             for number in range(records):
@@ -59,7 +59,7 @@
     memory, part = Memory(), Heads()
     state_machine = ReplicatedStateMachine([part])
     entries = [
-        Entry(1 + number, 1, "audit.head", msgspec.msgpack.encode(head), head.member, 1, 1)
+        LogEntry(1 + number, 1, "audit.head", msgspec.msgpack.encode(head), head.member, 1, 1)
         for number, head in enumerate(
             Head(f"coordinator{number}", 1, 100, b"d" * 16) for number in range(members)
         )
--- a/benchmarks/capacitykit/base_cell.py
+++ b/benchmarks/capacitykit/base_cell.py
@@ -6,8 +6,8 @@
 
 PROGRAMS = {
     "platform": ("indigohitch.service",),
-    "member of a fleet": ("indigohitch.sidecar.service", "indigohitch.fleet.node.inside"),
-    "voter": ("indigohitch.fleet.node.alone",),
+    "member of a fleet": ("indigohitch.sidecar.service", "indigohitch.fleet.node.companion"),
+    "voter": ("indigohitch.fleet.node.headless_member",),
 }
 
 
--- a/benchmarks/capacitykit/entries_cell.py
+++ b/benchmarks/capacitykit/entries_cell.py
@@ -7,14 +7,14 @@
 import msgspec
 
 from indigohitch.encoding.frames import FrameDecoder
-from indigohitch.fleet.disk.records import RECORDS, Group, One
-from indigohitch.fleet.ledger.ports import Commit, Heard, Propose, Write
-from indigohitch.fleet.ledger.words import Append, Appended
+from indigohitch.fleet.node.messages import KINDS
 from indigohitch.fleet.node.node import BOUNDS
 from indigohitch.fleet.node.notes import Add, Notes
-from indigohitch.fleet.node.words import KINDS
+from indigohitch.fleet.raft.interfaces import ApplyEntries, MessageReceived, Propose, WriteEntries
+from indigohitch.fleet.raft.messages import AppendEntries, AppendEntriesResponse
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry, Proposal
+from indigohitch.fleet.storage.records import RECORDS, Group, One
+from indigohitch.fleet.types import LogEntry, Proposal
 
 from .ledger_cell import VOTERS, Leader, Member, frames_of, group
 from .measuring import Memory, processor_ms
@@ -32,9 +32,9 @@
 
     def carry_out(self, outputs: list) -> list[bytes]:
         for output in outputs:
-            if isinstance(output, Write):
+            if isinstance(output, WriteEntries):
                 RECORDS.frame(Group((One(output.ballot, output.cut, output.entries),)))
-            elif isinstance(output, Commit):
+            elif isinstance(output, ApplyEntries):
                 for entry in output.entries:
                     self.state_machine.apply(entry)
         return frames_of(outputs)
@@ -60,7 +60,7 @@
         for number in range(first, min(first + TOGETHER, entries + 1)):
             proposal = Proposal("proposer", 1, number, "notes.add", BODY)
             applied.carry_out(leader.step(Propose(proposal)))
-        answer = KINDS.frame(Appended(leader.machine.term, True, leader.machine.state.log.last))
+        answer = KINDS.frame(AppendEntriesResponse(leader.machine.term, True, leader.machine.state.log.last))
         applied.carry_out(leader.hear([answer] * (VOTERS - 1)))
 
     def all_of_them() -> None:
@@ -81,16 +81,18 @@
     frames = []
     for first in range(1, entries + 1, each):
         some = tuple(
-            Entry(number, 1, "notes.add", BODY, "proposer", 1, number)
+            LogEntry(number, 1, "notes.add", BODY, "proposer", 1, number)
             for number in range(first, min(first + each, entries + 1))
         )
-        frames.append(KINDS.frame(Append(1, first - 1, 1 if first > 1 else 0, first - 1, some, 0, first)))
-    frames.append(KINDS.frame(Append(1, entries, 1, entries, (), 0, entries)))
+        frames.append(
+            KINDS.frame(AppendEntries(1, first - 1, 1 if first > 1 else 0, first - 1, some, 0, first))
+        )
+    frames.append(KINDS.frame(AppendEntries(1, entries, 1, entries, (), 0, entries)))
 
     def hear() -> None:
         for frame in frames:
             for word, _ in FrameDecoder(KINDS).feed(frame):
-                applied.carry_out(voter.step(Heard(members.voters[0], word)))
+                applied.carry_out(voter.step(MessageReceived(members.voters[0], word)))
 
     spent, _ = processor_ms(hear)
     if applied.state_machine.index != entries:
--- a/benchmarks/capacitykit/leases_cell.py
+++ b/benchmarks/capacitykit/leases_cell.py
@@ -7,14 +7,14 @@
 
 from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.audit.heads import Heads
-from indigohitch.fleet.hours import Hours
-from indigohitch.fleet.members.entries import Join, Life
-from indigohitch.fleet.members.leases import Answer, ReadFirst
-from indigohitch.fleet.members.roster import Roster
-from indigohitch.fleet.members.words import Renew
-from indigohitch.fleet.members.work import Membership
-from indigohitch.fleet.node.words import KINDS
-from indigohitch.fleet.ports import At
+from indigohitch.fleet.fleet_clock import FleetClock
+from indigohitch.fleet.interfaces import EntryContext
+from indigohitch.fleet.membership.entries import Join, MemberState
+from indigohitch.fleet.membership.leases import Answer, ReadFirst
+from indigohitch.fleet.membership.member_work import Membership
+from indigohitch.fleet.membership.messages import RenewLease
+from indigohitch.fleet.membership.roster import Roster
+from indigohitch.fleet.node.messages import KINDS
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 
 from .measuring import Memory, processor_ms
@@ -29,12 +29,12 @@
 def roster_of(members: int) -> ReplicatedStateMachine:
     """A state machine with so many valid members."""
     roster = Roster()
-    state_machine = ReplicatedStateMachine([roster, Hours(), Heads()])
+    state_machine = ReplicatedStateMachine([roster, FleetClock(), Heads()])
     for number in range(members):
         name = f"coordinator{number}"
-        roster.apply(At(number + 1, 1, 0, name, 1), "join", Join(name, number))
+        roster.apply(EntryContext(number + 1, 1, 0, name, 1), "join", Join(name, number))
     for member in roster.members.values():
-        member.life = Life.VALID
+        member.life = MemberState.VALID
     state_machine.index = members
     return state_machine
 
@@ -52,7 +52,7 @@
     def askings(self) -> list[bytes]:
         self.number += 1
         return [
-            KINDS.frame(Renew(self.number, 1, self.state_machine.index, 0, b"", self.now, 0, REPORT))
+            KINDS.frame(RenewLease(self.number, 1, self.state_machine.index, 0, b"", self.now, 0, REPORT))
             for _ in self.names
         ]
 
--- a/benchmarks/capacitykit/ledger_cell.py
+++ b/benchmarks/capacitykit/ledger_cell.py
@@ -8,24 +8,24 @@
 from collections.abc import Iterable
 
 from indigohitch.encoding.frames import FrameDecoder
-from indigohitch.fleet.ledger.machine import Machine
-from indigohitch.fleet.ledger.members import encoded
-from indigohitch.fleet.ledger.ports import (
+from indigohitch.fleet.node.messages import KINDS
+from indigohitch.fleet.node.node import BOUNDS
+from indigohitch.fleet.raft.configuration import encoded
+from indigohitch.fleet.raft.interfaces import (
     Ballot,
-    Due,
-    Heard,
-    Held,
     Members,
+    MessageReceived,
     Propose,
-    Send,
-    Snap,
-    Write,
-    Written,
+    RecoveredState,
+    SendMessage,
+    Snapshot,
+    Tick,
+    WriteCompleted,
+    WriteEntries,
 )
-from indigohitch.fleet.ledger.words import Append, Appended, Vote
-from indigohitch.fleet.node.node import BOUNDS
-from indigohitch.fleet.node.words import KINDS
-from indigohitch.fleet.terms import Proposal, Who
+from indigohitch.fleet.raft.messages import AppendEntries, AppendEntriesResponse, RequestVoteResponse
+from indigohitch.fleet.raft.node import RaftNode
+from indigohitch.fleet.types import MemberId, Proposal
 
 from .measuring import Memory, processor_ms
 
@@ -37,25 +37,25 @@
 
 
 def group(followers: int) -> Members:
-    voters = tuple(Who(f"voter{number}", 1) for number in range(VOTERS))
-    return Members(voters, tuple(Who(f"coordinator{number}", 1) for number in range(followers)))
+    voters = tuple(MemberId(f"voter{number}", 1) for number in range(VOTERS))
+    return Members(voters, tuple(MemberId(f"coordinator{number}", 1) for number in range(followers)))
 
 
 class Member:
     """A machine whose disk writes at once."""
 
-    def __init__(self, me: Who, members: Members) -> None:
-        held = Held(Ballot(0), Snap(0, 0, members, b""), [])
+    def __init__(self, me: MemberId, members: Members) -> None:
+        held = RecoveredState(Ballot(0), Snapshot(0, 0, members, b""), [])
         self.now = 0
-        self.machine = Machine(me, held, BOOTSTRAP, lambda: 0.0, 0)
+        self.machine = RaftNode(me, held, BOOTSTRAP, lambda: 0.0, 0)
 
     def step(self, input) -> list:
         """All that comes out, with the disk's answers put in."""
         outputs, found = self.machine.step(self.now, input), []
         while outputs:
             found += outputs
-            writes = [output.number for output in outputs if isinstance(output, Write)]
-            outputs = self.machine.step(self.now, Written(max(writes))) if writes else []
+            writes = [output.number for output in outputs if isinstance(output, WriteEntries)]
+            outputs = self.machine.step(self.now, WriteCompleted(max(writes))) if writes else []
         return found
 
 
@@ -66,35 +66,35 @@
         super().__init__(members.voters[0], members)
         self.others = members.voters[1:] + members.followers
         self.now = self.machine.due
-        self.step(Due())
+        self.step(Tick())
         asked = self.machine.term + 1
         for who in members.voters[1:]:
-            self.step(Heard(who, Vote(asked, True, True)))
+            self.step(MessageReceived(who, RequestVoteResponse(asked, True, True)))
         for who in members.voters[1:]:
-            self.step(Heard(who, Vote(self.machine.term, True)))
+            self.step(MessageReceived(who, RequestVoteResponse(self.machine.term, True)))
         if not self.machine.leading:
             raise RuntimeError("the machine measured was not elected")
         self.hear(self.answers(self.machine.state.log.last))
         self.beat()
 
     def answers(self, match: int) -> list[bytes]:
-        return [KINDS.frame(Appended(self.machine.term, True, match)) for _ in self.others]
+        return [KINDS.frame(AppendEntriesResponse(self.machine.term, True, match)) for _ in self.others]
 
     def hear(self, frames: Iterable[bytes]) -> list:
         """An answer of each, decoded as it comes off a connection."""
         outputs = []
         for who, frame in zip(self.others, frames):
             for word, _ in FrameDecoder(KINDS).feed(frame):
-                outputs += self.step(Heard(who, word))
+                outputs += self.step(MessageReceived(who, word))
         return outputs
 
     def beat(self) -> list:
         self.now = self.machine.due
-        return self.step(Due())
+        return self.step(Tick())
 
 
 def frames_of(outputs: list) -> list[bytes]:
-    return [KINDS.frame(output.word) for output in outputs if isinstance(output, Send)]
+    return [KINDS.frame(output.word) for output in outputs if isinstance(output, SendMessage)]
 
 
 def proposal(number: int) -> Proposal:
@@ -148,12 +148,12 @@
     beats = []
     for number in range(1, 41):
         one.now = number * BOOTSTRAP["beat"]
-        frame = KINDS.frame(Append(1, 0, 0, 0, (), 0, one.now))
+        frame = KINDS.frame(AppendEntries(1, 0, 0, 0, (), 0, one.now))
 
         def hear(frame=frame) -> list[bytes]:
             outputs = []
             for word, _ in FrameDecoder(KINDS).feed(frame):
-                outputs += one.step(Heard(leader, word))
+                outputs += one.step(MessageReceived(leader, word))
             return frames_of(outputs)
 
         beats.append(processor_ms(hear)[0])
--- a/benchmarks/capacitykit/links_cell.py
+++ b/benchmarks/capacitykit/links_cell.py
@@ -13,11 +13,11 @@
 import time
 from pathlib import Path
 
-from indigohitch.fleet.ledger.words import Append, Appended
-from indigohitch.fleet.links.ends import Phase
-from indigohitch.fleet.links.links import Links
-from indigohitch.fleet.node.words import KINDS
-from indigohitch.fleet.terms import Who
+from indigohitch.fleet.node.messages import KINDS
+from indigohitch.fleet.raft.messages import AppendEntries, AppendEntriesResponse
+from indigohitch.fleet.transport.links import Transport
+from indigohitch.fleet.transport.outbound import Phase
+from indigohitch.fleet.types import MemberId
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import EventLoop
@@ -43,7 +43,7 @@
         self.clock = Clock()
         self.loop = EventLoop(self.clock, self.failed)
         self.log = Log(self.clock, "near", out=-1)  # lines are lost, and counted
-        self.links = Links(self.loop, self.log, KINDS, FLEET, Who("near", 1), 1, lambda: 0.5)
+        self.links = Transport(self.loop, self.log, KINDS, FLEET, MemberId("near", 1), 1, lambda: 0.5)
         self.heard = 0
         self.links.on_heard = self.hear
         self.names = [f"far{number}" for number in range(connections)]
@@ -51,7 +51,7 @@
     def failed(self, bad: BaseException) -> None:
         raise bad
 
-    def hear(self, who: Who, word) -> None:
+    def hear(self, who: MemberId, word) -> None:
         self.heard += 1
 
     def begin(self) -> subprocess.Popen:
@@ -88,7 +88,7 @@
 
     def say_to_all(self) -> float:
         """One word to each, encoded and written; processor milliseconds."""
-        word = Append(1, 100, 1, 100, (), 0, 12_345_678)
+        word = AppendEntries(1, 100, 1, 100, (), 0, 12_345_678)
         began = time.process_time()
         said = sum(self.links.say_to(name, word) for name in self.names)
         spent = time.process_time() - began
@@ -139,7 +139,7 @@
 
 def said_frame() -> bytes:
     """What a far end says: a follower's answer."""
-    return KINDS.frame(Appended(1, True, 100))
+    return KINDS.frame(AppendEntriesResponse(1, True, 100))
 
 
 def listeners(count: int) -> tuple[list[socket.socket], int]:
--- a/benchmarks/capacitykit/links_far.py
+++ b/benchmarks/capacitykit/links_far.py
@@ -13,8 +13,8 @@
 
 from capacitykit.links_cell import FLEET, KINDS, listeners, said_frame  # noqa: E402
 from indigohitch.encoding.frames import FrameDecoder  # noqa: E402
-from indigohitch.fleet.links.words import Greeting, Pulse, Pulsed, Welcome  # noqa: E402
-from indigohitch.fleet.terms import Who  # noqa: E402
+from indigohitch.fleet.transport.messages import Handshake, HandshakeAccepted, Ping, Pong  # noqa: E402
+from indigohitch.fleet.types import MemberId  # noqa: E402
 
 AT_ONCE = 16  # greetings out at a time: a member takes few strangers
 
@@ -29,10 +29,10 @@
         """False once it has ended."""
         data = self.sock.recv(1 << 16)
         for word, _ in self.frames.feed(data):
-            if isinstance(word, Greeting):
-                self.sock.sendall(KINDS.frame(Welcome(Who(f"far{self.number}", 1), 1)))
-            elif isinstance(word, Pulse):
-                self.sock.sendall(KINDS.frame(Pulsed(word.number)))
+            if isinstance(word, Handshake):
+                self.sock.sendall(KINDS.frame(HandshakeAccepted(MemberId(f"far{self.number}", 1), 1)))
+            elif isinstance(word, Ping):
+                self.sock.sendall(KINDS.frame(Pong(word.number)))
         return bool(data)
 
 
@@ -62,7 +62,7 @@
         for number in range(len(self.dialled), min(len(self.dialled) + AT_ONCE, self.count)):
             sock = socket.create_connection(("127.0.0.1", self.port))
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.sendall(KINDS.frame(Greeting(FLEET, Who(f"far{number}", 1), 1)))
+            sock.sendall(KINDS.frame(Handshake(FLEET, MemberId(f"far{number}", 1), 1)))
             self.dialled.append(sock)
             self.selector.register(sock, selectors.EVENT_READ, (self.welcomed, number))
 
--- a/benchmarks/capacitykit/seats_cell.py
+++ b/benchmarks/capacitykit/seats_cell.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from indigohitch.fleet.members.roster import Roster
-from indigohitch.fleet.ports import At
+from indigohitch.fleet.interfaces import EntryContext
+from indigohitch.fleet.membership.roster import Roster
 from indigohitch.fleet.seats.allocator import SeatSettings
 from indigohitch.fleet.seats.configured import COME_BACK, PLACE_KEPT
 from indigohitch.fleet.seats.contract import Contract, Grant, Report, Terms, Wanting
@@ -44,13 +44,13 @@
     ReplicatedStateMachine([Roster(), part])
     contract = contract_of(members, tenants)
     names = [f"coordinator{number}" for number in range(members)]
-    part.apply(At(1, 1, 0, names[0], 1), "contract", contract)
+    part.apply(EntryContext(1, 1, 0, names[0], 1), "contract", contract)
     for name in names:
-        part.apply(At(2, 1, 0, name, 1), "grant", Grant("geo", "", name, 1, SEATS_A_MEMBER))
+        part.apply(EntryContext(2, 1, 0, name, 1), "grant", Grant("geo", "", name, 1, SEATS_A_MEMBER))
     holders = {number: names[number % members] for number in range(tenants)}
     for number, name in holders.items():
         grant = Grant("geo", f"tenant{number}", name, 1, SEATS_A_TENANT)
-        part.apply(At(2, 1, 0, name, 1), "grant", grant)
+        part.apply(EntryContext(2, 1, 0, name, 1), "grant", grant)
     settings = SeatSettings(place_kept=PLACE_KEPT, come_back=COME_BACK, drift=0.001)
     work = SeatsWork(names[0], part, Unrecorded(), lambda now: 0, lambda: contract, True, settings)
     spent, wanted, now = [], 0, 0
--- a/benchmarks/distribution_cost.py
+++ b/benchmarks/distribution_cost.py
@@ -17,14 +17,14 @@
 sys.path.insert(0, str(ROOT))
 
 from indigohitch.encoding.frames import FrameDecoder  # noqa: E402
-from indigohitch.fleet.distribution import ports  # noqa: E402
+from indigohitch.fleet.distribution import interfaces  # noqa: E402
 from indigohitch.fleet.distribution.distributor import Distributor  # noqa: E402
 from indigohitch.fleet.distribution.limits import Limits, SubscriberLimits  # noqa: E402
 from indigohitch.fleet.distribution.messages import KINDS  # noqa: E402
-from indigohitch.fleet.distribution.part import Distribution, ServiceResources, Set  # noqa: E402
+from indigohitch.fleet.distribution.replicated_part import Distribution, ServiceResources, Set  # noqa: E402
 from indigohitch.fleet.distribution.subscriber import Subscriber  # noqa: E402
-from indigohitch.fleet.distribution.terms import Resource  # noqa: E402
-from indigohitch.fleet.ports import At  # noqa: E402
+from indigohitch.fleet.distribution.types import Resource  # noqa: E402
+from indigohitch.fleet.interfaces import EntryContext  # noqa: E402
 from indigohitch.net.clock import SECOND  # noqa: E402
 
 RESOURCES, SERVICES, REACH = 28_000, 1_600, 20
@@ -56,7 +56,7 @@
         for service, key in self.keys:
             self.apply(service, key, 0)
         self.catalogue_mb = memory_mb() - began
-        self.distributor(ports.Level(self.now))
+        self.distributor(interfaces.Level(self.now))
         self.subscribers = {}
         for number in range(1, subscribers + 1):
             scope = self.chance.sample(self.services, REACH)
@@ -68,10 +68,10 @@
     def apply(self, service: str, key: str, state: int) -> None:
         self.index += 1
         body = Set((ServiceResources(service, (Resource(key, b"%d" % state * BODY),)),))
-        changed = self.part.apply(At(self.index, 1, self.now, "", 0), "set", body)
-        self.distributor(ports.Changed(changed))
+        changed = self.part.apply(EntryContext(self.index, 1, self.now, "", 0), "set", body)
+        self.distributor(interfaces.Changed(changed))
 
-    def distributor(self, *inputs: ports.DistributorInput) -> None:
+    def distributor(self, *inputs: interfaces.DistributorInput) -> None:
         """Steps until nothing is due; what goes out is carried to the subscribers, and back."""
         waiting = list(inputs)
         while waiting:
@@ -79,14 +79,14 @@
             sent = []
             for each in waiting:
                 for output in self.machine.step(self.now, each):
-                    if isinstance(output, ports.Send):
+                    if isinstance(output, interfaces.Send):
                         sent.append((output.connection, KINDS.frame(output.message)))
             self.time["distributor"] += time.process_time() - began
             waiting = [heard for connection, frame in sent for heard in self.subscriber(connection, frame)]
             if not waiting and self.machine.due <= self.now:
-                waiting = [ports.Due()]
+                waiting = [interfaces.Due()]
 
-    def subscriber(self, number: int, frame: bytes) -> list[ports.Heard]:
+    def subscriber(self, number: int, frame: bytes) -> list[interfaces.Heard]:
         machine = self.subscribers[number]
         began = time.process_time()
         frames = []
@@ -94,31 +94,33 @@
             kind = "update" if type(message).__name__ == "Update" else "other"
             self.updates += kind == "update"
             self.bytes[kind] += len(frame)
-            for output in machine.step(self.now, ports.Told("d0", message)):
-                if isinstance(output, ports.Say):
+            for output in machine.step(self.now, interfaces.Told("d0", message)):
+                if isinstance(output, interfaces.Say):
                     frames.append(KINDS.frame(output.message))
         self.time["subscribers"] += time.process_time() - began
         return self.heard(number, frames)
 
-    def heard(self, number: int, frames: list[bytes]) -> list[ports.Heard]:
+    def heard(self, number: int, frames: list[bytes]) -> list[interfaces.Heard]:
         began = time.process_time()
-        found = [ports.Heard(number, word) for frame in frames for word, _ in FrameDecoder(KINDS).feed(frame)]
+        found = [
+            interfaces.Heard(number, word) for frame in frames for word, _ in FrameDecoder(KINDS).feed(frame)
+        ]
         self.time["distributor"] += time.process_time() - began
         self.bytes["other"] += sum(map(len, frames))
         return found
 
     def connect_all(self) -> None:
         for number, machine in self.subscribers.items():
-            machine.step(self.now, ports.Due())
-            said = machine.step(self.now, ports.Connected("d0"))
-            frames = [KINDS.frame(output.message) for output in said if isinstance(output, ports.Say)]
-            self.distributor(ports.Joined(number, machine.name), *self.heard(number, frames))
+            machine.step(self.now, interfaces.Due())
+            said = machine.step(self.now, interfaces.Connected("d0"))
+            frames = [KINDS.frame(output.message) for output in said if isinstance(output, interfaces.Say)]
+            self.distributor(interfaces.Joined(number, machine.name), *self.heard(number, frames))
 
     def renew_all(self) -> None:
         """What a quiet lease's quarter costs."""
         for number, machine in self.subscribers.items():
-            said = machine.step(self.now, ports.Due())
-            frames = [KINDS.frame(output.message) for output in said if isinstance(output, ports.Say)]
+            said = machine.step(self.now, interfaces.Due())
+            frames = [KINDS.frame(output.message) for output in said if isinstance(output, interfaces.Say)]
             self.distributor(*self.heard(number, frames))
 
     def measure(self, what) -> dict:
@@ -139,10 +141,10 @@
         """So many, spread over `span`."""
         for service, key in self.chance.sample(self.keys, count):
             self.now += span // count
-            self.distributor(ports.Level(self.now), ports.Due())
+            self.distributor(interfaces.Level(self.now), interfaces.Due())
             self.apply(service, key, 1 + self.index % 9)
         self.now += SECOND
-        self.distributor(ports.Due())
+        self.distributor(interfaces.Due())
 
     def right(self) -> bool:
         catalogue = self.part.catalogue
--- a/benchmarks/seats.py
+++ b/benchmarks/seats.py
@@ -18,15 +18,15 @@
 
 from seats_model import SEATS, SETTINGS, Model  # noqa: E402
 
-from indigohitch.fleet.audit.acts import ChainedActs  # noqa: E402
+from indigohitch.fleet.audit.acts import ActionChain  # noqa: E402
 from indigohitch.fleet.audit.files import Store  # noqa: E402
-from indigohitch.fleet.members.roster import Roster  # noqa: E402
-from indigohitch.fleet.ports import At  # noqa: E402
+from indigohitch.fleet.interfaces import EntryContext  # noqa: E402
+from indigohitch.fleet.membership.roster import Roster  # noqa: E402
 from indigohitch.fleet.seats.allocator import SeatAllocator  # noqa: E402
 from indigohitch.fleet.seats.contract import Contract, Grant, Terms  # noqa: E402
 from indigohitch.fleet.seats.part import Seats  # noqa: E402
 from indigohitch.fleet.state_machine import ReplicatedStateMachine  # noqa: E402
-from indigohitch.fleet.terms import Lease, Stamp  # noqa: E402
+from indigohitch.fleet.types import Lease, Stamp  # noqa: E402
 
 TIMES, SPAN = 5, 0.4  # runs of each cell; seconds of each
 SECONDS = 80  # of the model: four shifts of wanting
@@ -45,9 +45,9 @@
     """With 64 seats, of which half are out."""
     part = Seats()
     state_machine = ReplicatedStateMachine([Roster(), part])
-    acts = acts or ChainedActs("a", lambda now: Lease(1, FAR), state_machine, Store(folder), print)
-    part.apply(At(1, 1, 0, "a", 1), "contract", Contract(1, (Terms("geo", 64),)))
-    part.apply(At(2, 1, 0, "a", 1), "grant", Grant("geo", "", "a", 1, 64))
+    acts = acts or ActionChain("a", lambda now: Lease(1, FAR), state_machine, Store(folder), print)
+    part.apply(EntryContext(1, 1, 0, "a", 1), "contract", Contract(1, (Terms("geo", 64),)))
+    part.apply(EntryContext(2, 1, 0, "a", 1), "grant", Grant("geo", "", "a", 1, 64))
     found = SeatAllocator("a", part, acts, lambda now: 0, SETTINGS)
     found.turn(0, Lease(1, FAR))
     for _ in range(32):
--- a/benchmarks/seats_model.py
+++ b/benchmarks/seats_model.py
@@ -16,7 +16,7 @@
 from indigohitch.fleet.seats.part import Seats  # noqa: E402
 from indigohitch.fleet.seats.work import SeatsWork  # noqa: E402
 from indigohitch.fleet.state_machine import ReplicatedStateMachine  # noqa: E402
-from indigohitch.fleet.terms import Entry, Lease, Stamp  # noqa: E402
+from indigohitch.fleet.types import Lease, LogEntry, Stamp  # noqa: E402
 
 SECOND = 10_000
 SETTINGS = SeatSettings(place_kept=5 * SECOND // 2, come_back=SECOND, drift=0.001)
@@ -62,7 +62,7 @@
     def commit(self, member: int, one) -> None:
         self.log += 1
         self.entries += 1
-        entry = Entry(self.log, 1, one.kind, msgspec.msgpack.encode(one.body), f"m{member}", 1, self.log)
+        entry = LogEntry(self.log, 1, one.kind, msgspec.msgpack.encode(one.body), f"m{member}", 1, self.log)
         outcome = self.state_machine.apply(entry)
         self.works[member].answered(self.t, one.tag, outcome)
         about = one.body.member if hasattr(one.body, "member") else f"m{member}"
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -32,12 +32,12 @@
             return side
         if self.fleet.services:
             return self.subscriber_side(side)
-        from .fleet.node.inside import beside
+        from .fleet.node.companion import node_companion
 
-        return beside(self, side, self.fleet, False, self.follows)
+        return node_companion(self, side, self.fleet, False, self.follows)
 
     def subscriber_side(self, side: HandoverParticipant) -> HandoverParticipant:
-        from .fleet.node.subscribing import SubscriberSide, Subscription
+        from .fleet.node.subscriber_process import SubscriberSide, Subscription
 
         if self.beside is None:
             self.beside = Subscription(self.loop, self.log, self.fleet)
@@ -111,12 +111,12 @@
 def without_front(text: Text) -> int:
     """A subscriber or a member as a process of its own; a member's imports would cost a subscriber 3 MB."""
     if text.fleet.services:
-        from .fleet.node import subscribing
+        from .fleet.node import subscriber_process
 
-        return subscribing.main(text)
-    from .fleet.node import alone
+        return subscriber_process.main(text)
+    from .fleet.node import headless_member
 
-    return alone.main(text)
+    return headless_member.main(text)
 
 
 def main(file: str) -> int:
--- a/indigohitch/fleet/audit/acts.py
+++ b/indigohitch/fleet/audit/acts.py
@@ -7,7 +7,7 @@
 
 from ...errors import UnavailableError
 from ..state_machine import ReplicatedStateMachine
-from ..terms import Lease, Stamp
+from ..types import Lease, Stamp
 from .chain import Chain
 from .files import Store
 
@@ -18,7 +18,7 @@
 SPANS = 8  # versions whose acts are told of in `status`; the records have all
 
 
-class ChainedActs:
+class ActionChain:
     def __init__(
         self,
         me: str,
--- a/indigohitch/fleet/audit/chain.py
+++ b/indigohitch/fleet/audit/chain.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ...encoding.rows import Row, digest
-from ..terms import Stamp
+from ..types import Stamp
 
 SALT = 0x4155  # "AU": a record's digest is never taken for another thing's
 
--- a/indigohitch/fleet/audit/gate.py
+++ b/indigohitch/fleet/audit/gate.py
@@ -5,7 +5,7 @@
 
 from collections import OrderedDict
 
-from ..terms import Stamp
+from ..types import Stamp
 
 # Things acted on that are remembered; on one that as many others have pushed out, an older stamp of a valid
 # incarnation would be taken.
--- a/indigohitch/fleet/audit/heads.py
+++ b/indigohitch/fleet/audit/heads.py
@@ -9,7 +9,7 @@
 
 from ...encoding.rows import Row
 from ...errors import InvalidDataError, InvalidRequestError
-from ..ports import At
+from ..interfaces import EntryContext
 from ..state_machine import ReplicatedStateMachine
 
 # Incarnations of a name whose last head is kept, and changes in force: those whose records can still lie in a
@@ -79,7 +79,7 @@
         del lives[:-KEPT]
         return lives[-1]
 
-    def apply(self, at: At, word: str, body: Row) -> object:
+    def apply(self, at: EntryContext, word: str, body: Row) -> object:
         """Told: "" where the head was taken, else why not; that it contradicts is kept."""
         head = body
         if (at.proposer, at.incarnation) != (head.member, head.incarnation):
@@ -101,17 +101,19 @@
 
     # ---- what the roster tells -----------------------------------------------------------------------
 
-    def member_joined(self, at: At, name: str, incarnation: int) -> None:
+    def member_joined(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.of(name, incarnation)
 
-    def member_shut_out(self, at: At, name: str, incarnation: int) -> None:
+    def member_shut_out(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.of(name, incarnation).shut_out = at.index
 
-    def member_ended(self, at: At, name: str, incarnation: int, when: int) -> None:
+    def member_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
         kept = self.of(name, incarnation)
         kept.gone, kept.gone_at = at.index, when
 
-    def change_in_force(self, at: At, version: int, taken: tuple[tuple[str, int, int], ...]) -> None:
+    def change_in_force(
+        self, at: EntryContext, version: int, taken: tuple[tuple[str, int, int], ...]
+    ) -> None:
         self.facts.held.append(Held(version, at.index, taken))
         del self.facts.held[:-KEPT]
 
--- a/indigohitch/fleet/audit/work.py
+++ b/indigohitch/fleet/audit/work.py
@@ -9,10 +9,10 @@
 from ...encoding.rows import Row
 from ...errors import DirectorError
 from ...net.clock import SECOND
-from ..members.work import Membership
-from ..ports import Wanted
-from ..terms import Entry, Lease, Outcome
-from .acts import ChainedActs
+from ..interfaces import ProposalRequest
+from ..membership.member_work import Membership
+from ..types import Lease, LogEntry, Outcome
+from .acts import ActionChain
 from .check import Finding
 from .heads import Head, Heads
 from .scrub import Scrub
@@ -47,12 +47,12 @@
     }
 
 
-class Auditing:
+class AuditWork:
     name = "audit"
 
     def __init__(
         self,
-        acts: ChainedActs,
+        acts: ActionChain,
         heads: Heads,
         membership: Membership,
         trouble: Callable[[DirectorError], None],
@@ -66,13 +66,13 @@
         self.scrub = Scrub(acts.me, acts.store, lambda: heads.facts)
         self.told_by: Mapping[str, bytes] = {}  # at the leader: the last reports
 
-    def applied(self, now: int, entry: Entry, outcome: Outcome) -> list[Wanted]:
+    def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         return []
 
-    def restored(self, now: int) -> list[Wanted]:
+    def restored(self, now: int) -> list[ProposalRequest]:
         return []
 
-    def turn(self, now: int, lease: Lease | None) -> list[Wanted]:
+    def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
         """Only what is on the disk goes into a head.  One that shut itself out tells its last one still, as
         long as the ledger takes it."""
         if self.membership.evidence is not None and not self.kept:
@@ -100,18 +100,18 @@
                 )
             )
 
-    def head(self, now: int) -> list[Wanted]:
+    def head(self, now: int) -> list[ProposalRequest]:
         if self.acts.safe is None or self.out is not None or self.acts.safe[:2] <= self.told:
             return []
         self.due = now + GAP
         self.out = Head(self.acts.me, *self.acts.safe, *self.acts.store.wanted())
-        return [Wanted("audit.head", self.out, "head")]
+        return [ProposalRequest("audit.head", self.out, "head")]
 
-    def last(self, now: int) -> list[Wanted]:
+    def last(self, now: int) -> list[ProposalRequest]:
         """Before this incarnation leaves, after its last act."""
         return self.head(now) if self.acts.sync() else []
 
-    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[Wanted]:
+    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         head, self.out = self.out, None
         if head is None or outcome is None:
             return []
@@ -161,7 +161,7 @@
             )
         )
 
-    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[Wanted]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         self.told_by = reports
         return []
 
--- a/indigohitch/fleet/batches/leader.py
+++ b/indigohitch/fleet/batches/leader.py
@@ -10,7 +10,7 @@
 from ...encoding.rows import Row
 from ...errors import InvalidRequestError
 from ...net.clock import SECOND
-from ..ports import Wanted
+from ..interfaces import ProposalRequest
 from . import contract
 from .part import Batches
 from .pending import CONTRACT_TAG, LATE_TAG, PLAN_TAG, PendingProposals
@@ -69,7 +69,7 @@
         """The state was replaced: a round that was begun on the old one is of no use."""
         self.running = None
 
-    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[Wanted]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         time = self.part.state_machine.time and self.fleet_time(now)
         if not time:
             return []
@@ -81,7 +81,7 @@
         wanted += self.give(now, time, heard)
         return wanted + self.plan(now, time, offered_lanes(heard))
 
-    def new_contract(self, now: int) -> list[Wanted]:
+    def new_contract(self, now: int) -> list[ProposalRequest]:
         told, stands = self.contract_now(), self.part.contract
         if told is None:
             return []
@@ -96,9 +96,9 @@
         except InvalidRequestError as unfit:
             self.pending.trouble = str(unfit)
             return []
-        return self.pending.once(now, CONTRACT_TAG, Wanted("batches.contract", told, CONTRACT_TAG))
+        return self.pending.once(now, CONTRACT_TAG, ProposalRequest("batches.contract", told, CONTRACT_TAG))
 
-    def new_loads(self, now: int, time: int, heard: Reports) -> list[Wanted]:
+    def new_loads(self, now: int, time: int, heard: Reports) -> list[ProposalRequest]:
         wanted = []
         for site in self.part.contract.sites:
             there = [report.at_once for report in heard.values() if site.name in report.offers]
@@ -110,12 +110,12 @@
             if abs(share - self.part.loads.get(site.name, {}).get(hour, 0)) >= MOVED:
                 tag = f"load {site.name}"
                 load = Load(site.name, hour, share)
-                wanted += self.pending.once(now, tag, Wanted("batches.load", load, tag))
+                wanted += self.pending.once(now, tag, ProposalRequest("batches.load", load, tag))
         return wanted
 
     # ---- giving pieces -----------------------------------------------------------------------------
 
-    def give(self, now: int, time: int, heard: Reports) -> list[Wanted]:
+    def give(self, now: int, time: int, heard: Reports) -> list[ProposalRequest]:
         """Pieces whose run has come, each to the member there that holds least; and those that are late."""
         pieces, wanted, late = self.part.pieces, [], []
         free = self.free_lanes(heard)
@@ -128,10 +128,10 @@
                 wanted += self.give_one(now, id, lanes, heard)
         if late:
             row = Late(tuple(late[:MOST_LATE]))
-            wanted += self.pending.once(now, LATE_TAG, Wanted("batches.late", row, LATE_TAG))
+            wanted += self.pending.once(now, LATE_TAG, ProposalRequest("batches.late", row, LATE_TAG))
         return wanted
 
-    def give_one(self, now: int, id: str, free: dict[str, int], heard: Reports) -> list[Wanted]:
+    def give_one(self, now: int, id: str, free: dict[str, int], heard: Reports) -> list[ProposalRequest]:
         """`free`: lanes by member; one is taken."""
         there = [(-lanes, name) for name, lanes in free.items() if lanes > 0]
         if not there:
@@ -139,7 +139,7 @@
         _, name = min(there)
         tag = f"give {id}"
         row = Give(id, name, heard[name].incarnation)
-        wanted = self.pending.once(now, tag, Wanted("batches.give", row, tag))
+        wanted = self.pending.once(now, tag, ProposalRequest("batches.give", row, tag))
         if wanted:
             free[name] -= 1
         return wanted
@@ -161,7 +161,7 @@
 
     # ---- the plan ----------------------------------------------------------------------------------
 
-    def plan(self, now: int, time: int, offered: Mapping[Place, int]) -> list[Wanted]:
+    def plan(self, now: int, time: int, offered: Mapping[Place, int]) -> list[ProposalRequest]:
         """Some steps of a round each beat; then its changes, one entry after the other."""
         if self.running is None:
             if now < self.next_round_at:
@@ -182,7 +182,7 @@
             return []
         self.moves += len(changes)
         return self.pending.once(
-            now, PLAN_TAG, Wanted("batches.plan", Plan(self.part.version, changes), PLAN_TAG)
+            now, PLAN_TAG, ProposalRequest("batches.plan", Plan(self.part.version, changes), PLAN_TAG)
         )
 
 
--- a/indigohitch/fleet/batches/strain.py
+++ b/indigohitch/fleet/batches/overload.py
@@ -18,7 +18,7 @@
 MEAN = 5 * SECOND  # what is told of the load is a mean over this
 
 
-class Strain:
+class OverloadDetector:
     """`calm`: the latency that one in ten RPCs exceeds while no batch runs here; 0 before it is known."""
 
     def __init__(self) -> None:
--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -9,10 +9,9 @@
 from ...encoding.rows import Row, digest
 from ...errors import InvalidRequestError
 from ...net.clock import SECOND
-from ..members.roster import changed
-from ..ports import At
+from ..interfaces import EntryContext
+from ..membership.roster import announce_change
 from . import prices
-from .pieces import Pieces
 from .rows import (
     Batch,
     Contract,
@@ -28,6 +27,7 @@
     Step,
     Word,
 )
+from .tasks import Pieces
 
 MOST = 20_000  # pieces not over: some MB of a snapshot
 KEPT = 24 * 3600 * SECOND  # what is over is told that long
@@ -105,7 +105,7 @@
 
     # ---- entries -----------------------------------------------------------------------------------
 
-    def apply(self, at: At, word: str, body: Row) -> object:
+    def apply(self, at: EntryContext, word: str, body: Row) -> object:
         """Raises Unfit, before anything has changed."""
         match word:
             case "contract":
@@ -122,7 +122,7 @@
         self.settle(at)
         return told
 
-    def of_piece(self, at: At, word: str, body: Row) -> object:
+    def of_piece(self, at: EntryContext, word: str, body: Row) -> object:
         """Entries of one piece, in pieces.py."""
         match word:
             case "give":
@@ -137,10 +137,10 @@
                 return self.pieces.word(at, body)
         raise ValueError(f"no word of this part: {word}")
 
-    def member_gone(self, at: At, name: str, incarnation: int) -> None:
+    def member_gone(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.pieces.gone(at, name, incarnation)
 
-    def settle(self, at: At) -> None:
+    def settle(self, at: EntryContext) -> None:
         """Batches whose last piece has come to its end are told for a while."""
         for id in self.pieces.over:
             batch = self.batches[self.pieces.all[id].batch]
@@ -148,7 +148,7 @@
             batch.over = at.time
         self.pieces.over = {}
 
-    def on_contract(self, at: At, body: Contract) -> int:
+    def on_contract(self, at: EntryContext, body: Contract) -> int:
         if body == self.contract:
             return body.edition  # told by two leaders, one after the other
         if self.contract is not None and body.edition <= self.contract.edition:
@@ -157,24 +157,24 @@
                 remedy="a changed contract has a higher edition",
             )
         self.contract = body
-        changed(self.state_machine, at, "electricity")
+        announce_change(self.state_machine, at, "electricity")
         return body.edition
 
-    def on_prices(self, at: At, body: Prices) -> int:
+    def on_prices(self, at: EntryContext, body: Prices) -> int:
         prices.check(body, self.prices, self.list_digest, at.time)
         self.prices = prices.merged(body, self.prices, at.time - KEPT)
         self.list_digest = prices.fingerprint(body)
-        changed(self.state_machine, at, "prices")
+        announce_change(self.state_machine, at, "prices")
         return body.edition
 
-    def on_load(self, at: At, body: Load) -> int:
+    def on_load(self, at: EntryContext, body: Load) -> int:
         if not 0 <= body.hour < 24 or not 0 <= body.share <= 100:
             raise InvalidRequestError(f"hour {body.hour}, {body.share} per cent")
         hours = self.loads.setdefault(body.site, {})
         hours[body.hour] = body.share
         return body.share
 
-    def on_submit(self, at: At, body: Batch) -> int:
+    def on_submit(self, at: EntryContext, body: Batch) -> int:
         known, stamp = self.batches.get(body.id), digest(msgspec.msgpack.encode(body))
         if known is not None:
             if known.digest == stamp:
@@ -208,7 +208,7 @@
             self.pieces.add(id, Piece(body.id, body.rpc, rpc.idempotent, cut))
         return len(body.cuts)
 
-    def on_plan(self, at: At, body: Plan) -> int:
+    def on_plan(self, at: EntryContext, body: Plan) -> int:
         """Only on the plan that stands; a change that has become impossible is left out, the others stand."""
         if body.base != self.version:
             raise InvalidRequestError(f"a change of plan {body.base}; {self.version} stands")
@@ -223,7 +223,7 @@
             self.version = at.index
         return taken
 
-    def allowed(self, at: At, piece: Piece, placing: Placing | None) -> bool:
+    def allowed(self, at: EntryContext, piece: Piece, placing: Placing | None) -> bool:
         """Within its times, and where its class may run; one that is held stays where it is."""
         if placing is None:
             return piece.state is State.WAITING
--- a/indigohitch/fleet/batches/pending.py
+++ b/indigohitch/fleet/batches/pending.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from ...net.clock import SECOND
-from ..ports import Wanted
-from ..terms import Outcome
+from ..interfaces import ProposalRequest
+from ..types import Outcome
 
 PATIENCE = 5 * SECOND  # a proposal without an answer for so long is made anew
 CONTRACT_TAG, PRICES_TAG, PLAN_TAG, LATE_TAG = "contract", "prices", "plan", "late"
@@ -18,7 +18,7 @@
     def waits(self, now: int, tag: str) -> bool:
         return now - self.since.get(tag, -PATIENCE) < PATIENCE
 
-    def once(self, now: int, tag: str, wanted: Wanted) -> list[Wanted]:
+    def once(self, now: int, tag: str, wanted: ProposalRequest) -> list[ProposalRequest]:
         """Not again while one of that tag is out."""
         if self.waits(now, tag):
             return []
--- a/indigohitch/fleet/batches/plan.py
+++ b/indigohitch/fleet/batches/plan.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 
 from .placing import Field, Spot, Task
-from .slack import least_slack
+from .spare_capacity import least_slack
 
 # A piece that is planned moves only for this share of its cost: a list of prices corrected by a cent or two
 # in fifty leaves the plan as it is, and no piece costs more than this above its best place.
--- a/indigohitch/fleet/batches/rows.py
+++ b/indigohitch/fleet/batches/rows.py
@@ -8,7 +8,7 @@
 import enum
 
 from ...encoding.rows import Row
-from ..terms import Stamp
+from ..types import Stamp
 
 # ---- the contract: a version of it is an entry ------------------------------------------------------
 
--- a/indigohitch/fleet/batches/runner.py
+++ b/indigohitch/fleet/batches/runner.py
@@ -11,8 +11,8 @@
 from typing import Protocol
 
 from ...net.clock import SECOND
-from ..ports import Acts, Wanted
-from ..terms import Lease, Stamp
+from ..interfaces import ActionRecorder, ProposalRequest
+from ..types import Lease, Stamp
 from .part import Batches
 from .rows import Piece, Start, State, Step
 
@@ -50,7 +50,7 @@
 
 
 class Runner:
-    def __init__(self, part: Batches, acts: Acts, port: Port) -> None:
+    def __init__(self, part: Batches, acts: ActionRecorder, port: Port) -> None:
         self.part, self.acts, self.port = part, acts, port
         self.runs: dict[str, Run] = {}
         self.steps = self.paused = 0  # sent; times that strain held a step back
@@ -59,7 +59,7 @@
 
     def turn(
         self, now: int, time: int, lease: Lease | None, strained: bool, me: str, lanes: int
-    ) -> list[Wanted]:
+    ) -> list[ProposalRequest]:
         """`time`: fleet time; `lanes`: how many pieces this member runs at a time."""
         self.lease, self.strained = lease, strained
         if lease is None or lease.left(now) <= 0 or not time:
@@ -73,7 +73,7 @@
             wanted += self.one(now, time, id, run, piece, lanes)
         return wanted
 
-    def one(self, now: int, time: int, id: str, run: Run, piece: Piece, lanes: int) -> list[Wanted]:
+    def one(self, now: int, time: int, id: str, run: Run, piece: Piece, lanes: int) -> list[ProposalRequest]:
         if run.phase in (Phase.OUT, Phase.ENDING):
             return []
         pace = piece.cut.work // piece.cut.steps
@@ -108,18 +108,18 @@
         self.go_on(now, id, run, piece)
         if now - run.told_at >= max(CHECK, piece.cut.work // PARTS):
             run.told_at = now  # also where nothing went on: the plan has to know
-            return [Wanted("batches.step", Step(id, run.attempt, run.step), f"step {id}")]
+            return [ProposalRequest("batches.step", Step(id, run.attempt, run.step), f"step {id}")]
         return []
 
     def running(self) -> int:
         return sum(run.phase is not Phase.HELD for run in self.runs.values())
 
-    def start(self, now: int, id: str, run: Run, piece: Piece) -> list[Wanted]:
+    def start(self, now: int, id: str, run: Run, piece: Piece) -> list[ProposalRequest]:
         stamp = self.acts.stamp(now, "batches.start", id.encode())
         if stamp is None:
             return []
         run.phase, run.attempt = Phase.STARTING, piece.attempt + 1
-        return [Wanted("batches.start", Start(id, run.attempt, stamp), f"start {id}")]
+        return [ProposalRequest("batches.start", Start(id, run.attempt, stamp), f"start {id}")]
 
     def go_on(self, now: int, id: str, run: Run, piece: Piece) -> None:
         """The next step, if its time has come.  After a pause one step may come early, not all."""
@@ -133,11 +133,13 @@
         self.steps += 1
         self.port.send(id, run.step, piece.stamp)
 
-    def end(self, id: str, run: Run, piece: Piece, how: str) -> list[Wanted]:
+    def end(self, id: str, run: Run, piece: Piece, how: str) -> list[ProposalRequest]:
         run.phase = Phase.ENDING
         step = run.step if run.attempt == piece.attempt and run.attempt else piece.step
         return [
-            Wanted("batches.step", Step(id, piece.attempt, max(step, piece.step), how, run.why), f"end {id}")
+            ProposalRequest(
+                "batches.step", Step(id, piece.attempt, max(step, piece.step), how, run.why), f"end {id}"
+            )
         ]
 
     # ---- what comes back ---------------------------------------------------------------------------
--- a/indigohitch/fleet/batches/sending.py
+++ b/indigohitch/fleet/batches/sending.py
@@ -9,7 +9,7 @@
 from ...net.http_client import HttpClient
 from ...net.http_exchange import HttpExchange, HttpResponse
 from ...net.loop import EventLoop
-from ..terms import Stamp
+from ..types import Stamp
 from .part import Batches
 
 # The least that an answer is waited for; else twice the pace.  A sidecar's own deadline is shorter.
--- a/indigohitch/fleet/batches/inside.py
+++ b/indigohitch/fleet/batches/setup.py
@@ -11,10 +11,10 @@
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import EventLoop
-from ..ports import Acts
+from ..interfaces import ActionRecorder
 from ..seats.contract import COMMON
 from . import contract, prices
-from .asking import contract_of
+from .admin_requests import contract_of
 from .part import Batches
 from .rows import Contract, Prices
 from .sending import Sending
@@ -65,7 +65,12 @@
 
 
 def work_of(
-    loop: EventLoop, log: Log, text: FleetText, part: Batches, acts: Acts, fleet_time: Callable[[int], int]
+    loop: EventLoop,
+    log: Log,
+    text: FleetText,
+    part: Batches,
+    acts: ActionRecorder,
+    fleet_time: Callable[[int], int],
 ) -> BatchesWork:
     """Of this member.  A file without a word on batches makes a member that runs none, and leads by what the
     state machine has."""
--- a/indigohitch/fleet/batches/pieces.py
+++ b/indigohitch/fleet/batches/tasks.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from ...errors import InvalidRequestError
-from ..ports import At
+from ..interfaces import EntryContext
 from .rows import OVER, Give, Late, Piece, Start, State, Step, Word
 
 
@@ -41,7 +41,7 @@
 
     # ---- entries -----------------------------------------------------------------------------------
 
-    def give(self, at: At, body: Give) -> int:
+    def give(self, at: EntryContext, body: Give) -> int:
         piece = self.one(body.piece)
         if piece.state is not State.WAITING or piece.placing is None:
             raise InvalidRequestError(f"{body.piece} is {piece.state.value}")
@@ -53,7 +53,7 @@
         self.hold(body.piece, piece, body.member, body.incarnation)
         return piece.attempt
 
-    def start(self, at: At, body: Start) -> int:
+    def start(self, at: EntryContext, body: Start) -> int:
         piece = self.one(body.piece)
         self.own(at, body.piece, piece)
         if piece.state is not State.GIVEN or body.attempt != piece.attempt + 1:
@@ -64,7 +64,7 @@
         piece.since = at.time
         return piece.step
 
-    def step(self, at: At, body: Step) -> int:
+    def step(self, at: EntryContext, body: Step) -> int:
         piece = self.one(body.piece)
         self.own(at, body.piece, piece)
         given_back = piece.state is State.GIVEN and body.end == "rests" and body.step == piece.step
@@ -91,7 +91,7 @@
             )
         return piece.step
 
-    def late(self, at: At, body: Late) -> int:
+    def late(self, at: EntryContext, body: Late) -> int:
         """What a member has started is not touched: it ends by itself, or with that member."""
         late = [
             id
@@ -104,7 +104,7 @@
             self.free(id, self.all[id], State.MISSED, at)
         return len(late)
 
-    def word(self, at: At, body: Word) -> str:
+    def word(self, at: EntryContext, body: Word) -> str:
         piece = self.one(body.piece)
         if piece.state is not State.UNCLEAR and not (body.word == "drop" and piece.state is State.WAITING):
             raise InvalidRequestError(
@@ -123,7 +123,7 @@
             )
         return piece.state.value
 
-    def gone(self, at: At, name: str, incarnation: int) -> None:
+    def gone(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.ended[name] = max(incarnation, self.ended.get(name, 0))
         for id in sorted(self.held.get((name, incarnation), ())):
             piece = self.all[id]
@@ -139,7 +139,7 @@
     # ---- one piece ---------------------------------------------------------------------------------
 
     @staticmethod
-    def own(at: At, id: str, piece: Piece) -> None:
+    def own(at: EntryContext, id: str, piece: Piece) -> None:
         """Guards against a holder that was given up: what it says then comes too late."""
         if (piece.member, piece.incarnation) != (at.proposer, at.incarnation):
             raise InvalidRequestError(f"{id} is not held by {at.proposer} {at.incarnation}")
@@ -148,7 +148,7 @@
         piece.member, piece.incarnation = member, incarnation
         self.held.setdefault((member, incarnation), {})[id] = None
 
-    def free(self, id: str, piece: Piece, state: State, at: At, why: str = "") -> None:
+    def free(self, id: str, piece: Piece, state: State, at: EntryContext, why: str = "") -> None:
         if piece.member:
             mine = self.held[piece.member, piece.incarnation]
             del mine[id]
--- a/indigohitch/fleet/batches/work.py
+++ b/indigohitch/fleet/batches/work.py
@@ -7,15 +7,15 @@
 import msgspec
 
 from ...errors import InvalidRequestError
-from ..ports import Acts, Wanted
-from ..terms import Entry, Lease, Outcome
+from ..interfaces import ActionRecorder, ProposalRequest
+from ..types import Lease, LogEntry, Outcome
 from . import prices
 from .leader import BatchLeader, Report
+from .overload import OverloadDetector
 from .part import Batches
 from .pending import PRICES_TAG, PendingProposals
 from .rows import Contract, Prices, State
 from .runner import Port, Runner
-from .strain import Strain
 
 
 class BatchesWork:
@@ -29,7 +29,7 @@
         self,
         part: Batches,
         me: str,
-        acts: Acts,
+        acts: ActionRecorder,
         port: Port,
         fleet_time: Callable[[int], int],
         offers: Mapping[str, Mapping[str, int]],
@@ -40,7 +40,7 @@
         self.part, self.me, self.fleet_time = part, me, fleet_time
         self.offers = {site: dict(kinds) for site, kinds in offers.items()}
         self.prices_now = prices_now
-        self.runner, self.strain = Runner(part, acts, port), Strain()
+        self.runner, self.strain = Runner(part, acts, port), OverloadDetector()
         self.lease: Lease | None = None
         self.pending = PendingProposals()
         self.leader = BatchLeader(part, self.pending, fleet_time, contract_now, seats)
@@ -48,14 +48,14 @@
 
     # ---- told by the process -----------------------------------------------------------------------
 
-    def applied(self, now: int, entry: Entry, outcome: Outcome) -> list[Wanted]:
+    def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         return []  # what is wanted stands in the state machine: `turn` looks there
 
-    def restored(self, now: int) -> list[Wanted]:
+    def restored(self, now: int) -> list[ProposalRequest]:
         self.leader.restored()
         return []
 
-    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[Wanted]:
+    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         self.pending.answered(tag, outcome)
         self.runner.answered(tag, None if outcome is None else bool(outcome.refused))
         return []
@@ -75,7 +75,7 @@
 
     # ---- each beat ---------------------------------------------------------------------------------
 
-    def turn(self, now: int, lease: Lease | None) -> list[Wanted]:
+    def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
         self.lease = lease
         time = self.fleet_time(now)
         self.strain.busy = any(run.attempt for run in self.runner.runs.values())
@@ -86,7 +86,7 @@
             wanted += self.new_prices(now, time)
         return wanted
 
-    def new_prices(self, now: int, time: int) -> list[Wanted]:
+    def new_prices(self, now: int, time: int) -> list[ProposalRequest]:
         new, part = self.prices_now(), self.part
         if new is None or new is self.judged:
             return []
@@ -96,11 +96,11 @@
             except InvalidRequestError as unfit:
                 self.judged, self.pending.trouble = new, str(unfit)
                 return []
-            return self.pending.once(now, PRICES_TAG, Wanted("batches.prices", new, PRICES_TAG))
+            return self.pending.once(now, PRICES_TAG, ProposalRequest("batches.prices", new, PRICES_TAG))
         self.judged = new
         return []
 
-    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[Wanted]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         return self.leader.lead(now, reports)
 
     def figures(self) -> dict:
--- a/indigohitch/fleet/distribution/asking.py
+++ b/indigohitch/fleet/distribution/admin_requests.py
@@ -10,8 +10,8 @@
 
 from ...encoding.rows import Row
 from ...errors import InvalidRequestError
-from .part import Remove, Replace, ServiceKeys, ServiceResources, Set
-from .terms import Resource
+from .replicated_part import Remove, Replace, ServiceKeys, ServiceResources, Set
+from .types import Resource
 
 FORM = '{"ask": "distribute set", "services": {"maps": {"m1": "10.0.0.1:80 serving"}}}'
 WORDS = {"set": Set, "replace": Replace, "remove": Remove}
--- a/indigohitch/fleet/distribution/choice.py
+++ b/indigohitch/fleet/distribution/choice.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from .limits import SubscriberLimits
-from .terms import DistributorName, SubscriberName
+from .types import DistributorName, SubscriberName
 
 MOST_DOUBLINGS = 16
 
--- a/indigohitch/fleet/distribution/connecting.py
+++ b/indigohitch/fleet/distribution/connecting.py
@@ -7,10 +7,10 @@
 from collections.abc import Mapping
 
 from .choice import Choice
+from .interfaces import Dial, HangUp
 from .limits import SubscriberLimits
 from .patience import Patience
-from .ports import Dial, HangUp
-from .terms import DistributorName, SubscriberName
+from .types import DistributorName, SubscriberName
 
 
 class Phase(enum.Enum):
--- a/indigohitch/fleet/distribution/connections.py
+++ b/indigohitch/fleet/distribution/connections.py
@@ -9,16 +9,16 @@
 from ...net.clock import SECOND
 from ...net.loop import EventLoop
 from ...net.ring_buffer import BufferPool
-from ..links import words as links
-from ..links.accepted import Accepted
-from ..links.arrivals import Arrivals
-from ..links.ends import KERNEL
-from ..links.greeting import REMEDIES, refused_subscriber
-from ..terms import Who
+from ..transport import messages as links
+from ..transport.acceptor import Acceptor
+from ..transport.handshake import REMEDIES, refused_subscriber
+from ..transport.inbound import InboundLink
+from ..transport.outbound import KERNEL
+from ..types import MemberId
 from .distributor import Distributor
+from .interfaces import Close, Closing, DistributorOutput, Heard, Joined, Left, Note, Send
 from .limits import Limits
 from .messages import KINDS
-from .ports import Close, Closing, DistributorOutput, Heard, Joined, Left, Note, Send
 from .stepping import Stepping
 
 STRANGERS = 512  # all that another distributor served may come within a second
@@ -31,13 +31,20 @@
 
 class Connections:
     def __init__(
-        self, loop: EventLoop, log: Log, fleet: str, me: Who, token: int, machine: Distributor, limits: Limits
+        self,
+        loop: EventLoop,
+        log: Log,
+        fleet: str,
+        me: MemberId,
+        token: int,
+        machine: Distributor,
+        limits: Limits,
     ) -> None:
         self.loop, self.log, self.fleet, self.me, self.token = loop, log, fleet, me, token
         self.limits = limits
-        self.arrivals = Arrivals(loop, log, KINDS, self, "subscribers", STRANGERS, BufferPool(BUFFERS))
-        self.connections: dict[int, Accepted] = {}
-        self.numbers: dict[Accepted, int] = {}
+        self.arrivals = Acceptor(loop, log, KINDS, self, "subscribers", STRANGERS, BufferPool(BUFFERS))
+        self.connections: dict[int, InboundLink] = {}
+        self.numbers: dict[InboundLink, int] = {}
         self.last = self.sent = 0  # number of the last connection; bytes
         self.stepping = Stepping(loop, machine, self.carry)
 
@@ -65,11 +72,11 @@
 
     # ---- who comes ---------------------------------------------------------------------------------
 
-    def greeted(self, one: Accepted, greeting: links.Greeting) -> None:
+    def greeted(self, one: InboundLink, greeting: links.Handshake) -> None:
         why, kind = refused_subscriber(greeting, self.fleet)
         if why:
             self.log.warning("subscriber_refused", why=why, remedy=REMEDIES[kind])
-            one.answer(links.Refused(why))
+            one.answer(links.HandshakeRefused(why))
             one.close()
             return
         self.last += 1
@@ -77,14 +84,14 @@
         self.connections[self.last], self.numbers[one] = one, self.last
         one.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
         one.connection.outgoing.allow(self.limits.update_bytes + HEAD)
-        one.answer(links.Welcome(self.me, self.token))
+        one.answer(links.HandshakeAccepted(self.me, self.token))
         self.stepping.step(Joined(self.last, greeting.who.name))
 
-    def heard(self, one: Accepted, word: Row) -> None:
+    def heard(self, one: InboundLink, word: Row) -> None:
         if one in self.numbers:
             self.stepping.step(Heard(self.numbers[one], word))
 
-    def gone(self, one: Accepted) -> None:
+    def gone(self, one: InboundLink) -> None:
         number = self.numbers.pop(one, None)
         if number is not None:
             del self.connections[number]
--- a/indigohitch/fleet/distribution/content.py
+++ b/indigohitch/fleet/distribution/content.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ...encoding.rows import digest
-from .terms import Resource, ServiceName
+from .types import Resource, ServiceName
 
 SERVICE_SALT, SCOPE_SALT = 3, 4
 
--- a/indigohitch/fleet/distribution/in_force.py
+++ b/indigohitch/fleet/distribution/convergence.py
@@ -11,18 +11,18 @@
 
 from ...encoding.rows import Row
 from ...net.clock import SECOND
-from ..members.leases import given
-from .catalogue import Catalogue
+from ..membership.leases import grantor_span
 from .limits import Limits
 from .messages import Behind, Report, Unreachable
+from .resource_store import ResourceStore
 from .subscription import Subscription
-from .terms import MARK, DistributorName, SubscriberName, Version, mark
+from .types import MARK, DistributorName, SubscriberName, Version, mark
 
 NAMED = 16  # of those behind and of those lost, in a report
 SILENT = 5 * SECOND  # a distributor whose last report is older counts as unreachable, with all of its own
 
 
-class InForce(Row, frozen=True):
+class ConvergenceReport(Row, frozen=True):
     """`version`: each reachable subscriber has all changes of its scope up to it.  `age`: since the oldest
     change that is not in force was applied at a distributor; 0: all are.  Unreachable ones are not counted in
     and may act on older content for `acting` tenths of a ms more, not longer.  `silent`: distributors whose
@@ -51,7 +51,7 @@
     forget_at: int
 
 
-class Tally:
+class ConvergenceTracker:
     """Of one distributor."""
 
     def __init__(self, name: DistributorName, limits: Limits) -> None:
@@ -81,7 +81,7 @@
         self,
         now: int,
         version: Version,
-        catalogue: Catalogue,
+        catalogue: ResourceStore,
         subscriptions: Collection[Subscription],
         ledger_age: int | None,
     ) -> Report:
@@ -123,7 +123,7 @@
     )
 
 
-def in_force_here(version: Version, catalogue: Catalogue, lacking: list[Subscription]) -> Version:
+def in_force_here(version: Version, catalogue: ResourceStore, lacking: list[Subscription]) -> Version:
     """The last version before the oldest change that one of them lacks."""
     if not lacking:
         return version
@@ -131,7 +131,7 @@
     return before if before is not None else min(each.acknowledged for each in lacking)
 
 
-class FleetTally:
+class FleetConvergence:
     """Of all distributors, at one of them."""
 
     def __init__(self, name: DistributorName, others: Collection[DistributorName], limits: Limits) -> None:
@@ -147,7 +147,7 @@
         for name in [name for name, one in self.reports.items() if now - one[1] > self.limits.remembered]:
             del self.reports[name]
 
-    def in_force(self, now: int, own: Report) -> InForce:
+    def in_force(self, now: int, own: Report) -> ConvergenceReport:
         """`own`: of this distributor, made now."""
         heard = {name: one for name, one in self.reports.items() if now - one[1] <= SILENT}
         reports = [(own, 0), *((report, now - at) for report, at in heard.values())]
@@ -161,7 +161,7 @@
         )
         named = tuple(one for report, age in reports for one in still_lost(report, age, connected))
         lost -= connected
-        return InForce(
+        return ConvergenceReport(
             min((report.in_force for report, _ in serving), default=newest),
             newest,
             max((missing_age(report, age, newest) for report, age in serving), default=0),
@@ -177,7 +177,7 @@
     def acting(self, named: Collection[Unreachable], lost: int) -> int:
         """Of those that are not named it is known only that they hold no more than a whole lease."""
         if lost > len(named):
-            return given(self.limits.lease, self.limits.drift)
+            return grantor_span(self.limits.lease, self.limits.drift)
         return max((one.acting for one in named), default=0)
 
 
--- a/indigohitch/fleet/distribution/distributor.py
+++ b/indigohitch/fleet/distribution/distributor.py
@@ -5,12 +5,9 @@
 from collections.abc import Collection
 
 from ...net.clock import SECOND
-from .catalogue import Catalogue
+from .convergence import ConvergenceReport, ConvergenceTracker, FleetConvergence
 from .errors import DistributorClosing
-from .in_force import FleetTally, InForce, Tally
-from .limits import Limits
-from .messages import Report
-from .ports import (
+from .interfaces import (
     Changed,
     Closing,
     DistributorInput,
@@ -24,9 +21,12 @@
     Note,
     Replaced,
 )
+from .limits import Limits
+from .messages import Report
+from .resource_store import ResourceStore
 from .serving import Serving
 from .subscription import Missing
-from .terms import DistributorName
+from .types import DistributorName
 
 SWEEP = SECOND // 2  # updates without an answer and claims in doubt are looked at so often
 
@@ -39,14 +39,14 @@
     def __init__(
         self,
         name: DistributorName,
-        catalogue: Catalogue,
+        catalogue: ResourceStore,
         limits: Limits,
         now: int,
         others: Collection[DistributorName] = (),
     ) -> None:
         self.name, self.catalogue, self.limits = name, catalogue, limits
-        self.tally = Tally(name, limits)
-        self.fleet = FleetTally(name, others, limits)
+        self.tally = ConvergenceTracker(name, limits)
+        self.fleet = FleetConvergence(name, others, limits)
         self.serving = Serving(catalogue, limits, self.tally, now)
         self.announced = catalogue.version  # the subscriptions were told of all changes up to it
         self.sweep_at = now + SWEEP
@@ -82,7 +82,7 @@
         ledger_age = now - level if level else None
         return self.tally.report(now, self.announced, self.catalogue, served, ledger_age)
 
-    def in_force(self, now: int) -> InForce:
+    def in_force(self, now: int) -> ConvergenceReport:
         """Fleet-wide, from the own subscribers and the reports heard."""
         return self.fleet.in_force(now, self.report(now))
 
--- a/indigohitch/fleet/distribution/role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -13,15 +13,15 @@
 from ...net.clock import SECOND
 from ...net.file_limits import raise_file_limit
 from ...net.loop import EventLoop
-from ..ports import Wanted
-from ..terms import Entry, Lease, Outcome, Who
+from ..interfaces import ProposalRequest
+from ..types import Lease, LogEntry, MemberId, Outcome
 from .connections import STRANGERS, Connections
+from .convergence import ConvergenceReport
 from .distributor import Distributor
-from .in_force import InForce
+from .interfaces import Changed, HeardReport, Level, Replaced
 from .limits import Limits
 from .messages import Behind, Report, Unreachable
-from .part import Distribution
-from .ports import Changed, HeardReport, Level, Replaced
+from .replicated_part import Distribution
 
 CONFIRM = SECOND // 2  # between confirmed reads: what is told is older by that at most
 REPORT = SECOND
@@ -32,7 +32,7 @@
 Read = Callable[[Callable[[int | None], None]], None]
 
 
-class Distributing:
+class DistributorRole:
     """A `Work` (fleet/ports.py).  `read(done)`: a read confirmed by a majority; `say(name, word)`: to another
     member."""
 
@@ -53,7 +53,7 @@
         self.loop, self.log, self.me, self.addresses = loop, log, me, addresses
         self.part, self.read, self.say = part, read, say
         self.machine = Distributor(me, part.catalogue, LIMITS, loop.clock.now(), self.others)
-        self.connections = Connections(loop, log, fleet, Who(me, 0), token, self.machine, LIMITS)
+        self.connections = Connections(loop, log, fleet, MemberId(me, 0), token, self.machine, LIMITS)
         self.listen_due = self.confirm_due = self.report_due = 0
         self.reading = False
         self.closed = False
@@ -64,29 +64,29 @@
 
     # ---- from the ledger ---------------------------------------------------------------------------
 
-    def applied(self, now: int, entry: Entry, outcome: Outcome) -> list[Wanted]:
+    def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         if entry.kind.startswith("distribution.") and not outcome.refused and not outcome.doubled:
             services = msgspec.msgpack.decode(outcome.told, type=tuple[str, ...])
             if services:
                 self.connections.stepping.step(Changed(services))
         return []
 
-    def restored(self, now: int) -> list[Wanted]:
+    def restored(self, now: int) -> list[ProposalRequest]:
         self.connections.stepping.step(Replaced())
         return []
 
-    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[Wanted]:
+    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         return []
 
     def report(self, now: int) -> bytes:
         return b""
 
-    def lead(self, now: int, reports) -> list[Wanted]:
+    def lead(self, now: int, reports) -> list[ProposalRequest]:
         return []
 
     # ---- the beat ----------------------------------------------------------------------------------
 
-    def turn(self, now: int, lease: Lease | None) -> list[Wanted]:
+    def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
         if self.closed:
             return []
         if not self.connections.open and now >= self.listen_due:
@@ -131,7 +131,7 @@
         for name in self.others:
             self.say(name, report)
 
-    def heard_report(self, who: Who, word: Report) -> None:
+    def heard_report(self, who: MemberId, word: Report) -> None:
         if not self.closed and who.name == word.distributor:
             self.connections.stepping.step(HeardReport(word))
 
@@ -148,7 +148,7 @@
         return self.connections.figures() | self.machine.figures(now) | {"in_force": in_force}
 
 
-def plain(found: InForce) -> dict:
+def plain(found: ConvergenceReport) -> dict:
     """As `status` names it; times in tenths of a millisecond."""
     return {
         "version": found.version.text(),
--- a/indigohitch/fleet/distribution/ports.py
+++ b/indigohitch/fleet/distribution/interfaces.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from ...encoding.rows import Row
-from .terms import DistributorName, ServiceName, SubscriberName, Version
+from .types import DistributorName, ServiceName, SubscriberName, Version
 
 # ---- into both -------------------------------------------------------------------------------------
 
--- a/indigohitch/fleet/distribution/messages.py
+++ b/indigohitch/fleet/distribution/messages.py
@@ -11,8 +11,8 @@
 
 from ...encoding.frames import MessageTypes
 from ...encoding.rows import Row
-from ..links import words as links
-from .terms import NO_VERSION, DistributorName, Resource, ServiceName, SubscriberName, Version
+from ..transport import messages as links
+from .types import NO_VERSION, DistributorName, Resource, ServiceName, SubscriberName, Version
 
 # ---- subscriber to distributor ---------------------------------------------------------------------
 
@@ -168,4 +168,4 @@
 
 WORDS = (Subscribe, Acknowledge, Reject, Renew, Update, Current, Refused, Report)
 # In the order of their numbers on the wire: what is added goes to the end.
-KINDS = MessageTypes(b"IHds", links.PROTOCOL, (*links.WORDS, *WORDS), 4 << 20)
+KINDS = MessageTypes(b"IHds", links.PROTOCOL, (*links.MESSAGE_TYPES, *WORDS), 4 << 20)
--- a/indigohitch/fleet/distribution/part.py
+++ b/indigohitch/fleet/distribution/replicated_part.py
@@ -9,9 +9,9 @@
 
 from ...encoding.rows import Row
 from ...errors import InvalidDataError, InvalidRequestError
-from ..ports import At, StateMachine
-from .catalogue import Catalogue, CatalogueRow
-from .terms import Resource, ServiceName, Version
+from ..interfaces import EntryContext, StateMachine
+from .resource_store import CatalogueRow, ResourceStore
+from .types import Resource, ServiceName, Version
 
 LONGEST_NAME = 255
 LONGEST_BODY = 4_096
@@ -54,9 +54,9 @@
     state_machine: StateMachine
 
     def __init__(self) -> None:
-        self.catalogue = Catalogue()
+        self.catalogue = ResourceStore()
 
-    def apply(self, at: At, word: str, body: Set | Remove | Replace) -> tuple[ServiceName, ...]:
+    def apply(self, at: EntryContext, word: str, body: Set | Remove | Replace) -> tuple[ServiceName, ...]:
         version = Version(at.term, at.index)
         if len({each.service for each in body.services}) < len(body.services):
             raise InvalidRequestError(
--- a/indigohitch/fleet/distribution/catalogue.py
+++ b/indigohitch/fleet/distribution/resource_store.py
@@ -15,7 +15,7 @@
 from ...encoding.rows import Row
 from .content import ServiceContent
 from .messages import ServiceChange
-from .terms import NO_VERSION, Resource, ServiceName, Version
+from .types import NO_VERSION, Resource, ServiceName, Version
 
 MOST_REMOVED = 64  # keys remembered for each service beyond as many as it has
 MOST_EMPTY = 4_096  # services without resources that are remembered
@@ -107,7 +107,7 @@
     return [key for key, _ in takewhile(lambda item: item[1] > than, reversed(versions.items()))]
 
 
-class Catalogue:
+class ResourceStore:
     def __init__(self) -> None:
         self.version = NO_VERSION  # of the last entry that changed anything
         self.floor = NO_VERSION  # what became of services that are not known is forgotten up to here
--- a/indigohitch/fleet/distribution/serving.py
+++ b/indigohitch/fleet/distribution/serving.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from ...errors import DirectorError
-from ..members.leases import given
+from ..membership.leases import grantor_span
 from .admission import Admission
-from .catalogue import Catalogue
+from .convergence import ConvergenceTracker
 from .errors import (
     DistributorBehind,
     DistributorClosing,
@@ -17,7 +17,7 @@
     SubscriberSilent,
     VersionNeverWas,
 )
-from .in_force import Tally
+from .interfaces import Close, DistributorOutput, Heard, Note, Send
 from .limits import Limits
 from .messages import (
     Acknowledge,
@@ -28,14 +28,14 @@
     Renew,
     Subscribe,
 )
-from .ports import Close, DistributorOutput, Heard, Note, Send
+from .resource_store import ResourceStore
 from .subscribers import Claim, Subscribers
 from .subscription import Subscription, encoded_size
-from .terms import NO_VERSION, Version
+from .types import NO_VERSION, Version
 
 
 class Serving:
-    def __init__(self, catalogue: Catalogue, limits: Limits, tally: Tally, now: int) -> None:
+    def __init__(self, catalogue: ResourceStore, limits: Limits, tally: ConvergenceTracker, now: int) -> None:
         self.catalogue, self.limits, self.tally = catalogue, limits, tally
         self.subscribers = Subscribers()
         self.admission = Admission(limits)
@@ -157,7 +157,7 @@
         subscription = self.subscribers.subscriptions.get(connection)
         age = self.age(subscription) if subscription is not None else None
         if age is not None:
-            until = self.now - age + given(self.limits.lease, self.limits.drift)
+            until = self.now - age + grantor_span(self.limits.lease, self.limits.drift)
             subscription.acting_until = max(subscription.acting_until, until)
         self.out.append(Send(connection, Current(word.number, self.catalogue.version, age)))
 
--- a/indigohitch/fleet/distribution/stepping.py
+++ b/indigohitch/fleet/distribution/stepping.py
@@ -9,7 +9,7 @@
 
 from ...net.due_timer import DueTimer
 from ...net.loop import EventLoop
-from .ports import Due
+from .interfaces import Due
 
 
 class Machine(Protocol):
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -6,23 +6,11 @@
 from collections.abc import Collection, Mapping
 
 from ...errors import InvalidDataError
-from ..members.leases import Holder
-from ..members.words import Renewed
+from ..membership.leases import LeaseHolder
+from ..membership.messages import LeaseRenewed
 from .connecting import Connecting, Phase
 from .errors import DigestMismatch, NoDistributor, OlderVersion, UnknownBase
-from .holding import REASONS, HeldScope
-from .limits import SubscriberLimits
-from .messages import (
-    Acknowledge,
-    Current,
-    Refused,
-    Reject,
-    RejectReason,
-    Renew,
-    Subscribe,
-    Update,
-)
-from .ports import (
+from .interfaces import (
     Applied,
     Connected,
     Due,
@@ -34,7 +22,19 @@
     SubscriberOutput,
     Told,
 )
-from .terms import DistributorName, ServiceName, SubscriberName, Version
+from .limits import SubscriberLimits
+from .messages import (
+    Acknowledge,
+    Current,
+    Refused,
+    Reject,
+    RejectReason,
+    Renew,
+    Subscribe,
+    Update,
+)
+from .subscriber_scope import REASONS, SubscriberScope
+from .types import DistributorName, ServiceName, SubscriberName, Version
 
 INCARNATION = 1  # of the lease: numbers of its renewals grow over all connections
 
@@ -52,13 +52,13 @@
         now: int,
     ) -> None:
         self.name, self.limits = name, limits
-        self.held = HeldScope(limits.guard_versions)
+        self.held = SubscriberScope(limits.guard_versions)
         self.wanted = frozenset(services)
         self.asked: frozenset[ServiceName] = frozenset()  # the scope of the last Subscribe
         self.request = 0
         self.open_request = False  # the last Subscribe is not answered yet
         self.connecting = Connecting(name, distributors, limits, chance, now)
-        self.holder = Holder(limits.lease, limits.drift)
+        self.holder = LeaseHolder(limits.lease, limits.drift)
         self.holder.begin(INCARNATION)
         self.lease_here = 0  # until when answers over this connection alone let the content count as current
         self.alone = False  # no distributor answers; logged once
@@ -244,7 +244,7 @@
     def current(self, word: Current) -> None:
         if word.age is None:
             return
-        until = self.holder.heard(Renewed(word.number, INCARNATION), word.age)
+        until = self.holder.heard(LeaseRenewed(word.number, INCARNATION), word.age)
         self.lease_here = max(self.lease_here, until)
         if self.now < self.holder.until:
             self.connecting.patience.current(self.holder.until)
--- a/indigohitch/fleet/distribution/following.py
+++ b/indigohitch/fleet/distribution/subscriber_connection.py
@@ -10,24 +10,24 @@
 from ...errors import error_fields
 from ...log import Log
 from ...net.loop import EventLoop
-from ..links.arrivals import spoilt
-from ..links.ends import Dialled
-from ..links.greeting import unspoken
-from ..links.words import SUBSCRIBER, Greeting, Welcome
-from ..terms import Who
+from ..transport.acceptor import log_broken_frame
+from ..transport.handshake import version_mismatch
+from ..transport.messages import SUBSCRIBER, Handshake, HandshakeAccepted
+from ..transport.outbound import OutboundLink
+from ..types import MemberId
 from .errors import NoDistributor
+from .interfaces import Applied, Connected, Dial, HangUp, Lost, Note, Rescope, Say, SubscriberOutput, Told
 from .limits import SubscriberLimits
 from .messages import KINDS
-from .ports import Applied, Connected, Dial, HangUp, Lost, Note, Rescope, Say, SubscriberOutput, Told
 from .stepping import Stepping
 from .subscriber import Subscriber
-from .terms import DistributorName, ServiceName, SubscriberName
+from .types import DistributorName, ServiceName, SubscriberName
 
 # The machine asks for its lease each second and gives up who is silent: the link needs no pulses.
 NEVER = 1 << 62
 
 
-class Following:
+class SubscriberConnection:
     """`applied(output)`: the content held is another."""
 
     def __init__(
@@ -46,7 +46,7 @@
         self.kinds, self.chance, self.applied = KINDS, chance.random, applied
         self.distributors = dict(distributors)
         self.token = chance.getrandbits(62)
-        self.link: Dialled | None = None
+        self.link: OutboundLink | None = None
         self._received = self._sent = 0  # bytes over connections that are closed
         weights = dict.fromkeys(distributors, 1.0)
         limits = limits or SubscriberLimits()
@@ -76,7 +76,7 @@
                 self.log.event(event, **fields)
 
     def dial(self, distributor: DistributorName) -> None:
-        self.link = Dialled(self, distributor, self.distributors[distributor], NEVER, NEVER)
+        self.link = OutboundLink(self, distributor, self.distributors[distributor], NEVER, NEVER)
         self.link.dial()
 
     def hang_up(self, why: str) -> None:
@@ -85,7 +85,7 @@
             link = self.dropped()
             link.close()
 
-    def dropped(self) -> Dialled:
+    def dropped(self) -> OutboundLink:
         link, self.link = self.link, None
         self._received += link.received
         self._sent += link.sent
@@ -93,38 +93,38 @@
 
     # ---- what the connection tells -----------------------------------------------------------------
 
-    def greeting(self) -> Greeting:
-        return Greeting(self.fleet, Who(self.name, 0), self.token, role=SUBSCRIBER)
+    def greeting(self) -> Handshake:
+        return Handshake(self.fleet, MemberId(self.name, 0), self.token, role=SUBSCRIBER)
 
-    def welcomed(self, link: Dialled, welcome: Welcome) -> bool:
-        why = f"{welcome.who.name} answers" if welcome.who.name != link.name else unspoken(welcome)
+    def welcomed(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
+        why = f"{welcome.who.name} answers" if welcome.who.name != link.name else version_mismatch(welcome)
         if why:
             remedy = "see the address of that distributor in this file"
             self.log.warning("not_who_was_dialled", distributor=link.name, why=why, remedy=remedy)
         return not why
 
-    def up(self, link: Dialled) -> None:
+    def up(self, link: OutboundLink) -> None:
         self.log.event("distributor_reached", distributor=link.name)
         self.stepping.step(Connected(link.name))
 
-    def down(self, link: Dialled, why: str) -> None:
+    def down(self, link: OutboundLink, why: str) -> None:
         self.lost(link, why)
 
-    def unreached(self, link: Dialled, why: str) -> None:
+    def unreached(self, link: OutboundLink, why: str) -> None:
         self.lost(link, why)
 
-    def lost(self, link: Dialled, why: str) -> None:
+    def lost(self, link: OutboundLink, why: str) -> None:
         if link is self.link:
             self.dropped()
             self.log.warning("distributor_lost", distributor=link.name, **error_fields(NoDistributor(why)))
             self.stepping.step(Lost(link.name, why))
 
-    def replied(self, link: Dialled, word: Row) -> None:
+    def replied(self, link: OutboundLink, word: Row) -> None:
         if link is self.link:
             self.stepping.step(Told(link.name, word))
 
     def spoilt(self, name: str, broken: BrokenFrameError) -> None:
-        spoilt(self.log, name, broken, "distributors")
+        log_broken_frame(self.log, name, broken, "distributors")
 
     # ---- told to people ----------------------------------------------------------------------------
 
--- a/indigohitch/fleet/distribution/holding.py
+++ b/indigohitch/fleet/distribution/subscriber_scope.py
@@ -12,7 +12,7 @@
 from .content import ServiceContent, scope_digest
 from .errors import DigestMismatch, OlderVersion, UnknownBase
 from .messages import HeldService, RejectReason, ServiceChange, Update
-from .terms import NO_VERSION, ServiceName
+from .types import NO_VERSION, ServiceName
 
 # What a distributor is told of an update that can't be taken.
 REASONS = {
@@ -23,7 +23,7 @@
 }
 
 
-class HeldScope:
+class SubscriberScope:
     """`guard_versions` is False only in the proof, which has to fail then."""
 
     def __init__(self, guard_versions: bool = True) -> None:
--- a/indigohitch/fleet/distribution/subscribers.py
+++ b/indigohitch/fleet/distribution/subscribers.py
@@ -7,7 +7,7 @@
 
 from .messages import Subscribe
 from .subscription import Subscription
-from .terms import ServiceName, SubscriberName
+from .types import ServiceName, SubscriberName
 
 
 @dataclass(slots=True, frozen=True)
--- a/indigohitch/fleet/distribution/subscription.py
+++ b/indigohitch/fleet/distribution/subscription.py
@@ -11,13 +11,13 @@
 
 import msgspec
 
-from ..members.leases import given
-from .catalogue import Catalogue
+from ..membership.leases import grantor_span
 from .content import scope_digest
 from .errors import DigestMismatch, ScopeTooLarge
 from .limits import Limits
 from .messages import Acknowledge, Reject, RejectReason, Subscribe, Update
-from .terms import NO_VERSION, ServiceName, SubscriberName, Version, mark
+from .resource_store import ResourceStore
+from .types import NO_VERSION, ServiceName, SubscriberName, Version, mark
 
 
 @dataclass(slots=True, frozen=True)
@@ -46,7 +46,7 @@
 
 class Subscription:
     def __init__(
-        self, connection: int, subscriber: SubscriberName, catalogue: Catalogue, limits: Limits
+        self, connection: int, subscriber: SubscriberName, catalogue: ResourceStore, limits: Limits
     ) -> None:
         self.connection, self.subscriber = connection, subscriber
         self.mark = mark(subscriber)
@@ -74,7 +74,7 @@
         self.begin(claim)
         self.acknowledged = claim.held
         if claim.held != NO_VERSION:  # another distributor may have renewed its lease a moment ago
-            self.acting_until = now + given(self.limits.lease, self.limits.drift)
+            self.acting_until = now + grantor_span(self.limits.lease, self.limits.drift)
         lacking = Missing(Version(claim.held.term, claim.held.index + 1), now, 0)
         for held in claim.services:
             known = bool(held.digest) and self.limits.resume
--- a/indigohitch/fleet/hours.py
+++ b/indigohitch/fleet/fleet_clock.py
@@ -13,8 +13,8 @@
 from ..encoding.rows import Row
 from ..errors import InvalidRequestError
 from ..net.clock import SECOND
-from .ports import At, Wanted
-from .terms import Entry, Lease, Outcome
+from .interfaces import EntryContext, ProposalRequest
+from .types import Lease, LogEntry, Outcome
 
 TICK = SECOND  # tariffs go by minutes, contracts end by the second
 # A clock that is off by a second is right again after 200; a span of fleet time is true to half of a percent.
@@ -31,11 +31,11 @@
     time: int  # Unix time, tenths of a ms
 
 
-class HoursRow(Row):
+class FleetClockRow(Row):
     time: int
 
 
-class Hours:
+class FleetClock:
     """The part `hours` of the state machine."""
 
     name = "hours"
@@ -45,7 +45,7 @@
         self.time = 0
         self.state_machine = None
 
-    def apply(self, at: At, word: str, body: Tick) -> int:
+    def apply(self, at: EntryContext, word: str, body: Tick) -> int:
         """Raises Unfit for a tick that is not later than the last."""
         if body.time <= self.time:
             raise InvalidRequestError(
@@ -54,11 +54,11 @@
         self.time = body.time
         return self.time
 
-    def row(self) -> HoursRow:
-        return HoursRow(self.time)
+    def row(self) -> FleetClockRow:
+        return FleetClockRow(self.time)
 
     def restore(self, row: bytes) -> None:
-        self.time = msgspec.msgpack.decode(row, type=HoursRow).time
+        self.time = msgspec.msgpack.decode(row, type=FleetClockRow).time
 
 
 class Running:
@@ -128,14 +128,14 @@
     number: int = 0  # grows: a reading that was heard before is known by it
 
 
-class HoursWork:
+class FleetClockWork:
     """Fleet time in a member's process.  `wall`: its wall clock, Unix time in tenths of a ms; `voters`: the
     names of those that vote; `me`: this member's."""
 
     name = "hours"
 
     def __init__(
-        self, part: Hours, me: str, wall: Callable[[], int], voters: Callable[[], Collection[str]]
+        self, part: FleetClock, me: str, wall: Callable[[], int], voters: Callable[[], Collection[str]]
     ) -> None:
         self.part, self.me, self.wall, self.voters = part, me, wall, voters
         self.running = Running()
@@ -148,7 +148,7 @@
         """Fleet time, 0 before any was agreed on."""
         return self.running.at(now)
 
-    def applied(self, now: int, entry: Entry, outcome: Outcome) -> list[Wanted]:
+    def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         if entry.kind == "hours.tick" and not outcome.refused and not outcome.doubled:
             time = msgspec.msgpack.decode(entry.body, type=Tick).time
             # The leader counts from when it read the clocks: the way of a tick must not add up.
@@ -158,15 +158,15 @@
                 self._out = None
         return []
 
-    def restored(self, now: int) -> list[Wanted]:
+    def restored(self, now: int) -> list[ProposalRequest]:
         self._out = None
         self.running.forget(self.part.time, now)
         return []
 
-    def turn(self, now: int, lease: Lease | None) -> list[Wanted]:
+    def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
         return []
 
-    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[Wanted]:
+    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         if outcome is not None and outcome.refused:
             self._out = None
         return []
@@ -175,7 +175,7 @@
         self._number += 1
         return msgspec.msgpack.encode(Reading(self.wall(), self._number))
 
-    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[Wanted]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         for name, report in reports.items():
             if self._seen.get(name) != report:
                 self._seen[name] = report
@@ -195,7 +195,7 @@
         if time is None or time <= self.part.time:
             return []
         self._out = (time, now)
-        return [Wanted("hours.tick", Tick(time), "tick")]
+        return [ProposalRequest("hours.tick", Tick(time), "tick")]
 
     def figures(self) -> dict:
         return {"time": self.part.time, "steady": self.running.steady, "readings": len(self.readings)}
--- a/indigohitch/fleet/ports.py
+++ b/indigohitch/fleet/interfaces.py
@@ -7,10 +7,10 @@
 from typing import Protocol, TypeVar, runtime_checkable
 
 from ..encoding.rows import Row
-from .terms import Entry, Lease, Outcome, Stamp
+from .types import Lease, LogEntry, Outcome, Stamp
 
 
-class At(Row, frozen=True):
+class EntryContext(Row, frozen=True):
     """Where in the ledger an entry stands, for who applies it."""
 
     index: int
@@ -43,7 +43,7 @@
     state_machine: StateMachine  # set by it; `self.state_machine.parts["members"]` is another part
     kinds: Mapping[str, type[Row]]  # by word: the row that an entry's body holds
 
-    def apply(self, at: At, word: str, body: Row) -> object:
+    def apply(self, at: EntryContext, word: str, body: Row) -> object:
         """Carries the entry out and returns what the proposer is told (anything msgpack takes); raises
         `errors.Unfit`, before it has changed anything, where the entry can't be."""
 
@@ -58,31 +58,33 @@
 
 @runtime_checkable
 class HearsJoined(Protocol):
-    def member_joined(self, at: At, name: str, incarnation: int) -> None:
+    def member_joined(self, at: EntryContext, name: str, incarnation: int) -> None:
         """It has a new incarnation, which is compared and may not act yet."""
 
 
 @runtime_checkable
 class HearsShutOut(Protocol):
-    def member_shut_out(self, at: At, name: str, incarnation: int) -> None:
+    def member_shut_out(self, at: EntryContext, name: str, incarnation: int) -> None:
         """Its lease is not renewed any more, and may still run."""
 
 
 @runtime_checkable
 class HearsEnded(Protocol):
-    def member_ended(self, at: At, name: str, incarnation: int, when: int) -> None:
+    def member_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
         """As `member_gone`, which follows; `when`: fleet time at which its lease had run out, or 0."""
 
 
 @runtime_checkable
 class HearsGone(Protocol):
-    def member_gone(self, at: At, name: str, incarnation: int) -> None:
+    def member_gone(self, at: EntryContext, name: str, incarnation: int) -> None:
         """That incarnation holds nothing any more: its lease has surely run out, or it left by itself."""
 
 
 @runtime_checkable
 class HearsInForce(Protocol):
-    def change_in_force(self, at: At, version: int, taken: tuple[tuple[str, int, int], ...]) -> None:
+    def change_in_force(
+        self, at: EntryContext, version: int, taken: tuple[tuple[str, int, int], ...]
+    ) -> None:
         """All changes up to `version` are; `taken` as in `members.in_force`."""
 
 
@@ -94,7 +96,7 @@
     return [part for part in parts.values() if isinstance(part, kind)]
 
 
-class Acts(Protocol):
+class ActionRecorder(Protocol):
     """Every act that leaves a process (an order to the relay, a seat given or taken back, a piece of a batch
     released) is stamped and kept here (fleet/audit)."""
 
@@ -103,7 +105,7 @@
         what it was about; None while this member may not act: no lease, or its state differs."""
 
 
-class Wanted(Row, frozen=True):
+class ProposalRequest(Row, frozen=True):
     """A proposal that a part's work asks the process to make.  `tag` comes back with its outcome."""
 
     kind: str
@@ -117,17 +119,17 @@
 
     name: str
 
-    def applied(self, now: int, entry: Entry, outcome: Outcome) -> list[Wanted]:
+    def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         """An entry has been applied to the state machine here (entries from before a snapshot are not told:
         `restored`)."""
 
-    def restored(self, now: int) -> list[Wanted]:
+    def restored(self, now: int) -> list[ProposalRequest]:
         """The state machine was set to a snapshot, or read from the disk: look at it anew."""
 
-    def turn(self, now: int, lease: Lease | None) -> list[Wanted]:
+    def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
         """Each beat (100 ms) and after what changed; `lease`: this member's, None while it has none."""
 
-    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[Wanted]:
+    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         """What a proposal of this work came to; None: it is not known (it may still come to something), and
         it may be wanted again: the process sends it under the same number until it is known or out of
         window."""
@@ -135,7 +137,7 @@
     def report(self, now: int) -> bytes:
         """What the leader is told with each renewal of this member's lease; at most a few KB."""
 
-    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[Wanted]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         """At the leader only, each beat: what it proposes for the fleet.  `reports`: the last of each member
         that holds a lease, by name."""
 
--- a/indigohitch/fleet/members/entries.py
+++ b/indigohitch/fleet/membership/entries.py
@@ -22,13 +22,13 @@
     incarnation: int
 
 
-class ShutOut(Row):
+class Evicted(Row):
     name: str
     incarnation: int
     why: str
 
 
-class Gone(Row):
+class LeaseExpired(Row):
     """By the leader, once the lease has surely run out by its reckoning; `when` that was in fleet time,
     0: not known."""
 
@@ -48,7 +48,7 @@
     digest: bytes
 
 
-class Back(Row):
+class Readmitted(Row):
     """Compared and found equal at point `index`: it may act."""
 
     name: str
@@ -73,7 +73,7 @@
     taken: tuple[tuple[str, int, int], ...] = ()
 
 
-class Life(enum.StrEnum):
+class MemberState(enum.StrEnum):
     COMPARED = "being compared"
     VALID = "valid"
     SHUT_OUT = "shut out"
@@ -87,7 +87,7 @@
     incarnation: int
     votes: bool
     joined: int  # the entry
-    life: Life = Life.COMPARED
+    life: MemberState = MemberState.COMPARED
     since: int = 0  # the entry that made it so
     why: str = ""
 
--- a/indigohitch/fleet/members/judge.py
+++ b/indigohitch/fleet/membership/failure_detector.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 
 from ...encoding.rows import Row
-from ..terms import Standing
-from .entries import Agreed, Back, Compare, Gone, InForce, Life, Member, ShutOut
+from ..types import MemberStanding
+from .entries import Agreed, Compare, Evicted, InForce, LeaseExpired, Member, MemberState, Readmitted
+from .messages import RenewLease
 from .roster import Roster
-from .words import Renew
 
 # Entries that a member may lack without being behind: some beats' worth under a burst of proposals.
 LAG = 512
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class MemberObservation:
     """What the leader knows of one incarnation; times by the leader's clock."""
 
     heard: int  # when it last asked for a lease
@@ -42,14 +42,14 @@
     lags: int = 0  # since when it lacks more than LAG entries
     late: int = 0  # since when it is a straggler; 0: it isn't
 
-    def renewed(self, now: int, word: Renew) -> None:
+    def renewed(self, now: int, word: RenewLease) -> None:
         self.heard = now
         if word.applied > self.applied:
             self.applied, self.moved, self.acts, self.lacks = word.applied, now, word.acts, 0
         self.digest_at, self.digest = word.digest_at, word.digest
 
 
-class Judge:
+class FailureDetector:
     """At the leader only, from its election on.  `over(now, name, incarnation)`: has that lease surely run
     out (leases.Giver.over)."""
 
@@ -57,7 +57,7 @@
         self.roster, self.span, self.over = roster, span, over
         self.elected = self.now = 0  # `now`: of the last look, for `status`
         self.when: Callable[[int], int] = lambda now: now  # fleet time; 0: not known
-        self.seen: dict[tuple[str, int], Seen] = {}
+        self.seen: dict[tuple[str, int], MemberObservation] = {}
         self.condemned: dict[tuple[str, int], str] = {}  # proposed to be shut out, and why
         self.known_since: dict[int, int] = {}  # change -> when this leader first saw it
         self.point, self.pointed = 0, 0  # of comparing: which, since when
@@ -69,34 +69,36 @@
         self.condemned.clear()
         self.known_since.clear()
 
-    def heard(self, now: int, name: str, word: Renew) -> None:
+    def heard(self, now: int, name: str, word: RenewLease) -> None:
         self.of(now, name, word.incarnation).renewed(now, word)
 
-    def of(self, now: int, name: str, incarnation: int) -> Seen:
+    def of(self, now: int, name: str, incarnation: int) -> MemberObservation:
         if (name, incarnation) not in self.seen:
-            self.seen[name, incarnation] = Seen(now, now)
+            self.seen[name, incarnation] = MemberObservation(now, now)
         return self.seen[name, incarnation]
 
     # ---- standings ---------------------------------------------------------------------------------
 
-    def standing(self, now: int, member: Member) -> Standing:
+    def standing(self, now: int, member: Member) -> MemberStanding:
         """Shut out, gone and back are told by entries; the rest by what was heard."""
-        if member.life is not Life.VALID:
-            return {Life.SHUT_OUT: Standing.SHUT_OUT, Life.GONE: Standing.GONE, Life.COMPARED: Standing.BACK}[
-                member.life
-            ]
+        if member.life is not MemberState.VALID:
+            return {
+                MemberState.SHUT_OUT: MemberStanding.SHUT_OUT,
+                MemberState.GONE: MemberStanding.GONE,
+                MemberState.COMPARED: MemberStanding.BACK,
+            }[member.life]
         seen = self.of(now, member.name, member.incarnation)
         due = min(self.deadlines(now, member, seen), default=None)
         if due is None:
             seen.late = 0
-            return Standing.CURRENT
+            return MemberStanding.CURRENT
         if now < due:
-            return Standing.BEHIND
+            return MemberStanding.BEHIND
         seen.late = seen.late or now
         moving = now < seen.moved + self.span and now < seen.late + BRINGING * self.span
-        return Standing.BROUGHT_UP if moving else Standing.STRAGGLER
+        return MemberStanding.BROUGHT_UP if moving else MemberStanding.STRAGGLER
 
-    def deadlines(self, now: int, member: Member, seen: Seen) -> Iterator[int]:
+    def deadlines(self, now: int, member: Member, seen: MemberObservation) -> Iterator[int]:
         """Until when it may lack what it lacks."""
         for change in self.roster.changes:
             if not self.took(member, seen, change.index):
@@ -118,7 +120,7 @@
         return now >= seen.lacks + DEAF * self.span
 
     @staticmethod
-    def took(member: Member, seen: Seen, version: int) -> bool:
+    def took(member: Member, seen: MemberObservation, version: int) -> bool:
         """It acts by `version` or later: it says so, or it acts only since an entry after it."""
         return member.since > version or seen.applied >= version
 
@@ -137,12 +139,16 @@
             del self.known_since[change]
         wanted: list[Row] = []
         for member in members:
-            if member.life is Life.SHUT_OUT and self.over(now, member.name, member.incarnation):
-                wanted.append(Gone(member.name, member.incarnation, self.when(now)))
-            elif member.life in (Life.VALID, Life.COMPARED) and (why := self.why_out(now, member)):
-                wanted.append(ShutOut(member.name, member.incarnation, why))
+            if member.life is MemberState.SHUT_OUT and self.over(now, member.name, member.incarnation):
+                wanted.append(LeaseExpired(member.name, member.incarnation, self.when(now)))
+            elif member.life in (MemberState.VALID, MemberState.COMPARED) and (
+                why := self.why_out(now, member)
+            ):
+                wanted.append(Evicted(member.name, member.incarnation, why))
         wanted += self.taken(now)
-        return wanted + self.comparing(now, [m for m in members if m.life in (Life.VALID, Life.COMPARED)])
+        return wanted + self.comparing(
+            now, [m for m in members if m.life in (MemberState.VALID, MemberState.COMPARED)]
+        )
 
     def why_out(self, now: int, member: Member) -> str:
         """Once it is proposed it is wanted until it is so: its lease isn't renewed from then on."""
@@ -155,7 +161,7 @@
             why = "it asks, and takes no entry"
         elif self.differs(now, member):
             why = "its state differs"
-        elif self.standing(now, member) is Standing.STRAGGLER:
+        elif self.standing(now, member) is MemberStanding.STRAGGLER:
             why = "a straggler that isn't brought up"
         else:
             return ""
@@ -173,7 +179,7 @@
         ]
         for change in reversed(self.roster.changes):
             if all(
-                member.life is Life.VALID and self.took(member, seen, change.index)
+                member.life is MemberState.VALID and self.took(member, seen, change.index)
                 for member, seen in present
             ):
                 return [
@@ -198,11 +204,11 @@
         for member in members:
             seen = self.of(now, member.name, member.incarnation)
             if (
-                member.life is Life.COMPARED
+                member.life is MemberState.COMPARED
                 and seen.digest_at == agreed.index > member.joined
                 and seen.digest == agreed.digest
             ):
-                wanted.append(Back(member.name, member.incarnation, agreed.index))
+                wanted.append(Readmitted(member.name, member.incarnation, agreed.index))
         told = [self.of(now, member.name, member.incarnation) for member in members]
         if roster.compared > agreed.index:
             own = roster.digests.get(roster.compared)
@@ -215,7 +221,7 @@
             return wanted
         missed = now >= self.pointed + self.span  # one that was brought up past the point
         new = any(
-            member.life is Life.COMPARED
+            member.life is MemberState.COMPARED
             and (member.joined > roster.compared or (missed and one.digest_at < roster.compared))
             for member, one in zip(members, told)
         )
--- a/indigohitch/fleet/members/leases.py
+++ b/indigohitch/fleet/membership/leases.py
@@ -17,8 +17,8 @@
 from dataclasses import dataclass, field
 
 from ...encoding.rows import Row
-from ..terms import Lease
-from .words import NotRenewed, Renew, Renewed
+from ..types import Lease
+from .messages import LeaseNotRenewed, LeaseRenewed, RenewLease
 
 # Askings a lease.  Three may be lost or late before a lease runs out.
 ASKINGS = 4
@@ -28,21 +28,21 @@
 REMEMBERED = 2 * ASKINGS
 
 
-def held(span: int, drift: float) -> int:
+def holder_span(span: int, drift: float) -> int:
     """How long a holder may count, by its clock."""
     return max(0, math.floor(span * (1 - drift)) - READING)
 
 
-def given(span: int, drift: float) -> int:
+def grantor_span(span: int, drift: float) -> int:
     """How long a giver must count, by its clock."""
     return math.ceil(span * (1 + drift)) + READING
 
 
-class Holder:
+class LeaseHolder:
     """The member's side.  `until`: by its own clock; it may act while `now < until`."""
 
     def __init__(self, span: int, drift: float) -> None:
-        self.span, self.length = span, held(span, drift)
+        self.span, self.length = span, holder_span(span, drift)
         self.incarnation = self.until = 0
         self.number, self.due = 0, 0
         self.sent: dict[int, int] = {}  # number -> when, before it went out
@@ -68,7 +68,7 @@
         self.due = now + self.span // ASKINGS
         return self.number
 
-    def heard(self, word: Renewed, age: int = 0) -> int:
+    def heard(self, word: LeaseRenewed, age: int = 0) -> int:
         """Counted from before the asking that it answers; one that comes twice or late gives nothing more.
         `age`: what the answer goes by was true so long before it was sent.  Returns until when this answer
         alone lets the holder act; 0: not at all."""
@@ -92,7 +92,7 @@
 
 class Answer(Row, frozen=True):
     to: str
-    word: Renewed | NotRenewed
+    word: LeaseRenewed | LeaseNotRenewed
 
 
 @dataclass(slots=True)
@@ -101,19 +101,19 @@
 
     number: int
     begun: int
-    askings: dict[str, Renew] = field(default_factory=dict)
+    askings: dict[str, RenewLease] = field(default_factory=dict)
 
 
-class Giver:
+class LeaseGrantor:
     """The leader's side.  `fit(name, incarnation)` says why that one gets none, "" where it does: by the
     state (roster.Roster.unfit), and nobody whose shutting out this leader has proposed."""
 
     def __init__(self, span: int, drift: float, fit: Callable[[str, int], str]) -> None:
-        self.span, self.length, self.fit = span, given(span, drift), fit
+        self.span, self.length, self.fit = span, grantor_span(span, drift), fit
         self.term = 0  # 0: does not lead
         self.assumed = 0  # until then anyone may hold one, of a leader before
         self.until: dict[tuple[str, int], int] = {}  # given by this one since its election
-        self.waiting: dict[str, Renew] = {}
+        self.waiting: dict[str, RenewLease] = {}
         self.round: Round | None = None
         self.reads = 0
 
@@ -126,9 +126,9 @@
         self.waiting.clear()
         self.until.clear()
 
-    def came(self, now: int, name: str, word: Renew) -> list[ReadFirst | Answer]:
+    def came(self, now: int, name: str, word: RenewLease) -> list[ReadFirst | Answer]:
         if not self.term:
-            return [Answer(name, NotRenewed(word.number, word.incarnation, "does not lead"))]
+            return [Answer(name, LeaseNotRenewed(word.number, word.incarnation, "does not lead"))]
         self.waiting[name] = word
         # A read that is not answered within a quarter is given up: its askings have asked again by then.
         if self.round is not None and now < self.round.begun + self.span // ASKINGS:
@@ -154,14 +154,14 @@
         ]
         return out + self.read(now)
 
-    def answer(self, now: int, name: str, word: Renew, ok: bool) -> Renewed | NotRenewed:
+    def answer(self, now: int, name: str, word: RenewLease, ok: bool) -> LeaseRenewed | LeaseNotRenewed:
         one = name, word.incarnation
         if not ok:
-            return NotRenewed(word.number, word.incarnation, "no majority confirmed the leader")
+            return LeaseNotRenewed(word.number, word.incarnation, "no majority confirmed the leader")
         if why := self.fit(*one):
-            return NotRenewed(word.number, word.incarnation, why, why in OVER)
+            return LeaseNotRenewed(word.number, word.incarnation, why, why in OVER)
         self.until[one] = max(self.until.get(one, 0), now + self.length)
-        return Renewed(word.number, word.incarnation, self.term)
+        return LeaseRenewed(word.number, word.incarnation, self.term)
 
     def over(self, now: int, name: str, incarnation: int) -> bool:
         """Its lease has surely run out, by the giver's reckoning.  True only at a leader."""
--- a/indigohitch/fleet/members/work.py
+++ b/indigohitch/fleet/membership/member_work.py
@@ -13,13 +13,13 @@
 import msgspec
 
 from ...encoding.rows import Row
-from ..ports import Wanted
-from ..terms import Entry, Lease, Outcome
-from .entries import Agreed, Back, Compare, Gone, InForce, Join, Leave, Life, ShutOut
-from .judge import Judge
-from .leases import Answer, Giver, Holder, ReadFirst
+from ..interfaces import ProposalRequest
+from ..types import Lease, LogEntry, Outcome
+from .entries import Agreed, Compare, Evicted, InForce, Join, LeaseExpired, Leave, MemberState, Readmitted
+from .failure_detector import FailureDetector
+from .leases import Answer, LeaseGrantor, LeaseHolder, ReadFirst
+from .messages import LeaseNotRenewed, LeaseRenewed, RenewLease
 from .roster import LATER, Roster
-from .words import NotRenewed, Renew, Renewed
 
 
 class Phase(enum.StrEnum):
@@ -40,9 +40,9 @@
         """`span` of a lease, `drift` as in leases.py; `token()`: 62 bits of chance, another at each call."""
         self.me, self.votes, self.roster, self.draw = me, votes, roster, token
         self.phase, self.incarnation, self.token = Phase.JOINING, 0, token()
-        self.holder = Holder(span, drift)
-        self.giver = Giver(span, drift, self.unfit)
-        self.judge = Judge(roster, span, self.giver.over)
+        self.holder = LeaseHolder(span, drift)
+        self.giver = LeaseGrantor(span, drift, self.unfit)
+        self.judge = FailureDetector(roster, span, self.giver.over)
         self.reports: dict[str, tuple[int, Mapping[str, bytes]]] = {}  # at the leader: when, by work
         self.out: set[str] = set()  # tags of proposals whose outcome isn't known
         self.evidence: tuple[int, bytes, bytes] | None = None  # point, own digest, that of the others
@@ -68,7 +68,7 @@
 
     # ---- words -------------------------------------------------------------------------------------
 
-    def renew(self, now: int, wall: int, acts: int, reports: Mapping[str, bytes]) -> Renew | None:
+    def renew(self, now: int, wall: int, acts: int, reports: Mapping[str, bytes]) -> RenewLease | None:
         """Asked each beat, with `now` read before: what goes to the leader now, if anything is due.  Compared
         members ask too: that is how their digest comes to the leader."""
         if self.phase not in (Phase.COMPARED, Phase.VALID):
@@ -77,7 +77,7 @@
             return None
         point = self.roster.compared
         own = self.roster.digests.get(point, b"")
-        return Renew(
+        return RenewLease(
             number,
             self.incarnation,
             self.roster.state_machine.index,
@@ -91,12 +91,12 @@
     def heard(self, now: int, sender: str, word: Row) -> list[ReadFirst | Answer]:
         """`now` read after the word came."""
         match word:
-            case Renewed():
+            case LeaseRenewed():
                 self.holder.heard(word)
                 self.refusal = ""
-            case NotRenewed() if word.incarnation == self.incarnation:
+            case LeaseNotRenewed() if word.incarnation == self.incarnation:
                 self.refusal = word.why
-            case Renew():
+            case RenewLease():
                 if self.giver.term:
                     self.judge.heard(now, sender, word)
                     self.reports[sender] = now, word.reports
@@ -126,16 +126,16 @@
 
     # ---- as a work -----------------------------------------------------------------------------------
 
-    def applied(self, now: int, entry: Entry, outcome: Outcome) -> list[Wanted]:
+    def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         return self.look(now) if entry.kind.startswith("members.") else []
 
-    def restored(self, now: int) -> list[Wanted]:
+    def restored(self, now: int) -> list[ProposalRequest]:
         return self.look(now)
 
-    def turn(self, now: int, lease: Lease | None) -> list[Wanted]:
+    def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
         return self.look(now)
 
-    def look(self, now: int) -> list[Wanted]:
+    def look(self, now: int) -> list[ProposalRequest]:
         """What the state machine says of this incarnation, against what this process takes itself for."""
         roster, agreed = self.roster, self.roster.agreed
         own = roster.digests.get(agreed.index)
@@ -147,14 +147,14 @@
             if member is None or member.why == LATER:
                 self.phase = Phase.REPLACED
                 self.holder.drop()
-            elif member.life in (Life.SHUT_OUT, Life.GONE):
+            elif member.life in (MemberState.SHUT_OUT, MemberState.GONE):
                 self.refusal = f"{why}: {member.why}"
                 self.anew()
         elif self.phase is Phase.COMPARED:
             self.phase = Phase.VALID
         if self.phase is Phase.JOINING and "join" not in self.out:
             self.out.add("join")
-            return [Wanted("members.join", Join(self.me, self.token, self.votes), "join")]
+            return [ProposalRequest("members.join", Join(self.me, self.token, self.votes), "join")]
         return []
 
     def anew(self) -> None:
@@ -162,7 +162,7 @@
         self.holder.drop()
         self.phase, self.incarnation, self.token = Phase.JOINING, 0, self.draw()
 
-    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[Wanted]:
+    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         self.out.discard(tag)
         if tag != "join" or self.phase is not Phase.JOINING or outcome is None or outcome.refused:
             return []
@@ -170,18 +170,18 @@
         self.holder.begin(self.incarnation)
         return self.look(now)
 
-    def leave(self) -> list[Wanted]:
+    def leave(self) -> list[ProposalRequest]:
         """At an orderly end, after the last act: what it holds is free with this entry."""
         if self.phase not in (Phase.COMPARED, Phase.VALID):
             return []
         self.holder.drop()
         self.phase = Phase.LEFT
-        return [Wanted("members.leave", Leave(self.me, self.incarnation), "leave")]
+        return [ProposalRequest("members.leave", Leave(self.me, self.incarnation), "leave")]
 
     def report(self, now: int) -> bytes:
         return b""
 
-    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[Wanted]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         """One whose state differs proposes nothing by it: the process gives up leading (`Phase.DIFFERS`)."""
         if not self.giver.term or self.phase is Phase.DIFFERS:
             return []
@@ -191,7 +191,7 @@
             tag = f"{word} {about}"
             if tag not in self.out:
                 self.out.add(tag)
-                wanted.append(Wanted(f"members.{word}", row, tag))
+                wanted.append(ProposalRequest(f"members.{word}", row, tag))
         return wanted
 
     def figures(self) -> dict:
@@ -221,11 +221,11 @@
 def word_of(row: Row) -> tuple[str, str]:
     """The word of the judge's entry (`members.word`), and whom it is about, "" where it is about all."""
     match row:
-        case ShutOut():
+        case Evicted():
             return "shut_out", f"{row.name} {row.incarnation}"
-        case Gone():
+        case LeaseExpired():
             return "gone", f"{row.name} {row.incarnation}"
-        case Back():
+        case Readmitted():
             return "back", f"{row.name} {row.incarnation}"
         case Compare():
             return "compare", ""
--- a/indigohitch/fleet/members/words.py
+++ b/indigohitch/fleet/membership/messages.py
@@ -7,7 +7,7 @@
 from ...encoding.rows import Row
 
 
-class Renew(Row, frozen=True):
+class RenewLease(Row, frozen=True):
     """A member to the leader, each quarter of a lease.  `number` counts the askings of this process."""
 
     number: int
@@ -20,7 +20,7 @@
     reports: Mapping[str, bytes] = {}  # of its works, by name
 
 
-class Renewed(Row, frozen=True):
+class LeaseRenewed(Row, frozen=True):
     """The leader's answer, after a read confirmed by a majority that began after the asking came."""
 
     number: int
@@ -28,7 +28,7 @@
     term: int = 0
 
 
-class NotRenewed(Row, frozen=True):
+class LeaseNotRenewed(Row, frozen=True):
     """No lease: `why`; `over`: this incarnation never gets one again.  `again`: when to ask again."""
 
     number: int
@@ -38,4 +38,4 @@
     again: int = 1_000
 
 
-WORDS = (Renew, Renewed, NotRenewed)
+MESSAGE_TYPES = (RenewLease, LeaseRenewed, LeaseNotRenewed)
--- a/indigohitch/fleet/members/roster.py
+++ b/indigohitch/fleet/membership/roster.py
@@ -14,22 +14,22 @@
 from ...encoding.rows import Row
 from ...errors import InvalidDataError, InvalidRequestError
 from ...net.clock import SECOND
-from ..ports import At, HearsEnded, HearsGone, HearsInForce, HearsJoined, HearsShutOut, hearing
+from ..interfaces import EntryContext, HearsEnded, HearsGone, HearsInForce, HearsJoined, HearsShutOut, hearing
 from ..state_machine import ReplicatedStateMachine
 from .entries import (
     Agreed,
     Announce,
-    Back,
     Change,
     Compare,
-    Gone,
+    Evicted,
     InForce,
     Join,
+    LeaseExpired,
     Leave,
-    Life,
     Member,
+    MemberState,
+    Readmitted,
     RosterRow,
-    ShutOut,
 )
 
 # Start tokens remembered for each name, so that a join that comes twice is answered, not carried out twice.
@@ -44,11 +44,11 @@
     kinds: Mapping[str, type[Row]] = {
         "join": Join,
         "leave": Leave,
-        "shut_out": ShutOut,
-        "gone": Gone,
+        "shut_out": Evicted,
+        "gone": LeaseExpired,
         "compare": Compare,
         "agreed": Agreed,
-        "back": Back,
+        "back": Readmitted,
         "in_force": InForce,
         "change": Announce,
     }
@@ -69,7 +69,7 @@
     def unfit(self, name: str, incarnation: int) -> str:
         """Why it may not act; "" where it may, as far as entries tell (it needs its lease too)."""
         if (member := self.members.get((name, incarnation))) is not None:
-            return "" if member.life is Life.VALID else member.life.value
+            return "" if member.life is MemberState.VALID else member.life.value
         return LATER if incarnation < self.highest.get(name, 0) else "not joined"
 
     @property
@@ -78,13 +78,17 @@
         return self.changes[-1].index if self.changes else self.in_force
 
     def valid(self) -> list[Member]:
-        return [member for member in self.members.values() if member.life is Life.VALID]
+        return [member for member in self.members.values() if member.life is MemberState.VALID]
 
     def present(self) -> list[Member]:
         """All that may still act: those valid, and those shut out whose lease may run."""
-        return [member for member in self.members.values() if member.life in (Life.VALID, Life.SHUT_OUT)]
+        return [
+            member
+            for member in self.members.values()
+            if member.life in (MemberState.VALID, MemberState.SHUT_OUT)
+        ]
 
-    def changed(self, at: At, what: str, hard: bool = False, allowed: int = 0) -> None:
+    def changed(self, at: EntryContext, what: str, hard: bool = False, allowed: int = 0) -> None:
         """For parts, within the entry that changes what the fleet acts by.  A hard one (a contract cut, a
         member or server removed) may count on the old version's end only once it is in force: `in_force`
         has reached that entry, and `change_in_force(at, version, taken)` of each part that has it is
@@ -99,7 +103,7 @@
 
     # ---- entries -----------------------------------------------------------------------------------
 
-    def apply(self, at: At, word: str, body: Row) -> object:
+    def apply(self, at: EntryContext, word: str, body: Row) -> object:
         match word:
             case "join":
                 return self.on_join(at, body)
@@ -121,7 +125,7 @@
                 return self.on_change(at, body)
         raise ValueError(f"no word of this part: {word}")
 
-    def on_join(self, at: At, join: Join) -> int:
+    def on_join(self, at: EntryContext, join: Join) -> int:
         """The incarnation: it only grows for that name."""
         tokens = self.tokens.setdefault(join.name, [])
         for token, incarnation in tokens:
@@ -136,7 +140,7 @@
             del self.state_machine.proposers[old]  # starts that are over would pile up
         for member in [member for member in self.members.values() if member.name == join.name]:
             self.shut(at, member, LATER)
-            if member.life is Life.GONE:
+            if member.life is MemberState.GONE:
                 self.members.pop((member.name, member.incarnation), None)
         self.members[join.name, incarnation] = Member(
             join.name, incarnation, join.votes, at.index, since=at.index
@@ -145,18 +149,18 @@
             part.member_joined(at, join.name, incarnation)
         return incarnation
 
-    def shut(self, at: At, member: Member, why: str) -> None:
+    def shut(self, at: EntryContext, member: Member, why: str) -> None:
         """One that was never valid holds nothing: it is gone at once."""
-        if member.life is Life.VALID:
-            member.life, member.since, member.why = Life.SHUT_OUT, at.index, why
+        if member.life is MemberState.VALID:
+            member.life, member.since, member.why = MemberState.SHUT_OUT, at.index, why
             for part in hearing(self.state_machine.parts, HearsShutOut):
                 part.member_shut_out(at, member.name, member.incarnation)
-        elif member.life is Life.COMPARED:
+        elif member.life is MemberState.COMPARED:
             member.why = why
             self.end(at, member)
 
-    def end(self, at: At, member: Member, when: int = 0) -> None:
-        member.life, member.since = Life.GONE, at.index
+    def end(self, at: EntryContext, member: Member, when: int = 0) -> None:
+        member.life, member.since = MemberState.GONE, at.index
         for part in hearing(self.state_machine.parts, HearsEnded):
             part.member_ended(at, member.name, member.incarnation, when)
         for part in hearing(self.state_machine.parts, HearsGone):
@@ -164,7 +168,7 @@
         if member.incarnation < self.highest[member.name]:  # of each name the last one gone is told of
             del self.members[member.name, member.incarnation]
 
-    def known(self, name: str, incarnation: int, *lives: Life) -> Member:
+    def known(self, name: str, incarnation: int, *lives: MemberState) -> Member:
         member = self.members.get((name, incarnation))
         if member is None or member.life not in lives:
             raise InvalidRequestError(
@@ -172,20 +176,22 @@
             )
         return member
 
-    def on_leave(self, at: At, leave: Leave) -> None:
+    def on_leave(self, at: EntryContext, leave: Leave) -> None:
         if (at.proposer, at.incarnation) != (leave.name, leave.incarnation):
             raise InvalidRequestError("a member leaves by itself")
-        member = self.known(leave.name, leave.incarnation, Life.COMPARED, Life.VALID, Life.SHUT_OUT)
+        member = self.known(
+            leave.name, leave.incarnation, MemberState.COMPARED, MemberState.VALID, MemberState.SHUT_OUT
+        )
         member.why = "left"
         self.end(at, member)
 
-    def on_shut_out(self, at: At, out: ShutOut) -> None:
-        self.shut(at, self.known(out.name, out.incarnation, Life.COMPARED, Life.VALID), out.why)
+    def on_shut_out(self, at: EntryContext, out: Evicted) -> None:
+        self.shut(at, self.known(out.name, out.incarnation, MemberState.COMPARED, MemberState.VALID), out.why)
 
-    def on_gone(self, at: At, gone: Gone) -> None:
-        self.end(at, self.known(gone.name, gone.incarnation, Life.SHUT_OUT), gone.when)
+    def on_gone(self, at: EntryContext, gone: LeaseExpired) -> None:
+        self.end(at, self.known(gone.name, gone.incarnation, MemberState.SHUT_OUT), gone.when)
 
-    def on_compare(self, at: At, body: Compare) -> int:
+    def on_compare(self, at: EntryContext, body: Compare) -> int:
         """The digest as the state stands within this entry; each member's is its own, and not told here."""
         self.compared = at.index
         self.digests[at.index] = self.state_machine.digest()
@@ -193,22 +199,22 @@
             del self.digests[old]
         return at.index
 
-    def on_agreed(self, at: At, agreed: Agreed) -> None:
+    def on_agreed(self, at: EntryContext, agreed: Agreed) -> None:
         if agreed.index <= self.agreed.index:
             raise InvalidRequestError(f"point {agreed.index} after {self.agreed.index}")
         self.agreed = agreed
 
-    def on_back(self, at: At, back: Back) -> None:
-        member = self.known(back.name, back.incarnation, Life.COMPARED)
+    def on_back(self, at: EntryContext, back: Readmitted) -> None:
+        member = self.known(back.name, back.incarnation, MemberState.COMPARED)
         if back.index < member.joined:
             raise InvalidRequestError(f"compared at {back.index}, joined at {member.joined}")
-        member.life, member.since = Life.VALID, at.index
+        member.life, member.since = MemberState.VALID, at.index
 
-    def on_change(self, at: At, change: Announce) -> int:
+    def on_change(self, at: EntryContext, change: Announce) -> int:
         self.changed(at, change.what, change.hard, change.allowed)
         return at.index
 
-    def on_in_force(self, at: At, body: InForce) -> None:
+    def on_in_force(self, at: EntryContext, body: InForce) -> None:
         if not self.in_force < body.version < at.index:
             raise InvalidRequestError(f"version {body.version} after {self.in_force}")
         self.in_force = body.version
@@ -240,8 +246,12 @@
         self.digests.clear()
 
 
-def changed(
-    state_machine: ReplicatedStateMachine | None, at: At, what: str, hard: bool = False, allowed: int = SECOND
+def announce_change(
+    state_machine: ReplicatedStateMachine | None,
+    at: EntryContext,
+    what: str,
+    hard: bool = False,
+    allowed: int = SECOND,
 ) -> None:
     """For other parts of the state machine: `Roster.changed`, where the state machine has a roster."""
     roster = state_machine.parts.get("members") if state_machine is not None else None
--- a/indigohitch/fleet/node/asked.py
+++ b/indigohitch/fleet/node/admin_requests.py
@@ -20,10 +20,10 @@
 import msgspec
 
 from ...errors import InvalidRequestError, UnavailableError
-from ..batches.asking import batch_of, word_of
-from ..distribution.asking import entry_of
-from ..terms import Outcome
-from .words import BODY
+from ..batches.admin_requests import batch_of, word_of
+from ..distribution.admin_requests import entry_of
+from ..types import Outcome
+from .messages import BODY
 
 if TYPE_CHECKING:
     from .node import Node
@@ -31,7 +31,7 @@
 SHOWN = 256  # entries of `ledger`
 
 
-class Asked:
+class AdminRequests:
     def __init__(self, node: Node | None, answer: Callable[[dict], None]) -> None:
         self.node, self.answer = node, answer
 
--- a/indigohitch/fleet/node/inside.py
+++ b/indigohitch/fleet/node/companion.py
@@ -13,18 +13,18 @@
 from ...net.loop import EventLoop
 from ...upgradable_process import UpgradableProcess
 from ...upgrade.handover_participant import HandoverParticipant
-from ..ports import Work
-from .asked import Asked
-from .figures import figures
+from ..interfaces import Work
+from .admin_requests import AdminRequests
 from .node import Node
 from .phases import Phase
+from .status import figures
 
 AGAIN = SECOND // 5  # a disk or port that the process before this one still holds
 # Of a leaving that no majority takes note of: the lease runs out instead.
 LEAVING = 3 * SECOND // 2
 
 
-class Inside:
+class NodeCompanion:
     """`alone`: the process is nothing but this member, and ends where it can't be one; else its front goes on
     without the fleet.  `follows`: it was started for an upgrade.  `ended`: the member can't go on."""
 
@@ -104,7 +104,7 @@
             self.node.assembly.felt(now, rpc, latency)
 
     def asked(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
-        return Asked(self.node, answer).word(what, line)
+        return AdminRequests(self.node, answer).word(what, line)
 
     def work(self, name: str) -> Work | None:
         """A part's work in this process, None while the node is closed."""
@@ -121,7 +121,7 @@
     """A side of an upgrade (upgrade.side.Side) whose process has a node too.  Disk and port have one owner:
     the old process closes them before its word goes out, the new one opens them after."""
 
-    def __init__(self, side: HandoverParticipant, inside: Inside) -> None:
+    def __init__(self, side: HandoverParticipant, inside: NodeCompanion) -> None:
         self.side, self.inside = side, inside
 
     def __getattr__(self, name: str):
@@ -151,7 +151,7 @@
         self.inside.open()
 
 
-def beside(
+def node_companion(
     process: UpgradableProcess, side: HandoverParticipant, text: FleetText | None, alone: bool, follows: bool
 ) -> HandoverParticipant:
     """Puts a node beside the process' front, where its file has a fleet."""
@@ -164,5 +164,5 @@
             process.loop.after(0, process.end)
 
     if process.beside is None:
-        process.beside = Inside(process.loop, process.log, text, alone, follows, ended)
+        process.beside = NodeCompanion(process.loop, process.log, text, alone, follows, ended)
     return Handed(side, process.beside)
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -13,28 +13,28 @@
 from ...log import Log
 from ...net.due_timer import DueTimer
 from ...net.loop import EventLoop
-from ..disk.store import Disk
-from ..ledger.machine import Machine
-from ..ledger.ports import (
-    Became,
-    Commit,
-    Due,
-    Held,
+from ..raft.interfaces import (
+    ApplyEntries,
     Input,
-    Install,
+    LogNote,
     Members,
-    Note,
     Output,
-    Readable,
-    Send,
-    Snap,
+    ProposalRejected,
+    ReadConfirmed,
+    RecoveredState,
+    RestoreSnapshot,
+    RoleChanged,
+    SendMessage,
+    Snapshot,
     TakeSnapshot,
-    Turned,
-    Write,
+    Tick,
+    WriteEntries,
 )
-from ..links.links import Links
+from ..raft.node import RaftNode
 from ..state_machine import ReplicatedStateMachine
-from ..terms import Entry, Outcome, Proposal, Who
+from ..storage.store import Storage
+from ..transport.links import Transport
+from ..types import LogEntry, MemberId, Outcome, Proposal
 
 RECENT = 512  # entries whose digests people can ask for
 
@@ -46,8 +46,8 @@
         self,
         loop: EventLoop,
         log: Log,
-        disk: Disk,
-        links: Links,
+        disk: Storage,
+        links: Transport,
         state_machine: ReplicatedStateMachine,
         bootstrap: Mapping,
         chance: Callable[[], float],
@@ -55,22 +55,22 @@
     ) -> None:
         self.loop, self.log, self.disk, self.links, self.state_machine = loop, log, disk, links, state_machine
         self.bootstrap, self.chance, self.broken = bootstrap, chance, broken
-        self.machine: Machine | None = None
+        self.machine: RaftNode | None = None
         self.waiting: deque[Input] = deque()
         self.stepping = False
-        self.timer = DueTimer(loop, self.next_due, lambda: self.step(Due()))
-        self.recent: deque[tuple[Entry, bytes, Outcome]] = deque(maxlen=RECENT)  # without bodies; digests
-        self.on_applied: Callable[[Entry, Outcome], None] = lambda entry, outcome: None
+        self.timer = DueTimer(loop, self.next_due, lambda: self.step(Tick()))
+        self.recent: deque[tuple[LogEntry, bytes, Outcome]] = deque(maxlen=RECENT)  # without bodies; digests
+        self.on_applied: Callable[[LogEntry, Outcome], None] = lambda entry, outcome: None
         self.on_restored: Callable[[], None] = lambda: None
         self.on_turned: Callable[[Proposal, int], None] = lambda proposal, again: None
         self.on_readable: Callable[[int, int, bool], None] = lambda number, index, ok: None
-        self.on_became: Callable[[Became], None] = lambda became: None
+        self.on_became: Callable[[RoleChanged], None] = lambda became: None
 
-    def begin(self, me: Who, held: Held) -> None:
+    def begin(self, me: MemberId, held: RecoveredState) -> None:
         """Raises Unreadable for a state machine that can't be read."""
         if held.snap.state:
             self.state_machine.restore(held.snap.state)
-        self.machine = Machine(me, held, self.bootstrap, self.chance, self.loop.clock.now())
+        self.machine = RaftNode(me, held, self.bootstrap, self.chance, self.loop.clock.now())
         self.on_restored()
         self.timer.arm()
 
@@ -83,7 +83,7 @@
         return self.machine is not None and self.machine.role.value == "leader"
 
     @property
-    def leader(self) -> Who | None:
+    def leader(self) -> MemberId | None:
         return self.machine.leader if self.machine is not None else None
 
     # ---- in and out --------------------------------------------------------------------------------
@@ -108,26 +108,26 @@
 
     def carry(self, output: Output) -> None:
         match output:
-            case Send(to, word):
+            case SendMessage(to, word):
                 self.links.say(to, word)
-            case Write():
+            case WriteEntries():
                 self.disk.write(output)
-            case Commit(entries):
+            case ApplyEntries(entries):
                 for entry in entries:
                     self.apply(entry)
-            case Install(snap):
+            case RestoreSnapshot(snap):
                 if snap.index > self.state_machine.index:  # else it comes again, after a disk that failed
                     self.state_machine.restore(snap.state)
                     self.log.event("snapshot_taken_over", index=snap.index, bytes=len(snap.state))
                     self.on_restored()
                 self.disk.snapshot(snap, False)
             case TakeSnapshot(index, term, members):
-                self.disk.snapshot(Snap(index, term, members, self.state_machine.snapshot()), True)
-            case Turned(proposal, again):
+                self.disk.snapshot(Snapshot(index, term, members, self.state_machine.snapshot()), True)
+            case ProposalRejected(proposal, again):
                 self.on_turned(proposal, again)
-            case Readable(number, index, ok):
+            case ReadConfirmed(number, index, ok):
                 self.on_readable(number, index, ok)
-            case Became():
+            case RoleChanged():
                 self.log.event(
                     "ledger_role",
                     role=output.role,
@@ -135,10 +135,10 @@
                     leader=output.leader.name if output.leader else "",
                 )
                 self.on_became(output)
-            case Note(event, fields):
+            case LogNote(event, fields):
                 self.log.event(event, **fields)
 
-    def apply(self, entry: Entry) -> None:
+    def apply(self, entry: LogEntry) -> None:
         outcome = self.state_machine.apply(entry)
         check = digest(msgspec.msgpack.encode(entry))
         self.recent.append(
--- a/indigohitch/fleet/node/without_front.py
+++ b/indigohitch/fleet/node/headless.py
@@ -7,7 +7,7 @@
 from ...upgradable_process import UpgradableProcess
 
 
-class WithoutFront(UpgradableProcess):
+class HeadlessProcess(UpgradableProcess):
     def __init__(self, text: Text) -> None:
         self.text = text
         super().__init__(text.single["name"], text.single, text.waits)
--- a/indigohitch/fleet/node/bare.py
+++ b/indigohitch/fleet/node/headless_handover.py
@@ -9,7 +9,7 @@
 from ...upgrade import snapshot as shots
 
 
-class Bare:
+class HeadlessHandover:
     """All that is handed over is the control socket: the record is on the disk (upgrade.side.Side)."""
 
     def __init__(
--- a/indigohitch/fleet/node/alone.py
+++ b/indigohitch/fleet/node/headless_member.py
@@ -7,23 +7,23 @@
 from ...config.texts import Text
 from ...upgrade import process_launch
 from ...upgrade.handover_participant import HandoverParticipant
-from .bare import Bare
-from .inside import beside
-from .without_front import WithoutFront
+from .companion import node_companion
+from .headless import HeadlessProcess
+from .headless_handover import HeadlessHandover
 
 
-class Alone(WithoutFront):
+class HeadlessMember(HeadlessProcess):
     def __init__(self, text: Text, follows: bool) -> None:
         self.follows = follows
         super().__init__(text)
 
     def make_side(self) -> HandoverParticipant:
-        side = Bare(self.clock, self.controls, self.control_taken, self.reload)
-        return beside(self, side, self.text.fleet, True, self.follows)
+        side = HeadlessHandover(self.clock, self.controls, self.control_taken, self.reload)
+        return node_companion(self, side, self.text.fleet, True, self.follows)
 
 
 def main(text: Text) -> int:
     """Raises OSError."""
     channel = process_launch.inherited_channel()
     os.set_blocking(1, False)
-    return Alone(text, channel is not None).run(channel)
+    return HeadlessMember(text, channel is not None).run(channel)
--- a/indigohitch/fleet/node/introductions.py
+++ b/indigohitch/fleet/node/introductions.py
@@ -4,33 +4,33 @@
 
 from collections.abc import Callable
 
-from ..disk.store import Disk
-from ..links.links import Links
-from ..links.words import Welcome
-from ..terms import Who
+from ..storage.store import Storage
+from ..transport.links import Transport
+from ..transport.messages import HandshakeAccepted
+from ..types import MemberId
 
 
 class Introductions:
     """`listed`: the names of the voters in this member's file, sorted."""
 
-    def __init__(self, disk: Disk, links: Links, listed: Callable[[], tuple[str, ...]]) -> None:
+    def __init__(self, disk: Storage, links: Transport, listed: Callable[[], tuple[str, ...]]) -> None:
         self.disk, self.links, self.listed = disk, links, listed
 
     def highest(self, name: str) -> int:
         """The highest number met of that name; 0 before any."""
         return self.disk.identity.met.get(name, 0)
 
-    def welcome(self, who: Who) -> Welcome:
+    def welcome(self, who: MemberId) -> HandshakeAccepted:
         """The answer to one that greets."""
         identity = self.disk.identity
-        return Welcome(
+        return HandshakeAccepted(
             self.links.me,
             self.links.token,
             self.highest(who.name),
             identity.founders if identity.number else self.listed(),
         )
 
-    def met(self, who: Who) -> str:
+    def met(self, who: MemberId) -> str:
         """Why it may not speak, "" where it may; then its number is kept."""
         if 0 < who.number < self.highest(who.name):
             return f"{who.name} comes with an old disk, number {who.number}"
--- a/indigohitch/fleet/node/admitting.py
+++ b/indigohitch/fleet/node/join.py
@@ -3,21 +3,21 @@
 from __future__ import annotations
 
 from ...net.clock import SECOND
-from ..ledger.ports import Change, Members
-from ..terms import Who
-from . import founding
+from ..raft.interfaces import ChangeMembers, Members
+from ..types import MemberId
+from . import cluster_bootstrap
+from .messages import JoinRequest, JoinResponse
 from .phases import Phase
 from .ports import NodeContext
-from .words import Admit, Admitted
 
 ASK = SECOND // 2  # some beats: a change of members takes two commits
 SAY = 10 * SECOND  # between two log lines on the same waiting
 
 
-class Admitting:
+class JoinProcedure:
     def __init__(self, node: NodeContext) -> None:
         self.node = node
-        self.admission = founding.Admission()
+        self.admission = cluster_bootstrap.Admission()
         self.ask_due = self.say_due = 0
 
     def beat(self, now: int) -> None:
@@ -26,7 +26,7 @@
             self.fresh(now)
         elif node.phase is Phase.TAKING_PART and now >= self.ask_due:
             me, members = node.links.me, node.driver.members
-            if not founding.stands(me, node.votes, members):
+            if not cluster_bootstrap.stands(me, node.votes, members):
                 self.ask(now, me.number)
 
     # ---- with a new disk ---------------------------------------------------------------------------
@@ -34,11 +34,11 @@
     def fresh(self, now: int) -> None:
         node, voters = self.node, self.node.listed()
         welcomes = {name: link.welcome for name, link in node.links.peers.items()}
-        way, why = founding.way(node.text.me, node.votes, voters, welcomes)
-        if way is founding.Way.FOUND:
+        way, why = cluster_bootstrap.bootstrap_mode(node.text.me, node.votes, voters, welcomes)
+        if way is cluster_bootstrap.BootstrapMode.FOUND:
             node.log.event("founds", voters=list(voters))
-            self.begin(1, voters, founding.founders(voters))
-        elif way is founding.Way.ASK and now >= self.ask_due:
+            self.begin(1, voters, cluster_bootstrap.founders(voters))
+        elif way is cluster_bootstrap.BootstrapMode.ASK and now >= self.ask_due:
             self.ask(now, 0)
         if why and now >= self.say_due:
             self.say_due = now + SAY
@@ -62,11 +62,11 @@
         self.ask_due = now + ASK
         node = self.node
         for name in node.links.peers:
-            node.links.say_to(name, Admit(node.text.me, node.token, number, node.votes))
+            node.links.say_to(name, JoinRequest(node.text.me, node.token, number, node.votes))
         if node.driver.leads:
-            self.asked(node.links.me, Admit(node.text.me, node.token, number, node.votes))
+            self.asked(node.links.me, JoinRequest(node.text.me, node.token, number, node.votes))
 
-    def admitted(self, who: Who, word: Admitted) -> None:
+    def admitted(self, who: MemberId, word: JoinResponse) -> None:
         node = self.node
         if node.phase is not Phase.FRESH or word.token != node.token or word.who.name != node.text.me:
             return
@@ -75,7 +75,7 @@
 
     # ---- at the leader -----------------------------------------------------------------------------
 
-    def asked(self, sender: Who, word: Admit) -> None:
+    def asked(self, sender: MemberId, word: JoinRequest) -> None:
         """A number is told only once the entry that holds it is committed: two that both believe they lead
         never give the same one out."""
         node, name = self.node, sender.name
@@ -92,11 +92,11 @@
                 remedy="take its folder away and start it without",
             )
             return
-        if not founding.stands(who, listed.votes, machine.members):
-            node.driver.step(Change(who, votes=listed.votes))
+        if not cluster_bootstrap.stands(who, listed.votes, machine.members):
+            node.driver.step(ChangeMembers(who, votes=listed.votes))
         committed = machine.state.belonging.index <= machine.commit
         if not word.number and committed and who in machine.state.belonging.everyone:
-            node.links.say_to(name, Admitted(who, word.token, node.disk.identity.founders))
+            node.links.say_to(name, JoinResponse(who, word.token, node.disk.identity.founders))
 
     def take_out(self, name: str) -> str:
         """Why it can't be.  An operator's word, not the file's: a leader whose file is behind the others'
@@ -108,5 +108,5 @@
             who for who in node.driver.members.voters + node.driver.members.followers if who.name == name
         ]
         for who in found:
-            node.driver.step(Change(who, out=True))
+            node.driver.step(ChangeMembers(who, out=True))
         return "" if found else f"no member {name[:64]}"
--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..ledger.ports import HandOver
-from ..members.work import Phase as Member
+from ..membership.member_work import Phase as Member
+from ..raft.interfaces import TransferLeadership
 from .phases import Phase
 from .ports import NodeContext
 
@@ -31,7 +31,7 @@
         node = self.node
         if node.phase is Phase.LEAVING and node.driver.leads:
             if not node.belonging.leaves:
-                node.driver.step(HandOver())
+                node.driver.step(TransferLeadership())
             node.loop.after(node.text.waits["election"] // 2, self.hand_over)
 
     @property
--- a/indigohitch/fleet/node/belonging.py
+++ b/indigohitch/fleet/node/membership.py
@@ -9,14 +9,14 @@
 from ...errors import UnavailableError
 from ...log import Log
 from ...net.clock import Clock
-from ..ledger.ports import Became
-from ..members.leases import Answer, ReadFirst
-from ..members.work import Membership, Phase
-from ..terms import Lease, Who
+from ..membership.leases import Answer, ReadFirst
+from ..membership.member_work import Membership, Phase
+from ..raft.interfaces import RoleChanged
+from ..types import Lease, MemberId
 from .proposals import Proposals
 
 
-class Belonging:
+class MembershipDriver:
     """`read(done)`: one confirmed by a majority, `done(index or None)`; `tell(name, word)`: to a member, this
     one too; `acts()`: how many acts it has stamped."""
 
@@ -84,10 +84,10 @@
             if word is not None:
                 self.tell(leader, word)
 
-    def heard(self, sender: Who, word: Row) -> None:
+    def heard(self, sender: MemberId, word: Row) -> None:
         self.carry(self.membership.heard(self.clock.now(), sender.name, word))
 
-    def became(self, became: Became) -> None:
+    def became(self, became: RoleChanged) -> None:
         self.membership.became(self.clock.now(), became.role, became.term)
 
     def carry(self, out: list[ReadFirst | Answer]) -> None:
--- a/indigohitch/fleet/node/words.py
+++ b/indigohitch/fleet/node/messages.py
@@ -6,10 +6,10 @@
 from ...encoding.frames import MessageTypes
 from ...encoding.rows import Row
 from ..distribution import messages as distribution
-from ..ledger import words as ledger
-from ..links import words as links
-from ..members import words as members
-from ..terms import Proposal, Who
+from ..membership import messages as members
+from ..raft import messages as ledger
+from ..transport import messages as links
+from ..types import MemberId, Proposal
 
 
 class Forward(Row, frozen=True):
@@ -18,7 +18,7 @@
     proposal: Proposal
 
 
-class TurnedAway(Row, frozen=True):
+class ProposalRejected(Row, frozen=True):
     """It was not taken: come back in `again` tenths of a ms."""
 
     proposer: str
@@ -27,13 +27,13 @@
     again: int
 
 
-class ReadAsk(Row, frozen=True):
+class ReadIndexRequest(Row, frozen=True):
     """To the leader: how far must a state machine be that answers now?"""
 
     number: int
 
 
-class ReadAt(Row, frozen=True):
+class ReadIndexResponse(Row, frozen=True):
     """`ok` False: who was asked doesn't lead."""
 
     number: int
@@ -41,7 +41,7 @@
     ok: bool = True
 
 
-class Admit(Row, frozen=True):
+class JoinRequest(Row, frozen=True):
     """To whoever leads: the sender is not in the ledger as its file has it.  `number` 0: its disk is new;
     `token` of its start."""
 
@@ -51,40 +51,40 @@
     votes: bool = True
 
 
-class Admitted(Row, frozen=True):
+class JoinResponse(Row, frozen=True):
     """That number is in the ledger, and is the asker's if it bears that token."""
 
-    who: Who
+    who: MemberId
     token: int
     founders: tuple[str, ...]
 
 
 # In the order of their numbers on the wire: what is added goes to the end.
-WORDS = (
-    links.Greeting,
-    links.Welcome,
-    links.Refused,
-    links.Pulse,
-    links.Pulsed,
-    ledger.Ask,
-    ledger.Vote,
-    ledger.Append,
-    ledger.Appended,
-    ledger.Piece,
-    ledger.Pieced,
-    ledger.Take,
-    members.Renew,
-    members.Renewed,
-    members.NotRenewed,
+MESSAGE_TYPES = (
+    links.Handshake,
+    links.HandshakeAccepted,
+    links.HandshakeRefused,
+    links.Ping,
+    links.Pong,
+    ledger.RequestVote,
+    ledger.RequestVoteResponse,
+    ledger.AppendEntries,
+    ledger.AppendEntriesResponse,
+    ledger.InstallSnapshot,
+    ledger.InstallSnapshotResponse,
+    ledger.TimeoutNow,
+    members.RenewLease,
+    members.LeaseRenewed,
+    members.LeaseNotRenewed,
     Forward,
-    TurnedAway,
-    ReadAsk,
-    ReadAt,
-    Admit,
-    Admitted,
+    ProposalRejected,
+    ReadIndexRequest,
+    ReadIndexResponse,
+    JoinRequest,
+    JoinResponse,
     distribution.Report,
 )
-MACHINE = frozenset(ledger.WORDS)
+MACHINE = frozenset(ledger.MESSAGE_TYPES)
 # Of one frame: four messages of entries; a proposal's body is a tenth of it at most.
-KINDS = MessageTypes(b"IHfl", links.PROTOCOL, WORDS, 512 << 10)
+KINDS = MessageTypes(b"IHfl", links.PROTOCOL, MESSAGE_TYPES, 512 << 10)
 BODY = 48 << 10
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -9,24 +9,24 @@
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Deadline, EventLoop
-from ..disk.files import Files
-from ..disk.store import Disk
 from ..distribution.messages import Report
-from ..ledger.ports import Became, HandOver, Held
-from ..links.links import Links
-from ..members.words import NotRenewed, Renew, Renewed
-from ..members.work import Phase as Member
-from ..terms import Entry, Lease, Outcome, Who
-from .admitting import Admitting
-from .belonging import Belonging
+from ..membership.member_work import Phase as Member
+from ..membership.messages import LeaseNotRenewed, LeaseRenewed, RenewLease
+from ..raft.interfaces import RecoveredState, RoleChanged, TransferLeadership
+from ..storage.files import FileSystem
+from ..storage.store import Storage
+from ..transport.links import Transport
+from ..types import Lease, LogEntry, MemberId, Outcome
 from .driver import Driver
 from .introductions import Introductions
+from .join import JoinProcedure
 from .leaving import Leaving
+from .membership import MembershipDriver
+from .messages import KINDS, JoinRequest, JoinResponse
 from .phases import Phase
 from .standard import Place, assembled
 from .traffic import Traffic
-from .words import KINDS, Admit, Admitted
-from .working import Working
+from .work_loop import WorkLoop
 
 BEAT = SECOND // 10
 # Of the machine: a message of entries small enough that a beat is not late behind it on a slow link, and so
@@ -44,14 +44,14 @@
         text: FleetText,
         chance: random.Random,
         ended: Callable[[str], None],
-        files: Files | None = None,
+        files: FileSystem | None = None,
     ) -> None:
         self.loop, self.log, self.text, self.ended = loop, log, text, ended
         self.phase = Phase.CLOSED
         self.beating: Deadline | None = None
         self.token = chance.getrandbits(62)
-        self.disk = Disk(loop, log, text.folder, text.name, text.me, self.disk_told, files)
-        self.links = Links(loop, log, KINDS, text.name, Who(text.me, 0), self.token, chance.random)
+        self.disk = Storage(loop, log, text.folder, text.name, text.me, self.disk_told, files)
+        self.links = Transport(loop, log, KINDS, text.name, MemberId(text.me, 0), self.token, chance.random)
         place = Place(loop, log, text, self.voters, self.lease, lambda: chance.getrandbits(62))
         place.read, place.say = lambda done: self.traffic.read(done), self.links.say_to
         self.assembly = assembled(place)
@@ -65,7 +65,7 @@
             loop.clock, self.links, self.driver, text.me, self.token, 2 * waits["election"]
         )
         membership, proposals = self.assembly.membership, self.traffic.proposals
-        self.belonging = Belonging(
+        self.belonging = MembershipDriver(
             log,
             loop.clock,
             membership,
@@ -74,7 +74,7 @@
             self.traffic.tell,
             lambda: self.assembly.acts.number,
         )
-        self.working = Working(
+        self.working = WorkLoop(
             loop,
             log,
             self.assembly.works,
@@ -82,7 +82,7 @@
             lambda work: work is membership or self.belonging.may_propose,
             self.traffic.send,
         )
-        self.admitting, self.leaving = Admitting(self), Leaving(self)
+        self.admitting, self.leaving = JoinProcedure(self), Leaving(self)
         self.introductions = Introductions(self.disk, self.links, self.listed)
         self.wire()
 
@@ -93,10 +93,10 @@
         driver.on_turned, driver.on_readable = self.traffic.turned, self.traffic.readable
         driver.on_became = self.became
         self.traffic.handlers |= {
-            Admit: self.admitting.asked,
-            Admitted: self.admitting.admitted,
+            JoinRequest: self.admitting.asked,
+            JoinResponse: self.admitting.admitted,
             Report: self.assembly.heard_report,
-            **dict.fromkeys((Renew, Renewed, NotRenewed), self.belonging.heard),
+            **dict.fromkeys((RenewLease, LeaseRenewed, LeaseNotRenewed), self.belonging.heard),
         }
         links.on_heard, links.on_met = self.traffic.heard, self.introductions.met
         links.facts, links.known = self.introductions.welcome, self.introductions.highest
@@ -147,9 +147,9 @@
             self.take_part(held)
         self.beat()
 
-    def take_part(self, held: Held) -> None:
+    def take_part(self, held: RecoveredState) -> None:
         identity = self.disk.identity
-        me = Who(identity.name, identity.number)
+        me = MemberId(identity.name, identity.number)
         self.log.event(
             "member",
             number=me.number,
@@ -214,7 +214,7 @@
     def lead(self, now: int) -> None:
         self.working.lead(now, self.assembly.membership.told)
         if self.assembly.membership.phase is Member.DIFFERS:
-            self.driver.step(HandOver())  # nobody is to go by a state that is not the others'
+            self.driver.step(TransferLeadership())  # nobody is to go by a state that is not the others'
 
     @property
     def leader_name(self) -> str:
@@ -232,14 +232,14 @@
 
     # ---- what is told ------------------------------------------------------------------------------
 
-    def applied(self, entry: Entry, outcome: Outcome) -> None:
+    def applied(self, entry: LogEntry, outcome: Outcome) -> None:
         self.traffic.proposals.applied(entry, outcome)
         self.traffic.reads.applied(self.state_machine.index)
         self.belonging.look()
         self.working.applied(entry, outcome)
         self.belonging.look()
 
-    def became(self, became: Became) -> None:
+    def became(self, became: RoleChanged) -> None:
         self.belonging.became(became)
         if became.leader is not None:
             self.traffic.proposals.hurry(self.loop.clock.now())
--- a/indigohitch/fleet/node/notes.py
+++ b/indigohitch/fleet/node/notes.py
@@ -8,7 +8,7 @@
 
 from ...encoding.rows import Row
 from ...errors import InvalidDataError, InvalidRequestError
-from ..ports import At
+from ..interfaces import EntryContext
 from ..state_machine import ReplicatedStateMachine
 
 KEPT = 4096  # some months of an operator's; what is older goes
@@ -33,7 +33,7 @@
         self.texts: deque[tuple[int, str]] = deque(maxlen=KEPT)  # entry, text
         self.count = 0
 
-    def apply(self, at: At, word: str, body: Add) -> int:
+    def apply(self, at: EntryContext, word: str, body: Add) -> int:
         if len(body.text) > LONGEST:
             raise InvalidRequestError(f"a note of {len(body.text)} characters", remedy=f"{LONGEST} at most")
         self.texts.append((at.index, body.text))
--- a/indigohitch/fleet/node/ports.py
+++ b/indigohitch/fleet/node/ports.py
@@ -7,14 +7,14 @@
 from ...config.fleet import FleetText
 from ...log import Log
 from ...net.loop import EventLoop
-from ..disk.store import Disk
-from ..ledger.ports import Held
-from ..links.links import Links
-from .belonging import Belonging
+from ..raft.interfaces import RecoveredState
+from ..storage.store import Storage
+from ..transport.links import Transport
 from .driver import Driver
+from .membership import MembershipDriver
 from .phases import Phase
 from .standard import Assembly
-from .working import Working
+from .work_loop import WorkLoop
 
 
 class NodeContext(Protocol):
@@ -25,12 +25,12 @@
     text: FleetText
     token: int  # of this start, 62 random bits
     phase: Phase
-    disk: Disk
-    links: Links
+    disk: Storage
+    links: Transport
     driver: Driver
     assembly: Assembly
-    belonging: Belonging
-    working: Working
+    belonging: MembershipDriver
+    working: WorkLoop
 
     @property
     def votes(self) -> bool:
@@ -42,5 +42,5 @@
     def be(self, phase: Phase) -> None:
         """Enters the phase and logs it."""
 
-    def take_part(self, held: Held) -> None:
+    def take_part(self, held: RecoveredState) -> None:
         """Begins as the member that its disk says it is."""
--- a/indigohitch/fleet/node/proposals.py
+++ b/indigohitch/fleet/node/proposals.py
@@ -10,7 +10,7 @@
 
 from ...errors import UnavailableError
 from ..state_machine import WINDOW
-from ..terms import Entry, Outcome, Proposal
+from ..types import LogEntry, Outcome, Proposal
 
 MOST = WINDOW // 2  # out at a time; the rest of the window is for those that come again late
 LONGEST = 8  # of what a sending again waits, in first waits
@@ -70,7 +70,7 @@
         for one in self.open.values():
             one.due, one.wait = now, self.again
 
-    def applied(self, entry: Entry, outcome: Outcome) -> bool:
+    def applied(self, entry: LogEntry, outcome: Outcome) -> bool:
         """Whether it was one of these; its owner is told."""
         if (entry.proposer, entry.incarnation) != (self.proposer, self.incarnation):
             return False
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -12,23 +12,23 @@
 from ...net.clock import Clock
 from ...net.loop import EventLoop
 from ...net.worker_thread import WorkerThread
-from ..audit.acts import ChainedActs
+from ..audit.acts import ActionChain
 from ..audit.files import Store
 from ..audit.heads import Heads
-from ..audit.work import Auditing
-from ..batches.inside import work_of as batches_work
+from ..audit.work import AuditWork
 from ..batches.part import Batches
+from ..batches.setup import work_of as batches_work
+from ..distribution.distributor_role import DistributorRole, Read
 from ..distribution.messages import Report
-from ..distribution.part import Distribution
-from ..distribution.role import Distributing, Read
-from ..hours import Hours, HoursWork
-from ..members.roster import Roster
-from ..members.work import Membership
-from ..ports import StateMachinePart, Work
+from ..distribution.replicated_part import Distribution
+from ..fleet_clock import FleetClock, FleetClockWork
+from ..interfaces import StateMachinePart, Work
+from ..membership.member_work import Membership
+from ..membership.roster import Roster
 from ..seats.configured import work_of as seats_work
 from ..seats.part import Seats
 from ..state_machine import ReplicatedStateMachine
-from ..terms import Lease, Who
+from ..types import Lease, MemberId
 from .notes import Notes
 
 
@@ -50,13 +50,13 @@
 class Assembly:
     state_machine: ReplicatedStateMachine
     membership: Membership
-    acts: ChainedActs
-    auditing: Auditing
+    acts: ActionChain
+    auditing: AuditWork
     works: list[Work] = field(default_factory=list)  # the membership first
     felt: Callable[[int, str, int], None] = lambda now, rpc, latency: None  # an RPC was answered here
-    distributing: Distributing | None = None
+    distributing: DistributorRole | None = None
 
-    def heard_report(self, who: Who, report: Report) -> None:
+    def heard_report(self, who: MemberId, report: Report) -> None:
         if self.distributing is not None:
             self.distributing.heard_report(who, report)
 
@@ -72,7 +72,7 @@
 
 def parts() -> list[StateMachinePart]:
     """In a fixed order; each only knows those before it."""
-    return [Notes(), Roster(), Hours(), Heads(), Seats(), Batches(), Distribution()]
+    return [Notes(), Roster(), FleetClock(), Heads(), Seats(), Batches(), Distribution()]
 
 
 def assembled(place: Place) -> Assembly:
@@ -85,13 +85,13 @@
         text.drift,
         place.token,
     )
-    hours = HoursWork(state_machine.parts["hours"], text.me, Clock.wall, place.voters)
+    hours = FleetClockWork(state_machine.parts["hours"], text.me, Clock.wall, place.voters)
     membership.judge.when = hours.time
 
     def trouble(bad: DirectorError) -> None:
         place.log.warning("audit", **error_fields(bad))
 
-    acts = ChainedActs(
+    acts = ActionChain(
         text.me,
         place.lease,
         state_machine,
@@ -99,7 +99,7 @@
         trouble,
         when=hours.time,
     )
-    auditing = Auditing(acts, state_machine.parts["audit"], membership, trouble)
+    auditing = AuditWork(acts, state_machine.parts["audit"], membership, trouble)
     seats = seats_work(text, state_machine.parts["seats"], acts, hours.time)
     batches = batches_work(place.loop, place.log, text, state_machine.parts["batches"], acts, hours.time)
     works = [membership, hours, auditing, seats, batches]
@@ -109,12 +109,12 @@
     return Assembly(state_machine, membership, acts, auditing, works, batches.felt, distributing)
 
 
-def distributing_of(place: Place, part: Distribution) -> Distributing | None:
+def distributing_of(place: Place, part: Distribution) -> DistributorRole | None:
     """None where the file names another member, or none, as a distributor."""
     text = place.text
     if text.me not in text.distributors:
         return None
     addresses = {one.name: one.address for one in text.distributors.values()}
-    return Distributing(
+    return DistributorRole(
         place.loop, place.log, text.name, text.me, place.token(), addresses, part, place.read, place.say
     )
--- a/indigohitch/fleet/node/figures.py
+++ b/indigohitch/fleet/node/status.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from ..terms import Who
+from ..types import MemberId
 
 if TYPE_CHECKING:
     from .node import Node
 
 
-def who(one: Who) -> dict:
+def who(one: MemberId) -> dict:
     return {"name": one.name, "number": one.number}
 
 
--- a/indigohitch/fleet/node/subscribing.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -16,10 +16,10 @@
 from ...net.loop import Deadline, EventLoop
 from ...upgrade import process_launch
 from ...upgrade.handover_participant import HandoverParticipant
-from ..distribution.following import Following
-from ..distribution.ports import Applied
-from .bare import Bare
-from .without_front import WithoutFront
+from ..distribution.interfaces import Applied
+from ..distribution.subscriber_connection import SubscriberConnection
+from .headless import HeadlessProcess
+from .headless_handover import HeadlessHandover
 
 TOLD = 60 * SECOND  # how often the log has the version and its age, beside each change
 
@@ -33,7 +33,7 @@
         self.loop, self.log, self.text = loop, log, text
         # Of a front here, if there is one: the ledger's entry, and the services held.
         self.heard: Callable[[int, Collection[str]], None] = lambda index, services: None
-        self.following: Following | None = None
+        self.following: SubscriberConnection | None = None
         self.telling: Deadline | None = None
 
     def open(self) -> None:
@@ -41,7 +41,7 @@
             return
         text, seed = self.text, random.Random(secrets.randbits(64))
         addresses = {one.name: one.address for one in text.distributors.values()}
-        self.following = Following(
+        self.following = SubscriberConnection(
             self.loop, self.log, text.name, text.me, text.services, addresses, seed, applied=self.applied
         )
         self.following.start()
@@ -122,11 +122,11 @@
         self.subscription.open()
 
 
-class SubscriberProcess(WithoutFront):
+class SubscriberProcess(HeadlessProcess):
     def make_side(self) -> HandoverParticipant:
         if self.beside is None:
             self.beside = Subscription(self.loop, self.log, self.text.fleet)
-        bare = Bare(self.clock, self.controls, self.control_taken, self.reload)
+        bare = HeadlessHandover(self.clock, self.controls, self.control_taken, self.reload)
         return SubscriberSide(bare, self.beside)
 
 
--- a/indigohitch/fleet/node/traffic.py
+++ b/indigohitch/fleet/node/traffic.py
@@ -7,23 +7,23 @@
 from ...encoding.rows import Row
 from ...errors import UnavailableError
 from ...net.clock import Clock
-from ..ledger.ports import Heard, Propose
-from ..ledger.ports import Read as Ask
-from ..links.links import Links
-from ..terms import Outcome, Proposal, Who
+from ..raft.interfaces import MessageReceived, Propose
+from ..raft.interfaces import ReadRequest as Ask
+from ..transport.links import Transport
+from ..types import MemberId, Outcome, Proposal
 from .driver import Driver
+from .messages import MACHINE, Forward, ProposalRejected, ReadIndexRequest, ReadIndexResponse
 from .proposals import Proposals
 from .reads import Reads
-from .words import MACHINE, Forward, ReadAsk, ReadAt, TurnedAway
 
-Handler = Callable[[Who, Row], None]
+Handler = Callable[[MemberId, Row], None]
 
 
 class Traffic:
     """`handlers`: of the words that others than this take, by their type; filled by the node."""
 
     def __init__(
-        self, clock: Clock, links: Links, driver: Driver, name: str, token: int, resend_after: int
+        self, clock: Clock, links: Transport, driver: Driver, name: str, token: int, resend_after: int
     ) -> None:
         self.clock, self.links, self.driver, self.name = clock, links, driver, name
         self.state_machine = driver.state_machine
@@ -31,14 +31,14 @@
         self.reads = Reads()
         self.handlers: dict[type[Row], Handler] = {
             Forward: self.on_forward,
-            TurnedAway: self.on_turned_away,
-            ReadAsk: self.on_read_ask,
-            ReadAt: self.on_read_at,
+            ProposalRejected: self.on_turned_away,
+            ReadIndexRequest: self.on_read_ask,
+            ReadIndexResponse: self.on_read_at,
         }
 
-    def heard(self, who: Who, word: Row) -> None:
+    def heard(self, who: MemberId, word: Row) -> None:
         if type(word) in MACHINE:
-            self.driver.step(Heard(who, word))
+            self.driver.step(MessageReceived(who, word))
         elif (heard := self.handlers.get(type(word))) is not None:
             heard(who, word)
 
@@ -72,13 +72,13 @@
 
     def turned(self, proposal: Proposal, again: int) -> None:
         """The machine here did not take it, whoever made it."""
-        word = TurnedAway(proposal.proposer, proposal.incarnation, proposal.number, again)
+        word = ProposalRejected(proposal.proposer, proposal.incarnation, proposal.number, again)
         self.tell(proposal.proposer.partition("?")[0], word)
 
-    def on_forward(self, who: Who, word: Forward) -> None:
+    def on_forward(self, who: MemberId, word: Forward) -> None:
         self.driver.step(Propose(word.proposal))
 
-    def on_turned_away(self, who: Who, word: TurnedAway) -> None:
+    def on_turned_away(self, who: MemberId, word: ProposalRejected) -> None:
         self.proposals.turned(self.clock.now(), word.proposer, word.incarnation, word.number, word.again)
 
     # ---- reads -------------------------------------------------------------------------------------
@@ -89,12 +89,12 @@
         number, leader = self.reads.begin(self.clock.now(), done), self.driver.leader
         if self.driver.leads:
             self.driver.step(Ask(number))
-        elif leader is None or not self.links.say(leader, ReadAsk(number)):
+        elif leader is None or not self.links.say(leader, ReadIndexRequest(number)):
             self.reads.answered(number, 0, False, 0)
 
-    def on_read_ask(self, who: Who, word: ReadAsk) -> None:
+    def on_read_ask(self, who: MemberId, word: ReadIndexRequest) -> None:
         def done(index: int | None) -> None:
-            self.links.say_to(who.name, ReadAt(word.number, index or 0, index is not None))
+            self.links.say_to(who.name, ReadIndexResponse(word.number, index or 0, index is not None))
 
         if not self.driver.leads:
             done(None)  # no leader's leader is asked in turn
@@ -104,7 +104,7 @@
         except UnavailableError:
             done(None)
 
-    def on_read_at(self, who: Who, word: ReadAt) -> None:
+    def on_read_at(self, who: MemberId, word: ReadIndexResponse) -> None:
         self.reads.answered(word.number, word.index, word.ok, self.state_machine.index)
 
     def readable(self, number: int, index: int, ok: bool) -> None:
--- a/indigohitch/fleet/node/working.py
+++ b/indigohitch/fleet/node/work_loop.py
@@ -10,16 +10,16 @@
 from ...errors import UnavailableError
 from ...log import Log
 from ...net.loop import EventLoop
-from ..ports import Holding, Wanted, Work
-from ..terms import Entry, Lease, Outcome
+from ..interfaces import Holding, ProposalRequest, Work
+from ..types import Lease, LogEntry, Outcome
+from .messages import BODY
 from .proposals import Proposals
-from .words import BODY
 
 # Proposals of works that wait for room.  What finds none is answered as not known, and wanted again.
 MOST = 256
 
 
-class Working:
+class WorkLoop:
     """A work that fails is a defect of that work: it is told, and the others go on."""
 
     def __init__(
@@ -34,7 +34,7 @@
         """`may(work)`: it may propose now; `send`: proposals are there to go out."""
         self.loop, self.log, self.works = loop, log, list(works)
         self.proposals, self.may, self.send = proposals, may, send
-        self.waiting: deque[tuple[Work, Wanted]] = deque()
+        self.waiting: deque[tuple[Work, ProposalRequest]] = deque()
         self.unmade: deque[tuple[Work, str]] = deque(maxlen=MOST)  # told with the next beat, not at once
 
     def call(self, work: Work, action: Callable, *args):
@@ -45,11 +45,11 @@
             self.loop.failed(broken)
             return None
 
-    def each(self, ask: Callable[[Work], list[Wanted]]) -> None:
+    def each(self, ask: Callable[[Work], list[ProposalRequest]]) -> None:
         for work in self.works:
             self.want(work, self.call(work, ask, work))
 
-    def want(self, work: Work, wanted: list[Wanted] | None) -> None:
+    def want(self, work: Work, wanted: list[ProposalRequest] | None) -> None:
         for one in wanted or ():
             if len(self.waiting) >= MOST:
                 self.log.count("proposals_without_room")
@@ -85,7 +85,7 @@
     def answered(self, work: Work, tag: str, outcome: Outcome | None) -> None:
         self.want(work, self.call(work, work.answered, self.loop.clock.now(), tag, outcome))
 
-    def applied(self, entry: Entry, outcome: Outcome) -> None:
+    def applied(self, entry: LogEntry, outcome: Outcome) -> None:
         now = self.loop.clock.now()
         self.each(lambda work: work.applied(now, entry, outcome))
 
--- a/indigohitch/fleet/ledger/members.py
+++ b/indigohitch/fleet/raft/configuration.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from ..terms import Entry, Who
-from .ports import Members
+from ..types import LogEntry, MemberId
+from .interfaces import Members
 
 KIND = "ledger.members"
 _ENCODE, _DECODE = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(Members).decode
@@ -20,7 +20,7 @@
     return _ENCODE(members)
 
 
-class Belonging:
+class Configuration:
     """The members by the snapshot and by each entry that changed them."""
 
     def __init__(self, index: int, members: Members) -> None:
@@ -39,7 +39,7 @@
         for who in self.everyone:
             self.numbers[who.name] = max(who.number, self.numbers.get(who.name, 0))
 
-    def outdated(self, who: Who) -> bool:
+    def outdated(self, who: MemberId) -> bool:
         """The disk of that number is known to be lost: the name stands under a higher one."""
         return who.number < self.numbers.get(who.name, 0)
 
@@ -64,13 +64,13 @@
             del self.steps[0]
 
 
-def without(members: Members, who: Who) -> Members:
+def without(members: Members, who: MemberId) -> Members:
     return Members(
         tuple(w for w in members.voters if w != who), tuple(w for w in members.followers if w != who)
     )
 
 
-def next_step(members: Members, who: Who, out: bool, votes: bool, learned: bool) -> Members | None:
+def next_step(members: Members, who: MemberId, out: bool, votes: bool, learned: bool) -> Members | None:
     """The members after the next step towards that wish; None while there is nothing to do.  Raises
     ValueError for what can't be.  The order for a name that comes with another disk: the new number hears,
     then the old one goes, then the new one votes."""
@@ -97,5 +97,5 @@
     return None
 
 
-def proposed(members: Members, index: int, term: int) -> Entry:
-    return Entry(index, term, KIND, encoded(members))
+def proposed(members: Members, index: int, term: int) -> LogEntry:
+    return LogEntry(index, term, KIND, encoded(members))
--- a/indigohitch/fleet/ledger/durable.py
+++ b/indigohitch/fleet/raft/durable.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from .ports import Output, Send, Write
+from .interfaces import Output, SendMessage, WriteEntries
 
 
 class Durable:
@@ -19,7 +19,7 @@
         self.done = 0
         self.installing = 0  # index of a snapshot that is being written in place of the log
         self.pending: deque[list[int]] = deque()  # [number, last entry that it makes stable]
-        self.promises: deque[tuple[int, Send]] = deque()
+        self.promises: deque[tuple[int, SendMessage]] = deque()
 
     @property
     def safe(self) -> bool:
@@ -44,7 +44,7 @@
         if ballot is not None:
             self.ballot_at = self.number
         self.pending.append([self.number, last])
-        return [Write(self.number, ballot, cut, entries)]
+        return [WriteEntries(self.number, ballot, cut, entries)]
 
     def written(self, number: int) -> list[Output]:
         """What may be said now."""
--- a/indigohitch/fleet/ledger/following.py
+++ b/indigohitch/fleet/raft/follower.py
@@ -6,10 +6,10 @@
 
 from ...encoding.rows import digest
 from ...net.clock import SECOND
-from ..terms import Who
-from .ports import Snap
-from .state import Role, State
-from .words import Append, Appended, Piece, Pieced
+from ..types import MemberId
+from .interfaces import Snapshot
+from .messages import AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse
+from .state import RaftState, Role
 
 # How long the quickest way of a word from a leader is remembered.  Clocks that differ by a thousandth part by
 # 20 ms in twice that, which is little against an election's time.
@@ -41,8 +41,8 @@
         return now - at - min(self.least, self.before) > self.bound
 
 
-class Following:
-    def __init__(self, state: State) -> None:
+class Follower:
+    def __init__(self, state: RaftState) -> None:
         self.state = state
         self.agreed = 0  # up to here the log is as this term's leader has it
         self.agreed_in = 0  # that term
@@ -54,12 +54,12 @@
         self.pieces = bytearray()
         self.lateness = Lateness(state.bootstrap["election"])
 
-    def led_by(self, sender: Who, word: Append | Piece) -> bool:
+    def led_by(self, sender: MemberId, word: AppendEntries | InstallSnapshot) -> bool:
         """Whether the word is of this term's leader."""
         state = self.state
         if word.term < state.term:
             if not state.durable.failed:
-                state.send(sender, Appended(state.term, False, 0))
+                state.send(sender, AppendEntriesResponse(state.term, False, 0))
             return False
         if word.term > state.term:
             state.vote(word.term, None)
@@ -71,12 +71,12 @@
             self.owed, self.told, self.echoed = False, 0, 0
             self.lateness.begin(state.now)
         state.be(Role.FOLLOWER, sender)
-        if isinstance(word, Piece) or not self.lateness.late(state.now, word.at):
+        if isinstance(word, InstallSnapshot) or not self.lateness.late(state.now, word.at):
             state.heard = state.now
             state.wait_anew()
         return True
 
-    def heard_append(self, sender: Who, word: Append) -> None:
+    def heard_append(self, sender: MemberId, word: AppendEntries) -> None:
         if not self.led_by(sender, word):
             return
         state, log = self.state, self.state.log
@@ -88,7 +88,7 @@
         elif log.term(index) != word.prev_term:
             if not state.durable.failed:
                 at, term = log.hint(index, word.prev_term)
-                state.send(sender, Appended(state.term, False, at, index, term, word.round))
+                state.send(sender, AppendEntriesResponse(state.term, False, at, index, term, word.round))
             return
         known = 0
         for entry in entries:
@@ -113,7 +113,7 @@
         self.owed = not state.durable.safe
         if not self.owed:
             self.told, self.echoed = self.match, self.round
-            state.send(state.leader, Appended(state.term, True, self.told, round=self.round))
+            state.send(state.leader, AppendEntriesResponse(state.term, True, self.told, round=self.round))
 
     @property
     def match(self) -> int:
@@ -136,7 +136,7 @@
     def drop(self) -> None:
         self.coming, self.pieces = None, bytearray()
 
-    def heard_piece(self, sender: Who, word: Piece) -> None:
+    def heard_piece(self, sender: MemberId, word: InstallSnapshot) -> None:
         """Pieces are taken in order, one snapshot at a time; the answer says from where to go on, so that one
         that was broken off is gone on with."""
         if not self.led_by(sender, word):
@@ -159,8 +159,8 @@
             state_bytes = bytes(self.pieces)
             self.drop()
             if digest(state_bytes) == word.digest:
-                state.install(Snap(word.index, word.snap_term, word.members, state_bytes))
+                state.install(Snapshot(word.index, word.snap_term, word.members, state_bytes))
                 self.agreed = max(self.agreed, word.index)
                 return  # answered once it is written
             state.note("snapshot_spoilt", index=word.index, sender=sender.name)
-        state.send(sender, Pieced(state.term, word.index, len(self.pieces)))
+        state.send(sender, InstallSnapshotResponse(state.term, word.index, len(self.pieces)))
--- a/indigohitch/fleet/ledger/ports.py
+++ b/indigohitch/fleet/raft/interfaces.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from ...encoding.rows import Row
-from ..terms import Entry, Proposal, Who
+from ..types import LogEntry, MemberId, Proposal
 
 # ---- what lies on a disk ---------------------------------------------------------------------------
 
@@ -19,18 +19,18 @@
     """Who belongs to the ledger: the body of a `ledger.members` entry, and part of a snapshot.  Votes count
     by name and number; followers are told everything and never vote."""
 
-    voters: tuple[Who, ...]
-    followers: tuple[Who, ...] = ()
+    voters: tuple[MemberId, ...]
+    followers: tuple[MemberId, ...] = ()
 
 
 class Ballot(Row, frozen=True):
     """What must outlive a crash beside the log: the term, and who got this member's vote in it."""
 
     term: int
-    vote: Who | None = None
+    vote: MemberId | None = None
 
 
-class Snap(Row, frozen=True):
+class Snapshot(Row, frozen=True):
     """The state machine as it stood after entry `index`; the log before may be forgotten."""
 
     index: int
@@ -40,22 +40,22 @@
 
 
 @dataclass(slots=True)
-class Held:
+class RecoveredState:
     """What a disk gave back at a start: entries follow the snapshot without a gap."""
 
     ballot: Ballot
-    snap: Snap
-    entries: list[Entry] = field(default_factory=list)
+    snap: Snapshot
+    entries: list[LogEntry] = field(default_factory=list)
 
 
 # ---- in --------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class MessageReceived:
     """A word of another member, from words.py."""
 
-    sender: Who
+    sender: MemberId
     word: Row
 
 
@@ -65,30 +65,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Read:
+class ReadRequest:
     """Ask for a read confirmed by a majority; `number` is the asker's, unique while it is out."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
+class ChangeMembers:
     """An operator's wish: add (as a follower that votes once it has learned), or take out."""
 
-    who: Who
+    who: MemberId
     out: bool = False
     votes: bool = True
 
 
 @dataclass(slots=True, frozen=True)
-class Written:
+class WriteCompleted:
     """All `Write`s up to that number are on the disk."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class DiskFailed:
+class StorageFailed:
     """A write came to nothing (full, broken): nothing after the last `Written` is promised.  The member goes
     on without votes and acknowledgements until `DiskBack`; a leader steps down."""
 
@@ -96,64 +96,75 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DiskBack:
+class StorageRecovered:
     pass
 
 
 @dataclass(slots=True, frozen=True)
-class Snapped:
+class SnapshotCompleted:
     """The driver's answer to `TakeSnapshot`: on the disk, the log up to it is forgotten there."""
 
-    snap: Snap
+    snap: Snapshot
 
 
 @dataclass(slots=True, frozen=True)
-class Due:
+class Tick:
     pass
 
 
 @dataclass(slots=True, frozen=True)
-class HandOver:
+class TransferLeadership:
     """A leader that will end gives its place to another voter, the one named or the one furthest on; until
     then it turns proposals away, and after an election's time without success it goes on leading."""
 
-    to: Who | None = None
+    to: MemberId | None = None
 
 
-Input = Heard | Propose | Read | Change | Written | DiskFailed | DiskBack | Snapped | Due | HandOver
+Input = (
+    MessageReceived
+    | Propose
+    | ReadRequest
+    | ChangeMembers
+    | WriteCompleted
+    | StorageFailed
+    | StorageRecovered
+    | SnapshotCompleted
+    | Tick
+    | TransferLeadership
+)
 
 # ---- out -------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
-    to: Who
+class SendMessage:
+    to: MemberId
     word: Row
 
 
 @dataclass(slots=True, frozen=True)
-class Write:
+class WriteEntries:
     """To the disk, in order, then fsync, then `Written(number)`.  `cut`: entries from that index on are void
     (0: none); `ballot` None: as it was."""
 
     number: int
     ballot: Ballot | None = None
     cut: int = 0
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[LogEntry, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Commit:
+class ApplyEntries:
     """Apply these to the state machine, in order."""
 
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Install:
+class RestoreSnapshot:
     """Set the state machine to this, write it to the disk in place of the log, then `Snapped`."""
 
-    snap: Snap
+    snap: Snapshot
 
 
 @dataclass(slots=True, frozen=True)
@@ -167,42 +178,52 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Turned:
+class ProposalRejected:
     """A proposal was not taken: `again` tells in how many tenths of a ms to return; `leader` who may take it.
     What was taken is answered by its entry in a `Commit`."""
 
     proposal: Proposal
     again: int
-    leader: Who | None
+    leader: MemberId | None
 
 
 @dataclass(slots=True, frozen=True)
-class Readable:
+class ReadConfirmed:
     """That read is confirmed: the state machine at `index` or later answers it.  `ok` False: not here, ask
     `leader`."""
 
     number: int
     index: int
     ok: bool = True
-    leader: Who | None = None
+    leader: MemberId | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Became:
+class RoleChanged:
     """The role of this member changed: "follower", "asking" (a vote before the vote), "candidate",
     "leader"."""
 
     role: str
     term: int
-    leader: Who | None
+    leader: MemberId | None
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class LogNote:
     """For the log: a JSON line."""
 
     event: str
     fields: dict
 
 
-Output = Send | Write | Commit | Install | TakeSnapshot | Turned | Readable | Became | Note
+Output = (
+    SendMessage
+    | WriteEntries
+    | ApplyEntries
+    | RestoreSnapshot
+    | TakeSnapshot
+    | ProposalRejected
+    | ReadConfirmed
+    | RoleChanged
+    | LogNote
+)
--- a/indigohitch/fleet/ledger/leading.py
+++ b/indigohitch/fleet/raft/leader.py
@@ -5,36 +5,36 @@
 
 from __future__ import annotations
 
-from ..terms import Entry, Proposal, Who
+from ..types import LogEntry, MemberId, Proposal
+from .configuration import next_step, proposed
+from .interfaces import ChangeMembers, ProposalRejected
 from .log import weight
-from .members import next_step, proposed
+from .messages import AppendEntries, AppendEntriesResponse, InstallSnapshotResponse, TimeoutNow
 from .peers import Peer
-from .ports import Change, Turned
 from .reads import Reads
-from .state import Role, State
-from .words import Append, Appended, Pieced, Take
+from .state import RaftState, Role
 
 
-class Leading:
+class Leader:
     """From its election to its end; then a new one begins anew."""
 
-    def __init__(self, state: State) -> None:
+    def __init__(self, state: RaftState) -> None:
         self.state = state
         self.reads = Reads(state, state.log.last + 1)
-        self.peers: dict[Who, Peer] = {}
-        self.wishes: dict[Who, Change] = {}  # not reached yet
+        self.peers: dict[MemberId, Peer] = {}
+        self.wishes: dict[MemberId, ChangeMembers] = {}  # not reached yet
         self.open = sum(map(weight, state.log.some(state.commit + 1, state.log.last)))  # bytes not committed
         self.beat_due = state.now + state.bootstrap["beat"]
-        self.heir: Who | None = None  # to whom the place is given up
+        self.heir: MemberId | None = None  # to whom the place is given up
         self.heir_until = 0
         state.be(Role.LEADER, state.me)
         self.renew_peers()
-        self.add(Entry(state.log.last + 1, state.term, "", b""))
+        self.add(LogEntry(state.log.last + 1, state.term, "", b""))
         self.beat()
 
     # ---- entries -----------------------------------------------------------------------------------
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: LogEntry) -> None:
         self.open += weight(entry)
         self.state.store(0, (entry,))
         if self.state.belonging.index == entry.index:
@@ -64,14 +64,14 @@
                 most=most,
                 remedy="propose it in parts",
             )
-            state.out.append(Turned(proposal, bootstrap["election"], None))
+            state.out.append(ProposalRejected(proposal, bootstrap["election"], None))
         elif self.heir is not None:
-            state.out.append(Turned(proposal, bootstrap["beat"], None))
+            state.out.append(ProposalRejected(proposal, bootstrap["beat"], None))
         elif state.log.last - state.commit >= bootstrap["proposals_most"] or self.open >= most:
-            state.out.append(Turned(proposal, bootstrap["beat"], state.me))
+            state.out.append(ProposalRejected(proposal, bootstrap["beat"], state.me))
         else:
             self.add(
-                Entry(
+                LogEntry(
                     state.log.last + 1,
                     state.term,
                     proposal.kind,
@@ -110,11 +110,11 @@
 
     # ---- answers -----------------------------------------------------------------------------------
 
-    def heard(self, sender: Who, word: Appended | Pieced) -> None:
+    def heard(self, sender: MemberId, word: AppendEntriesResponse | InstallSnapshotResponse) -> None:
         peer = self.peers.get(sender)
         if peer is None or word.term != self.state.term:
             return
-        if isinstance(word, Pieced):
+        if isinstance(word, InstallSnapshotResponse):
             peer.pieced(word)
             return
         self.reads.heard(sender, word.round)
@@ -169,11 +169,11 @@
         round, state = self.reads.begin(), self.state
         for who in self.peers:
             if who in state.belonging.voters:
-                state.send(who, Append(state.term, 0, 0, 0, (), round, state.now))
+                state.send(who, AppendEntries(state.term, 0, 0, 0, (), round, state.now))
 
     # ---- members -----------------------------------------------------------------------------------
 
-    def change(self, change: Change) -> None:
+    def change(self, change: ChangeMembers) -> None:
         """A wish is kept until it is reached or this leader ends; who has it asks till the members are so."""
         self.wishes[change.who] = change
         self.wish(change)
@@ -182,7 +182,7 @@
     def may_change(self) -> bool:
         return self.state.commit >= max(self.state.belonging.index, self.reads.first)
 
-    def wish(self, change: Change) -> None:
+    def wish(self, change: ChangeMembers) -> None:
         """The next step towards it, if none is under way."""
         state, peer = self.state, self.peers.get(change.who)
         if not self.may_change:
@@ -214,7 +214,7 @@
 
     # ---- giving up the place -----------------------------------------------------------------------
 
-    def hand_over(self, to: Who | None) -> None:
+    def hand_over(self, to: MemberId | None) -> None:
         state = self.state
         able = [
             (peer.match, who)
@@ -231,4 +231,4 @@
     def hand_on(self) -> None:
         """Once the heir has all that this one has."""
         if self.heir in self.peers and self.peers[self.heir].match >= self.state.log.last:
-            self.state.send(self.heir, Take(self.state.term))
+            self.state.send(self.heir, TimeoutNow(self.state.term))
--- a/indigohitch/fleet/ledger/log.py
+++ b/indigohitch/fleet/raft/log.py
@@ -7,14 +7,14 @@
 from bisect import bisect_right
 from collections.abc import Sequence
 
-from ..terms import Entry
-from .ports import Snap
+from ..types import LogEntry
+from .interfaces import Snapshot
 
 # What an entry weighs beside its body and kind: its numbers in msgpack, rounded up.
 BESIDE = 64
 
 
-def weight(entry: Entry) -> int:
+def weight(entry: LogEntry) -> int:
     """Bytes, nearly."""
     return len(entry.body) + len(entry.kind) + BESIDE
 
@@ -22,14 +22,14 @@
 class Log:
     """Entries `base` + 1 .. `last` without a gap; `snap` stands at `base` or after it."""
 
-    def __init__(self, snap: Snap, entries: Sequence[Entry] = ()) -> None:
+    def __init__(self, snap: Snapshot, entries: Sequence[LogEntry] = ()) -> None:
         self.replace(snap)
         self.append(entries)
 
-    def replace(self, snap: Snap) -> None:
+    def replace(self, snap: Snapshot) -> None:
         """All of it by a snapshot."""
         self.snap, self.base, self.base_term = snap, snap.index, snap.term
-        self.entries: list[Entry] = []
+        self.entries: list[LogEntry] = []
         self.grown = 0  # bytes of entries after the snapshot
 
     @property
@@ -47,7 +47,7 @@
             return self.entries[at - 1].term
         return self.base_term if at == 0 else None
 
-    def append(self, entries: Sequence[Entry]) -> None:
+    def append(self, entries: Sequence[LogEntry]) -> None:
         """Raises ValueError where a gap would be: a defect of the machine."""
         if not entries:
             return
@@ -62,10 +62,10 @@
         self.grown -= sum(map(weight, self.entries[at:]))
         del self.entries[at:]
 
-    def some(self, first: int, last: int) -> tuple[Entry, ...]:
+    def some(self, first: int, last: int) -> tuple[LogEntry, ...]:
         return tuple(self.entries[first - self.base - 1 : last - self.base])
 
-    def up_to(self, first: int, most: int) -> tuple[Entry, ...]:
+    def up_to(self, first: int, most: int) -> tuple[LogEntry, ...]:
         """From `first` on, as many as weigh `most` bytes, at least one if there is any."""
         at = first - self.base - 1
         end, left = at, most
@@ -85,7 +85,7 @@
         at = bisect_right(self.entries, term, 0, index - self.base, key=lambda entry: entry.term)
         return self.base + at, self.entries[at - 1].term if at else self.base_term
 
-    def snapped(self, snap: Snap, keep: int) -> None:
+    def snapped(self, snap: Snapshot, keep: int) -> None:
         """A snapshot of this log stands on the disk: of what lies before it `keep` bytes stay here."""
         at = snap.index - self.base
         self.grown = sum(map(weight, self.entries[at:]))
