--- a/indigohitch/fleet/ledger/words.py
+++ b/indigohitch/fleet/raft/messages.py
@@ -4,11 +4,11 @@
 from __future__ import annotations
 
 from ...encoding.rows import Row
-from ..terms import Entry
-from .ports import Members
+from ..types import LogEntry
+from .interfaces import Members
 
 
-class Ask(Row, frozen=True):
+class RequestVote(Row, frozen=True):
     """For a vote in `term`, by one whose log ends so.  `pre`: would you?  It binds nobody and moves no term.
     `handed`: the leader itself has asked the sender to stand."""
 
@@ -19,7 +19,7 @@
     handed: bool = False
 
 
-class Vote(Row, frozen=True):
+class RequestVoteResponse(Row, frozen=True):
     """`term` as asked for where it is given, else the sender's own."""
 
     term: int
@@ -27,7 +27,7 @@
     pre: bool = False
 
 
-class Append(Row, frozen=True):
+class AppendEntries(Row, frozen=True):
     """Entries that follow the one at `prev_index`, of `prev_term`; without any it is a beat.  `round` counts
     the rounds of reads of that leader: an answer that says it was sent after that round began.  `at`: the
     leader's clock as it was sent, of use only against other words of the same leader; 0: not told."""
@@ -36,12 +36,12 @@
     prev_index: int
     prev_term: int
     commit: int
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[LogEntry, ...] = ()
     round: int = 0
     at: int = 0
 
 
-class Appended(Row, frozen=True):
+class AppendEntriesResponse(Row, frozen=True):
     """`ok`: all up to `match` is on the sender's disk and as the leader has it.  Not `ok`: nothing stands at
     `prev_index` as the leader has it; what the sender holds up to there is at most of `hint_term`, up to
     `match`."""
@@ -54,7 +54,7 @@
     round: int = 0
 
 
-class Piece(Row, frozen=True):
+class InstallSnapshot(Row, frozen=True):
     """Of a snapshot of `total` bytes with that digest, from `offset` on."""
 
     term: int
@@ -67,7 +67,7 @@
     data: bytes
 
 
-class Pieced(Row, frozen=True):
+class InstallSnapshotResponse(Row, frozen=True):
     """Of the snapshot at `index` the sender holds the first `offset` bytes."""
 
     term: int
@@ -75,10 +75,18 @@
     offset: int
 
 
-class Take(Row, frozen=True):
+class TimeoutNow(Row, frozen=True):
     """Stand now: the leader gives its place up to you, whose log ends as its own."""
 
     term: int
 
 
-WORDS = (Ask, Vote, Append, Appended, Piece, Pieced, Take)
+MESSAGE_TYPES = (
+    RequestVote,
+    RequestVoteResponse,
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    TimeoutNow,
+)
--- a/indigohitch/fleet/ledger/machine.py
+++ b/indigohitch/fleet/raft/node.py
@@ -7,63 +7,76 @@
 
 from collections.abc import Callable, Mapping
 
-from ..terms import Who
-from .following import Following
-from .leading import Leading
-from .ports import (
-    Change,
-    DiskBack,
-    DiskFailed,
-    Due,
-    HandOver,
-    Heard,
-    Held,
+from ..types import MemberId
+from .follower import Follower
+from .interfaces import (
+    ChangeMembers,
     Input,
+    MessageReceived,
     Output,
+    ProposalRejected,
     Propose,
-    Read,
-    Readable,
-    Snapped,
-    Turned,
-    Written,
+    ReadConfirmed,
+    ReadRequest,
+    RecoveredState,
+    SnapshotCompleted,
+    StorageFailed,
+    StorageRecovered,
+    Tick,
+    TransferLeadership,
+    WriteCompleted,
 )
-from .state import Role, State
+from .leader import Leader
+from .messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    RequestVote,
+    RequestVoteResponse,
+    TimeoutNow,
+)
+from .state import RaftState, Role
 from .votes import Votes
-from .words import Append, Appended, Ask, Piece, Pieced, Take, Vote
 
 
-class Machine:
+class RaftNode:
     """`held`: what the disk gave back; of a new ledger a snapshot at 0 with its founding members, of a new
     member one without members.  `chance`: a random number from 0 to below 1.  Raises ValueError only for
     what must never be (a committed entry void, two leaders in a term): the member has to end."""
 
     def __init__(
-        self, me: Who, held: Held, bootstrap: Mapping[str, int], chance: Callable[[], float], now: int
+        self,
+        me: MemberId,
+        held: RecoveredState,
+        bootstrap: Mapping[str, int],
+        chance: Callable[[], float],
+        now: int,
     ) -> None:
-        self.state = State(me, held, bootstrap, chance, now)
+        self.state = RaftState(me, held, bootstrap, chance, now)
         self.votes = Votes(self.state, self.elected)
-        self.following = Following(self.state)
-        self.leading: Leading | None = None
+        self.following = Follower(self.state)
+        self.leading: Leader | None = None
         self.steps = {
-            Heard: self.heard,
+            MessageReceived: self.heard,
             Propose: self.propose,
-            Read: self.read,
-            Change: self.change,
-            Written: self.written,
-            DiskFailed: self.disk_failed,
-            DiskBack: self.disk_back,
-            Snapped: self.snapped,
-            Due: self.timed,
-            HandOver: self.hand_over,
+            ReadRequest: self.read,
+            ChangeMembers: self.change,
+            WriteCompleted: self.written,
+            StorageFailed: self.disk_failed,
+            StorageRecovered: self.disk_back,
+            SnapshotCompleted: self.snapped,
+            Tick: self.timed,
+            TransferLeadership: self.hand_over,
         }
         self.words = {
-            Ask: self.votes.heard_ask,
-            Vote: self.votes.heard_vote,
-            Take: self.votes.heard_take,
-            Append: self.following.heard_append,
-            Piece: self.following.heard_piece,
-            Appended: self.answered,
-            Pieced: self.answered,
+            RequestVote: self.votes.heard_ask,
+            RequestVoteResponse: self.votes.heard_vote,
+            TimeoutNow: self.votes.heard_take,
+            AppendEntries: self.following.heard_append,
+            InstallSnapshot: self.following.heard_piece,
+            AppendEntriesResponse: self.answered,
+            InstallSnapshotResponse: self.answered,
         }
 
     # ---- from outside ------------------------------------------------------------------------------
@@ -101,7 +114,7 @@
         return self.leading is not None and self.state.commit >= self.leading.reads.first
 
     @property
-    def leader(self) -> Who | None:
+    def leader(self) -> MemberId | None:
         return self.state.leader
 
     @property
@@ -115,11 +128,11 @@
 
     # ---- by input ----------------------------------------------------------------------------------
 
-    def heard(self, input: Heard) -> None:
+    def heard(self, input: MessageReceived) -> None:
         if not self.state.belonging.outdated(input.sender) and input.sender != self.state.me:
             self.words[type(input.word)](input.sender, input.word)
 
-    def answered(self, sender: Who, word: Appended | Pieced) -> None:
+    def answered(self, sender: MemberId, word: AppendEntriesResponse | InstallSnapshotResponse) -> None:
         state = self.state
         if word.term > state.term:
             state.vote(word.term, None)
@@ -128,7 +141,7 @@
             self.leading.heard(sender, word)
 
     def elected(self) -> None:
-        self.leading = Leading(self.state)
+        self.leading = Leader(self.state)
         self.leading.advance()
 
     def propose(self, input: Propose) -> None:
@@ -136,23 +149,23 @@
         if self.leading is not None:
             self.leading.propose(input.proposal)
         else:
-            state.out.append(Turned(input.proposal, state.bootstrap["beat"], state.leader))
+            state.out.append(ProposalRejected(input.proposal, state.bootstrap["beat"], state.leader))
 
-    def read(self, input: Read) -> None:
+    def read(self, input: ReadRequest) -> None:
         if self.leading is not None:
             self.leading.read(input.number)
         else:
-            self.state.out.append(Readable(input.number, 0, False, self.state.leader))
+            self.state.out.append(ReadConfirmed(input.number, 0, False, self.state.leader))
 
-    def change(self, input: Change) -> None:
+    def change(self, input: ChangeMembers) -> None:
         if self.leading is not None:
             self.leading.change(input)
 
-    def hand_over(self, input: HandOver) -> None:
+    def hand_over(self, input: TransferLeadership) -> None:
         if self.leading is not None:
             self.leading.hand_over(input.to)
 
-    def timed(self, input: Due) -> None:
+    def timed(self, input: Tick) -> None:
         if self.state.now < self.due:
             return
         if self.leading is not None:
@@ -162,11 +175,11 @@
 
     # ---- by the disk -------------------------------------------------------------------------------
 
-    def written(self, input: Written) -> None:
+    def written(self, input: WriteCompleted) -> None:
         self.state.out += self.state.durable.written(input.number)
         self.kept()
 
-    def snapped(self, input: Snapped) -> None:
+    def snapped(self, input: SnapshotCompleted) -> None:
         self.state.snapped(input.snap)
         self.kept()
 
@@ -177,7 +190,7 @@
         if self.leading is not None:
             self.leading.advance()
 
-    def disk_failed(self, input: DiskFailed) -> None:
+    def disk_failed(self, input: StorageFailed) -> None:
         state = self.state
         if not state.durable.failed:
             state.durable.fail()
@@ -185,5 +198,5 @@
             if state.role is not Role.FOLLOWER:
                 state.be(Role.FOLLOWER, None)
 
-    def disk_back(self, input: DiskBack) -> None:
+    def disk_back(self, input: StorageRecovered) -> None:
         self.state.disk_back()
--- a/indigohitch/fleet/ledger/peers.py
+++ b/indigohitch/fleet/raft/peers.py
@@ -9,10 +9,10 @@
 from collections import deque
 
 from ...encoding.rows import digest
-from ..terms import Who
-from .ports import Snap
-from .state import State
-from .words import Append, Appended, Piece, Pieced
+from ..types import MemberId
+from .interfaces import Snapshot
+from .messages import AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse
+from .state import RaftState
 
 
 class Way(enum.Enum):
@@ -22,14 +22,14 @@
 
 
 class Peer:
-    def __init__(self, state: State, who: Who) -> None:
+    def __init__(self, state: RaftState, who: MemberId) -> None:
         self.state, self.who = state, who
         self.match, self.next = 0, state.log.last + 1
         self.way, self.probed = Way.PROBING, False
         self.out: deque[int] = deque()  # last entry of each message that is out
         # As if just heard: a new leader has an election's time to find its majority.
         self.heard = state.now
-        self.snap: Snap | None = None
+        self.snap: Snapshot | None = None
         self.offset = 0
         self.piece_at = 0  # when the last piece went out
         self.again = False  # it went out again: the answer counts wherever it stands
@@ -69,7 +69,7 @@
             elif self.state.now - self.piece_at >= self.state.bootstrap["election"]:
                 self.again = True
                 self.piece()
-            self.state.send(self.who, Append(self.state.term, 0, 0, 0, (), round, self.state.now))
+            self.state.send(self.who, AppendEntries(self.state.term, 0, 0, 0, (), round, self.state.now))
             return
         if self.next <= self.state.log.base:
             self.begin_snapshot()
@@ -85,7 +85,7 @@
         state = self.state
         self.state.send(
             self.who,
-            Append(
+            AppendEntries(
                 state.term,
                 self.next - 1,
                 state.log.term(self.next - 1),
@@ -98,7 +98,7 @@
 
     # ---- answers -----------------------------------------------------------------------------------
 
-    def appended(self, word: Appended) -> bool:
+    def appended(self, word: AppendEntriesResponse) -> bool:
         """Whether it is known to have more than before."""
         self.heard = self.state.now
         if not word.ok:
@@ -123,7 +123,7 @@
         self.next = max(self.next, self.match + 1)
         self.out.clear()
 
-    def backed(self, word: Appended) -> None:
+    def backed(self, word: AppendEntriesResponse) -> None:
         """Its log differs at `prev_index`, or ends before it: go back to where both may agree (the search by
         terms of 5.3, from both sides)."""
         if self.way is Way.SNAPSHOT or word.prev_index <= self.match:
@@ -161,7 +161,7 @@
         self.piece_at = state.now
         state.send(
             self.who,
-            Piece(
+            InstallSnapshot(
                 state.term,
                 snap.index,
                 snap.term,
@@ -173,7 +173,7 @@
             ),
         )
 
-    def pieced(self, word: Pieced) -> None:
+    def pieced(self, word: InstallSnapshotResponse) -> None:
         """It goes on from where the peer is; an answer that comes twice sends nothing twice."""
         self.heard = self.state.now
         if self.way is not Way.SNAPSHOT or word.index != self.snap.index:
--- a/indigohitch/fleet/ledger/reads.py
+++ b/indigohitch/fleet/raft/reads.py
@@ -7,18 +7,18 @@
 
 from collections import deque
 
-from ..terms import Who
-from .ports import Readable
-from .state import State
+from ..types import MemberId
+from .interfaces import ReadConfirmed
+from .state import RaftState
 
 
 class Reads:
     """Of one leader, from its election on."""
 
-    def __init__(self, state: State, first: int) -> None:
+    def __init__(self, state: RaftState, first: int) -> None:
         self.state, self.first = state, first  # its first entry
         self.round = 0
-        self.echoed: dict[Who, int] = {}
+        self.echoed: dict[MemberId, int] = {}
         self.waiting: deque[tuple[int, int, int]] = deque()  # number, round, index
 
     @property
@@ -29,7 +29,7 @@
     def ask(self, number: int) -> bool:
         """Whether a round has to begin now: those that come while one is out share the next."""
         if len(self.waiting) >= self.state.bootstrap["proposals_most"]:
-            self.state.out.append(Readable(number, 0, False))  # memory is bounded: come back
+            self.state.out.append(ReadConfirmed(number, 0, False))  # memory is bounded: come back
             return False
         begin = not self.open
         self.waiting.append((number, self.round + 1, max(self.state.commit, self.first)))
@@ -39,7 +39,7 @@
         self.round += 1
         return self.round
 
-    def heard(self, who: Who, round: int) -> None:
+    def heard(self, who: MemberId, round: int) -> None:
         if round > self.echoed.get(who, 0):
             self.echoed[who] = round
 
@@ -59,10 +59,10 @@
         confirmed, was_open = self.confirmed(), self.open
         while self.waiting and self.waiting[0][1] <= confirmed and self.waiting[0][2] <= self.state.commit:
             number, _, index = self.waiting.popleft()
-            self.state.out.append(Readable(number, index))
+            self.state.out.append(ReadConfirmed(number, index))
         return was_open and bool(self.waiting) and self.waiting[0][1] > self.round
 
-    def end(self, leader: Who | None) -> None:
+    def end(self, leader: MemberId | None) -> None:
         for number, _, _ in self.waiting:
-            self.state.out.append(Readable(number, 0, False, leader))
+            self.state.out.append(ReadConfirmed(number, 0, False, leader))
         self.waiting.clear()
--- a/indigohitch/fleet/ledger/state.py
+++ b/indigohitch/fleet/raft/state.py
@@ -6,11 +6,22 @@
 import enum
 from collections.abc import Callable, Mapping
 
-from ..terms import Entry, Who
+from ..types import LogEntry, MemberId
+from .configuration import Configuration
 from .durable import Durable
+from .interfaces import (
+    ApplyEntries,
+    Ballot,
+    LogNote,
+    Output,
+    RecoveredState,
+    RestoreSnapshot,
+    RoleChanged,
+    SendMessage,
+    Snapshot,
+    TakeSnapshot,
+)
 from .log import Log
-from .members import Belonging
-from .ports import Ballot, Became, Commit, Held, Install, Note, Output, Send, Snap, TakeSnapshot
 
 
 class Role(enum.Enum):
@@ -20,17 +31,22 @@
     LEADER = "leader"
 
 
-class State:
+class RaftState:
     """`bootstrap`: spans `election` and `beat` in tenths of a ms; bytes `log_most` (of entries after a
     snapshot, before the next is taken), `append_most` (of a message), `piece` (of a snapshot); counts
     `inflight` (messages out to a peer) and `proposals_most`."""
 
     def __init__(
-        self, me: Who, held: Held, bootstrap: Mapping[str, int], chance: Callable[[], float], now: int
+        self,
+        me: MemberId,
+        held: RecoveredState,
+        bootstrap: Mapping[str, int],
+        chance: Callable[[], float],
+        now: int,
     ) -> None:
         self.me, self.bootstrap, self.chance, self.now = me, bootstrap, chance, now
         self.log = Log(held.snap, held.entries)
-        self.belonging = Belonging(held.snap.index, held.snap.members)
+        self.belonging = Configuration(held.snap.index, held.snap.members)
         self.belonging.appended(held.entries)
         # A ballot is written before the entries of its term; one that is behind them was never promised.
         self.ballot = max(held.ballot, Ballot(self.log.last_term), key=lambda ballot: ballot.term)
@@ -64,10 +80,10 @@
 
     # ---- saying and writing ------------------------------------------------------------------------
 
-    def send(self, to: Who, word) -> None:
-        self.out.append(Send(to, word))
+    def send(self, to: MemberId, word) -> None:
+        self.out.append(SendMessage(to, word))
 
-    def promise(self, to: Who, word) -> None:
+    def promise(self, to: MemberId, word) -> None:
         """To be sent once all that was put out so far is written; with a disk out of order never."""
         durable = self.durable
         if durable.failed:
@@ -75,22 +91,22 @@
         if durable.done >= durable.number:
             self.send(to, word)
         else:
-            durable.promises.append((durable.number, Send(to, word)))
+            durable.promises.append((durable.number, SendMessage(to, word)))
 
     def note(self, event: str, **fields) -> None:
-        self.out.append(Note(event, fields))
+        self.out.append(LogNote(event, fields))
 
-    def be(self, role: Role, leader: Who | None) -> None:
+    def be(self, role: Role, leader: MemberId | None) -> None:
         if (role, self.term, leader) != self.told:
             self.role, self.leader, self.told = role, leader, (role, self.term, leader)
-            self.out.append(Became(role.value, self.term, leader))
+            self.out.append(RoleChanged(role.value, self.term, leader))
 
-    def vote(self, term: int, who: Who | None) -> None:
+    def vote(self, term: int, who: MemberId | None) -> None:
         """Term and vote, to the disk too."""
         self.ballot = Ballot(term, who)
         self.out += self.durable.write(self.ballot, 0, (), self.log.last)
 
-    def store(self, cut: int, entries: tuple[Entry, ...]) -> None:
+    def store(self, cut: int, entries: tuple[LogEntry, ...]) -> None:
         """Entries to the log's end, after it was cut from `cut` on (0: not)."""
         if cut:
             if cut <= self.commit:
@@ -104,7 +120,7 @@
     def commit_to(self, index: int) -> None:
         if index <= self.commit:
             return
-        self.out.append(Commit(self.log.some(self.commit + 1, index)))
+        self.out.append(ApplyEntries(self.log.some(self.commit + 1, index)))
         self.commit = index
         self.compact()
 
@@ -122,16 +138,16 @@
                 TakeSnapshot(self.commit, self.log.term(self.commit), self.belonging.at(self.commit))
             )
 
-    def install(self, snap: Snap) -> None:
+    def install(self, snap: Snapshot) -> None:
         """In place of a log that is behind it."""
         self.log.replace(snap)
         self.belonging.replace(snap.index, snap.members)
         self.commit, self.snapping = snap.index, False
         self.durable.install(snap.index)
         if not self.durable.failed:
-            self.out.append(Install(snap))
+            self.out.append(RestoreSnapshot(snap))
 
-    def snapped(self, snap: Snap) -> None:
+    def snapped(self, snap: Snapshot) -> None:
         self.durable.snapped(snap.index)
         if snap.index > self.log.snap.index:
             self.snapping = False
@@ -145,7 +161,7 @@
             return
         self.durable.failed = self.snapping = False
         if self.durable.installing:
-            self.out.append(Install(self.log.snap))
+            self.out.append(RestoreSnapshot(self.log.snap))
         first = max(self.durable.stable, self.log.snap.index if self.durable.installing else 0) + 1
         self.out += self.durable.write(self.ballot, first, self.log.some(first, self.log.last), self.log.last)
         self.compact()
--- a/indigohitch/fleet/ledger/votes.py
+++ b/indigohitch/fleet/raft/votes.py
@@ -7,15 +7,15 @@
 
 from collections.abc import Callable
 
-from ..terms import Who
-from .state import Role, State
-from .words import Ask, Take, Vote
+from ..types import MemberId
+from .messages import RequestVote, RequestVoteResponse, TimeoutNow
+from .state import RaftState, Role
 
 
 class Votes:
-    def __init__(self, state: State, elected: Callable[[], None]) -> None:
+    def __init__(self, state: RaftState, elected: Callable[[], None]) -> None:
         self.state, self.elected = state, elected
-        self.given: set[Who] = set()
+        self.given: set[MemberId] = set()
         self.handed = False
 
     # ---- asking ------------------------------------------------------------------------------------
@@ -62,12 +62,12 @@
 
     def ask(self, term: int, pre: bool) -> None:
         log = self.state.log
-        word = Ask(term, log.last, log.last_term, pre, self.handed and not pre)
+        word = RequestVote(term, log.last, log.last_term, pre, self.handed and not pre)
         for who in self.state.belonging.members.voters:
             if who != self.state.me:
                 self.state.send(who, word)
 
-    def heard_vote(self, sender: Who, word: Vote) -> None:
+    def heard_vote(self, sender: MemberId, word: RequestVoteResponse) -> None:
         state = self.state
         if not word.given:
             if word.term > state.term:
@@ -91,14 +91,14 @@
         elif state.role is Role.CANDIDATE:
             self.elected()
 
-    def heard_take(self, sender: Who, word: Take) -> None:
+    def heard_take(self, sender: MemberId, word: TimeoutNow) -> None:
         state = self.state
         if word.term == state.term and sender == state.leader and self.may_stand:
             self.stand(handed=True)
 
     # ---- being asked -------------------------------------------------------------------------------
 
-    def heard_ask(self, sender: Who, word: Ask) -> None:
+    def heard_ask(self, sender: MemberId, word: RequestVote) -> None:
         """`Vote` goes out once it is written.  Who isn't in this member's list may ask: the list may be
         behind."""
         state = self.state
@@ -107,10 +107,10 @@
         fits = (word.last_term, word.last_index) >= (state.log.last_term, state.log.last)
         if word.pre:
             given = fits and word.term > state.term and not state.led
-            state.send(sender, Vote(word.term if given else state.term, given, True))
+            state.send(sender, RequestVoteResponse(word.term if given else state.term, given, True))
             return
         if word.term < state.term or (state.led and not word.handed):
-            state.send(sender, Vote(state.term, False))
+            state.send(sender, RequestVoteResponse(state.term, False))
             return
         if word.term > state.term:
             vote = sender if fits else None
@@ -124,6 +124,6 @@
                 state.be(Role.FOLLOWER, state.leader)
         if vote == sender:
             state.wait_anew()
-            state.promise(sender, Vote(word.term, True))
+            state.promise(sender, RequestVoteResponse(word.term, True))
         else:
-            state.send(sender, Vote(state.term, False))
+            state.send(sender, RequestVoteResponse(state.term, False))
--- a/indigohitch/fleet/seats/allocator.py
+++ b/indigohitch/fleet/seats/allocator.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from ..ports import Acts
-from ..terms import Lease, Stamp
+from ..interfaces import ActionRecorder
+from ..types import Lease, Stamp
 from .contract import COMMON, Given, Return, Terms
 from .part import Feature, Seats
 from .pool import Assignment, SeatPool
@@ -74,7 +74,7 @@
         self,
         name: str,
         part: Seats,
-        acts: Acts,
+        acts: ActionRecorder,
         fleet_time: Callable[[int], int],
         settings: SeatSettings,
     ) -> None:
--- a/indigohitch/fleet/seats/configured.py
+++ b/indigohitch/fleet/seats/configured.py
@@ -6,7 +6,7 @@
 
 from ...config.fleet import FleetText
 from ...net.clock import SECOND
-from ..ports import Acts
+from ..interfaces import ActionRecorder
 from .allocator import SeatSettings
 from .contract import Contract, Terms
 from .part import Seats
@@ -40,7 +40,9 @@
     )
 
 
-def work_of(text: FleetText, part: Seats, acts: Acts, fleet_time: Callable[[int], int]) -> SeatsWork:
+def work_of(
+    text: FleetText, part: Seats, acts: ActionRecorder, fleet_time: Callable[[int], int]
+) -> SeatsWork:
     """`text` is read anew where its edition has changed: a reload may change it in place."""
     settings = SeatSettings(PLACE_KEPT, COME_BACK, text.drift)
     return SeatsWork(
--- a/indigohitch/fleet/seats/contract.py
+++ b/indigohitch/fleet/seats/contract.py
@@ -5,7 +5,7 @@
 from __future__ import annotations
 
 from ...encoding.rows import Row
-from ..terms import Stamp
+from ..types import Stamp
 
 COMMON = ""  # the pool of a feature that any tenant may have seats of
 
--- a/indigohitch/fleet/seats/nodeclock.py
+++ b/indigohitch/fleet/seats/nodeclock.py
@@ -143,7 +143,7 @@
 
 def read(text: str) -> Pass | None:
     """None for what is no pass."""
-    from ..terms import Stamp
+    from ..types import Stamp
 
     words = text.split()
     try:
--- a/indigohitch/fleet/seats/part.py
+++ b/indigohitch/fleet/seats/part.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from ...errors import InvalidDataError, InvalidRequestError
-from ..members.roster import changed
-from ..ports import At
+from ..interfaces import EntryContext
+from ..membership.roster import announce_change
 from .contract import Contract, FeatureRow, Grant, Recall, Return, SeatsRow, Share, Terms
 
 
@@ -90,7 +90,7 @@
         self.features: dict[str, Feature] = {}
         self.gone: dict[str, int] = {}  # by member: the last incarnation that surely holds nothing
 
-    def apply(self, at: At, word: str, body) -> object:
+    def apply(self, at: EntryContext, word: str, body) -> object:
         match word:
             case "contract":
                 return self.on_contract(at, body)
@@ -108,7 +108,7 @@
 
     # ---- entries -----------------------------------------------------------------------------------
 
-    def on_contract(self, at: At, body: Contract) -> int:
+    def on_contract(self, at: EntryContext, body: Contract) -> int:
         """Returns the edition that stands.  Raises Unfit for an older one, and for another of the same
         number."""
         named = {terms.feature: terms for terms in body.terms}
@@ -128,7 +128,7 @@
         cut = any(
             f.terms.seats > (named[name].seats if name in named else 0) for name, f in self.features.items()
         )
-        changed(self.state_machine, at, "seats", hard=cut)
+        announce_change(self.state_machine, at, "seats", hard=cut)
         for feature in sorted(named.keys() | self.features.keys()):
             found = self.features.get(feature)
             if found is None:
@@ -140,7 +140,7 @@
                 found.settle(pool, at.time + found.terms.drain)
         return self.edition
 
-    def on_grant(self, at: At, body: Grant) -> list[tuple[int, int]]:
+    def on_grant(self, at: EntryContext, body: Grant) -> list[tuple[int, int]]:
         found = self.found(body.feature)
         if body.incarnation <= self.gone.get(body.member, 0):
             raise InvalidRequestError(f"{body.member} {body.incarnation} is gone")
@@ -157,7 +157,7 @@
             insort(share.seats, number)
         return [(number, found.counters[number]) for number in given]
 
-    def on_recall(self, at: At, body: Recall) -> int:
+    def on_recall(self, at: EntryContext, body: Recall) -> int:
         """Returns the whole debt."""
         found = self.found(body.feature)
         share = found.shares.get((body.pool, body.member, body.incarnation))
@@ -170,7 +170,7 @@
         share.debt += body.count
         return share.debt
 
-    def on_return(self, at: At, body: Return) -> int:
+    def on_return(self, at: EntryContext, body: Return) -> int:
         """Returns how many were taken; those not held any more are passed over, so that it may come twice."""
         found, taken = self.found(body.feature), 0
         share = found.shares.get((body.pool, at.proposer, at.incarnation))
@@ -185,7 +185,7 @@
             raise InvalidRequestError(f"no contract on {feature}")
         return self.features[feature]
 
-    def member_gone(self, at: At, name: str, incarnation: int) -> None:
+    def member_gone(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.gone[name] = max(incarnation, self.gone.get(name, 0))
         for feature in self.features.values():
             for share in [
--- a/indigohitch/fleet/seats/work.py
+++ b/indigohitch/fleet/seats/work.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from ..ports import Acts, Wanted
-from ..terms import Entry, Lease, Outcome
+from ..interfaces import ActionRecorder, ProposalRequest
+from ..types import Lease, LogEntry, Outcome
 from .allocator import Counts, SeatAllocator, SeatSettings
 from .contract import Contract, Grant, Recall, Report, Wanting
 from .part import Feature, Seats
@@ -35,7 +35,7 @@
         self,
         name: str,
         part: Seats,
-        acts: Acts,
+        acts: ActionRecorder,
         fleet_time: Callable[[int], int],
         contract: Callable[[], Contract | None],
         stocks: bool,
@@ -51,17 +51,17 @@
 
     # ---- of any member -----------------------------------------------------------------------------
 
-    def applied(self, now: int, entry: Entry, outcome: Outcome) -> list[Wanted]:
+    def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         if not entry.kind.startswith(("seats.", "members.")):
             return []
         self.allocator.sync()
         return self.returns()
 
-    def restored(self, now: int) -> list[Wanted]:
+    def restored(self, now: int) -> list[ProposalRequest]:
         self.allocator.sync()
         return self.returns()
 
-    def turn(self, now: int, lease: Lease | None) -> list[Wanted]:
+    def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
         self.allocator.turn(now, lease)
         wanted = self.returns()
         own = self.contract()
@@ -69,20 +69,20 @@
             wanted += self.want("contract", "seats.contract", own)
         return wanted
 
-    def returns(self) -> list[Wanted]:
+    def returns(self) -> list[ProposalRequest]:
         wanted = []
         for row in self.allocator.returns():
             wanted += self.want(f"return {row.feature} {row.pool}", "seats.return", row)
         return wanted
 
-    def want(self, tag: str, kind: str, row) -> list[Wanted]:
+    def want(self, tag: str, kind: str, row) -> list[ProposalRequest]:
         """One of a tag at a time: what it was for may look different once it is answered."""
         if tag in self.out:
             return []
         self.out.add(tag)
-        return [Wanted(kind, row, tag)]
+        return [ProposalRequest(kind, row, tag)]
 
-    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[Wanted]:
+    def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         self.out.discard(tag)
         if tag == "contract" and outcome is not None:
             self.refused = outcome.refused
@@ -126,7 +126,7 @@
 
     # ---- of the leader -----------------------------------------------------------------------------
 
-    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[Wanted]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         heard = decoded(reports)
         recalls, wanted = now >= self.next_round, []
         if recalls:
@@ -143,7 +143,7 @@
 
     def rebalance(
         self, now: int, found: Feature, pool: str, size: int, heard: Mapping[str, Heard], recalls: bool
-    ) -> list[Wanted]:
+    ) -> list[ProposalRequest]:
         members = [
             self.demand(now, found, pool, name, one)
             for name, one in heard.items()
@@ -161,7 +161,7 @@
 
     def want_move(
         self, kind: type[Grant] | type[Recall], word: str, feature: str, pool: str, move: Move
-    ) -> list[Wanted]:
+    ) -> list[ProposalRequest]:
         member = move.member
         row = kind(feature, pool, member.name, member.incarnation, move.count)
         return self.want(f"lead {feature} {pool} {word} {member.name}", f"seats.{word}", row)
--- a/indigohitch/fleet/state_machine.py
+++ b/indigohitch/fleet/state_machine.py
@@ -10,8 +10,8 @@
 
 from ..encoding.rows import Row, digest
 from ..errors import InvalidDataError, InvalidRequestError
-from .ports import At, StateMachinePart
-from .terms import Entry, Outcome
+from .interfaces import EntryContext, StateMachinePart
+from .types import LogEntry, Outcome
 
 # Proposals of one incarnation that may be out at a time, and outcomes kept to answer one that comes twice.  A
 # member's works make a few a second, and a proposal is given up after some elections' time.
@@ -49,7 +49,7 @@
         hours = self.parts.get("hours")
         return hours.time if hours is not None else 0
 
-    def apply(self, entry: Entry) -> Outcome:
+    def apply(self, entry: LogEntry) -> Outcome:
         """The next entry.  Raises ValueError for one out of turn: that is a defect of the ledger's driver."""
         if entry.index != self.index + 1:
             raise ValueError(f"entry {entry.index} after {self.index}")
@@ -72,7 +72,7 @@
             del known.outcomes[old]
         return outcome
 
-    def carried_out(self, entry: Entry) -> Outcome:
+    def carried_out(self, entry: LogEntry) -> Outcome:
         name, _, word = entry.kind.partition(".")
         part = self.parts.get(name)
         kind = part.kinds.get(word) if part is not None else None
@@ -84,7 +84,9 @@
             return Outcome(entry.index, f"{entry.kind}: {bad}")
         try:
             told = part.apply(
-                At(entry.index, entry.term, self.time, entry.proposer, entry.incarnation), word, body
+                EntryContext(entry.index, entry.term, self.time, entry.proposer, entry.incarnation),
+                word,
+                body,
             )
         except InvalidRequestError as unfit:
             return Outcome(entry.index, unfit.what)
--- a/indigohitch/fleet/disk/files.py
+++ b/indigohitch/fleet/storage/files.py
@@ -8,7 +8,7 @@
 from ...encoding.files import sync_folder, write_atomically
 
 
-class Files:
+class FileSystem:
     """Each raises OSError."""
 
     def folder(self, path: str) -> None:
--- a/indigohitch/fleet/disk/folder.py
+++ b/indigohitch/fleet/storage/folder.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from ...errors import InvalidDataError, UnavailableError
-from ..terms import Who
+from ..types import MemberId
 from . import identity as id
-from .files import Files
+from .files import FileSystem
 from .records import Harmed
 from .recovery import PART, Found, recovered
 
@@ -13,7 +13,7 @@
 class Folder:
     """Raises OSError besides what is said."""
 
-    def __init__(self, files: Files, path: str, fleet: str, name: str) -> None:
+    def __init__(self, files: FileSystem, path: str, fleet: str, name: str) -> None:
         self.files, self.path = files, path
         self.identity = id.Identity(fleet, name)
         self.lock = -1
@@ -76,7 +76,7 @@
         was = self.identity
         self.keep(id.Identity(was.fleet, was.name, number, founders, was.met, was.form))
 
-    def met(self, who: Who) -> None:
+    def met(self, who: MemberId) -> None:
         """Another member showed itself under this number: kept before anything is heard of it."""
         if who.number > self.identity.met.get(who.name, 0):
             was = self.identity
--- a/indigohitch/fleet/disk/records.py
+++ b/indigohitch/fleet/storage/records.py
@@ -8,8 +8,8 @@
 from ...encoding.frames import HEADER_BYTES, BrokenFrameError, MessageTypes
 from ...encoding.rows import Row
 from ...errors import InvalidDataError
-from ..ledger.ports import Ballot
-from ..terms import Entry, Who
+from ..raft.interfaces import Ballot
+from ..types import LogEntry, MemberId
 
 MAGIC = b"IHlg"
 REMEDY = (
@@ -23,7 +23,7 @@
     segments can go; `anew`: what older segments say is void."""
 
     fleet: str
-    who: Who
+    who: MemberId
     base: int
     ballot: Ballot
     anew: bool = False
@@ -34,7 +34,7 @@
 
     ballot: Ballot | None
     cut: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 class Group(Row, frozen=True):
--- a/indigohitch/fleet/disk/recovery.py
+++ b/indigohitch/fleet/storage/recovery.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass, field
 
-from ..ledger.ports import Ballot, Held, Members, Snap
-from ..terms import Entry
+from ..raft.interfaces import Ballot, Members, RecoveredState, Snapshot
+from ..types import LogEntry
 from . import snapshots
-from .files import Files
+from .files import FileSystem
 from .records import Begin, Group, Harmed, One, scan
 
 SEGMENT, SNAPSHOT, PART = "log-", "book-", ".part"
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Found:
-    held: Held
+    held: RecoveredState
     segments: list[Segment] = field(default_factory=list)
     snapshots: list[str] = field(default_factory=list)  # paths; the last one is in force
     cut: tuple[str, int] | None = None  # a torn tail: file, and how much of it was good
@@ -60,22 +60,22 @@
                 raise Harmed(f"entry {entry.index} stands after {self.last}", where)
             self.entries.append(entry)
 
-    def agrees(self, snap: Snap) -> bool:
+    def agrees(self, snap: Snapshot) -> bool:
         """Whether it goes on at the snapshot's end (Ongaro and Ousterhout 2014, 7)."""
         if self.base >= snap.index:
             return True
         place = snap.index - self.base - 1
         return place < len(self.entries) and self.entries[place].term == snap.term
 
-    def after(self, snap: Snap) -> list[Entry]:
+    def after(self, snap: Snapshot) -> list[LogEntry]:
         """What follows the snapshot: all, if the log agrees with it, else nothing."""
         return self.entries[max(0, snap.index - self.base) :] if self.agrees(snap) else []
 
 
-def recovered(files: Files, folder: str) -> Found:
+def recovered(files: FileSystem, folder: str) -> Found:
     """Reads only.  Raises OSError, Harmed."""
     names = files.names(folder)
-    found = Found(Held(Ballot(0), Snap(0, 0, Members(()), b"")))
+    found = Found(RecoveredState(Ballot(0), Snapshot(0, 0, Members(()), b"")))
     found.snapshots = [
         f"{folder}/{name}" for name in names if name.startswith(SNAPSHOT) and not name.endswith(PART)
     ]
--- a/indigohitch/fleet/disk/segments.py
+++ b/indigohitch/fleet/storage/segments.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from ..ledger.ports import Ballot, Snap
-from ..terms import Entry, Who
+from ..raft.interfaces import Ballot, Snapshot
+from ..types import LogEntry, MemberId
 from . import snapshots
-from .files import Files
+from .files import FileSystem
 from .records import RECORDS, Begin, Group, One
 from .recovery import Segment, segment_name, snapshot_name
 
@@ -23,7 +23,7 @@
 MOST_GROUP = 1 << 20
 
 
-def weight(entry: Entry) -> int:
+def weight(entry: LogEntry) -> int:
     """About how many bytes it takes."""
     return len(entry.body) + 64 + len(entry.kind) + len(entry.proposer)
 
@@ -33,7 +33,7 @@
     cut in the first."""
     waiting, size = [], 0
     for one in writes:
-        part: list[Entry] = []
+        part: list[LogEntry] = []
         for entry in one.entries:
             if part and size + weight(entry) > MOST_GROUP:
                 yield Group((*waiting, One(one.ballot, one.cut, tuple(part))))
@@ -51,10 +51,10 @@
 class Segments:
     def __init__(
         self,
-        files: Files,
+        files: FileSystem,
         folder: str,
         fleet: str,
-        who: Who,
+        who: MemberId,
         stood: list[Segment],
         read: list[str],
         size: int = SIZE,
@@ -108,7 +108,7 @@
                 self.last = one.entries[-1].index
                 self.stood[-1].highest = max(self.stood[-1].highest, self.last)
 
-    def snapshot(self, snap: Snap, follows: bool) -> None:
+    def snapshot(self, snap: Snapshot, follows: bool) -> None:
         """Written; then what it covers is taken away, if the log `follows` it, else all.  Raises OSError."""
         if not follows:
             self.anew(snap, self.ballot, ())
@@ -120,13 +120,13 @@
         while len(self.stood) > 1 and self.stood[0].highest <= snap.index:
             self.drop(self.stood.pop(0))
 
-    def put(self, snap: Snap) -> None:
+    def put(self, snap: Snapshot) -> None:
         path = f"{self.folder}/{snapshot_name(snap.index)}"
         self.files.whole(path, snapshots.encode(snap))
         if path not in self.snapshots:
             self.snapshots.append(path)
 
-    def anew(self, snap: Snap, ballot: Ballot, entries: tuple[Entry, ...]) -> None:
+    def anew(self, snap: Snapshot, ballot: Ballot, entries: tuple[LogEntry, ...]) -> None:
         """All of it into files of their own, trusting none that stands; then those go.  Raises OSError."""
         self.close()
         old, self.ballot, self.last = list(self.stood), ballot, entries[-1].index if entries else snap.index
@@ -145,7 +145,7 @@
         except OSError:
             pass
 
-    def drop_snapshots(self, kept: Snap) -> None:
+    def drop_snapshots(self, kept: Snapshot) -> None:
         for path in [path for path in self.snapshots if path != f"{self.folder}/{snapshot_name(kept.index)}"]:
             try:
                 self.files.remove(path)
--- a/indigohitch/fleet/disk/snapshots.py
+++ b/indigohitch/fleet/storage/snapshots.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from ...encoding.rows import digest
-from ..ledger.ports import Snap
+from ..raft.interfaces import Snapshot
 from .records import Harmed
 
 MAGIC = b"IHBOOK\r\n"
@@ -15,12 +15,12 @@
 _HEAD = struct.Struct("!8sHQ16s")
 
 
-def encode(snap: Snap) -> bytes:
+def encode(snap: Snapshot) -> bytes:
     body = msgspec.msgpack.encode(snap)
     return _HEAD.pack(MAGIC, FORM, len(body), digest(body, FORM)) + body
 
 
-def decode(data: bytes, where: str) -> Snap:
+def decode(data: bytes, where: str) -> Snapshot:
     """Raises Harmed: it was written whole, so nothing of it is missing by a crash."""
     if len(data) < _HEAD.size:
         raise Harmed("a snapshot ends within its head", where)
@@ -31,6 +31,6 @@
     if len(body) != length or digest(body, form) != check:
         raise Harmed("a snapshot is not what was written", where)
     try:
-        return msgspec.msgpack.decode(body, type=Snap)
+        return msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as bad:
         raise Harmed(f"a snapshot: {bad}", where) from None
--- a/indigohitch/fleet/disk/store.py
+++ b/indigohitch/fleet/storage/store.py
@@ -14,9 +14,20 @@
 from ...net.clock import SECOND
 from ...net.loop import Deadline, EventLoop
 from ...net.worker_thread import WorkerThread
-from ..ledger.ports import Ballot, DiskBack, DiskFailed, Held, Input, Members, Snap, Snapped, Write, Written
-from ..terms import Who
-from .files import Files
+from ..raft.interfaces import (
+    Ballot,
+    Input,
+    Members,
+    RecoveredState,
+    Snapshot,
+    SnapshotCompleted,
+    StorageFailed,
+    StorageRecovered,
+    WriteCompleted,
+    WriteEntries,
+)
+from ..types import MemberId
+from .files import FileSystem
 from .folder import Folder
 from .records import One
 from .recovery import Found
@@ -37,7 +48,7 @@
     MENDING = "mending"  # tries
 
 
-class Disk:
+class Storage:
     """`open`, `found` and `met` raise; what fails later is told as `DiskFailed`."""
 
     def __init__(
@@ -48,16 +59,16 @@
         fleet: str,
         name: str,
         told: Callable[[Input], None],
-        files: Files | None = None,
+        files: FileSystem | None = None,
     ) -> None:
         self.loop, self.log, self.told = loop, log, told
-        self.files = files or Files()
+        self.files = files or FileSystem()
         self.folder = Folder(self.files, folder, fleet, name)
         self.state, self.why = State.CLOSED, ""
         self.worker: WorkerThread | None = None
         self.segments: Segments | None = None
-        self.kept, self.snap, self.ballot = Kept(0), Snap(0, 0, Members(()), b""), Ballot(0)
-        self.waiting: list[tuple[int, One] | tuple[Snap, bool]] = []
+        self.kept, self.snap, self.ballot = Kept(0), Snapshot(0, 0, Members(()), b""), Ballot(0)
+        self.waiting: list[tuple[int, One] | tuple[Snapshot, bool]] = []
         self.again: Deadline | None = None
         self.syncs = self.failures = 0
 
@@ -67,7 +78,7 @@
 
     # ---- the start and the end ---------------------------------------------------------------------
 
-    def open(self) -> Held | None:
+    def open(self) -> RecoveredState | None:
         """What it holds; None for a folder with nothing in it.  Raises NotNow (another process holds it),
         Unreadable, Harmed, OSError."""
         self.folder.take()
@@ -81,7 +92,7 @@
         except BaseException:
             self.close()
             raise
-        return Held(self.ballot, self.snap, list(self.kept.entries))
+        return RecoveredState(self.ballot, self.snap, list(self.kept.entries))
 
     def stood(self, found: Found) -> None:
         if found.cut is not None:
@@ -92,9 +103,9 @@
             self.files.remove(path)
         self.begin(found, self.identity.number)
 
-    def found(self, number: int, founders: tuple[str, ...], members: Members) -> Held:
+    def found(self, number: int, founders: tuple[str, ...], members: Members) -> RecoveredState:
         """The disk is this member's from here on, with an empty state machine.  Raises OSError."""
-        held = Held(Ballot(0), Snap(0, 0, members, b""))
+        held = RecoveredState(Ballot(0), Snapshot(0, 0, members, b""))
         self.begin(Found(held), number)
         self.segments.put(held.snap)
         self.folder.founded(number, founders)
@@ -109,7 +120,7 @@
             self.files,
             self.folder.path,
             identity.fleet,
-            Who(identity.name, number),
+            MemberId(identity.name, number),
             found.segments,
             found.snapshots,
         )
@@ -136,7 +147,7 @@
 
     # ---- asked by the machine's driver -------------------------------------------------------------
 
-    def write(self, write: Write) -> None:
+    def write(self, write: WriteEntries) -> None:
         """`Written` comes once it is on the disk."""
         base, cut = self.kept.base, write.cut
         entries = tuple(entry for entry in write.entries if entry.index > base)  # else: in the snapshot
@@ -147,7 +158,7 @@
         self.kept.write(one)
         self.ask((write.number, one))
 
-    def snapshot(self, snap: Snap, follows: bool) -> None:
+    def snapshot(self, snap: Snapshot, follows: bool) -> None:
         """Of our own, which the log `follows`, or the leader's in place of it.  `Snapped` comes once it is on
         the disk."""
         if snap.index < self.kept.base:
@@ -166,14 +177,19 @@
             return
         self.state = State.BUSY
         first, follows = self.waiting[0]
-        if isinstance(first, Snap):
+        if isinstance(first, Snapshot):
             del self.waiting[0]
-            self.do(lambda: self.segments.snapshot(first, follows), lambda: self.told(Snapped(first)))
+            self.do(
+                lambda: self.segments.snapshot(first, follows), lambda: self.told(SnapshotCompleted(first))
+            )
             return
-        count = next((n for n, job in enumerate(self.waiting) if isinstance(job[0], Snap)), len(self.waiting))
+        count = next(
+            (n for n, job in enumerate(self.waiting) if isinstance(job[0], Snapshot)), len(self.waiting)
+        )
         writes, self.waiting = self.waiting[:count], self.waiting[count:]
         self.do(
-            lambda: self.segments.write([one for _, one in writes]), lambda: self.told(Written(writes[-1][0]))
+            lambda: self.segments.write([one for _, one in writes]),
+            lambda: self.told(WriteCompleted(writes[-1][0])),
         )
 
     def do(self, job: Callable[[], None], worked: Callable[[], None] = lambda: None) -> None:
@@ -188,7 +204,7 @@
             mending, self.state = self.state is State.MENDING, State.IDLE
             if mending:
                 self.log.event("disk_back", folder=self.folder.path)
-                self.told(DiskBack())
+                self.told(StorageRecovered())
             else:
                 worked()
             self.go()
@@ -208,7 +224,7 @@
             **error_fields(broken, "mend the disk: it is tried again by itself"),
         )
         if first:
-            self.told(DiskFailed(self.why))
+            self.told(StorageFailed(self.why))
         self.again = self.loop.after(AGAIN, self.mend)
 
     def mend(self) -> None:
--- a/indigohitch/fleet/links/arrivals.py
+++ b/indigohitch/fleet/transport/acceptor.py
@@ -11,24 +11,24 @@
 from ...net.listener import Listener
 from ...net.loop import EventLoop
 from ...net.ring_buffer import BufferPool
-from .accepted import Accepted
-from .ends import GREET
-from .words import Greeting
+from .inbound import InboundLink
+from .messages import Handshake
+from .outbound import GREET
 
 
 class Hosting(Protocol):
     """Who owns the listener."""
 
-    def greeted(self, one: Accepted, greeting: Greeting) -> None:
+    def greeted(self, one: InboundLink, greeting: Handshake) -> None:
         """Sets `one.who` where it takes it in; else answers why and closes it."""
 
-    def heard(self, one: Accepted, word: Row) -> None: ...
+    def heard(self, one: InboundLink, word: Row) -> None: ...
 
-    def gone(self, one: Accepted) -> None:
+    def gone(self, one: InboundLink) -> None:
         """One that was taken in has closed."""
 
 
-class Arrivals:
+class Acceptor:
     def __init__(
         self,
         loop: EventLoop,
@@ -42,7 +42,7 @@
         """`whose`: port it is, for the log; `most` strangers at a time; `pool`: of the buffers."""
         self.loop, self.log, self.kinds, self.owner = loop, log, kinds, owner
         self.whose, self.most, self.pool = whose, most, pool
-        self.strangers: set[Accepted] = set()
+        self.strangers: set[InboundLink] = set()
         self.listener: Listener | None = None
 
     def start(self, at: tuple[str, int]) -> None:
@@ -56,7 +56,7 @@
             self.log.warning("strangers_too_many", remedy=f"keep others off the {self.whose}' port")
             return False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.strangers.add(Accepted(self, sock, self.pool))
+        self.strangers.add(InboundLink(self, sock, self.pool))
         return True
 
     def beat(self, now: int) -> None:
@@ -66,15 +66,15 @@
 
     # ---- of those who came -------------------------------------------------------------------------
 
-    def greeted(self, one: Accepted, greeting: Greeting) -> None:
+    def greeted(self, one: InboundLink, greeting: Handshake) -> None:
         self.owner.greeted(one, greeting)
         if one.who is not None:
             self.strangers.discard(one)
 
-    def heard(self, one: Accepted, word: Row) -> None:
+    def heard(self, one: InboundLink, word: Row) -> None:
         self.owner.heard(one, word)
 
-    def gone(self, one: Accepted) -> None:
+    def gone(self, one: InboundLink) -> None:
         self.strangers.discard(one)
         if one.who is not None:
             self.owner.gone(one)
@@ -83,7 +83,7 @@
         self.log.warning("stranger", why=why, remedy=f"keep others off the {self.whose}' port")
 
     def spoilt(self, name: str, broken: BrokenFrameError) -> None:
-        spoilt(self.log, name, broken, self.whose)
+        log_broken_frame(self.log, name, broken, self.whose)
 
     def close(self) -> None:
         if self.listener is not None:
@@ -93,7 +93,7 @@
             one.close()
 
 
-def spoilt(log: Log, name: str, broken: BrokenFrameError, whose: str) -> None:
+def log_broken_frame(log: Log, name: str, broken: BrokenFrameError, whose: str) -> None:
     log.warning(
         "frame_spoilt",
         member=name or "unknown",
--- a/indigohitch/fleet/links/greeting.py
+++ b/indigohitch/fleet/transport/handshake.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Container
 
-from .words import HIGHEST, LOWEST, MEMBER, SUBSCRIBER, Greeting, Welcome
+from .messages import HIGHEST, LOWEST, MEMBER, SUBSCRIBER, Handshake, HandshakeAccepted
 
 REMEDIES = {
     "another fleet": "its file names another fleet, or an address of ours",
@@ -16,7 +16,7 @@
 }
 
 
-def refused(greeting: Greeting, fleet: str, me: str, names: Container[str], met: int) -> tuple[str, str]:
+def refused(greeting: Handshake, fleet: str, me: str, names: Container[str], met: int) -> tuple[str, str]:
     """Why, and its kind in REMEDIES; two empty texts where it is welcome.  `met`: the highest number ever met
     of that name."""
     who = greeting.who
@@ -28,25 +28,25 @@
         return f"{me} is this member", "ourselves"
     if who.name not in names:
         return f"{who.name[:64]} is no member here", "no member"
-    if why := unspoken(greeting):
+    if why := version_mismatch(greeting):
         return why, "protocol"
     if 0 < who.number < met:
         return f"{who.name} has been here as number {met}, and comes as {who.number}", "an old disk"
     return "", ""
 
 
-def refused_subscriber(greeting: Greeting, fleet: str) -> tuple[str, str]:
+def refused_subscriber(greeting: Handshake, fleet: str) -> tuple[str, str]:
     """Why it may not subscribe, and its kind in REMEDIES; two empty texts where it may."""
     if greeting.fleet != fleet:
         return f"of fleet {greeting.fleet[:64]}, this is {fleet}", "another fleet"
     if greeting.role != SUBSCRIBER:
         return f"{greeting.who.name[:64]} comes as {greeting.role[:64]}, this port is for subscribers", "role"
-    if why := unspoken(greeting):
+    if why := version_mismatch(greeting):
         return why, "protocol"
     return "", ""
 
 
-def unspoken(word: Greeting | Welcome) -> str:
+def version_mismatch(word: Handshake | HandshakeAccepted) -> str:
     """Why there is no protocol that both understand."""
     if word.lowest > HIGHEST or word.highest < LOWEST:
         return f"speaks protocol {word.lowest} to {word.highest}, this program {LOWEST} to {HIGHEST}"
--- a/indigohitch/fleet/links/accepted.py
+++ b/indigohitch/fleet/transport/inbound.py
@@ -10,7 +10,7 @@
 from ...net.connection import Connection
 from ...net.loop import EventLoop
 from ...net.ring_buffer import BufferPool
-from .words import Greeting, Pulse, Pulsed
+from .messages import Handshake, Ping, Pong
 
 
 class Host(Protocol):
@@ -19,11 +19,11 @@
     loop: EventLoop
     kinds: MessageTypes
 
-    def greeted(self, one: Accepted, greeting: Greeting) -> None: ...
+    def greeted(self, one: InboundLink, greeting: Handshake) -> None: ...
 
-    def heard(self, one: Accepted, word: Row) -> None: ...
+    def heard(self, one: InboundLink, word: Row) -> None: ...
 
-    def gone(self, one: Accepted) -> None: ...
+    def gone(self, one: InboundLink) -> None: ...
 
     def stranger(self, why: str) -> None:
         """Someone who has not greeted is sent away."""
@@ -31,7 +31,7 @@
     def spoilt(self, name: str, broken: BrokenFrameError) -> None: ...
 
 
-class Accepted:
+class InboundLink:
     """Another one's words to us; a stranger until it has greeted."""
 
     def __init__(self, links: Host, sock: socket.socket, pool: BufferPool | None = None) -> None:
@@ -58,13 +58,13 @@
 
     def take(self, word: Row) -> None:
         if self.who is None:
-            if isinstance(word, Greeting):
+            if isinstance(word, Handshake):
                 self.links.greeted(self, word)
             else:
                 self.links.stranger(f"{type(word).__name__} before a greeting")
                 self.close()
-        elif isinstance(word, Pulse):
-            self.answer(Pulsed(word.number))
+        elif isinstance(word, Ping):
+            self.answer(Pong(word.number))
         else:
             self.links.heard(self, word)
 
--- a/indigohitch/fleet/links/links.py
+++ b/indigohitch/fleet/transport/links.py
@@ -8,18 +8,18 @@
 from ...encoding.rows import Row
 from ...log import Log
 from ...net.loop import EventLoop
-from ..terms import Who
-from .accepted import Accepted
-from .arrivals import Arrivals, spoilt
-from .ends import Dialled, Phase
-from .greeting import REMEDIES, refused, unspoken
-from .words import Greeting, Refused, Welcome
+from ..types import MemberId
+from .acceptor import Acceptor, log_broken_frame
+from .handshake import REMEDIES, refused, version_mismatch
+from .inbound import InboundLink
+from .messages import Handshake, HandshakeAccepted, HandshakeRefused
+from .outbound import OutboundLink, Phase
 
 # Connections that have not greeted yet: members dial one each, and anyone may knock.
 STRANGERS = 32
 
 
-class Links:
+class Transport:
     """`heard(who, word)`: a member's word.  `met(who) -> why`: a number shows itself; "" once it is kept.
     `welcome(who) -> Welcome`: what one who greets is told.  `up(name)`, `down(name)`: our words reach it, or
     don't any more.  `chance`: of a seeded generator, for the spread of diallings."""
@@ -30,20 +30,22 @@
         log: Log,
         kinds: MessageTypes,
         fleet: str,
-        me: Who,
+        me: MemberId,
         token: int,
         chance: Callable[[], float],
     ) -> None:
         self.loop, self.log, self.kinds, self.fleet, self.token = loop, log, kinds, fleet, token
         self.me, self.chance = me, chance
-        self.peers: dict[str, Dialled] = {}
-        self.came: dict[str, Accepted] = {}
-        self.arrivals = Arrivals(loop, log, kinds, self, "members", STRANGERS)
-        self.on_heard: Callable[[Who, Row], None] = lambda who, word: None
-        self.on_met: Callable[[Who], str] = lambda who: ""
+        self.peers: dict[str, OutboundLink] = {}
+        self.came: dict[str, InboundLink] = {}
+        self.arrivals = Acceptor(loop, log, kinds, self, "members", STRANGERS)
+        self.on_heard: Callable[[MemberId, Row], None] = lambda who, word: None
+        self.on_met: Callable[[MemberId], str] = lambda who: ""
         self.on_up: Callable[[str], None] = lambda name: None
         self.on_down: Callable[[str], None] = lambda name: None
-        self.facts: Callable[[Who], Welcome] = lambda who: Welcome(self.me, self.token)
+        self.facts: Callable[[MemberId], HandshakeAccepted] = lambda who: HandshakeAccepted(
+            self.me, self.token
+        )
         self.known: Callable[[str], int] = lambda name: 0  # the highest number met of a name
 
     def start(self, at: tuple[str, int]) -> None:
@@ -60,14 +62,14 @@
             self.came[name].close()
         for name, to in peers.items():
             if name not in self.peers:
-                self.peers[name] = Dialled(self, name, to)
+                self.peers[name] = OutboundLink(self, name, to)
 
-    def renumber(self, me: Who) -> None:
+    def renumber(self, me: MemberId) -> None:
         """This member has got its number: the others hear of it by new greetings."""
         self.me = me
         for name, link in list(self.peers.items()):
             link.close()
-            self.peers[name] = Dialled(self, name, link.to)
+            self.peers[name] = OutboundLink(self, name, link.to)
         for one in list(self.came.values()):  # who dialled us knows the old number: it dials anew
             one.close()
         self.beat()
@@ -80,7 +82,7 @@
 
     # ---- our words ---------------------------------------------------------------------------------
 
-    def say(self, to: Who, word: Row) -> bool:
+    def say(self, to: MemberId, word: Row) -> bool:
         """To the member of that number, and no other that bears its name; False where it was dropped."""
         link = self.peers.get(to.name)
         return link is not None and link.who == to and link.say(word)
@@ -90,12 +92,12 @@
         link = self.peers.get(name)
         return link is not None and link.say(word)
 
-    def greeting(self) -> Greeting:
-        return Greeting(self.fleet, self.me, self.token)
+    def greeting(self) -> Handshake:
+        return Handshake(self.fleet, self.me, self.token)
 
-    def welcomed(self, link: Dialled, welcome: Welcome) -> bool:
+    def welcomed(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
         """Whether who answers is who was dialled."""
-        why = f"{welcome.who.name} answers" if welcome.who.name != link.name else unspoken(welcome)
+        why = f"{welcome.who.name} answers" if welcome.who.name != link.name else version_mismatch(welcome)
         why = why or self.on_met(welcome.who)
         if why:
             self.log.warning(
@@ -106,33 +108,33 @@
             )
         return not why
 
-    def up(self, link: Dialled) -> None:
+    def up(self, link: OutboundLink) -> None:
         self.log.event("member_reached", member=link.name, number=link.welcome.who.number)
         self.on_up(link.name)
 
-    def down(self, link: Dialled, why: str) -> None:
+    def down(self, link: OutboundLink, why: str) -> None:
         self.log.warning("member_lost", member=link.name, why=why)
         self.on_down(link.name)
 
-    def unreached(self, link: Dialled, why: str) -> None:
+    def unreached(self, link: OutboundLink, why: str) -> None:
         """It is dialled again, and said only once it was reached."""
 
-    def replied(self, link: Dialled, word: Row) -> None:
+    def replied(self, link: OutboundLink, word: Row) -> None:
         """Members say nothing over a connection that the other one dialled."""
 
     def spoilt(self, name: str, broken: BrokenFrameError) -> None:
-        spoilt(self.log, name, broken, "members")
+        log_broken_frame(self.log, name, broken, "members")
 
     # ---- others' -----------------------------------------------------------------------------------
 
-    def greeted(self, one: Accepted, greeting: Greeting) -> None:
+    def greeted(self, one: InboundLink, greeting: Handshake) -> None:
         name = greeting.who.name
         why, kind = refused(greeting, self.fleet, self.me.name, self.peers, self.known(name))
         if not why and greeting.who.number and (why := self.on_met(greeting.who)):
             kind = ""
         if why:
             self.log.warning("member_refused", why=why, remedy=REMEDIES.get(kind, "it will come again"))
-            one.answer(Refused(why))
+            one.answer(HandshakeRefused(why))
             one.close()
             return
         if (before := self.came.get(name)) is not None:
@@ -142,10 +144,10 @@
         one.answer(self.facts(greeting.who))
         self.peers[name].come(greeting.who, greeting.token)
 
-    def heard(self, one: Accepted, word: Row) -> None:
+    def heard(self, one: InboundLink, word: Row) -> None:
         self.on_heard(one.who, word)
 
-    def gone(self, one: Accepted) -> None:
+    def gone(self, one: InboundLink) -> None:
         if self.came.get(one.who.name) is one:
             del self.came[one.who.name]
 
--- a/indigohitch/fleet/links/words.py
+++ b/indigohitch/fleet/transport/messages.py
@@ -7,29 +7,29 @@
 from __future__ import annotations
 
 from ...encoding.rows import Row
-from ..terms import Who
+from ..types import MemberId
 
 PROTOCOL = 1  # of this program's words; it understands one less and one more
 LOWEST, HIGHEST = max(1, PROTOCOL - 1), PROTOCOL
 MEMBER, SUBSCRIBER = "member", "subscriber"  # roles of who greets
 
 
-class Greeting(Row, frozen=True):
+class Handshake(Row, frozen=True):
     """First word of who dials.  `token`: of its start, 62 random bits; `who.number` 0: it has none yet."""
 
     fleet: str
-    who: Who
+    who: MemberId
     token: int
     lowest: int = LOWEST
     highest: int = HIGHEST
     role: str = MEMBER
 
 
-class Welcome(Row, frozen=True):
+class HandshakeAccepted(Row, frozen=True):
     """`met`: the highest number that the answering one ever met of the asker's name; `founders`: the voters
     at its founding, or those its file lists if it has not been founded."""
 
-    who: Who
+    who: MemberId
     token: int
     met: int = 0
     founders: tuple[str, ...] = ()
@@ -37,20 +37,20 @@
     highest: int = HIGHEST
 
 
-class Refused(Row, frozen=True):
+class HandshakeRefused(Row, frozen=True):
     """The connection is closed after it."""
 
     why: str
 
 
-class Pulse(Row, frozen=True):
+class Ping(Row, frozen=True):
     """Is there anyone?"""
 
     number: int
 
 
-class Pulsed(Row, frozen=True):
+class Pong(Row, frozen=True):
     number: int
 
 
-WORDS = (Greeting, Welcome, Refused, Pulse, Pulsed)
+MESSAGE_TYPES = (Handshake, HandshakeAccepted, HandshakeRefused, Ping, Pong)
--- a/indigohitch/fleet/links/ends.py
+++ b/indigohitch/fleet/transport/outbound.py
@@ -13,8 +13,8 @@
 from ...net.clock import SECOND
 from ...net.connection import Connection
 from ...net.loop import EventLoop
-from ..terms import Who
-from .words import Greeting, Pulse, Pulsed, Refused, Welcome
+from ..types import MemberId
+from .messages import Handshake, HandshakeAccepted, HandshakeRefused, Ping, Pong
 
 # A connect or a greeting that takes longer than this on one site's net comes to nothing.
 GREET = SECOND
@@ -45,25 +45,25 @@
     kinds: MessageTypes
     chance: Callable[[], float]
 
-    def greeting(self) -> Greeting: ...
+    def greeting(self) -> Handshake: ...
 
-    def welcomed(self, link: Dialled, welcome: Welcome) -> bool:
+    def welcomed(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
         """Whether who answers is who was dialled."""
 
-    def up(self, link: Dialled) -> None: ...
+    def up(self, link: OutboundLink) -> None: ...
 
-    def down(self, link: Dialled, why: str) -> None: ...
+    def down(self, link: OutboundLink, why: str) -> None: ...
 
-    def unreached(self, link: Dialled, why: str) -> None:
+    def unreached(self, link: OutboundLink, why: str) -> None:
         """It could not be dialled, or did not welcome us."""
 
-    def replied(self, link: Dialled, word: Row) -> None:
+    def replied(self, link: OutboundLink, word: Row) -> None:
         """A word that is not about the link itself came back over it."""
 
     def spoilt(self, name: str, broken: BrokenFrameError) -> None: ...
 
 
-class Dialled:
+class OutboundLink:
     """Our words to one member.  What it can't take is dropped, never kept waiting: the ledger says again what
     matters."""
 
@@ -75,12 +75,12 @@
         self.phase, self.since = Phase.RESTING, 0
         self.due, self.rest = 0, REST  # of the next dialling
         self.connection: Connection | None = None
-        self.welcome: Welcome | None = None  # the last one: facts in it stay true
+        self.welcome: HandshakeAccepted | None = None  # the last one: facts in it stay true
         self.alive = self.pulses = self.pulse_due = self.dropped = 0
         self.received = self.sent = 0  # bytes
 
     @property
-    def who(self) -> Who | None:
+    def who(self) -> MemberId | None:
         return self.welcome.who if self.phase is Phase.OPEN else None
 
     def be(self, phase: Phase) -> None:
@@ -104,7 +104,7 @@
         elif now >= self.pulse_due:
             self.pulses += 1
             self.pulse_due = now + self.pulse
-            self.write(Pulse(self.pulses))
+            self.write(Ping(self.pulses))
 
     def dial(self) -> None:
         self.links.log.count("links_dialled")
@@ -136,7 +136,7 @@
     def take(self, word: Row) -> None:
         now = self.links.loop.clock.now()
         match word:
-            case Welcome() if self.phase is Phase.GREETING:
+            case HandshakeAccepted() if self.phase is Phase.GREETING:
                 if not self.links.welcomed(self, word):
                     self.connection.close("not who was called")
                     return
@@ -144,11 +144,11 @@
                 self.pulse_due = now + self.pulse
                 self.be(Phase.OPEN)
                 self.links.up(self)
-            case Refused(why):
+            case HandshakeRefused(why):
                 self.links.log.warning("refused_by_member", member=self.name, why=why)
                 self.rest = LONGEST_REST
                 self.connection.close("refused")
-            case Pulsed():
+            case Pong():
                 self.alive = now
             case _ if self.phase is Phase.OPEN:
                 self.alive = now
@@ -186,7 +186,7 @@
         else:
             self.links.unreached(self, why)
 
-    def come(self, who: Who, token: int) -> None:
+    def come(self, who: MemberId, token: int) -> None:
         """The other end has shown itself: it is worth dialling at once; anew where it is not the one that
         was met here, but has begun again or got its number."""
         if self.phase is Phase.OPEN and (self.welcome.who, self.welcome.token) != (who, token):
--- a/indigohitch/fleet/terms.py
+++ b/indigohitch/fleet/types.py
@@ -10,7 +10,7 @@
 from ..encoding.rows import Row
 
 
-class Who(Row, frozen=True, order=True):
+class MemberId(Row, frozen=True, order=True):
     """A voter or follower as the ledger counts it.  `number` belongs to its disk: a disk that is lost takes
     the number along, and the member that comes without it is another one under the same name."""
 
@@ -29,7 +29,7 @@
     number: int
 
 
-class Entry(Row, frozen=True):
+class LogEntry(Row, frozen=True):
     """One record of the ledger.  `kind` is `part.word`, as `seats.grant`; `body` the msgpack of that kind's
     row. Kind "" is a leader's first entry, with nothing in it; kind `ledger.members` is the ledger's own."""
 
@@ -73,7 +73,7 @@
         return max(0, self.until - now)
 
 
-class Standing(enum.Enum):
+class MemberStanding(enum.Enum):
     """What the judge says of a member (docs/audit.md)."""
 
     CURRENT = "current"
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -25,9 +25,9 @@
         side = SidecarHandover(self.host, self.controls, self.control_taken, self.reload)
         if self.text.fleet is None:
             return side
-        from ..fleet.node.inside import beside
+        from ..fleet.node.companion import node_companion
 
-        side = beside(self, side, self.text.fleet, False, self.follows)
+        side = node_companion(self, side, self.text.fleet, False, self.follows)
         self.host.felt = self.beside.felt
         if self.text.seats:
             from .seating import Seating
--- a/indigohitch/standins/stamped.py
+++ b/indigohitch/standins/stamped.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 
 from ..fleet.audit.gate import Gate
-from ..fleet.terms import Stamp
+from ..fleet.types import Stamp
 
 
 class Stamped:
--- a/indigohitch/versions/store.py
+++ b/indigohitch/versions/store.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from ..encoding.rows import Row
-from ..fleet.disk.files import Files
+from ..fleet.storage.files import FileSystem
 from .history import VersionHistory
 from .store_records import Begun, Harmed, Made, More, Named, Pinned, frames, read, version_rows
 from .tables import Root
@@ -22,7 +22,7 @@
     """Raises OSError besides what is said; then nothing of that call is kept, and the next one begins a new
     file."""
 
-    def __init__(self, files: Files, folder: str, size: int = SIZE) -> None:
+    def __init__(self, files: FileSystem, folder: str, size: int = SIZE) -> None:
         self.files, self.folder, self.size = files, folder, size
         self.history, self.pinned = VersionHistory(), None
         self.root, self.fd, self.path, self.good, self.number = Root(), -1, "", 0, 0
--- a/proofs/audit_guard.py
+++ b/proofs/audit_guard.py
@@ -4,9 +4,9 @@
 import os
 from pathlib import Path
 
-from indigohitch.fleet.members.work import Membership
+from indigohitch.fleet.membership.member_work import Membership
 from indigohitch.fleet.node.notes import Notes
-from indigohitch.fleet.terms import Lease
+from indigohitch.fleet.types import Lease
 
 _apply, _DIFFER = Notes.apply, Path(os.environ.get("FLEET_FOLDER", "/nowhere")) / "differ"
 
--- a/proofs/audit_stragglers.py
+++ b/proofs/audit_stragglers.py
@@ -10,7 +10,7 @@
 from audit_platform import Platforms
 from fleetkit import Fleet, until
 
-from indigohitch.fleet.members.judge import LAG
+from indigohitch.fleet.membership.failure_detector import LAG
 
 
 class Stragglers:
--- a/proofs/batchkit/broken.py
+++ b/proofs/batchkit/broken.py
@@ -1,7 +1,7 @@
 """Run first by a member (Fleet(patch=...)): a lost member's pieces are all given anew, whatever ran."""
 
-from indigohitch.fleet.batches.pieces import Pieces
 from indigohitch.fleet.batches.rows import State
+from indigohitch.fleet.batches.tasks import Pieces
 
 
 def gone(self, at, name, incarnation):
--- a/proofs/fleetkit/disks.py
+++ b/proofs/fleetkit/disks.py
@@ -6,9 +6,9 @@
 import os
 from pathlib import Path
 
-from indigohitch.fleet.disk.files import Files
+from indigohitch.fleet.storage.files import FileSystem
 
-_write, _fsync, _whole = Files.write, Files.fsync, Files.whole
+_write, _fsync, _whole = FileSystem.write, FileSystem.fsync, FileSystem.whole
 _FULL = Path(os.environ.get("FLEET_FOLDER", "/nowhere")) / "full"
 HOW = os.environ.get("FLEET_DISK", "")
 
@@ -18,19 +18,19 @@
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
 
 
-def write(self: Files, fd: int, data: bytes) -> int:
+def write(self: FileSystem, fd: int, data: bytes) -> int:
     return len(data) if HOW == "lying" else _write(self, fd, data)
 
 
-def fsync(self: Files, fd: int) -> None:
+def fsync(self: FileSystem, fd: int) -> None:
     checked()
     if HOW != "unsynced":
         _fsync(self, fd)
 
 
-def whole(self: Files, path: str, data: bytes) -> None:
+def whole(self: FileSystem, path: str, data: bytes) -> None:
     checked()
     _whole(self, path, data)
 
 
-Files.write, Files.fsync, Files.whole = write, fsync, whole
+FileSystem.write, FileSystem.fsync, FileSystem.whole = write, fsync, whole
--- a/proofs/ledger_checks.py
+++ b/proofs/ledger_checks.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from indigohitch.fleet.ledger.words import Append, Ask, Piece, Vote
+from indigohitch.fleet.raft.messages import AppendEntries, InstallSnapshot, RequestVote, RequestVoteResponse
 
 
 class Breach(AssertionError):
@@ -104,11 +104,11 @@
 
     def sent(self, station, to, word) -> None:
         kind = type(word)
-        if kind is Ask and not word.pre:
+        if kind is RequestVote and not word.pre:
             self.voted(station, word.term, station.me)
-        elif kind is Vote and word.given and not word.pre:
+        elif kind is RequestVoteResponse and word.given and not word.pre:
             self.voted(station, word.term, to)
-        elif kind in (Append, Piece) and self.leaders.get(word.term) != station.me:
+        elif kind in (AppendEntries, InstallSnapshot) and self.leaders.get(word.term) != station.me:
             raise Breach(f"{station.me.name} leads unelected in term {word.term}")
 
     def voted(self, station, term, candidate) -> None:
--- a/proofs/ledger_clients.py
+++ b/proofs/ledger_clients.py
@@ -4,8 +4,14 @@
 
 import msgspec
 
-from indigohitch.fleet.ledger.ports import Change, Propose, Read, Readable, Turned
-from indigohitch.fleet.terms import Entry, Proposal
+from indigohitch.fleet.raft.interfaces import (
+    ChangeMembers,
+    ProposalRejected,
+    Propose,
+    ReadConfirmed,
+    ReadRequest,
+)
+from indigohitch.fleet.types import LogEntry, Proposal
 from proofs.ledger_station import Add, Station
 
 
@@ -15,7 +21,7 @@
         self.open = {}  # proposal's number -> proposal, not known to be committed
         self.numbers = 0
 
-    def told(self, entry: Entry) -> None:
+    def told(self, entry: LogEntry) -> None:
         """Somebody has applied it: its proposer may know."""
         if entry.proposer == "p" and self.open.pop(entry.number, None) is not None:
             self.world.tally["commits"] += 1
@@ -40,7 +46,7 @@
         ):
             self.world.step(station, Propose(proposal))
 
-    def turned(self, station: Station, output: Turned) -> None:
+    def turned(self, station: Station, output: ProposalRejected) -> None:
         leader, proposal = output.leader and self.world.stations.get(output.leader.name), output.proposal
         if leader not in (None, station) and self.open.get(proposal.number) is proposal:
             self.world.at(self.world.now + 10, self.offer, leader, proposal)
@@ -54,15 +60,15 @@
         if station.machine is not None and not self.world.held_up(
             station, epoch, self.ask, station, epoch, number
         ):
-            self.world.step(station, Read(number))
+            self.world.step(station, ReadRequest(number))
 
-    def ask_change(self, station: Station, change: Change) -> None:
+    def ask_change(self, station: Station, change: ChangeMembers) -> None:
         if station.machine is not None and not self.world.held_up(
             station, station.epoch, self.ask_change, station, change
         ):
             self.world.step(station, change)
 
-    def readable(self, station: Station, output: Readable) -> None:
+    def readable(self, station: Station, output: ReadConfirmed) -> None:
         self.world.tally["reads"] += output.ok
         self.world.checks.read_ends(station, output)
         if output.number in self.world.leases.renewals:
--- a/proofs/ledger_disk.py
+++ b/proofs/ledger_disk.py
@@ -4,19 +4,27 @@
 
 from collections import deque
 
-from indigohitch.fleet.ledger.ports import Ballot, Held, Install, Snap, Snapped, Write, Written
+from indigohitch.fleet.raft.interfaces import (
+    Ballot,
+    RecoveredState,
+    RestoreSnapshot,
+    Snapshot,
+    SnapshotCompleted,
+    WriteCompleted,
+    WriteEntries,
+)
 
 
 class Disk:
-    def __init__(self, snap: Snap) -> None:
+    def __init__(self, snap: Snapshot) -> None:
         self.ballot, self.snap, self.entries = Ballot(0), snap, []
         self.queue = deque()  # asked for, not yet confirmed: Write, Install or Snap
         self.failed = False
 
-    def carry_out(self) -> Written | Snapped:
+    def carry_out(self) -> WriteCompleted | SnapshotCompleted:
         """The next in order, wholly; returns what the member is told."""
         op = self.queue.popleft()
-        if isinstance(op, Write):
+        if isinstance(op, WriteEntries):
             if op.ballot is not None:
                 self.ballot = op.ballot
             if op.cut:
@@ -25,12 +33,12 @@
             if fresh and fresh[0].index != self.last + 1:
                 raise ValueError(f"a gap on the disk: {fresh[0].index} after {self.last}")
             self.entries += fresh
-            return Written(op.number)
-        snap = op.snap if isinstance(op, Install) else op
+            return WriteCompleted(op.number)
+        snap = op.snap if isinstance(op, RestoreSnapshot) else op
         if snap.index > self.snap.index:
-            keep = [] if isinstance(op, Install) else self.entries[snap.index - self.snap.index :]
+            keep = [] if isinstance(op, RestoreSnapshot) else self.entries[snap.index - self.snap.index :]
             self.snap, self.entries = snap, keep
-        return Snapped(snap)
+        return SnapshotCompleted(snap)
 
     def lose(self, chance) -> None:
         """A crash or a failure: some of what was under way may have got there."""
@@ -49,5 +57,5 @@
             return -1
         return self.entries[at - 1].term if at <= len(self.entries) else None
 
-    def held(self) -> Held:
-        return Held(self.ballot, self.snap, list(self.entries))
+    def held(self) -> RecoveredState:
+        return RecoveredState(self.ballot, self.snap, list(self.entries))
--- a/proofs/ledger_faults.py
+++ b/proofs/ledger_faults.py
@@ -2,8 +2,14 @@
 
 from __future__ import annotations
 
-from indigohitch.fleet.ledger.ports import Change, DiskBack, DiskFailed, HandOver, Members
-from indigohitch.fleet.terms import Who
+from indigohitch.fleet.raft.interfaces import (
+    ChangeMembers,
+    Members,
+    StorageFailed,
+    StorageRecovered,
+    TransferLeadership,
+)
+from indigohitch.fleet.types import MemberId
 from proofs.ledger_checks import Breach
 from proofs.ledger_station import Station
 from proofs.ledger_world import World
@@ -36,7 +42,7 @@
         # Few kinds at a time: what one provokes another often hides.
         self.weights = [pick((0, 0, 1, 4)) + 2 * (name == "heal") for name in FAULTS]
         world.hunter = self.hunt if self.random.random() < 0.4 else None
-        self.wishes: list[Change] = []
+        self.wishes: list[ChangeMembers] = []
         self.changed = False
 
     def run(self) -> dict:
@@ -154,19 +160,19 @@
             self.world.tally["disk_failures"] += 1
             disk.lose(self.random.random)
             disk.failed = True
-            self.world.step(station, DiskFailed("full"))
+            self.world.step(station, StorageFailed("full"))
             self.world.at(self.world.now + 1000 + int(self.random.random() * 5000), self.mend, station)
 
     def mend(self, station: Station) -> None:
         station.slow = 1
         if station.disk.failed:
             station.disk.failed = False
-            self.world.step(station, DiskBack())
+            self.world.step(station, StorageRecovered())
 
     def hand_over(self, station: Station) -> None:
         if station.machine is not None and station.stopped_until <= self.world.now:
             self.world.tally["hand_overs"] += 1
-            self.world.step(station, HandOver())
+            self.world.step(station, TransferLeadership())
             after = self.world.now + int(self.random.random() * 400)
             self.world.at(after, self.random.choice((self.cut_off, self.stop, self.calm)), station)
 
@@ -180,16 +186,16 @@
         if way == 0:
             stations = list(self.world.stations.values())
             some = self.random.sample(stations, self.random.randrange(1, len(stations)))
-            self.wishes = [Change(station.me, out=True) for station in some]
+            self.wishes = [ChangeMembers(station.me, out=True) for station in some]
         elif way == 3:
             self.world.crash(station)
-            self.begin(Who(station.me.name, station.me.number + 1), True)
+            self.begin(MemberId(station.me.name, station.me.number + 1), True)
         else:
-            self.begin(Who("x", 1), way == 1)
+            self.begin(MemberId("x", 1), way == 1)
 
-    def begin(self, who: Who, votes: bool) -> None:
+    def begin(self, who: MemberId, votes: bool) -> None:
         self.world.begin(who, Members(()))
-        self.wishes = [Change(who, votes=votes)]
+        self.wishes = [ChangeMembers(who, votes=votes)]
 
     # ---- after quiet -------------------------------------------------------------------------------
 
--- a/proofs/ledger_guards.py
+++ b/proofs/ledger_guards.py
@@ -7,12 +7,12 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from indigohitch.fleet.ledger.durable import Durable
-from indigohitch.fleet.ledger.leading import Leading
-from indigohitch.fleet.ledger.ports import Ballot
-from indigohitch.fleet.ledger.reads import Reads
-from indigohitch.fleet.ledger.state import State
-from indigohitch.fleet.ledger.votes import Votes
+from indigohitch.fleet.raft.durable import Durable
+from indigohitch.fleet.raft.interfaces import Ballot
+from indigohitch.fleet.raft.leader import Leader
+from indigohitch.fleet.raft.reads import Reads
+from indigohitch.fleet.raft.state import RaftState
+from indigohitch.fleet.raft.votes import Votes
 from proofs.ledger_leases import Leases
 
 
@@ -43,7 +43,7 @@
 
 def any_term():
     """A leader commits entries of older terms by counting."""
-    return Leading, "own_term", lambda self, index: True
+    return Leader, "own_term", lambda self, index: True
 
 
 def read_alone():
@@ -53,12 +53,12 @@
 
 def not_sticky():
     """A vote is given against a leader that is heard, and without a vote before it."""
-    return State, "led", property(lambda self: False)
+    return RaftState, "led", property(lambda self: False)
 
 
 def changes_at_once():
     """A change of the members doesn't wait for the one before it."""
-    return Leading, "may_change", property(lambda self: True)
+    return Leader, "may_change", property(lambda self: True)
 
 
 def nobody_before():
--- a/proofs/ledger_leases.py
+++ b/proofs/ledger_leases.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from indigohitch.fleet.ledger.ports import Propose, Read
-from indigohitch.fleet.members.leases import given, held
-from indigohitch.fleet.terms import Proposal
+from indigohitch.fleet.membership.leases import grantor_span, holder_span
+from indigohitch.fleet.raft.interfaces import Propose, ReadRequest
+from indigohitch.fleet.types import Proposal
 from proofs.ledger_checks import Breach
 from proofs.ledger_station import DRIFT, Name
 
@@ -65,7 +65,7 @@
         world.clients.numbers += 1
         self.renewals[world.clients.numbers] = (leader.epoch, who, asked_at, epoch)
         world.checks.read_begins(world.clients.numbers)
-        world.step(leader, Read(world.clients.numbers))
+        world.step(leader, ReadRequest(world.clients.numbers))
 
     def confirmed(self, leader, readable) -> None:
         of_epoch, who, asked_at, epoch = self.renewals.pop(readable.number)
@@ -74,13 +74,13 @@
         if not readable.ok or of_epoch != leader.epoch or shut or leader.state_machine.index < readable.index:
             return
         world = self.world
-        leader.given[who.name] = leader.local(world.now) + given(SPAN, DRIFT)
+        leader.given[who.name] = leader.local(world.now) + grantor_span(SPAN, DRIFT)
         world.post(leader.me, who, self.renewed, asked_at, epoch, leader.state_machine.index)
 
     def renewed(self, station, asked_at, epoch, index) -> None:
         """Of use once the state machine here is as new as that which the leader looked at."""
         if station.epoch == epoch and station.state_machine.index >= index:
-            station.lease = max(asked_at + held(SPAN, DRIFT), station.lease or 0)
+            station.lease = max(asked_at + holder_span(SPAN, DRIFT), station.lease or 0)
             self.check()
 
     # ---- moving it on ------------------------------------------------------------------------------
@@ -102,7 +102,7 @@
 
     def over_at(self, station, name: str) -> int:
         """By the giver's reckoning; whoever gave one before may have done so until this one was elected."""
-        return max(station.given.get(name, 0), station.elected_at + given(SPAN, DRIFT))
+        return max(station.given.get(name, 0), station.elected_at + grantor_span(SPAN, DRIFT))
 
     def propose(self, station, word: str, name: str) -> None:
         self.moves += 1
--- a/proofs/ledger_members.py
+++ b/proofs/ledger_members.py
@@ -5,23 +5,23 @@
 import pickle
 from typing import NamedTuple
 
-from indigohitch.fleet.ledger.machine import Machine
-from indigohitch.fleet.ledger.ports import (
+from indigohitch.fleet.raft.interfaces import (
+    ApplyEntries,
     Ballot,
-    Commit,
-    Due,
-    Heard,
-    Held,
     Members,
-    Readable,
-    Send,
-    Snap,
-    Write,
-    Written,
+    MessageReceived,
+    ReadConfirmed,
+    RecoveredState,
+    SendMessage,
+    Snapshot,
+    Tick,
+    WriteCompleted,
+    WriteEntries,
 )
-from indigohitch.fleet.ledger.state import Role
-from indigohitch.fleet.ledger.words import Appended, Ask, Vote
-from indigohitch.fleet.terms import Entry
+from indigohitch.fleet.raft.messages import AppendEntriesResponse, RequestVote, RequestVoteResponse
+from indigohitch.fleet.raft.node import RaftNode
+from indigohitch.fleet.raft.state import Role
+from indigohitch.fleet.types import LogEntry
 
 BOOTSTRAP = {
     "election": 1000,
@@ -43,7 +43,7 @@
     return 0.0
 
 
-def canonical(machine: Machine) -> tuple:
+def canonical(machine: RaftNode) -> tuple:
     """All that its next steps hang on; times and numbers of writes count from now."""
     state, following, leading = machine.state, machine.following, machine.leading
     durable, now = state.durable, state.now
@@ -100,11 +100,11 @@
 
     place: int
     words: tuple[int, ...]  # that it sent
-    commits: tuple[Entry, ...]
-    read: Readable | None
+    commits: tuple[LogEntry, ...]
+    read: ReadConfirmed | None
 
 
-def written(disk: tuple, write: Write) -> tuple:
+def written(disk: tuple, write: WriteEntries) -> tuple:
     ballot, held = disk
     return write.ballot or ballot, (held[: write.cut - 1] if write.cut else held) + write.entries
 
@@ -124,7 +124,7 @@
         self.moves: dict[tuple, Done] = {}
         self.vain: dict[tuple, bool] = {}
 
-    def place(self, machine: Machine | None, disk: tuple, queue: tuple) -> int:
+    def place(self, machine: RaftNode | None, disk: tuple, queue: tuple) -> int:
         key = (machine and canonical(machine), disk, queue)
         number = self.numbers.get(key)
         if number is None:
@@ -145,8 +145,8 @@
 
     def started(self, at: int, disk: tuple) -> int:
         ballot, entries = disk
-        held = Held(ballot, Snap(0, 0, Members(self.voters), b""), list(entries))
-        return self.place(Machine(self.voters[at], held, BOOTSTRAP, none, 0), disk, ())
+        held = RecoveredState(ballot, Snapshot(0, 0, Members(self.voters), b""), list(entries))
+        return self.place(RaftNode(self.voters[at], held, BOOTSTRAP, none, 0), disk, ())
 
     def move(self, at: int, place: int, what, at_once: bool) -> Done:
         """`what`: the number of a word that comes, or "crash", "start", "write", or an input.  `at_once`:
@@ -169,27 +169,27 @@
         if what == "write":
             for write in queue:
                 disk = written(disk, write)
-            queue, what = (), Written(machine.state.durable.number)
+            queue, what = (), WriteCompleted(machine.state.durable.number)
         elif type(what) is int:
             sender, _, word = self.words[what]
-            what = Heard(self.voters[sender], word)
-        elif type(what) is Due:
+            what = MessageReceived(self.voters[sender], word)
+        elif type(what) is Tick:
             now = max(now, machine.due)
         words, commits, read = [], (), None
         outputs = machine.step(now, what)
         for output in outputs:
             kind = type(output)
-            if kind is Send:
+            if kind is SendMessage:
                 self.sent(at, disk[0], output.word)
                 words.append(self.word(at, self.voters.index(output.to), output.word))
-            elif kind is Write and at_once and not queue:
+            elif kind is WriteEntries and at_once and not queue:
                 disk = written(disk, output)
-                outputs += machine.step(now, Written(output.number))
-            elif kind is Write:
-                queue += (Write(0, output.ballot, output.cut, output.entries),)
-            elif kind is Commit:
+                outputs += machine.step(now, WriteCompleted(output.number))
+            elif kind is WriteEntries:
+                queue += (WriteEntries(0, output.ballot, output.cut, output.entries),)
+            elif kind is ApplyEntries:
                 commits += output.entries
-            elif kind is Readable:
+            elif kind is ReadConfirmed:
                 read = output
         return Done(self.place(machine, disk, queue), tuple(words), commits, read)
 
@@ -199,16 +199,16 @@
         vain = self.vain.get((word, place))
         if vain is None:
             row, (pickled, (ballot, _), _) = self.words[word][2], self.places[place]
-            vain = type(row) in (Vote, Appended) and row.term < ballot.term
-            if type(row) is Vote and row.term == ballot.term and pickled is not None:
+            vain = type(row) in (RequestVoteResponse, AppendEntriesResponse) and row.term < ballot.term
+            if type(row) is RequestVoteResponse and row.term == ballot.term and pickled is not None:
                 vain = row.pre or not row.given or pickle.loads(pickled).role is not Role.CANDIDATE
             self.vain[word, place] = vain
         return vain
 
     def sent(self, at: int, ballot: Ballot, word) -> None:
         """No vote is told, the own neither, before it is on the disk."""
-        if type(word) is Vote and word.given and not word.pre and ballot.term <= word.term:
+        if type(word) is RequestVoteResponse and word.given and not word.pre and ballot.term <= word.term:
             if ballot.term < word.term or ballot.vote is None:
                 raise Found(f"{self.voters[at].name} tells a vote that its disk doesn't hold")
-        elif type(word) is Ask and not word.pre and ballot != Ballot(word.term, self.voters[at]):
+        elif type(word) is RequestVote and not word.pre and ballot != Ballot(word.term, self.voters[at]):
             raise Found(f"{self.voters[at].name} asks for votes without its own on the disk")
--- a/proofs/ledger_model.py
+++ b/proofs/ledger_model.py
@@ -20,13 +20,13 @@
 if str(Path(__file__).parent.parent) not in sys.path:
     sys.path.insert(0, str(Path(__file__).parent.parent))
 
-from indigohitch.fleet.ledger.ports import Ballot, Due, Propose, Read  # noqa: E402
-from indigohitch.fleet.terms import Entry, Proposal, Who  # noqa: E402
+from indigohitch.fleet.raft.interfaces import Ballot, Propose, ReadRequest, Tick  # noqa: E402
+from indigohitch.fleet.types import LogEntry, MemberId, Proposal  # noqa: E402
 from proofs.ledger_guards import taken_away  # noqa: E402
 from proofs.ledger_members import Found, Places  # noqa: E402
 
 NAMES = "abc"
-VOTERS = tuple(Who(name, 1) for name in NAMES)
+VOTERS = tuple(MemberId(name, 1) for name in NAMES)
 
 
 class Bounds(NamedTuple):
@@ -62,7 +62,7 @@
 
 def disk(term: int, *terms: int) -> tuple:
     """At that term, with entries of those terms."""
-    return Ballot(term), tuple(Entry(at + 1, of, "", b"") for at, of in enumerate(terms))
+    return Ballot(term), tuple(LogEntry(at + 1, of, "", b"") for at, of in enumerate(terms))
 
 
 FRESH = disk(0)
@@ -98,7 +98,7 @@
         places = tuple(self.places.started(at, disk) for at, disk in enumerate(self.scene.disks))
         whole = Whole(places, ((),) * 9, (), (), -1, Bounds("", 0, 0))
         for at in self.scene.first:
-            whole = self.moved(whole, at, Due())
+            whole = self.moved(whole, at, Tick())
             while (after := next(self.moves(whole), None)) is not None:
                 whole = after
         return whole._replace(bounds=self.scene.quick if self.quick else self.scene.bounds)
@@ -139,7 +139,7 @@
             leads = places.leads[place] is not None
             if NAMES[at] in bounds.timeouts and not leads:
                 left = bounds.timeouts.replace(NAMES[at], "", 1)
-                yield self.moved(whole, at, Due(), bounds._replace(timeouts=left))
+                yield self.moved(whole, at, Tick(), bounds._replace(timeouts=left))
             if bounds.crashes:
                 yield self.moved(whole, at, "crash", bounds._replace(crashes=bounds.crashes - 1))
             if bounds.proposals and leads:
@@ -151,7 +151,7 @@
                 yield self.moved(
                     whole._replace(reading=len(whole.committed)),
                     at,
-                    Read(1),
+                    ReadRequest(1),
                     bounds._replace(reads=bounds.reads - 1),
                 )
 
--- a/proofs/ledger_station.py
+++ b/proofs/ledger_station.py
@@ -8,8 +8,8 @@
 
 from indigohitch.encoding.rows import Row
 from indigohitch.errors import InvalidRequestError
-from indigohitch.fleet.ledger.machine import Machine
-from indigohitch.fleet.ledger.ports import Snap
+from indigohitch.fleet.raft.interfaces import Snapshot
+from indigohitch.fleet.raft.node import RaftNode
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from proofs.ledger_disk import Disk
 
@@ -74,7 +74,7 @@
         self.me, self.bootstrap, self.chance = me, bootstrap, chance
         self.rate = 1 + DRIFT * (2 * chance() - 1)
         self.offset = int(chance() * 1e6)
-        self.disk = Disk(Snap(0, 0, members, b""))
+        self.disk = Disk(Snapshot(0, 0, members, b""))
         self.machine = self.state_machine = None  # None while it doesn't run
         self.epoch = 0  # counts its starts: what was under way before is void
         self.stopped_until = 0
@@ -97,7 +97,7 @@
         self.state_machine = ReplicatedStateMachine([Toy()])
         if held.snap.state:
             self.state_machine.restore(held.snap.state)
-        self.machine = Machine(self.me, held, self.bootstrap, self.chance, self.local(now))
+        self.machine = RaftNode(self.me, held, self.bootstrap, self.chance, self.local(now))
         self.epoch += 1
         self.heard, self.due_at, self.stopped_until = None, 0, 0
         self.lease = None  # until when, by its own clock, it may act
--- a/proofs/ledger_world.py
+++ b/proofs/ledger_world.py
@@ -6,22 +6,22 @@
 import heapq
 from random import Random
 
-from indigohitch.fleet.ledger.ports import (
-    Became,
-    Commit,
-    Due,
-    Heard,
-    Install,
+from indigohitch.fleet.raft.interfaces import (
+    ApplyEntries,
     Members,
-    Readable,
-    Send,
-    Snap,
+    MessageReceived,
+    ProposalRejected,
+    ReadConfirmed,
+    RestoreSnapshot,
+    RoleChanged,
+    SendMessage,
+    Snapshot,
     TakeSnapshot,
-    Turned,
-    Write,
+    Tick,
+    WriteEntries,
 )
-from indigohitch.fleet.ledger.words import Append, Ask, Piece
-from indigohitch.fleet.terms import Who
+from indigohitch.fleet.raft.messages import AppendEntries, InstallSnapshot, RequestVote
+from indigohitch.fleet.types import MemberId
 from proofs.ledger_checks import Checks
 from proofs.ledger_clients import Clients
 from proofs.ledger_leases import Leases
@@ -51,21 +51,21 @@
         self.checks, self.leases = Checks(self), Leases(self)
         self.cuts, self.loss, self.doubling, self.delay, self.in_order = set(), 0.0, 0.0, 20, False
         self.arrivals = {}  # link -> the last arrival, where order is kept
-        founders = Members(tuple(Who(name, 1) for name in "abcdefg"[:size]))
+        founders = Members(tuple(MemberId(name, 1) for name in "abcdefg"[:size]))
         self.bootstrap = {**BOOTSTRAP, "append_most": self.random.choice((100, 300, 1000))}
         self.stations, self.disks = {}, {}
         self.tally = dict.fromkeys(TALLY, 0)
         self.hunter = None  # told of each new leader, a little later
         self.clients = Clients(self)
         self.carry = {
-            Send: self.send,
-            Write: self.to_disk,
-            Install: self.install,
-            Commit: self.commit,
+            SendMessage: self.send,
+            WriteEntries: self.to_disk,
+            RestoreSnapshot: self.install,
+            ApplyEntries: self.commit,
             TakeSnapshot: self.snapshot,
-            Turned: self.clients.turned,
-            Readable: self.clients.readable,
-            Became: self.became,
+            ProposalRejected: self.clients.turned,
+            ReadConfirmed: self.clients.readable,
+            RoleChanged: self.became,
         }
         for who in founders.voters:
             self.begin(who, founders)
@@ -86,7 +86,7 @@
 
     # ---- members -----------------------------------------------------------------------------------
 
-    def begin(self, who: Who, members: Members) -> None:
+    def begin(self, who: MemberId, members: Members) -> None:
         """With an empty disk, in place of one of that name."""
         station = self.stations[who.name] = Station(who, members, self.bootstrap, self.random.random)
         self.disks[who] = station.disk
@@ -120,7 +120,7 @@
         if self.held_up(station, epoch, self.timed, station, epoch, due, late=40) or station.due_at != due:
             return
         station.due_at = 0
-        self.step(station, Due())
+        self.step(station, Tick())
 
     def held_up(self, station: Station, epoch: int, act, *args, late: int = 0) -> bool:
         """What comes to a stopped process waits, in order; what comes to one that ended is lost.  `late`:
@@ -134,11 +134,11 @@
 
     # ---- links -------------------------------------------------------------------------------------
 
-    def send(self, station: Station, output: Send) -> None:
+    def send(self, station: Station, output: SendMessage) -> None:
         self.checks.sent(station, output.to, output.word)
         self.post(station.me, output.to, self.heard, station.me, output.word)
 
-    def post(self, sender: Who, to: Who, act, *args) -> None:
+    def post(self, sender: MemberId, to: MemberId, act, *args) -> None:
         """`act(station, *args)` at the member `to`, if it gets there."""
         link, chance = (sender.name, to.name), self.random.random
         if link in self.cuts or chance() < self.loss:
@@ -149,27 +149,27 @@
                 arrival = self.arrivals[link] = max(arrival, self.arrivals.get(link, 0))
             self.at(arrival, self.deliver, to, act, args)
 
-    def deliver(self, to: Who, act, args) -> None:
+    def deliver(self, to: MemberId, act, args) -> None:
         station = self.stations.get(to.name)
         if station is None or station.me != to or station.machine is None:
             return
         if not self.held_up(station, station.epoch, self.deliver, to, act, args):
             act(station, *args)
 
-    def heard(self, station: Station, sender: Who, word) -> None:
+    def heard(self, station: Station, sender: MemberId, word) -> None:
         local = station.local(self.now)
         heard, ballot = station.hears_leader(local), station.machine.state.ballot
-        leads = type(word) in (Append, Piece) and word.term >= station.machine.term
-        self.step(station, Heard(sender, word))
+        leads = type(word) in (AppendEntries, InstallSnapshot) and word.term >= station.machine.term
+        self.step(station, MessageReceived(sender, word))
         if leads and station.machine is not None and station.machine.state.heard == local:
             station.heard = local  # one that came too late tells of no leader
-        if type(word) is Ask and heard:
+        if type(word) is RequestVote and heard:
             self.checks.asked(station, ballot, sender, word)
 
     # ---- disks -------------------------------------------------------------------------------------
 
     def to_disk(self, station: Station, op) -> None:
-        if type(op) is Write:
+        if type(op) is WriteEntries:
             self.checks.written(station, op)
             self.checks.proposed(station, op)
             self.tally["voided"] += bool(op.cut)
@@ -192,7 +192,7 @@
                 self.write_next(station)
             self.step(station, told)
 
-    def install(self, station: Station, output: Install) -> None:
+    def install(self, station: Station, output: RestoreSnapshot) -> None:
         station.state_machine.restore(output.snap.state)
         self.tally["snapshots"] += 1
         self.to_disk(station, output)
@@ -200,22 +200,22 @@
     def snapshot(self, station: Station, output: TakeSnapshot) -> None:
         state_machine = station.state_machine
         self.checks.snapshot(state_machine, output)
-        self.to_disk(station, Snap(output.index, output.term, output.members, state_machine.snapshot()))
+        self.to_disk(station, Snapshot(output.index, output.term, output.members, state_machine.snapshot()))
 
-    def disk_term(self, who: Who, index: int) -> int | None:
+    def disk_term(self, who: MemberId, index: int) -> int | None:
         """On the disk of that member, or as it was when it got lost."""
         return self.disks[who].term(index) if who in self.disks else None
 
     # ---- what the machine says ---------------------------------------------------------------------
 
-    def commit(self, station: Station, output: Commit) -> None:
+    def commit(self, station: Station, output: ApplyEntries) -> None:
         self.checks.commits(station, output.entries)
         for entry in output.entries:
             self.checks.applied(station, entry, station.state_machine.apply(entry))
             self.clients.told(entry)
         self.leases.check()
 
-    def became(self, station: Station, output: Became) -> None:
+    def became(self, station: Station, output: RoleChanged) -> None:
         if output.leader is None:
             station.heard = None
         self.tally["elections"] += output.role == "leader"
--- a/proofs/previouskit/names.py
+++ b/proofs/previouskit/names.py
@@ -90,6 +90,14 @@
 class Present(Previous):
     """Names of this checkout, where they differ."""
 
+    def open(self, folder: str, size: int):
+        from indigohitch.fleet.storage.files import FileSystem
+        from indigohitch.versions.store import Store
+
+        store = Store(FileSystem(), folder, size)
+        store.open()
+        return store
+
 
 def main(which: str, action: str, path: str, size: str = "0") -> None:
     names = {"previous": Previous, "present": Present}[which]()
--- a/proofs/scalekit/guards.py
+++ b/proofs/scalekit/guards.py
@@ -4,7 +4,9 @@
 import dataclasses
 import os
 
-from indigohitch.fleet.distribution import role
+from indigohitch.fleet.distribution import distributor_role
 
 TAKEN_OUT = {"guard": "guard_versions", "resume": "resume"}
-role.LIMITS = dataclasses.replace(role.LIMITS, **{TAKEN_OUT[os.environ["SCALE_BROKEN"]]: False})
+distributor_role.LIMITS = dataclasses.replace(
+    distributor_role.LIMITS, **{TAKEN_OUT[os.environ["SCALE_BROKEN"]]: False}
+)
--- a/proofs/scalekit/hollow.py
+++ b/proofs/scalekit/hollow.py
@@ -16,11 +16,11 @@
 sys.path.insert(0, str(Path(__file__).parent.parent.parent))
 
 from indigohitch.fleet.distribution.connecting import Phase  # noqa: E402
-from indigohitch.fleet.distribution.following import Following  # noqa: E402
+from indigohitch.fleet.distribution.interfaces import Told  # noqa: E402
 from indigohitch.fleet.distribution.limits import SubscriberLimits  # noqa: E402
 from indigohitch.fleet.distribution.messages import Update  # noqa: E402
-from indigohitch.fleet.distribution.ports import Told  # noqa: E402
-from indigohitch.fleet.distribution.terms import NO_VERSION, Resource, Version  # noqa: E402
+from indigohitch.fleet.distribution.subscriber_connection import SubscriberConnection  # noqa: E402
+from indigohitch.fleet.distribution.types import NO_VERSION, Resource, Version  # noqa: E402
 from indigohitch.log import Log  # noqa: E402
 from indigohitch.net.clock import Clock  # noqa: E402
 from indigohitch.net.connection import READ  # noqa: E402
@@ -29,7 +29,7 @@
 from proofs.scalekit.records import Record, clock  # noqa: E402
 
 
-class Hollow(Following):
+class Hollow(SubscriberConnection):
     """A subscriber that keeps a record of what it went through."""
 
     def __init__(self, *rest, **words) -> None:
--- a/proofs/versions_program.py
+++ b/proofs/versions_program.py
@@ -6,7 +6,7 @@
 import time
 
 from indigohitch.encoding.frames import BrokenFrameError, FrameDecoder
-from indigohitch.fleet.disk.files import Files
+from indigohitch.fleet.storage.files import FileSystem
 from indigohitch.versions.checks import Facts
 from indigohitch.versions.publisher import VersionPublisher
 from indigohitch.versions.store import Store
@@ -24,7 +24,7 @@
     """`kill` leaves all as it stands; another one on the same folder goes on."""
 
     def __init__(self, folder: str, facts: Facts, channel: Channel) -> None:
-        self.store = Store(Files(), folder, 1 << 20)
+        self.store = Store(FileSystem(), folder, 1 << 20)
         self.store.open()
         self.publisher = VersionPublisher(self.store, facts, channel)
         self.writers: dict[str, asyncio.StreamWriter] = {}
--- a/tests/acting.py
+++ b/tests/acting.py
@@ -1,14 +1,14 @@
 """Acts of one incarnation over a real folder, for the tests of the audit."""
 
-from indigohitch.fleet.audit.acts import ChainedActs
+from indigohitch.fleet.audit.acts import ActionChain
 from indigohitch.fleet.audit.check import check
 from indigohitch.fleet.audit.files import Store, read
 from indigohitch.fleet.audit.heads import Head, Heads
 from indigohitch.fleet.audit.scrub import Scrub
-from indigohitch.fleet.members.roster import Roster
-from indigohitch.fleet.ports import At
+from indigohitch.fleet.interfaces import EntryContext
+from indigohitch.fleet.membership.roster import Roster
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Lease
+from indigohitch.fleet.types import Lease
 from indigohitch.net.clock import SECOND
 
 
@@ -19,7 +19,7 @@
         self.state_machine, self.troubles = ReplicatedStateMachine([Roster(), Heads()]), []
         self.store, self.member = Store(folder, **store), member
         self.lease = Lease(incarnation, 10**9)
-        self.acts = ChainedActs(
+        self.acts = ActionChain(
             member,
             lambda now: self.lease,
             self.state_machine,
@@ -41,7 +41,7 @@
     def tell(self):
         assert self.acts.sync()
         chain, (first, oldest) = self.acts.chain, self.store.wanted()
-        at = At(1, 1, 0, self.member, chain.incarnation)
+        at = EntryContext(1, 1, 0, self.member, chain.incarnation)
         told = self.heads.apply(
             at, "head", Head(self.member, chain.incarnation, chain.number, chain.head, first, oldest)
         )
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -3,19 +3,19 @@
 import os
 import time
 
-from indigohitch.fleet.disk.files import Files
-from indigohitch.fleet.disk.store import Disk
-from indigohitch.fleet.ledger.ports import Members, Written
-from indigohitch.fleet.terms import Entry, Who
+from indigohitch.fleet.raft.interfaces import Members, WriteCompleted
+from indigohitch.fleet.storage.files import FileSystem
+from indigohitch.fleet.storage.store import Storage
+from indigohitch.fleet.types import LogEntry, MemberId
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import EventLoop
 
 NOWHERE = os.open(os.devnull, os.O_WRONLY)
-MEMBERS = Members((Who("a", 1), Who("b", 1), Who("c", 1)))
+MEMBERS = Members((MemberId("a", 1), MemberId("b", 1), MemberId("c", 1)))
 
 
-class Faulty(Files):
+class Faulty(FileSystem):
     """Room for so many bytes; fsyncs fail while `stuck`."""
 
     def __init__(self):
@@ -45,7 +45,9 @@
         clock = Clock()
         self.loop = EventLoop(clock, self.failed.append)
         self.told = []
-        self.disk = Disk(self.loop, Log(clock, out=NOWHERE), str(folder), "whk", "a", self.told.append, files)
+        self.disk = Storage(
+            self.loop, Log(clock, out=NOWHERE), str(folder), "whk", "a", self.told.append, files
+        )
 
     def founded(self):
         assert self.disk.open() is None
@@ -61,7 +63,7 @@
 
     def wrote(self, write):
         self.disk.write(write)
-        self.until(lambda: Written(write.number) in self.told)
+        self.until(lambda: WriteCompleted(write.number) in self.told)
 
     def close(self):
         self.disk.close()
@@ -70,7 +72,7 @@
 
 
 def entry(index, term=1, body=b"x"):
-    return Entry(index, term, "t.add", body, "a", 1, index)
+    return LogEntry(index, term, "t.add", body, "a", 1, index)
 
 
 def held(folder):
--- a/tests/distribution_network.py
+++ b/tests/distribution_network.py
@@ -4,7 +4,7 @@
 
 from distribution_truth import MS
 from indigohitch.encoding.frames import FrameDecoder
-from indigohitch.fleet.distribution import ports
+from indigohitch.fleet.distribution import interfaces
 from indigohitch.fleet.distribution.messages import KINDS
 
 
@@ -26,20 +26,20 @@
         if self.links.pop(link.number, None) is None:
             return
         subscriber = self.subscribers[link.subscriber]
-        self.at(self.now + 5 * MS, self.put, subscriber, ports.Lost(link.server))
+        self.at(self.now + 5 * MS, self.put, subscriber, interfaces.Lost(link.server))
         if link.server in self.servers:
-            self.put(self.servers[link.server], ports.Left(link.number))
+            self.put(self.servers[link.server], interfaces.Left(link.number))
 
     def dial(self, subscriber, to):
         if (old := self.link_of(subscriber.name)) is not None:
             self.hang_up(old)
         if to not in self.servers or subscriber.name in self.unreachable:
-            self.at(self.now + 5 * MS, self.put, subscriber, ports.Lost(to))
+            self.at(self.now + 5 * MS, self.put, subscriber, interfaces.Lost(to))
             return
         link = self.latest[subscriber.name] = Link(next(self.numbers), subscriber.name, to)
         self.links[link.number] = link
-        self.at(self.now + MS, self.put, subscriber, ports.Connected(to))
-        self.at(self.now + MS, self.put, self.servers[to], ports.Joined(link.number, subscriber.name))
+        self.at(self.now + MS, self.put, subscriber, interfaces.Connected(to))
+        self.at(self.now + MS, self.put, self.servers[to], interfaces.Joined(link.number, subscriber.name))
 
     def link_of(self, subscriber):
         link = self.latest.get(subscriber)
@@ -47,7 +47,7 @@
 
     def hang_up(self, link):
         if self.links.pop(link.number, None) is not None and link.server in self.servers:
-            self.at(self.now + MS, self.put, self.servers[link.server], ports.Left(link.number))
+            self.at(self.now + MS, self.put, self.servers[link.server], interfaces.Left(link.number))
 
     def send(self, link, way, message):
         """As bytes, in order, each later than the one before; `way` 0: to the distributor."""
@@ -63,6 +63,6 @@
             return
         for message, _ in link.frames[way].feed(data):
             if way == 0:
-                self.put(self.servers[link.server], ports.Heard(link.number, message))
+                self.put(self.servers[link.server], interfaces.Heard(link.number, message))
             else:
-                self.put(self.subscribers[link.subscriber], ports.Told(link.server, message))
+                self.put(self.subscribers[link.subscriber], interfaces.Told(link.server, message))
--- a/tests/distribution_truth.py
+++ b/tests/distribution_truth.py
@@ -1,9 +1,9 @@
 """What must hold of distributors and subscribers after each step, and the ledger that says what is true."""
 
 from indigohitch.fleet.distribution.content import ServiceContent, scope_digest
-from indigohitch.fleet.distribution.part import Remove, ServiceKeys, ServiceResources, Set
-from indigohitch.fleet.distribution.terms import NO_VERSION, Resource, Version
-from indigohitch.fleet.members.leases import given
+from indigohitch.fleet.distribution.replicated_part import Remove, ServiceKeys, ServiceResources, Set
+from indigohitch.fleet.distribution.types import NO_VERSION, Resource, Version
+from indigohitch.fleet.membership.leases import grantor_span
 from indigohitch.net.clock import SECOND
 
 MS = SECOND // 1000
@@ -75,7 +75,7 @@
 
     def check_leases(self):
         """Nobody counts as current with what was superseded more than a lease ago."""
-        bound = self.now - given(self.limits.lease, self.limits.drift)
+        bound = self.now - grantor_span(self.limits.lease, self.limits.drift)
         for name, machine in self.subscribers.items():
             if self.now < machine.acting_until(self.now) and name not in self.stopped | self.spoilt:
                 for service in machine.held.services:
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -9,13 +9,13 @@
 
 from distribution_network import Network
 from distribution_truth import MS, Truth
-from indigohitch.fleet.distribution import ports
+from indigohitch.fleet.distribution import interfaces
 from indigohitch.fleet.distribution.distributor import Distributor
 from indigohitch.fleet.distribution.limits import Limits, SubscriberLimits
 from indigohitch.fleet.distribution.messages import Update
-from indigohitch.fleet.distribution.part import Distribution
+from indigohitch.fleet.distribution.replicated_part import Distribution
 from indigohitch.fleet.distribution.subscriber import Subscriber
-from indigohitch.fleet.ports import At
+from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.net.clock import SECOND
 
 TICK = 100 * MS
@@ -67,8 +67,10 @@
         while server.position < len(self.log) and not server.held_up and self.lives(server):
             version, word, body = self.log[server.position]
             server.position += 1
-            changed = server.part.apply(At(version.index, version.term, self.now, "", 0), word, body)
-            self.put(server, ports.Changed(changed))
+            changed = server.part.apply(
+                EntryContext(version.index, version.term, self.now, "", 0), word, body
+            )
+            self.put(server, interfaces.Changed(changed))
 
     # ---- processes ---------------------------------------------------------------------------------
 
@@ -135,7 +137,7 @@
 
     def rescope(self, name, scope):
         self.scopes[name] = frozenset(scope)
-        self.put(self.subscribers[name], ports.Rescope(self.scopes[name]))
+        self.put(self.subscribers[name], interfaces.Rescope(self.scopes[name]))
 
     # ---- time --------------------------------------------------------------------------------------
 
@@ -160,16 +162,16 @@
         if self.timers.get(process) == due:
             del self.timers[process]
             if process.name not in self.stopped:
-                self.put(process, ports.Due())
+                self.put(process, interfaces.Due())
 
     def tick(self):
         for server in [server for server in self.servers.values() if self.lives(server)]:
             if self.majority and server.position == len(self.log):
-                self.put(server, ports.Level(self.now))
+                self.put(server, interfaces.Level(self.now))
             report = server.machine.report(self.now)
             for other in self.servers.values():
                 if other is not server and self.lives(other):
-                    self.put(other, ports.HeardReport(report))
+                    self.put(other, interfaces.HeardReport(report))
         self.check_leases()
         self.at(self.now + TICK, self.tick)
 
@@ -185,9 +187,9 @@
     def step_server(self, server, input):
         for output in server.machine.step(self.now, input):
             link = self.links.get(getattr(output, "connection", 0))
-            if isinstance(output, ports.Note):
+            if isinstance(output, interfaces.Note):
                 self.notes.append((server.name, output))
-            elif link is not None and isinstance(output, ports.Send):
+            elif link is not None and isinstance(output, interfaces.Send):
                 if isinstance(output.message, Update):
                     self.updates.append((self.now, server.name, link.subscriber, output.message))
                 self.send(link, 1, output.message)
@@ -200,15 +202,15 @@
         before = machine.version
         for output in machine.step(self.now, input):
             link = self.link_of(machine.name)
-            if isinstance(output, ports.Dial):
+            if isinstance(output, interfaces.Dial):
                 self.dial(machine, output.distributor)
-            elif isinstance(output, ports.Note):
+            elif isinstance(output, interfaces.Note):
                 self.notes.append((machine.name, output))
-            elif isinstance(output, ports.Applied):
+            elif isinstance(output, interfaces.Applied):
                 self.check_applied(machine, before, input.message)
-            elif link is not None and isinstance(output, ports.HangUp):
+            elif link is not None and isinstance(output, interfaces.HangUp):
                 self.hang_up(link)
-            elif link is not None and isinstance(output, ports.Say):
+            elif link is not None and isinstance(output, interfaces.Say):
                 self.send(link, 0, output.message)
         self.wake(machine)
 
--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -6,11 +6,11 @@
 
 from indigohitch.encoding.rows import Row
 from indigohitch.errors import InvalidRequestError
-from indigohitch.fleet.audit.acts import ChainedActs
+from indigohitch.fleet.audit.acts import ActionChain
 from indigohitch.fleet.audit.heads import Heads
-from indigohitch.fleet.audit.work import Auditing
-from indigohitch.fleet.members.roster import Roster
-from indigohitch.fleet.members.work import Membership
+from indigohitch.fleet.audit.work import AuditWork
+from indigohitch.fleet.membership.member_work import Membership
+from indigohitch.fleet.membership.roster import Roster
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.net.clock import SECOND
 
@@ -93,10 +93,10 @@
         self.membership = Membership(
             self.name, True, parts["members"], SPAN, DRIFT, lambda: self.chance.getrandbits(62)
         )
-        self.acts = ChainedActs(
+        self.acts = ActionChain(
             self.name, self.membership.lease, self.state_machine, self.store, self.troubles.append
         )
-        self.auditing = Auditing(self.acts, parts["audit"], self.membership, self.troubles.append)
+        self.auditing = AuditWork(self.acts, parts["audit"], self.membership, self.troubles.append)
         self.auditing.scrub.step = lambda now: []  # there are no files
         self.out, self.numbers, self.wants = {}, count(1), []
         self.leads = 0  # the term in which it believes that it leads
--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from fleet_member import SPAN, Alter, Simulated, Take
-from indigohitch.fleet.members.leases import Answer, ReadFirst
-from indigohitch.fleet.terms import Entry
+from indigohitch.fleet.membership.leases import Answer, ReadFirst
+from indigohitch.fleet.types import LogEntry
 from indigohitch.net.clock import SECOND
 
 __all__ = ["SPAN", "STEP", "Alter", "Take", "World"]
@@ -62,7 +62,7 @@
             return
         self.leader = max(fit, key=lambda m: m.state_machine.index)
         self.term += 1
-        self.log.append(Entry(len(self.log) + 1, self.term, "", b""))
+        self.log.append(LogEntry(len(self.log) + 1, self.term, "", b""))
         self.leader.leads, self.lost = self.term, self.time
         self.leader.membership.became(self.leader.now(self.time), "leader", self.term)
 
@@ -110,7 +110,7 @@
         number = next(member.numbers)
         member.out[proposer, incarnation, number] = kind.partition(".")[0], tag, self.time
         if self.leader is not None and self.both(member, self.leader) and self.leading(self.leader):
-            entry = Entry(
+            entry = LogEntry(
                 len(self.log) + 1,
                 self.term,
                 kind,
--- a/tests/golden/fleet/write_frames.py
+++ b/tests/golden/fleet/write_frames.py
@@ -11,52 +11,54 @@
 from indigohitch.encoding.rows import Row
 from indigohitch.fleet.distribution import messages as distribution
 from indigohitch.fleet.distribution.messages import Behind, HeldService, ServiceChange, Unreachable
-from indigohitch.fleet.distribution.terms import Resource, Version
-from indigohitch.fleet.ledger import words as ledger
-from indigohitch.fleet.ledger.ports import Members
-from indigohitch.fleet.links import words as links
-from indigohitch.fleet.members import words as members
-from indigohitch.fleet.node import words as node
-from indigohitch.fleet.terms import Entry, Proposal, Who
+from indigohitch.fleet.distribution.types import Resource, Version
+from indigohitch.fleet.membership import messages as members
+from indigohitch.fleet.node import messages as node
+from indigohitch.fleet.raft import messages as ledger
+from indigohitch.fleet.raft.interfaces import Members
+from indigohitch.fleet.transport import messages as links
+from indigohitch.fleet.types import LogEntry, MemberId, Proposal
 
 DIGEST = bytes(range(16))
 TOKEN = (1 << 61) + 7
-B = Who(name="b", number=2)
-VOTERS = Members(voters=(Who(name="a", number=1), B), followers=(Who(name="c", number=3),))
-ENTRY = Entry(index=8, term=2, kind="seats.grant", body=b"\x91\x01", proposer="b", incarnation=4, number=5000)
-EMPTY = Entry(index=9, term=3, kind="", body=b"")
+B = MemberId(name="b", number=2)
+VOTERS = Members(voters=(MemberId(name="a", number=1), B), followers=(MemberId(name="c", number=3),))
+ENTRY = LogEntry(
+    index=8, term=2, kind="seats.grant", body=b"\x91\x01", proposer="b", incarnation=4, number=5000
+)
+EMPTY = LogEntry(index=9, term=3, kind="", body=b"")
 PROPOSAL = Proposal(proposer="b", incarnation=4, number=70_000, kind="notes.add", body=b"\x91\xa1x")
 OLD, NEW = Version(term=2, index=300), Version(term=3, index=70_000)
 
 LINKS: list[Row] = [
-    links.Greeting(fleet="whk", who=B, token=TOKEN),
-    links.Greeting(fleet="whk", who=B, token=TOKEN, lowest=2, highest=3, role="subscriber"),
-    links.Welcome(who=B, token=TOKEN),
-    links.Welcome(who=B, token=TOKEN, met=5, founders=("a", "b"), lowest=2, highest=3),
-    links.Refused(why="another fleet"),
-    links.Pulse(number=300),
-    links.Pulsed(number=301),
+    links.Handshake(fleet="whk", who=B, token=TOKEN),
+    links.Handshake(fleet="whk", who=B, token=TOKEN, lowest=2, highest=3, role="subscriber"),
+    links.HandshakeAccepted(who=B, token=TOKEN),
+    links.HandshakeAccepted(who=B, token=TOKEN, met=5, founders=("a", "b"), lowest=2, highest=3),
+    links.HandshakeRefused(why="another fleet"),
+    links.Ping(number=300),
+    links.Pong(number=301),
 ]
 MEMBERS: list[Row] = [
     *LINKS,
-    ledger.Ask(term=3, last_index=70, last_term=2),
-    ledger.Ask(term=3, last_index=70, last_term=2, pre=True, handed=False),
-    ledger.Ask(term=3, last_index=70, last_term=2, pre=False, handed=True),
-    ledger.Vote(term=3, given=True),
-    ledger.Vote(term=3, given=False, pre=True),
-    ledger.Append(term=3, prev_index=7, prev_term=2, commit=6),
-    ledger.Append(
+    ledger.RequestVote(term=3, last_index=70, last_term=2),
+    ledger.RequestVote(term=3, last_index=70, last_term=2, pre=True, handed=False),
+    ledger.RequestVote(term=3, last_index=70, last_term=2, pre=False, handed=True),
+    ledger.RequestVoteResponse(term=3, given=True),
+    ledger.RequestVoteResponse(term=3, given=False, pre=True),
+    ledger.AppendEntries(term=3, prev_index=7, prev_term=2, commit=6),
+    ledger.AppendEntries(
         term=3, prev_index=7, prev_term=2, commit=6, entries=(ENTRY, EMPTY), round=12, at=123_456_789_012
     ),
-    ledger.Appended(term=3, ok=True, match=9),
-    ledger.Appended(term=3, ok=False, match=5, prev_index=7, hint_term=2, round=12),
-    ledger.Piece(
+    ledger.AppendEntriesResponse(term=3, ok=True, match=9),
+    ledger.AppendEntriesResponse(term=3, ok=False, match=5, prev_index=7, hint_term=2, round=12),
+    ledger.InstallSnapshot(
         term=3, index=60, snap_term=2, members=VOTERS, total=900, digest=DIGEST, offset=300, data=b"state"
     ),
-    ledger.Pieced(term=3, index=60, offset=305),
-    ledger.Take(term=3),
-    members.Renew(number=40, incarnation=4, applied=60),
-    members.Renew(
+    ledger.InstallSnapshotResponse(term=3, index=60, offset=305),
+    ledger.TimeoutNow(term=3),
+    members.RenewLease(number=40, incarnation=4, applied=60),
+    members.RenewLease(
         number=40,
         incarnation=4,
         applied=60,
@@ -66,18 +68,18 @@
         acts=1234,
         reports={"seats": b"\x92\x01\x90", "hours": b"\x91\x07"},
     ),
-    members.Renewed(number=40, incarnation=4),
-    members.Renewed(number=40, incarnation=4, term=3),
-    members.NotRenewed(number=40, incarnation=4, why="shut out"),
-    members.NotRenewed(number=40, incarnation=4, why="shut out", over=True, again=2_000),
+    members.LeaseRenewed(number=40, incarnation=4),
+    members.LeaseRenewed(number=40, incarnation=4, term=3),
+    members.LeaseNotRenewed(number=40, incarnation=4, why="shut out"),
+    members.LeaseNotRenewed(number=40, incarnation=4, why="shut out", over=True, again=2_000),
     node.Forward(proposal=PROPOSAL),
-    node.TurnedAway(proposer="b", incarnation=4, number=70_000, again=500),
-    node.ReadAsk(number=17),
-    node.ReadAt(number=17, index=60),
-    node.ReadAt(number=17, index=60, ok=False),
-    node.Admit(name="d", token=TOKEN),
-    node.Admit(name="d", token=TOKEN, number=9, votes=False),
-    node.Admitted(who=B, token=TOKEN, founders=("a", "b")),
+    node.ProposalRejected(proposer="b", incarnation=4, number=70_000, again=500),
+    node.ReadIndexRequest(number=17),
+    node.ReadIndexResponse(number=17, index=60),
+    node.ReadIndexResponse(number=17, index=60, ok=False),
+    node.JoinRequest(name="d", token=TOKEN),
+    node.JoinRequest(name="d", token=TOKEN, number=9, votes=False),
+    node.JoinResponse(who=B, token=TOKEN, founders=("a", "b")),
     distribution.Report(
         distributor="a",
         number=3,
--- a/tests/golden/fleet/write_rows.py
+++ b/tests/golden/fleet/write_rows.py
@@ -14,29 +14,29 @@
 from msgspec import inspect
 
 from indigohitch.encoding.rows import Row
-from indigohitch.fleet import hours
+from indigohitch.fleet import fleet_clock
 from indigohitch.fleet.audit import check, heads
 from indigohitch.fleet.audit import work as auditing
-from indigohitch.fleet.audit.acts import ChainedActs
+from indigohitch.fleet.audit.acts import ActionChain
 from indigohitch.fleet.audit.files import Store
 from indigohitch.fleet.audit.orders import KIND as RELAY
 from indigohitch.fleet.audit.orders import about
 from indigohitch.fleet.batches import leader as batches
 from indigohitch.fleet.distribution import messages
 from indigohitch.fleet.distribution.content import ServiceContent, scope_digest
-from indigohitch.fleet.distribution.in_force import InForce
-from indigohitch.fleet.distribution.role import plain
-from indigohitch.fleet.distribution.terms import mark
-from indigohitch.fleet.members import entries as wishes
-from indigohitch.fleet.members.roster import Roster
-from indigohitch.fleet.members.work import Membership
+from indigohitch.fleet.distribution.convergence import ConvergenceReport
+from indigohitch.fleet.distribution.distributor_role import plain
+from indigohitch.fleet.distribution.types import mark
+from indigohitch.fleet.membership import entries as wishes
+from indigohitch.fleet.membership.member_work import Membership
+from indigohitch.fleet.membership.roster import Roster
 from indigohitch.fleet.node.standard import parts
 from indigohitch.fleet.seats import contract, nodeclock
 from indigohitch.fleet.seats.allocator import SeatSettings
 from indigohitch.fleet.seats.part import Seats
 from indigohitch.fleet.seats.work import SeatsWork
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Lease
+from indigohitch.fleet.types import Lease
 
 
 class Filler:
@@ -89,7 +89,7 @@
 
 # Reports of works by the work's name, and rows that go into records of acts, by the act's kind.
 REPORTS = {
-    "hours": hours.Reading,
+    "hours": fleet_clock.Reading,
     "audit": auditing.Report,
     "seats": contract.Report,
     "batches": batches.Report,
@@ -101,7 +101,14 @@
     """Kinds of what a leader proposes about members."""
     state_machine = ReplicatedStateMachine([Roster()])
     membership = Membership("a", True, state_machine.parts["members"], 20_000, 0.01, lambda: 1)
-    rows = (wishes.ShutOut, wishes.Gone, wishes.Compare, wishes.Agreed, wishes.Back, wishes.InForce)
+    rows = (
+        wishes.Evicted,
+        wishes.LeaseExpired,
+        wishes.Compare,
+        wishes.Agreed,
+        wishes.Readmitted,
+        wishes.InForce,
+    )
     membership.giver.term = 1
     membership.judge.proposals = lambda now: [Filler().row(cls) for cls in rows]
     return [wanted.kind for wanted in membership.lead(0, {})]
@@ -120,7 +127,7 @@
     fill, service = Filler().row, ServiceContent("maps", {"m2": b"two", "m1": b"one"})
     shown = fill(contract.Pass)
     return {
-        "in_force": plain(fill(InForce)),
+        "in_force": plain(fill(ConvergenceReport)),
         "seats": seats_figures(),
         "wishes": wished(),
         "audit_report": auditing.shown(fill(auditing.Report)),
@@ -139,7 +146,7 @@
     state_machine = ReplicatedStateMachine([Roster(), heads.Heads()])
     lease = Lease(1, 10**9)
     store = Store(folder, file=1200)
-    acts = ChainedActs("m", lambda now: lease, state_machine, store, lambda bad: None)
+    acts = ActionChain("m", lambda now: lease, state_machine, store, lambda bad: None)
     now = 17_700_000_000_000
     state_machine.term, lease = 3, Lease(1, now + 900_000)
     for number in range(40):
--- a/tests/golden/fleet/write_story.py
+++ b/tests/golden/fleet/write_story.py
@@ -11,26 +11,26 @@
 
 from indigohitch.fleet.audit.heads import Head
 from indigohitch.fleet.batches import rows as batches
-from indigohitch.fleet.disk import identity
-from indigohitch.fleet.disk.files import Files
-from indigohitch.fleet.disk.folder import Folder
-from indigohitch.fleet.disk.records import One
-from indigohitch.fleet.disk.segments import Segments
-from indigohitch.fleet.distribution.part import Remove, Replace, ServiceKeys, ServiceResources, Set
-from indigohitch.fleet.distribution.terms import Resource
-from indigohitch.fleet.hours import Tick
-from indigohitch.fleet.ledger.ports import Ballot, Members, Snap
-from indigohitch.fleet.members import entries as members
+from indigohitch.fleet.distribution.replicated_part import Remove, Replace, ServiceKeys, ServiceResources, Set
+from indigohitch.fleet.distribution.types import Resource
+from indigohitch.fleet.fleet_clock import Tick
+from indigohitch.fleet.membership import entries as members
 from indigohitch.fleet.node.notes import Add
 from indigohitch.fleet.node.standard import parts
+from indigohitch.fleet.raft.interfaces import Ballot, Members, Snapshot
 from indigohitch.fleet.seats import contract as seats
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry, Stamp, Who
+from indigohitch.fleet.storage import identity
+from indigohitch.fleet.storage.files import FileSystem
+from indigohitch.fleet.storage.folder import Folder
+from indigohitch.fleet.storage.records import One
+from indigohitch.fleet.storage.segments import Segments
+from indigohitch.fleet.types import LogEntry, MemberId, Stamp
 
 SECOND = 10_000
 START = 17_700_000_000_000  # fleet time
 HOUR = 3600 * SECOND
-VOTERS = Members((Who("a", 1), Who("b", 2), Who("c", 3)), (Who("d", 4),))
+VOTERS = Members((MemberId("a", 1), MemberId("b", 2), MemberId("c", 3)), (MemberId("d", 4),))
 
 
 class Story:
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.state_machine = ReplicatedStateMachine(parts())
-        self.entries: list[Entry] = []
+        self.entries: list[LogEntry] = []
         self.lines: list[dict] = []
         self.number = 0
         self.term = 1
@@ -48,7 +48,7 @@
         self.number += 1
         index = len(self.entries) + 1
         body = row if isinstance(row, bytes) else b"" if row is None else msgspec.msgpack.encode(row)
-        entry = Entry(index, self.term, kind, body, who if kind else "", incarnation, again or self.number)
+        entry = LogEntry(index, self.term, kind, body, who if kind else "", incarnation, again or self.number)
         self.entries.append(entry)
         outcome = self.state_machine.apply(entry)
         self.lines.append(
@@ -68,7 +68,7 @@
         own = self.state_machine.parts["members"].digests[point]
         self.put("members.agreed", members.Agreed(index=point, digest=own))
         for name, incarnation in names:
-            self.put("members.back", members.Back(name=name, incarnation=incarnation, index=point))
+            self.put("members.back", members.Readmitted(name=name, incarnation=incarnation, index=point))
 
 
 def begun(story: Story) -> None:
@@ -159,9 +159,9 @@
     taken = (("a", 1, 9), ("b", 1, 2), ("c", 1, 3))
     story.put("members.in_force", members.InForce(version=version, taken=taken))
     story.put("members.change", members.Announce(what="classes", hard=True))
-    story.put("members.shut_out", members.ShutOut(name="c", incarnation=1, why="not heard of for a lease"))
+    story.put("members.shut_out", members.Evicted(name="c", incarnation=1, why="not heard of for a lease"))
     story.put("hours.tick", Tick(time=START + 2 * HOUR))
-    story.put("members.gone", members.Gone(name="c", incarnation=1, when=START + HOUR))
+    story.put("members.gone", members.LeaseExpired(name="c", incarnation=1, when=START + HOUR))
     story.put("batches.late", batches.Late(pieces=("d-7.4",)), "b")
     story.put("batches.word", batches.Word(piece="d-7.1", word="from", step=3))
     story.put("batches.word", batches.Word(piece="d-7.2", word="drop"))
@@ -175,34 +175,34 @@
     story.put("hours.tick", Tick(time=START), "c", 2)
 
 
-def told() -> tuple[Story, Snap]:
+def told() -> tuple[Story, Snapshot]:
     """The whole story, and the snapshot that was taken in its middle."""
     story = Story()
     begun(story)
     batch(story)
-    snap = Snap(len(story.entries), 1, VOTERS, story.state_machine.snapshot())
+    snap = Snapshot(len(story.entries), 1, VOTERS, story.state_machine.snapshot())
     distributed(story)
     evicted(story)
     return story, snap
 
 
-def write_member(path: Path, entries: list[Entry], snap: Snap | None) -> None:
+def write_member(path: Path, entries: list[LogEntry], snap: Snapshot | None) -> None:
     """The folder of member `a`, as its disk's thread writes it."""
-    files = Files()
+    files = FileSystem()
     folder = Folder(files, str(path), "whk", "a")
     folder.take()
     assert folder.read() is None
-    segments = Segments(files, str(path), "whk", Who("a", 1), [], [], 900)
+    segments = Segments(files, str(path), "whk", MemberId("a", 1), [], [], 900)
     segments.open(Ballot(0), 0)
-    segments.put(Snap(0, 0, VOTERS, b""))
+    segments.put(Snapshot(0, 0, VOTERS, b""))
     own = identity.Identity("whk", "a", 1, ("a", "b", "c"), {"c": 3, "b": 2})
     files.whole(f"{path}/identity", identity.encode(own))
-    segments.write([One(Ballot(1, Who("a", 1)), 0, ())])
+    segments.write([One(Ballot(1, MemberId("a", 1)), 0, ())])
     for at in range(0, len(entries), 3):
         some = tuple(entries[at : at + 3])
         if at == 51:  # a leader of another term began, and its entries were void
             void = tuple(msgspec.structs.replace(one, kind="notes.add", body=b"\x91\xa1x") for one in some)
-            segments.write([One(Ballot(2, None), 0, void), One(Ballot(3, Who("b", 2)), at + 1, some)])
+            segments.write([One(Ballot(2, None), 0, void), One(Ballot(3, MemberId("b", 2)), at + 1, some)])
         else:
             segments.write([One(None, 0, some)])
         if snap is not None and at <= snap.index - 1 < at + 3:
--- a/tests/golden_files_control.py
+++ b/tests/golden_files_control.py
@@ -15,10 +15,10 @@
 from golden_files import as_json
 from indigohitch.config import operator_file, sidecar_file
 from indigohitch.control import ControlSocket
-from indigohitch.fleet.ledger.state import Role
-from indigohitch.fleet.node.alone import Alone
+from indigohitch.fleet.node.headless_member import HeadlessMember
 from indigohitch.fleet.node.phases import Phase as MemberPhase
-from indigohitch.fleet.node.subscribing import SubscriberProcess
+from indigohitch.fleet.node.subscriber_process import SubscriberProcess
+from indigohitch.fleet.raft.state import Role
 from indigohitch.sidecar.service import Sidecar
 from indigohitch.upgradable_parts import ProcessPhase
 from indigohitch.upgradable_process import UpgradableProcess
@@ -101,7 +101,7 @@
     member = operator_file.read(MEMBER.format(folder=folder))
     return {
         "sidecar": Sidecar("-", sidecar),
-        "member": Alone(member, False),
+        "member": HeadlessMember(member, False),
         "subscriber": SubscriberProcess(operator_file.read(SUBSCRIBER)),
     }
 
--- a/tests/golden_files_running.py
+++ b/tests/golden_files_running.py
@@ -13,7 +13,7 @@
 from golden_files_control import SUBSCRIBER, signals_kept
 from indigohitch.config import operator_file
 from indigohitch.coordinator import Coordinating
-from indigohitch.fleet.node.subscribing import SubscriberProcess
+from indigohitch.fleet.node.subscriber_process import SubscriberProcess
 from indigohitch.upgradable_process import UpgradableProcess
 from stage import SETTINGS
 from waiting import free_address
--- a/tests/golden_files_versions_made.py
+++ b/tests/golden_files_versions_made.py
@@ -9,7 +9,7 @@
 from golden_files_versions import RECORD_VALUES, WORD_VALUES, kept, read_words, values
 from golden_files_versions_said import commands, rules
 from indigohitch.encoding.frames import HEADER_BYTES
-from indigohitch.fleet.disk.files import Files
+from indigohitch.fleet.storage.files import FileSystem
 from indigohitch.standins.table_relay import TableRelay
 from indigohitch.versions.session import Session
 from indigohitch.versions.store import Store
@@ -106,7 +106,7 @@
 
 def write_store(folder: str) -> Store:
     """Versions, names and pins, as a program with versions leaves them."""
-    store = Store(Files(), folder)
+    store = Store(FileSystem(), folder)
     store.open(8)
     first = root_of({0: {"a": 1.0}, 1: {"b": 2.25, "a": 0.5}, 300: {"c": 1.0}, 65535: {"bé": 3.0}})
     second = first.changed({0: {"b": 1.0}, 300: {}})
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -20,7 +20,14 @@
 from relay_room import Room
 
 PACKAGE = Path(__file__).resolve().parent.parent / "indigohitch"
-TELLS = ("event", "warning", "trouble", "held", "drop", "Note")  # calls whose first or second word names an event
+TELLS = (
+    "event",
+    "warning",
+    "trouble",
+    "held",
+    "drop",
+    "Note",
+)  # calls whose first or second word names an event
 COUNTS = ("count",)
 
 
--- a/tests/ledger_group.py
+++ b/tests/ledger_group.py
@@ -2,25 +2,25 @@
 
 from collections import deque
 
-from indigohitch.fleet.ledger.machine import Machine
-from indigohitch.fleet.ledger.ports import (
+from indigohitch.fleet.raft.interfaces import (
+    ApplyEntries,
     Ballot,
-    Commit,
-    Due,
-    Heard,
-    Held,
-    Install,
     Members,
+    MessageReceived,
     Propose,
-    Send,
-    Snap,
-    Snapped,
+    RecoveredState,
+    RestoreSnapshot,
+    SendMessage,
+    Snapshot,
+    SnapshotCompleted,
     TakeSnapshot,
-    Write,
-    Written,
+    Tick,
+    WriteCompleted,
+    WriteEntries,
 )
-from indigohitch.fleet.ledger.words import Vote
-from indigohitch.fleet.terms import Entry, Proposal, Who
+from indigohitch.fleet.raft.messages import RequestVoteResponse
+from indigohitch.fleet.raft.node import RaftNode
+from indigohitch.fleet.types import LogEntry, MemberId, Proposal
 
 BOOTSTRAP = {
     "election": 3000,
@@ -31,29 +31,29 @@
     "inflight": 3,
     "proposals_most": 16,
 }
-A, B, C, D = (Who(name, 1) for name in "abcd")
+A, B, C, D = (MemberId(name, 1) for name in "abcd")
 
 
 def entries(*terms):
-    return [Entry(at + 1, term, "x.y", b"") for at, term in enumerate(terms)]
+    return [LogEntry(at + 1, term, "x.y", b"") for at, term in enumerate(terms)]
 
 
 def machine(me=A, voters=(A, B, C), ballot=None, snap=None, log=(), now=0, **bootstrap):
-    held = Held(ballot or Ballot(0), snap or Snap(0, 0, Members(tuple(voters)), b""), list(log))
-    return Machine(me, held, {**BOOTSTRAP, **bootstrap}, lambda: 0.0, now)
+    held = RecoveredState(ballot or Ballot(0), snap or Snapshot(0, 0, Members(tuple(voters)), b""), list(log))
+    return RaftNode(me, held, {**BOOTSTRAP, **bootstrap}, lambda: 0.0, now)
 
 
 def stand(one):
     """Up to its own vote being on the disk and the others asked; what comes out then."""
-    one.step(one.due, Due())
-    one.step(one.due, Heard(B, Vote(one.term + 1, True, True)))
-    return one.step(one.state.now, Written(one.state.durable.number))
+    one.step(one.due, Tick())
+    one.step(one.due, MessageReceived(B, RequestVoteResponse(one.term + 1, True, True)))
+    return one.step(one.state.now, WriteCompleted(one.state.durable.number))
 
 
 def lead(one):
     """By the vote of B."""
     stand(one)
-    return one.step(one.state.now, Heard(B, Vote(one.term, True)))
+    return one.step(one.state.now, MessageReceived(B, RequestVoteResponse(one.term, True)))
 
 
 def proposal(number, body=b""):
@@ -65,7 +65,7 @@
 
 
 def words(kind, outputs):
-    return [(o.to, o.word) for o in outputs if type(o) is Send and type(o.word) is kind]
+    return [(o.to, o.word) for o in outputs if type(o) is SendMessage and type(o.word) is kind]
 
 
 class Group:
@@ -95,30 +95,32 @@
 
     def carry_out(self, me, output):
         kind = type(output)
-        if kind is Send:
+        if kind is SendMessage:
             self.sent.append((me, output.to, output.word))
             if me not in self.cut and output.to not in self.cut:
-                self.queue.append((output.to, Heard(me, output.word)))
-        elif kind is Write:
+                self.queue.append((output.to, MessageReceived(me, output.word)))
+        elif kind is WriteEntries:
             if me in self.slow:
                 self.unwritten[me].append(output)
             else:
-                self.queue.append((me, Written(output.number)))
-        elif kind is Commit:
+                self.queue.append((me, WriteCompleted(output.number)))
+        elif kind is ApplyEntries:
             self.applied[me] += output.entries
         elif kind is TakeSnapshot:
             state = b"%d" % output.index * 100
-            self.queue.append((me, Snapped(Snap(output.index, output.term, output.members, state))))
-        elif kind is Install:
+            self.queue.append(
+                (me, SnapshotCompleted(Snapshot(output.index, output.term, output.members, state)))
+            )
+        elif kind is RestoreSnapshot:
             self.applied[me].append(output)
-            self.queue.append((me, Snapped(output.snap)))
+            self.queue.append((me, SnapshotCompleted(output.snap)))
         else:
             self.told[me].append(output)
 
     def due(self, me):
         """Its timer ends; nobody else's does."""
         self.now = max(self.now, self.machines[me].due)
-        self.step(me, Due())
+        self.step(me, Tick())
 
     def pass_time(self, span):
         until = self.now + span
@@ -138,4 +140,4 @@
 
     def numbers(self, me):
         """Of the proposals that it applied."""
-        return [entry.number for entry in self.applied[me] if type(entry) is Entry and entry.number]
+        return [entry.number for entry in self.applied[me] if type(entry) is LogEntry and entry.number]
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -5,8 +5,8 @@
 import time
 
 from indigohitch.config.fleet import FleetText, MemberText
-from indigohitch.fleet.node.figures import figures
 from indigohitch.fleet.node.node import Node
+from indigohitch.fleet.node.status import figures
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.connection import parse_address
--- a/tests/orderedlog.py
+++ b/tests/orderedlog.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from indigohitch.encoding.rows import Row
-from indigohitch.fleet.ports import HearsGone
+from indigohitch.fleet.interfaces import HearsGone
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry, Lease
+from indigohitch.fleet.types import Lease, LogEntry
 
 SECOND, BEAT, SPAN = 10_000, 1_000, 20_000  # a beat of 100 ms, leases of 2 s
 DRIFT = 0.001
@@ -115,7 +115,7 @@
         return heard[0] if 2 * len(heard) > len(self.members) else None
 
     def send(self, member, number, wanted):
-        entry = Entry(
+        entry = LogEntry(
             0, 1, wanted.kind, msgspec.msgpack.encode(wanted.body), member.name, member.incarnation, number
         )
         self.way.append([self.t + self.rng.choice((0, 300, 2000, 9000)), member, entry])
@@ -142,7 +142,7 @@
                 member.gone = True
                 self.ended[member.name, member.incarnation] = self.t
                 self.append(
-                    Entry(
+                    LogEntry(
                         0,
                         1,
                         "members.gone",
--- a/tests/publishing.py
+++ b/tests/publishing.py
@@ -3,7 +3,7 @@
 import errno
 
 from indigohitch import interface as face
-from indigohitch.fleet.disk.files import Files
+from indigohitch.fleet.storage.files import FileSystem
 from indigohitch.standins.table_relay import TableRelay
 from indigohitch.versions.checks import Facts
 from indigohitch.versions.history import MemoryStore
@@ -66,7 +66,7 @@
         assert all(relay.root == self.publisher.root for relay in self.relays.values())
 
 
-class Plain(Files):
+class Plain(FileSystem):
     """Files in memory: the same calls; `room` bytes are left."""
 
     def __init__(self):
--- a/tests/seatmembers.py
+++ b/tests/seatmembers.py
@@ -13,7 +13,7 @@
 from indigohitch.fleet.seats.part import Seats
 from indigohitch.fleet.seats.work import SeatsWork
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry, Lease, Stamp
+from indigohitch.fleet.types import Lease, LogEntry, Stamp
 
 SECOND = 10_000
 SPAN, DRIFT = 2 * SECOND, 0.05  # far more than any quartz: what leans on it shows soon
@@ -141,7 +141,7 @@
         for one in wanted:
             self.number += 1
             self.out[self.number] = one.tag
-            entry = Entry(
+            entry = LogEntry(
                 0, 1, one.kind, msgspec.msgpack.encode(one.body), self.name, self.incarnation, self.number
             )
             self.world.send(self, entry)
--- a/tests/seatworld.py
+++ b/tests/seatworld.py
@@ -7,7 +7,7 @@
 from indigohitch.fleet.seats.contract import Contract
 from indigohitch.fleet.seats.part import Seats
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry
+from indigohitch.fleet.types import LogEntry
 from seatmembers import DRIFT, EPOCH, SECOND, SPAN, Gone, Member, Members, Server
 
 
@@ -84,7 +84,7 @@
                 del self.giver[name, incarnation]
                 self.reports.pop((name, incarnation), None)
                 self.append(
-                    Entry(
+                    LogEntry(
                         0,
                         1,
                         "members.gone",
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -10,8 +10,8 @@
 from indigohitch.fleet.audit.check import acted
 from indigohitch.fleet.audit.files import read
 from indigohitch.fleet.audit.heads import EVIDENCE, KEPT, Head, Heads
-from indigohitch.fleet.ports import At
-from indigohitch.fleet.terms import Lease, Stamp
+from indigohitch.fleet.interfaces import EntryContext
+from indigohitch.fleet.types import Lease, Stamp
 from indigohitch.net.clock import SECOND
 
 
@@ -62,7 +62,7 @@
 
 def test_acts_that_might_not_be(acting):
     kept = acting.heads.of("m", 1)
-    acting.heads.change_in_force(At(50, 1, 0, "l", 1), 30, (("m", 1, 25),))
+    acting.heads.change_in_force(EntryContext(50, 1, 0, "l", 1), 30, (("m", 1, 25),))
     assert {f.number for f in found(acting) if f.kind == "old_version"} == {26, 27, 28, 29}
     kept.shut_out, kept.gone, kept.gone_at = 35, 36, 0
     assert {f.number for f in found(acting) if f.kind == "after_gone"} == set(range(35, 41))
@@ -89,15 +89,15 @@
 
 
 def test_heads_only_grow_and_a_contradiction_is_kept(acting):
-    at, heads = At(60, 1, 0, "m", 1), acting.heads
+    at, heads = EntryContext(60, 1, 0, "m", 1), acting.heads
     assert heads.apply(at, "head", Head("m", 1, 40, acting.acts.chain.head)) == ""
     assert "contradicts" in heads.apply(at, "head", Head("m", 1, 40, b"else"))
     assert "contradicts" in heads.apply(at, "head", Head("m", 1, 7, b"older"))
     assert [f.kind for f in found(acting)] == ["contradiction"] * 2
     assert heads.of("m", 1).digest == acting.acts.chain.head
     with pytest.raises(InvalidRequestError):
-        heads.apply(At(61, 1, 0, "n", 1), "head", Head("m", 1, 50, b""))
-    heads.member_ended(At(62, 1, 0, "l", 1), "m", 1, 0)
+        heads.apply(EntryContext(61, 1, 0, "n", 1), "head", Head("m", 1, 50, b""))
+    heads.member_ended(EntryContext(62, 1, 0, "l", 1), "m", 1, 0)
     with pytest.raises(InvalidRequestError):
         heads.apply(at, "head", Head("m", 1, 50, b""))
     other = Heads()
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_gate.py
@@ -2,7 +2,7 @@
 
 from indigohitch import interface as face
 from indigohitch.fleet.audit.gate import Gate
-from indigohitch.fleet.terms import Stamp
+from indigohitch.fleet.types import Stamp
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import EventLoop
--- a/tests/test_batches_fleet.py
+++ b/tests/test_batches_fleet.py
@@ -6,7 +6,6 @@
 
 from indigohitch.fleet.batches import runner as running
 from indigohitch.fleet.batches.part import Batches
-from indigohitch.fleet.batches.pieces import Pieces
 from indigohitch.fleet.batches.rows import (
     Band,
     Batch,
@@ -16,10 +15,11 @@
     Site,
     State,
 )
+from indigohitch.fleet.batches.tasks import Pieces
 from indigohitch.fleet.batches.work import BatchesWork
-from indigohitch.fleet.hours import Hours, HoursWork
-from indigohitch.fleet.ports import Wanted
-from indigohitch.fleet.terms import Lease, Stamp
+from indigohitch.fleet.fleet_clock import FleetClock, FleetClockWork
+from indigohitch.fleet.interfaces import ProposalRequest
+from indigohitch.fleet.types import Lease, Stamp
 from orderedlog import SECOND, World
 from test_batches_pieces import test_only_its_holder_speaks_of_a_piece as only_its_holder_speaks
 
@@ -88,7 +88,9 @@
 
 def build(seed, names=("a", "b", "c", "d", "e")):
     def works(member):
-        clock = HoursWork(member.state_machine.parts["hours"], member.name, member.wall, lambda: set(names))
+        clock = FleetClockWork(
+            member.state_machine.parts["hours"], member.name, member.wall, lambda: set(names)
+        )
         return [
             clock,
             BatchesWork(
@@ -104,7 +106,7 @@
 
     world = World.__new__(World)
     world.servers = Servers(world)
-    world.__init__(random.Random(seed), names, lambda: [Hours(), Batches()], works)
+    world.__init__(random.Random(seed), names, lambda: [FleetClock(), Batches()], works)
     return world
 
 
@@ -120,7 +122,7 @@
         for _ in range(pieces)
     )
     member = world.leader()
-    member.ask(member.works[1], [Wanted("batches.submit", Batch(batch, "whk", rpc, cuts))])
+    member.ask(member.works[1], [ProposalRequest("batches.submit", Batch(batch, "whk", rpc, cuts))])
 
 
 class Rules:
--- a/tests/test_batches_parts.py
+++ b/tests/test_batches_parts.py
@@ -5,11 +5,11 @@
 from indigohitch.config import operator_file, sidecar_file
 from indigohitch.config.lines import ConfigError
 from indigohitch.errors import InvalidRequestError
-from indigohitch.fleet.batches.asking import batch_of, contract_of, word_of
-from indigohitch.fleet.batches.inside import PriceFile
+from indigohitch.fleet.batches.admin_requests import batch_of, contract_of, word_of
+from indigohitch.fleet.batches.overload import OverloadDetector
 from indigohitch.fleet.batches.rows import Word
 from indigohitch.fleet.batches.sending import outcome
-from indigohitch.fleet.batches.strain import Strain
+from indigohitch.fleet.batches.setup import PriceFile
 from indigohitch.log import Log
 from indigohitch.net.http_exchange import HttpResponse
 
@@ -150,7 +150,7 @@
 
 
 def test_strain_pauses_soon_and_is_over_soon_and_noise_is_none():
-    strain = Strain()
+    strain = OverloadDetector()
     now = felt(strain, 0, [400, 410, 420, 405, 430, 400, 410, 420, 405, 430, 410, 900] * 20)  # one is slow
     assert not strain.strained and strain.pauses == 0
     now = felt(strain, now, [700] * 6)
@@ -162,7 +162,7 @@
 
 
 def test_batches_can_t_raise_what_counts_as_calm():
-    strain = Strain()
+    strain = OverloadDetector()
     now, calm = felt(strain, 0, [400, 410, 420] * 20), strain.calm
     strain.busy = True
     felt(strain, now, [round(calm * 1.1)] * 5000)
--- a/tests/test_batches_pieces.py
+++ b/tests/test_batches_pieces.py
@@ -19,8 +19,8 @@
     Word,
 )
 from indigohitch.fleet.batches.rows import Plan as PlanBody
-from indigohitch.fleet.ports import At
-from indigohitch.fleet.terms import Stamp
+from indigohitch.fleet.interfaces import EntryContext
+from indigohitch.fleet.types import Stamp
 
 SECOND = 10_000
 TRUE = 10**13
@@ -34,15 +34,15 @@
 
 def state_machine_with(idempotent=False, steps=4):
     part = Batches()
-    part.apply(At(1, 1, 10, "a", 1), "contract", CONTRACT)
+    part.apply(EntryContext(1, 1, 10, "a", 1), "contract", CONTRACT)
     cut = Cut(TRUE, TRUE + 100 * SECOND, 8 * SECOND, steps)
     rpc = "report" if idempotent else "dunning"
-    part.apply(At(2, 1, TRUE, "a", 1), "submit", Batch("x", "whk", rpc, (cut,)))
+    part.apply(EntryContext(2, 1, TRUE, "a", 1), "submit", Batch("x", "whk", rpc, (cut,)))
     piece = part.pieces.all["x.0"]
     piece.placing = Placing("eros", "std", ((TRUE, TRUE + 20 * SECOND),))
-    part.apply(At(3, 1, TRUE, "a", 1), "give", Give("x.0", "m", 5))
-    part.apply(At(4, 1, TRUE, "m", 5), "start", Start("x.0", 1, Stamp("m", 5, 1, 3, 1)))
-    part.apply(At(5, 1, TRUE, "m", 5), "step", Step("x.0", 1, 2))
+    part.apply(EntryContext(3, 1, TRUE, "a", 1), "give", Give("x.0", "m", 5))
+    part.apply(EntryContext(4, 1, TRUE, "m", 5), "start", Start("x.0", 1, Stamp("m", 5, 1, 3, 1)))
+    part.apply(EntryContext(5, 1, TRUE, "m", 5), "step", Step("x.0", 1, 2))
     return part, piece
 
 
@@ -50,31 +50,33 @@
     part, piece = state_machine_with()
     for who in (("m", 4), ("m", 6), ("n", 5)):
         with pytest.raises(InvalidRequestError):
-            part.apply(At(6, 1, TRUE, *who), "step", Step("x.0", 1, 4, "done"))
-    part.apply(At(6, 1, TRUE, "m", 5), "step", Step("x.0", 1, 2, "rests"))
+            part.apply(EntryContext(6, 1, TRUE, *who), "step", Step("x.0", 1, 4, "done"))
+    part.apply(EntryContext(6, 1, TRUE, "m", 5), "step", Step("x.0", 1, 2, "rests"))
     with pytest.raises(InvalidRequestError):  # a start that came late, of a piece that was given back
-        part.apply(At(7, 1, TRUE, "m", 5), "start", Start("x.0", 2, Stamp("m", 5, 1, 3, 2)))
+        part.apply(EntryContext(7, 1, TRUE, "m", 5), "start", Start("x.0", 2, Stamp("m", 5, 1, 3, 2)))
 
 
 def test_nothing_is_given_to_who_is_gone():
     part, piece = state_machine_with(idempotent=True)
-    part.member_gone(At(6, 1, TRUE, "", 0), "m", 5)
+    part.member_gone(EntryContext(6, 1, TRUE, "", 0), "m", 5)
     with pytest.raises(InvalidRequestError, match="gone"):
-        part.apply(At(7, 1, TRUE, "a", 1), "give", Give("x.0", "m", 5))
-    part.apply(At(8, 1, TRUE, "a", 1), "give", Give("x.0", "m", 6))
+        part.apply(EntryContext(7, 1, TRUE, "a", 1), "give", Give("x.0", "m", 5))
+    part.apply(EntryContext(8, 1, TRUE, "a", 1), "give", Give("x.0", "m", 6))
 
 
 def test_a_lost_member_s_piece_goes_on_from_its_checkpoint_or_is_held():
     part, piece = state_machine_with(idempotent=True)
-    part.member_gone(At(6, 1, TRUE, "", 0), "m", 5)
+    part.member_gone(EntryContext(6, 1, TRUE, "", 0), "m", 5)
     assert piece.state is State.WAITING and piece.step == 2 and not part.pieces.held
     part, piece = state_machine_with()
-    part.member_gone(At(6, 1, TRUE, "", 0), "m", 5)
+    part.member_gone(EntryContext(6, 1, TRUE, "", 0), "m", 5)
     assert piece.state is State.UNCLEAR and "lost" in piece.why
     with pytest.raises(InvalidRequestError):
-        part.apply(At(7, 1, TRUE, "m", 5), "step", Step("x.0", 1, 4, "done"))  # of one that was given up
+        part.apply(
+            EntryContext(7, 1, TRUE, "m", 5), "step", Step("x.0", 1, 4, "done")
+        )  # of one that was given up
     with pytest.raises(InvalidRequestError):
-        part.apply(At(7, 1, TRUE, "a", 1), "give", Give("x.0", "n", 6))
+        part.apply(EntryContext(7, 1, TRUE, "a", 1), "give", Give("x.0", "n", 6))
 
 
 @pytest.mark.parametrize(
@@ -89,13 +91,13 @@
 )
 def test_an_operator_s_word_frees_what_is_unclear(word, step, state):
     part, piece = state_machine_with()
-    part.member_gone(At(6, 1, TRUE, "", 0), "m", 5)
+    part.member_gone(EntryContext(6, 1, TRUE, "", 0), "m", 5)
     if state is None:
         with pytest.raises(InvalidRequestError) as told:
-            part.apply(At(7, 1, TRUE, "op", 1), "word", Word("x.0", word, step))
+            part.apply(EntryContext(7, 1, TRUE, "op", 1), "word", Word("x.0", word, step))
         assert told.value.remedy and piece.state is State.UNCLEAR
         return
-    part.apply(At(7, 1, TRUE, "op", 1), "word", Word("x.0", word, step))
+    part.apply(EntryContext(7, 1, TRUE, "op", 1), "word", Word("x.0", word, step))
     assert piece.state is state and (piece.step == 3) == (word == "from")
 
 
@@ -120,12 +122,12 @@
 )
 def test_a_plan_past_the_times_or_on_another_one_is_not_taken(runs, kind, base):
     part = Batches()
-    part.apply(At(1, 1, 10, "a", 1), "contract", CONTRACT)
+    part.apply(EntryContext(1, 1, 10, "a", 1), "contract", CONTRACT)
     cut = Cut(TRUE, TRUE + 100 * SECOND, 8 * SECOND, 4)
-    part.apply(At(2, 1, TRUE, "a", 1), "submit", Batch("x", "whk", "report", (cut,)))
+    part.apply(EntryContext(2, 1, TRUE, "a", 1), "submit", Batch("x", "whk", "report", (cut,)))
     placing = Placing("eros", kind, tuple((TRUE + a * SECOND, TRUE + b * SECOND) for a, b in runs))
     try:
-        assert part.apply(At(3, 1, TRUE, "a", 1), "plan", PlanBody(base, {"x.0": placing})) == 0
+        assert part.apply(EntryContext(3, 1, TRUE, "a", 1), "plan", PlanBody(base, {"x.0": placing})) == 0
     except InvalidRequestError:
         assert base
     assert part.pieces.all["x.0"].placing is None and part.version == 0
--- a/tests/test_batches_plan.py
+++ b/tests/test_batches_plan.py
@@ -7,7 +7,7 @@
 from indigohitch.fleet.batches import plan as planning
 from indigohitch.fleet.batches.placing import Field, Spot, Task, choose
 from indigohitch.fleet.batches.plan import Plan
-from indigohitch.fleet.batches.slack import least_slack
+from indigohitch.fleet.batches.spare_capacity import least_slack
 from optimum import optimum
 
 PLACES = [("eros", "old"), ("eros", "std"), ("rhea", "std")]
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -6,17 +6,25 @@
 
 from disks import MEMBERS, Bench, Faulty, entry, held
 from indigohitch.errors import InvalidDataError, UnavailableError
-from indigohitch.fleet.disk.records import Harmed
-from indigohitch.fleet.disk.store import State
-from indigohitch.fleet.ledger.ports import Ballot, DiskBack, DiskFailed, Snap, Snapped, Write, Written
-from indigohitch.fleet.terms import Who
+from indigohitch.fleet.raft.interfaces import (
+    Ballot,
+    Snapshot,
+    SnapshotCompleted,
+    StorageFailed,
+    StorageRecovered,
+    WriteCompleted,
+    WriteEntries,
+)
+from indigohitch.fleet.storage.records import Harmed
+from indigohitch.fleet.storage.store import State
+from indigohitch.fleet.types import MemberId
 
 
 def test_comes_back_as_written(tmp_path):
     bench = Bench(tmp_path).founded()
-    bench.wrote(Write(1, Ballot(1, Who("a", 1))))
-    bench.wrote(Write(2, None, 0, tuple(map(entry, range(1, 6)))))
-    bench.wrote(Write(3, Ballot(2), 4, (entry(4, 2), entry(5, 2))))
+    bench.wrote(WriteEntries(1, Ballot(1, MemberId("a", 1))))
+    bench.wrote(WriteEntries(2, None, 0, tuple(map(entry, range(1, 6)))))
+    bench.wrote(WriteEntries(3, Ballot(2), 4, (entry(4, 2), entry(5, 2))))
     bench.close()
     found = held(tmp_path)
     assert found.ballot == Ballot(2) and found.snap.members == MEMBERS
@@ -41,8 +49,8 @@
 
 def test_a_number_once_met_is_known_after_a_start(tmp_path):
     bench = Bench(tmp_path).founded()
-    bench.disk.folder.met(Who("b", 3))
-    bench.disk.folder.met(Who("b", 2))
+    bench.disk.folder.met(MemberId("b", 3))
+    bench.disk.folder.met(MemberId("b", 2))
     bench.close()
     again = Bench(tmp_path)
     again.disk.open()
@@ -54,7 +62,7 @@
     bench = Bench(tmp_path).founded()
     bench.disk.segments.size = 200
     for number in range(1, 20):
-        bench.wrote(Write(number, None, 0, (entry(number),)))
+        bench.wrote(WriteEntries(number, None, 0, (entry(number),)))
     bench.close()
     names = sorted(n for n in os.listdir(tmp_path) if n.startswith("log-"))
     assert len(names) > 3
@@ -68,10 +76,10 @@
     bench = Bench(tmp_path).founded()
     bench.disk.segments.size = 200
     for number in range(1, 20):
-        bench.wrote(Write(number, None, 0, (entry(number),)))
-    snap = Snap(15, 1, MEMBERS, b"book")
+        bench.wrote(WriteEntries(number, None, 0, (entry(number),)))
+    snap = Snapshot(15, 1, MEMBERS, b"book")
     bench.disk.snapshot(snap, True)
-    bench.until(lambda: Snapped(snap) in bench.told)
+    bench.until(lambda: SnapshotCompleted(snap) in bench.told)
     bench.close()
     names = os.listdir(tmp_path)
     assert [n for n in names if n.startswith("book-")] == ["book-000000000015"]
@@ -82,11 +90,11 @@
 
 def test_a_leaders_snapshot_in_place_of_the_log(tmp_path):
     bench = Bench(tmp_path).founded()
-    bench.wrote(Write(1, Ballot(3), 0, tuple(map(entry, range(1, 6)))))
-    snap = Snap(40, 2, MEMBERS, b"book")
+    bench.wrote(WriteEntries(1, Ballot(3), 0, tuple(map(entry, range(1, 6)))))
+    snap = Snapshot(40, 2, MEMBERS, b"book")
     bench.disk.snapshot(snap, False)
-    bench.disk.write(Write(2, None, 0, (entry(41, 3),)))
-    bench.until(lambda: Written(2) in bench.told)
+    bench.disk.write(WriteEntries(2, None, 0, (entry(41, 3),)))
+    bench.until(lambda: WriteCompleted(2) in bench.told)
     bench.close()
     found = held(tmp_path)
     assert (found.snap, found.ballot, [e.index for e in found.entries]) == (snap, Ballot(3), [41])
@@ -96,21 +104,23 @@
 def test_a_full_disk_ends_promises_and_not_the_process(tmp_path, fault):
     files = Faulty()
     bench = Bench(tmp_path, files).founded()
-    bench.wrote(Write(1, Ballot(1), 0, (entry(1),)))
+    bench.wrote(WriteEntries(1, Ballot(1), 0, (entry(1),)))
     if fault == "full":
         files.room = 30
     else:
         files.stuck = True
-    bench.disk.write(Write(2, None, 0, (entry(2),)))
-    bench.disk.write(Write(3, None, 0, (entry(3),)))
-    bench.until(lambda: any(isinstance(t, DiskFailed) for t in bench.told))
+    bench.disk.write(WriteEntries(2, None, 0, (entry(2),)))
+    bench.disk.write(WriteEntries(3, None, 0, (entry(3),)))
+    bench.until(lambda: any(isinstance(t, StorageFailed) for t in bench.told))
     assert bench.disk.state in (State.FAILED, State.MENDING)
-    assert not {Written(2), Written(3)} & set(bench.told)
+    assert not {WriteCompleted(2), WriteCompleted(3)} & set(bench.told)
     bench.until(lambda: bench.disk.failures > 1)  # it was tried again in vain
     files.room, files.stuck = 1 << 60, False
-    bench.until(lambda: DiskBack() in bench.told)
-    assert sum(isinstance(t, DiskFailed) for t in bench.told) == 1
-    bench.wrote(Write(4, None, 2, (entry(2), entry(3))))  # the machine writes anew what wasn't promised
+    bench.until(lambda: StorageRecovered() in bench.told)
+    assert sum(isinstance(t, StorageFailed) for t in bench.told) == 1
+    bench.wrote(
+        WriteEntries(4, None, 2, (entry(2), entry(3)))
+    )  # the machine writes anew what wasn't promised
     bench.close()
     assert [e.index for e in held(tmp_path).entries] == [1, 2, 3]
 
@@ -119,13 +129,13 @@
     """The torn segment and the new one stand side by side: the new one says that it is all."""
     files = Faulty()
     bench = Bench(tmp_path, files).founded()
-    bench.wrote(Write(1, Ballot(1), 0, (entry(1), entry(2))))
+    bench.wrote(WriteEntries(1, Ballot(1), 0, (entry(1), entry(2))))
     files.room = 30
-    bench.disk.write(Write(2, None, 0, (entry(3),)))
-    bench.until(lambda: any(isinstance(t, DiskFailed) for t in bench.told))
+    bench.disk.write(WriteEntries(2, None, 0, (entry(3),)))
+    bench.until(lambda: any(isinstance(t, StorageFailed) for t in bench.told))
     torn = open(tmp_path / "log-000000000001", "rb").read()
     files.room = 1 << 60
-    bench.until(lambda: DiskBack() in bench.told)
+    bench.until(lambda: StorageRecovered() in bench.told)
     bench.close()
     open(tmp_path / "log-000000000001", "wb").write(torn)
     assert [e.index for e in held(tmp_path).entries] == [1, 2, 3]
@@ -134,8 +144,8 @@
 def test_many_writes_share_an_fsync(tmp_path):
     bench = Bench(tmp_path).founded()
     for number in range(1, 501):
-        bench.disk.write(Write(number, None, 0, (entry(number),)))
-    bench.until(lambda: Written(500) in bench.told)
+        bench.disk.write(WriteEntries(number, None, 0, (entry(number),)))
+    bench.until(lambda: WriteCompleted(500) in bench.told)
     assert bench.disk.syncs < 100
     assert [t.number for t in bench.told] == sorted(t.number for t in bench.told)
     bench.close()
@@ -144,7 +154,7 @@
 
 def test_a_large_write_goes_in_several_records(tmp_path):
     bench = Bench(tmp_path).founded()
-    bench.wrote(Write(1, Ballot(2), 0, tuple(entry(n, 1, bytes(300_000)) for n in range(1, 31))))
+    bench.wrote(WriteEntries(1, Ballot(2), 0, tuple(entry(n, 1, bytes(300_000)) for n in range(1, 31))))
     bench.close()
     found = held(tmp_path)
     assert len(found.entries) == 30 and found.ballot == Ballot(2)
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -5,12 +5,20 @@
 import pytest
 
 from disks import MEMBERS, Bench, entry
-from indigohitch.fleet.disk.files import Files
-from indigohitch.fleet.disk.store import State
-from indigohitch.fleet.ledger.ports import Ballot, DiskBack, DiskFailed, Snap, Snapped, Write, Written
-
-
-class Recording(Files):
+from indigohitch.fleet.raft.interfaces import (
+    Ballot,
+    Snapshot,
+    SnapshotCompleted,
+    StorageFailed,
+    StorageRecovered,
+    WriteCompleted,
+    WriteEntries,
+)
+from indigohitch.fleet.storage.files import FileSystem
+from indigohitch.fleet.storage.store import State
+
+
+class Recording(FileSystem):
     """Keeps what a loss of power would leave before and after each call: all that was synced, of the rest a
     part, and files that were taken away perhaps still there.  Some calls fail."""
 
@@ -93,8 +101,8 @@
 
     def promised():
         return max(
-            [sure.get(t, 0) for t in bench.told if isinstance(t, Written)]
-            + [sure.get(t.snap.index, 0) for t in bench.told if isinstance(t, Snapped)],
+            [sure.get(t, 0) for t in bench.told if isinstance(t, WriteCompleted)]
+            + [sure.get(t.snap.index, 0) for t in bench.told if isinstance(t, SnapshotCompleted)],
             default=0,
         )
 
@@ -113,8 +121,8 @@
             model.ballot = Ballot(term) if chance.random() < 0.3 else model.ballot
             model.terms, number = model.terms + [term] * len(new), number + 1
             model.keep()
-            sure[Written(number)] = len(model.states) - 1
-            bench.disk.write(Write(number, model.ballot, cut, new))
+            sure[WriteCompleted(number)] = len(model.states) - 1
+            bench.disk.write(WriteEntries(number, model.ballot, cut, new))
         else:
             install = chance.random() < 0.3
             index = last + chance.randint(1, 5) if install else last
@@ -125,13 +133,16 @@
             model.snap = index
             model.keep()
             sure[index] = len(model.states) - 1
-            bench.disk.snapshot(Snap(index, model.terms[-1], MEMBERS, b"book"), not install)
+            bench.disk.snapshot(Snapshot(index, model.terms[-1], MEMBERS, b"book"), not install)
         if chance.random() < 0.4:
             bench.until(lambda: bench.disk.state in (State.IDLE, State.FAILED))
     files.failing = 0.0
-    failed = sum(isinstance(t, DiskFailed) for t in bench.told)
+    failed = sum(isinstance(t, StorageFailed) for t in bench.told)
     bench.until(
-        lambda: sum(isinstance(t, DiskBack) for t in bench.told) == failed and bench.disk.state is State.IDLE
+        lambda: (
+            sum(isinstance(t, StorageRecovered) for t in bench.told) == failed
+            and bench.disk.state is State.IDLE
+        )
     )
     files.moment()
     bench.disk.close()
--- a/tests/test_disk_recovery.py
+++ b/tests/test_disk_recovery.py
@@ -6,8 +6,8 @@
 import pytest
 
 from disks import Bench, entry, held
-from indigohitch.fleet.disk.records import Harmed
-from indigohitch.fleet.ledger.ports import Ballot, Write
+from indigohitch.fleet.raft.interfaces import Ballot, WriteEntries
+from indigohitch.fleet.storage.records import Harmed
 
 
 def small_log(folder, seed=1, writes=8):
@@ -26,7 +26,7 @@
         )
         ballot = Ballot(term) if chance.random() < 0.5 else None
         terms, last = terms + [e.term for e in new], len(terms) + len(new)
-        bench.wrote(Write(number, ballot, cut, new))
+        bench.wrote(WriteEntries(number, ballot, cut, new))
         stood.append((os.path.getsize(path), ballot or stood[-1][1], list(terms)))
     bench.close()
     return path, stood
--- a/tests/test_distribution_catalogue.py
+++ b/tests/test_distribution_catalogue.py
@@ -6,10 +6,8 @@
 import pytest
 
 from indigohitch.errors import InvalidDataError, InvalidRequestError
-from indigohitch.fleet.distribution import catalogue as catalogue_module
-from indigohitch.fleet.distribution.catalogue import Catalogue
-from indigohitch.fleet.distribution.holding import decoded
-from indigohitch.fleet.distribution.part import (
+from indigohitch.fleet.distribution import resource_store as catalogue_module
+from indigohitch.fleet.distribution.replicated_part import (
     Distribution,
     Remove,
     Replace,
@@ -17,16 +15,18 @@
     ServiceResources,
     Set,
 )
-from indigohitch.fleet.distribution.terms import Resource, Version
-from indigohitch.fleet.ports import At
+from indigohitch.fleet.distribution.resource_store import ResourceStore
+from indigohitch.fleet.distribution.subscriber_scope import decoded
+from indigohitch.fleet.distribution.types import Resource, Version
+from indigohitch.fleet.interfaces import EntryContext
 
 
 def at(index):
-    return At(index, 1, 0, "", 0)
+    return EntryContext(index, 1, 0, "", 0)
 
 
 def filled(count=10):
-    catalogue = Catalogue()
+    catalogue = ResourceStore()
     for index in range(1, count + 1):
         catalogue.apply(Version(1, index), {"s": [Resource(f"k{index}", b"up")]}, {})
     return catalogue
@@ -63,7 +63,7 @@
 
 def test_empty_services_are_forgotten_in_bounds(monkeypatch):
     monkeypatch.setattr(catalogue_module, "MOST_EMPTY", 3)
-    catalogue = Catalogue()
+    catalogue = ResourceStore()
     for index in range(1, 11):
         catalogue.apply(Version(1, 2 * index), {f"s{index}": [Resource("k", b"")]}, {})
         catalogue.apply(Version(1, 2 * index + 1), {}, {f"s{index}": ["k"]})
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -4,9 +4,9 @@
 import pytest
 
 from distribution_world import World, refusals, settled
-from indigohitch.fleet.distribution.holding import decoded
 from indigohitch.fleet.distribution.limits import Limits
 from indigohitch.fleet.distribution.messages import RefusalReason
+from indigohitch.fleet.distribution.subscriber_scope import decoded
 from indigohitch.net.clock import SECOND
 
 
--- a/tests/test_distribution_in_force.py
+++ b/tests/test_distribution_in_force.py
@@ -4,11 +4,11 @@
 
 from distribution_world import World, settled
 from indigohitch.fleet.distribution.choice import rendezvous
-from indigohitch.fleet.distribution.in_force import FleetTally
+from indigohitch.fleet.distribution.convergence import FleetConvergence
 from indigohitch.fleet.distribution.limits import Limits
 from indigohitch.fleet.distribution.messages import Report
-from indigohitch.fleet.distribution.terms import Version, mark
-from indigohitch.fleet.members.leases import given
+from indigohitch.fleet.distribution.types import Version, mark
+from indigohitch.fleet.membership.leases import grantor_span
 from indigohitch.net.clock import SECOND
 
 
@@ -54,7 +54,7 @@
 
 def test_a_silent_distributor_is_counted_apart_with_those_that_nobody_else_serves():
     limits = Limits()
-    fleet = FleetTally("d0", ["d0", "d1", "d2"], limits)
+    fleet = FleetConvergence("d0", ["d0", "d1", "d2"], limits)
     fleet.heard(0, report("d1", 9, 9, ["a", "b", "c"]))
     own = report("d0", 9, 9, ["d"])
     at_first = fleet.in_force(0, own)
@@ -62,11 +62,11 @@
     later = fleet.in_force(8 * SECOND, report("d0", 12, 11, ["d", "b"], ["x"], age=5))
     assert later.silent == ("d1", "d2") and later.version == Version(1, 11) and later.age == 5
     assert later.unreachable_count == 3  # a and c, that d1 served, and x
-    assert later.acting == given(limits.lease, limits.drift)
+    assert later.acting == grantor_span(limits.lease, limits.drift)
 
 
 def test_the_distributor_that_is_furthest_behind_holds_the_version_back():
-    fleet = FleetTally("d0", ["d0", "d1", "d2"], Limits())
+    fleet = FleetConvergence("d0", ["d0", "d1", "d2"], Limits())
     fleet.heard(0, report("d1", 5, 4, ["a"], age=30))
     fleet.heard(0, report("d2", 9, 9))  # serves nobody
     assert fleet.in_force(10, report("d0", 9, 9, ["b"])).version == Version(1, 4)
--- a/tests/test_distribution_patience.py
+++ b/tests/test_distribution_patience.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from indigohitch.fleet.distribution import ports
+from indigohitch.fleet.distribution import interfaces
 from indigohitch.fleet.distribution.limits import SubscriberLimits
 from indigohitch.fleet.distribution.patience import Patience
 from indigohitch.fleet.distribution.subscriber import Subscriber
@@ -45,7 +45,10 @@
     back = now + cut
     while True:
         now = max(now, one.due)
-        if any(isinstance(output, ports.Dial) for output in one.step(now, ports.Due())) and now >= back:
+        if (
+            any(isinstance(output, interfaces.Dial) for output in one.step(now, interfaces.Due()))
+            and now >= back
+        ):
             return now - back
 
 
--- a/tests/test_distribution_role.py
+++ b/tests/test_distribution_role.py
@@ -5,12 +5,12 @@
 import msgspec
 import pytest
 
-from indigohitch.fleet.distribution.part import Distribution, ServiceResources, Set
-from indigohitch.fleet.distribution.ports import Changed, Level
-from indigohitch.fleet.distribution.role import Distributing
-from indigohitch.fleet.distribution.terms import Resource
+from indigohitch.fleet.distribution.distributor_role import DistributorRole
+from indigohitch.fleet.distribution.interfaces import Changed, Level
+from indigohitch.fleet.distribution.replicated_part import Distribution, ServiceResources, Set
+from indigohitch.fleet.distribution.types import Resource
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry
+from indigohitch.fleet.types import LogEntry
 from indigohitch.net import file_limits
 from nodes import Kept, Looped, free
 
@@ -28,14 +28,14 @@
     part, reads, heard = Distribution(), [], []
     state = ReplicatedStateMachine([part])
     log = Kept(looped.clock, "d1")
-    role = Distributing(
+    role = DistributorRole(
         looped.loop, log, "whk", "d1", 1, {"d1": free()}, part, reads.append, lambda name, word: True
     )
     step = role.connections.stepping.step
     role.connections.stepping.step = lambda input: (heard.append(type(input)), step(input))
     role.confirm(looped.clock.now())
     body = msgspec.msgpack.encode(Set((ServiceResources("maps", (Resource("m1", b"serving"),)),)))
-    entry = Entry(1, 1, "distribution.set", body, "n1", 1, 1)
+    entry = LogEntry(1, 1, "distribution.set", body, "n1", 1, 1)
     outcome = state.apply(entry)
     reads[0](1)
     role.applied(looped.clock.now(), entry, outcome)
@@ -54,7 +54,7 @@
 
 def test_a_member_that_stops_serves_no_subscriber_and_its_port_is_free(looped):
     address = free()
-    role = Distributing(
+    role = DistributorRole(
         looped.loop,
         Kept(looped.clock, "d1"),
         "whk",
--- a/tests/test_distribution_subscribers.py
+++ b/tests/test_distribution_subscribers.py
@@ -6,7 +6,7 @@
 from distribution_world import World, refusals, settled
 from indigohitch.fleet.distribution.content import ServiceContent
 from indigohitch.fleet.distribution.messages import RefusalReason
-from indigohitch.fleet.distribution.terms import Version
+from indigohitch.fleet.distribution.types import Version
 from indigohitch.net.clock import SECOND
 
 FAULTS = tuple("kill start lag cut rescope isolate reach stop go_on majority restart".split())
--- a/tests/test_fleet_hours.py
+++ b/tests/test_fleet_hours.py
@@ -5,8 +5,8 @@
 import pytest
 
 from indigohitch.errors import InvalidRequestError
-from indigohitch.fleet import hours
-from indigohitch.fleet.hours import Hours, HoursWork, Running, Tick, proposed
+from indigohitch.fleet import fleet_clock
+from indigohitch.fleet.fleet_clock import FleetClock, FleetClockWork, Running, Tick, proposed
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from orderedlog import SECOND, World
 
@@ -16,9 +16,11 @@
 
 def world(seed, names):
     def works(member):
-        return [HoursWork(member.state_machine.parts["hours"], member.name, member.wall, lambda: set(names))]
+        return [
+            FleetClockWork(member.state_machine.parts["hours"], member.name, member.wall, lambda: set(names))
+        ]
 
-    return World(random.Random(seed), names, lambda: [Hours()], works)
+    return World(random.Random(seed), names, lambda: [FleetClock()], works)
 
 
 def off(w, member):
@@ -100,7 +102,7 @@
     w.members["a"].wall_off += HOUR
     for _ in range(100):
         w.step()
-    assert abs(off(w, w.members["a"])) <= 10 * SECOND / hours.SLEW + 1000
+    assert abs(off(w, w.members["a"])) <= 10 * SECOND / fleet_clock.SLEW + 1000
 
 
 def test_of_two_clocks_the_one_that_jumped_is_not_followed():
@@ -116,7 +118,7 @@
 
 
 def test_the_state_machine_refuses_a_tick_that_goes_back():
-    part = Hours()
+    part = FleetClock()
     state_machine = ReplicatedStateMachine([part])
     part.apply(None, "tick", Tick(10))
     with pytest.raises(InvalidRequestError):
@@ -133,7 +135,7 @@
     ],
 )
 def test_each_guard_taken_away_is_found(monkeypatch, guard, broken):
-    monkeypatch.setattr(hours, guard, broken)
+    monkeypatch.setattr(fleet_clock, guard, broken)
     with pytest.raises(AssertionError):
         for seed in range(3):
             test_a_clock_that_jumps_an_hour_moves_nothing(seed)
--- a/tests/test_fleet_state_machine.py
+++ b/tests/test_fleet_state_machine.py
@@ -8,7 +8,7 @@
 from indigohitch.encoding.rows import Row
 from indigohitch.errors import InvalidDataError, InvalidRequestError
 from indigohitch.fleet.state_machine import WINDOW, ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry
+from indigohitch.fleet.types import LogEntry
 
 
 class Add(Row):
@@ -36,7 +36,7 @@
 
 
 def entry(index, number, what="a", much=1, incarnation=1, kind="sums.add"):
-    return Entry(index, 1, kind, msgspec.msgpack.encode(Add(what, much)), "n1", incarnation, number)
+    return LogEntry(index, 1, kind, msgspec.msgpack.encode(Add(what, much)), "n1", incarnation, number)
 
 
 def test_a_proposal_takes_effect_once():
@@ -55,8 +55,10 @@
     state_machine = ReplicatedStateMachine([Sums()])
     for index, (kind, much) in enumerate([("sums.add", -1), ("sums.no", 1), ("no.add", 1)], 1):
         assert state_machine.apply(entry(index, index, much=much, kind=kind)).refused
-    assert state_machine.apply(Entry(4, 1, "sums.add", b"\xc1", "n1", 1, 4)).refused
-    assert state_machine.parts["sums"].sums == {} and state_machine.apply(Entry(5, 2, "", b"")).refused == ""
+    assert state_machine.apply(LogEntry(4, 1, "sums.add", b"\xc1", "n1", 1, 4)).refused
+    assert (
+        state_machine.parts["sums"].sums == {} and state_machine.apply(LogEntry(5, 2, "", b"")).refused == ""
+    )
     with pytest.raises(ValueError):
         state_machine.apply(entry(5, 5))
     with pytest.raises(InvalidDataError):
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -8,7 +8,7 @@
 from golden_files_versions_made import FIRST, SECOND, records, session, words, write_store
 from golden_files_versions_said import commands, rules
 from indigohitch.encoding.frames import HEADER_BYTES
-from indigohitch.fleet.disk.files import Files
+from indigohitch.fleet.storage.files import FileSystem
 from indigohitch.versions.store import Store
 from indigohitch.versions.store_records import RECORDS, frames, read
 from indigohitch.versions.words import WORDS
@@ -17,7 +17,7 @@
 def opened(tmp_path, name):
     """A store that finds that golden file."""
     (tmp_path / name).write_bytes(golden(f"versions/{name}"))
-    store = Store(Files(), str(tmp_path))
+    store = Store(FileSystem(), str(tmp_path))
     store.open(8)
     return store
 
--- a/tests/test_golden_fleet.py
+++ b/tests/test_golden_fleet.py
@@ -10,12 +10,12 @@
 import pytest
 
 from disks import Bench, held
-from indigohitch.fleet.disk import identity, snapshots
-from indigohitch.fleet.disk.records import RECORDS, scan
-from indigohitch.fleet.ledger.ports import Ballot, Snap
 from indigohitch.fleet.node.standard import parts
+from indigohitch.fleet.raft.interfaces import Ballot, Snapshot
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Who
+from indigohitch.fleet.storage import identity, snapshots
+from indigohitch.fleet.storage.records import RECORDS, scan
+from indigohitch.fleet.types import MemberId
 
 GOLDEN = Path(__file__).parent / "golden" / "fleet"
 ENTRIES = json.loads((GOLDEN / "entries.json").read_text())
@@ -41,10 +41,10 @@
 
 
 def test_a_folder_is_recovered_and_replayed_to_the_same_state(name, recovered):
-    assert recovered.ballot == Ballot(3, Who("b", 2))
+    assert recovered.ballot == Ballot(3, MemberId("b", 2))
     assert recovered.snap.index == SNAPSHOT[name] == len(ENTRIES) - len(recovered.entries)
-    assert recovered.snap.members.voters == (Who("a", 1), Who("b", 2), Who("c", 3))
-    assert recovered.snap.members.followers == (Who("d", 4),)
+    assert recovered.snap.members.voters == (MemberId("a", 1), MemberId("b", 2), MemberId("c", 3))
+    assert recovered.snap.members.followers == (MemberId("d", 4),)
     state_machine = ReplicatedStateMachine(parts())
     if recovered.snap.state:
         state_machine.restore(recovered.snap.state)
@@ -83,8 +83,8 @@
 
 def test_a_founding_writes_the_same_identity(tmp_path):
     bench = Bench(tmp_path).founded()
-    bench.disk.folder.met(Who("c", 3))
-    bench.disk.folder.met(Who("b", 2))
+    bench.disk.folder.met(MemberId("c", 3))
+    bench.disk.folder.met(MemberId("b", 2))
     bench.close()
     assert (tmp_path / "identity").read_bytes() == (GOLDEN / "member" / "identity").read_bytes()
 
@@ -100,7 +100,7 @@
         name: msgspec.to_builtins(part.row(), str_keys=True) for name, part in state_machine.parts.items()
     }
     assert json.loads(json.dumps(told)) == json.loads((GOLDEN / "parts.json").read_text())
-    snap = Snap(state_machine.index, state_machine.term, snapshots_members(), data)
+    snap = Snapshot(state_machine.index, state_machine.term, snapshots_members(), data)
     assert snapshots.decode(snapshots.encode(snap), "") == snap
 
 
--- a/tests/test_golden_fleet_rows.py
+++ b/tests/test_golden_fleet_rows.py
@@ -12,7 +12,7 @@
 from indigohitch.fleet.audit.files import KINDS, chains, frames, read
 from indigohitch.fleet.batches.sending import mark
 from indigohitch.fleet.node.standard import parts
-from indigohitch.fleet.terms import Stamp
+from indigohitch.fleet.types import Stamp
 
 GOLDEN = Path(__file__).parent / "golden" / "fleet"
 SCRIPT = runpy.run_path(str(GOLDEN / "write_rows.py"))
--- a/tests/test_ledger_lateness.py
+++ b/tests/test_ledger_lateness.py
@@ -2,7 +2,7 @@
 
 import random
 
-from indigohitch.fleet.ledger.following import QUICKEST, Lateness
+from indigohitch.fleet.raft.follower import QUICKEST, Lateness
 
 BOUND = 3000
 
