--- a/tests/test_ledger_members.py
+++ b/tests/test_ledger_members.py
@@ -4,25 +4,31 @@
 import pytest
 
 from indigohitch.encoding.rows import digest
-from indigohitch.fleet.ledger.members import encoded, next_step
-from indigohitch.fleet.ledger.ports import (
+from indigohitch.fleet.raft.configuration import encoded, next_step
+from indigohitch.fleet.raft.interfaces import (
     Ballot,
-    Change,
-    DiskBack,
-    DiskFailed,
-    Heard,
-    Install,
+    ChangeMembers,
     Members,
-    Snap,
-    Snapped,
-    Write,
-    Written,
+    MessageReceived,
+    RestoreSnapshot,
+    Snapshot,
+    SnapshotCompleted,
+    StorageFailed,
+    StorageRecovered,
+    WriteCompleted,
+    WriteEntries,
 )
-from indigohitch.fleet.ledger.words import Append, Appended, Ask, Piece, Pieced
-from indigohitch.fleet.terms import Entry, Who
+from indigohitch.fleet.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    InstallSnapshotResponse,
+    RequestVote,
+)
+from indigohitch.fleet.types import LogEntry, MemberId
 from ledger_group import BOOTSTRAP, A, B, C, D, Group, entries, lead, machine, of, words
 
-B2 = Who("b", 2)
+B2 = MemberId("b", 2)
 
 
 def led(*who, **bootstrap):
@@ -36,7 +42,9 @@
 
 
 def changes(group, me=A):
-    return [entry for entry in group.applied[me] if type(entry) is Entry and entry.kind == "ledger.members"]
+    return [
+        entry for entry in group.applied[me] if type(entry) is LogEntry and entry.kind == "ledger.members"
+    ]
 
 
 def test_new_member_learns_as_a_follower_and_then_votes():
@@ -44,7 +52,7 @@
     group.propose(A, *range(1, 9))
     group.add(empty(D))
     group.cut.add(D)
-    group.step(A, Change(D))
+    group.step(A, ChangeMembers(D))
     assert group.machines[A].members == Members((A, B, C), (D,))
     group.pass_time(2 * BOOTSTRAP["election"])
     assert group.machines[A].members == Members((A, B, C), (D,))
@@ -56,25 +64,25 @@
 def test_follower_hears_all_and_never_stands():
     group = led()
     group.add(empty(D))
-    group.step(A, Change(D, votes=False))
+    group.step(A, ChangeMembers(D, votes=False))
     group.propose(A, 1)
     group.pass_time(BOOTSTRAP["beat"])
     assert group.numbers(D) == [1]
     group.cut.update((A, B, C))
     group.pass_time(10 * BOOTSTRAP["election"])
     assert group.machines[D].role.value == "follower"
-    assert not [word for sender, _, word in group.sent if sender == D and type(word) is Ask]
+    assert not [word for sender, _, word in group.sent if sender == D and type(word) is RequestVote]
 
 
 def test_one_change_at_a_time_and_none_before_an_own_entry_is_committed():
     one = machine(A)
     lead(one)
     now = one.state.now
-    assert one.step(now, Change(B, out=True)) == []
-    one.step(now, Written(one.state.durable.number))
-    one.step(now, Heard(C, Appended(1, True, 1)))
-    assert of(Write, one.step(now, Change(B, out=True)))
-    assert not of(Write, one.step(now, Change(C, out=True)))
+    assert one.step(now, ChangeMembers(B, out=True)) == []
+    one.step(now, WriteCompleted(one.state.durable.number))
+    one.step(now, MessageReceived(C, AppendEntriesResponse(1, True, 1)))
+    assert of(WriteEntries, one.step(now, ChangeMembers(B, out=True)))
+    assert not of(WriteEntries, one.step(now, ChangeMembers(C, out=True)))
     assert one.members == Members((A, C))
 
 
@@ -82,7 +90,7 @@
     group = led()
     del group.machines[B]
     group.add(empty(B2))
-    group.step(A, Change(B2))
+    group.step(A, ChangeMembers(B2))
     group.pass_time(4 * BOOTSTRAP["beat"])
     assert set(group.machines[A].members.voters) == {A, C, B2}
     sizes = [len(step.voters) for step in map(members_of, changes(group))]
@@ -98,7 +106,7 @@
 def test_leader_that_is_taken_out_ends_once_that_is_committed():
     group = led()
     group.cut.update((B, C))
-    group.step(A, Change(A, out=True))
+    group.step(A, ChangeMembers(A, out=True))
     assert group.leaders() == [A]
     group.cut.clear()
     group.pass_time(BOOTSTRAP["beat"])
@@ -109,13 +117,13 @@
 
 def test_last_voter_stays():
     group = led(A)
-    group.step(A, Change(A, out=True))
+    group.step(A, ChangeMembers(A, out=True))
     assert group.machines[A].members == Members((A,)) and group.told[A][-1].event == "change_refused"
 
 
 def test_one_taken_out_stands_while_that_is_not_committed():
     """It may be the only one that has the entry, without which the others can't go on (4.2.2)."""
-    out = Entry(2, 1, "ledger.members", encoded(Members((A,))))
+    out = LogEntry(2, 1, "ledger.members", encoded(Members((A,))))
     group = Group()
     group.add(machine(A, (A, B), Ballot(1), log=entries(1)))
     group.add(machine(B, (A, B), Ballot(1), log=[*entries(1), out]))
@@ -124,10 +132,10 @@
 
 
 def test_change_that_is_void_counts_no_more():
-    out = Entry(2, 1, "ledger.members", encoded(Members((A, B))))
+    out = LogEntry(2, 1, "ledger.members", encoded(Members((A, B))))
     one = machine(B, ballot=Ballot(1), log=[*entries(1), out])
     assert one.members == Members((A, B))
-    one.step(1, Heard(A, Append(2, 1, 1, 0, (Entry(2, 2, "", b""),))))
+    one.step(1, MessageReceived(A, AppendEntries(2, 1, 1, 0, (LogEntry(2, 2, "", b""),))))
     assert one.members == Members((A, B, C))
 
 
@@ -142,24 +150,27 @@
     assert log.base > 100 and log.grown <= 2000 and len(log.entries) < 60
     group.cut.clear()
     group.pass_time(2 * BOOTSTRAP["election"])
-    installed = [one for one in group.applied[C] if type(one) is Install]
+    installed = [one for one in group.applied[C] if type(one) is RestoreSnapshot]
     assert len(installed) == 1 and installed[0].snap.state == b"%d" % installed[0].snap.index * 100
     assert group.numbers(C)[-1] == 200 and group.machines[C].commit == group.machines[A].commit
     assert (
-        len([1 for _, to, word in group.sent if type(word) is Piece]) >= len(installed[0].snap.state) // 100
+        len([1 for _, to, word in group.sent if type(word) is InstallSnapshot])
+        >= len(installed[0].snap.state) // 100
     )
 
 
-SNAP = Snap(7, 2, Members((A, B, C)), bytes(range(250)))
+SNAP = Snapshot(7, 2, Members((A, B, C)), bytes(range(250)))
 
 
 def piece(offset, size=100, term=3, data=None, of=SNAP):
     data = of.state[offset : offset + size] if data is None else data
-    return Heard(A, Piece(term, of.index, of.term, of.members, len(of.state), digest(of.state), offset, data))
+    return MessageReceived(
+        A, InstallSnapshot(term, of.index, of.term, of.members, len(of.state), digest(of.state), offset, data)
+    )
 
 
 def told(outputs):
-    return words(Pieced, outputs)[0][1].offset
+    return words(InstallSnapshotResponse, outputs)[0][1].offset
 
 
 def test_pieces_are_gone_on_with_where_they_were_broken_off():
@@ -170,9 +181,15 @@
     assert told(one.step(4, piece(0, 0, term=4))) == 100  # another leader asks with nothing
     assert told(one.step(5, piece(100, term=4))) == 200
     out = one.step(6, piece(200, term=4))
-    assert of(Install, out)[0].snap == SNAP and not words(Appended, out) and one.commit == 7
-    assert words(Appended, one.step(7, Snapped(SNAP))) == []  # the ballot isn't written yet
-    assert words(Appended, one.step(8, Written(one.state.durable.number)))[0][1].match == 7
+    assert (
+        of(RestoreSnapshot, out)[0].snap == SNAP and not words(AppendEntriesResponse, out) and one.commit == 7
+    )
+    assert (
+        words(AppendEntriesResponse, one.step(7, SnapshotCompleted(SNAP))) == []
+    )  # the ballot isn't written yet
+    assert (
+        words(AppendEntriesResponse, one.step(8, WriteCompleted(one.state.durable.number)))[0][1].match == 7
+    )
 
 
 def test_spoilt_snapshot_is_begun_anew():
@@ -180,28 +197,35 @@
     one.step(1, piece(0))
     one.step(2, piece(100))
     out = one.step(3, piece(200, data=bytes(50)))
-    assert not of(Install, out) and told(out) == 0
+    assert not of(RestoreSnapshot, out) and told(out) == 0
 
 
 def test_snapshot_of_what_is_here_sets_nothing():
     one = machine(B, ballot=Ballot(2), log=entries(1, 1, 1, 1, 2, 2, 2, 2))
     out = one.step(1, piece(0, 0))
-    assert not of(Install, out) and one.commit == 7 and one.state.log.last == 8
+    assert not of(RestoreSnapshot, out) and one.commit == 7 and one.state.log.last == 8
 
 
 def test_snapshot_that_the_disk_didnt_take_is_written_again():
     one = machine(B)
     for offset in (0, 100, 200):
         one.step(1, piece(offset))
-    one.step(2, DiskFailed("full"))
-    out = one.step(3, DiskBack())
-    assert of(Install, out)[0].snap == SNAP and of(Write, out)[0].cut == 8
-    one.step(4, Snapped(SNAP))
-    assert words(Appended, one.step(5, Written(one.state.durable.number)))[0][1].match == 7
+    one.step(2, StorageFailed("full"))
+    out = one.step(3, StorageRecovered())
+    assert of(RestoreSnapshot, out)[0].snap == SNAP and of(WriteEntries, out)[0].cut == 8
+    one.step(4, SnapshotCompleted(SNAP))
+    assert (
+        words(AppendEntriesResponse, one.step(5, WriteCompleted(one.state.durable.number)))[0][1].match == 7
+    )
 
 
 def test_member_that_starts_from_a_snapshot_goes_on_after_it():
-    one = machine(B, (), Ballot(3), SNAP, [Entry(8, 3, "x.y", b"")])
+    one = machine(B, (), Ballot(3), SNAP, [LogEntry(8, 3, "x.y", b"")])
     assert (one.commit, one.state.log.last, one.members) == (7, 8, SNAP.members)
-    out = one.step(1, Heard(A, Append(3, 3, 1, 8, tuple(Entry(i, 3, "x.y", b"") for i in range(4, 10)))))
-    assert [entry.index for entry in of(Write, out)[0].entries] == [9] and one.commit == 8
+    out = one.step(
+        1,
+        MessageReceived(
+            A, AppendEntries(3, 3, 1, 8, tuple(LogEntry(i, 3, "x.y", b"") for i in range(4, 10)))
+        ),
+    )
+    assert [entry.index for entry in of(WriteEntries, out)[0].entries] == [9] and one.commit == 8
--- a/tests/test_ledger_reads.py
+++ b/tests/test_ledger_reads.py
@@ -1,7 +1,7 @@
 """Reads of the ledger, confirmed by a majority, and from when on a leader's state machine may be gone by."""
 
-from indigohitch.fleet.ledger.ports import Heard, Read, Readable, Written
-from indigohitch.fleet.ledger.words import Appended
+from indigohitch.fleet.raft.interfaces import MessageReceived, ReadConfirmed, ReadRequest, WriteCompleted
+from indigohitch.fleet.raft.messages import AppendEntriesResponse
 from ledger_group import BOOTSTRAP, A, B, C, Group, lead, machine, of
 
 
@@ -12,28 +12,28 @@
 
 
 def reads(group, me=A):
-    return [told for told in group.told[me] if type(told) is Readable]
+    return [told for told in group.told[me] if type(told) is ReadConfirmed]
 
 
 def test_read_is_answered_by_a_majority_asked_after_it_came():
     group = led()
     group.propose(A, 1)
     group.cut.update((B, C))
-    group.step(A, Read(1))
+    group.step(A, ReadRequest(1))
     assert not reads(group)
     group.cut.discard(C)
     group.pass_time(BOOTSTRAP["beat"])
-    assert reads(group) == [Readable(1, 2)]
+    assert reads(group) == [ReadConfirmed(1, 2)]
 
 
 def test_echo_of_an_earlier_round_confirms_nothing():
     group = led()
-    group.step(A, Read(1))
+    group.step(A, ReadRequest(1))
     group.cut.update((B, C))
-    group.step(A, Read(2))
-    group.step(A, Heard(B, Appended(1, True, 1, round=1)))
+    group.step(A, ReadRequest(2))
+    group.step(A, MessageReceived(B, AppendEntriesResponse(1, True, 1, round=1)))
     assert [told.number for told in reads(group)] == [1]
-    group.step(A, Heard(B, Appended(1, True, 1, round=2)))
+    group.step(A, MessageReceived(B, AppendEntriesResponse(1, True, 1, round=2)))
     assert [told.number for told in reads(group)] == [1, 2]
 
 
@@ -41,10 +41,14 @@
     one = machine(A)
     lead(one)
     now = one.state.now
-    one.step(now, Read(1))
-    assert not of(Readable, one.step(now, Heard(B, Appended(1, True, 0, round=1))))
-    one.step(now, Written(one.state.durable.number))
-    assert of(Readable, one.step(now, Heard(B, Appended(1, True, 1, round=1)))) == [Readable(1, 1)]
+    one.step(now, ReadRequest(1))
+    assert not of(
+        ReadConfirmed, one.step(now, MessageReceived(B, AppendEntriesResponse(1, True, 0, round=1)))
+    )
+    one.step(now, WriteCompleted(one.state.durable.number))
+    assert of(
+        ReadConfirmed, one.step(now, MessageReceived(B, AppendEntriesResponse(1, True, 1, round=1)))
+    ) == [ReadConfirmed(1, 1)]
 
 
 def test_leader_is_settled_once_an_entry_of_its_own_is_committed():
@@ -62,7 +66,7 @@
     assert not any(one.settled for one in group.machines.values())
     group.slow.clear()
     for write in group.unwritten[B]:
-        group.step(B, Written(write.number))
+        group.step(B, WriteCompleted(write.number))
     group.pass_time(3 * BOOTSTRAP["election"])
     leader = group.leaders()[0]
     assert group.machines[leader].settled and group.numbers(leader) == [1, 2]
@@ -72,7 +76,7 @@
     group = led()
     group.cut.update((B, C))
     for number in range(BOOTSTRAP["proposals_most"] + 3):
-        group.step(A, Read(number))
+        group.step(A, ReadRequest(number))
     assert [told.ok for told in reads(group)] == [False] * 3
     group.pass_time(BOOTSTRAP["election"] + BOOTSTRAP["beat"])
     assert len(reads(group)) == BOOTSTRAP["proposals_most"] + 3 and not any(told.ok for told in reads(group))
@@ -81,5 +85,5 @@
 def test_one_alone_is_its_own_majority():
     group = led(A)
     group.propose(A, 1)
-    group.step(A, Read(1))
-    assert group.numbers(A) == [1] and reads(group) == [Readable(1, 2)]
+    group.step(A, ReadRequest(1))
+    assert group.numbers(A) == [1] and reads(group) == [ReadConfirmed(1, 2)]
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -6,13 +6,13 @@
 import pytest
 
 from indigohitch.encoding.frames import FrameDecoder
-from indigohitch.fleet.ledger.words import Append, Vote
-from indigohitch.fleet.links import ends
-from indigohitch.fleet.links.greeting import refused
-from indigohitch.fleet.links.links import STRANGERS, Links
-from indigohitch.fleet.links.words import Greeting, Refused, Welcome
-from indigohitch.fleet.node.words import KINDS
-from indigohitch.fleet.terms import Entry, Who
+from indigohitch.fleet.node.messages import KINDS
+from indigohitch.fleet.raft.messages import AppendEntries, RequestVoteResponse
+from indigohitch.fleet.transport import outbound
+from indigohitch.fleet.transport.handshake import refused
+from indigohitch.fleet.transport.links import STRANGERS, Transport
+from indigohitch.fleet.transport.messages import Handshake, HandshakeAccepted, HandshakeRefused
+from indigohitch.fleet.types import LogEntry, MemberId
 from nodes import Kept, Looped, free
 
 
@@ -26,8 +26,14 @@
         self.links = {}
 
     def start(self, name, number=1, fleet="whk", token=7, peers=None):
-        links = self.links[name] = Links(
-            self.loop, Kept(self.clock, name), KINDS, fleet, Who(name, number), token, random.Random(1).random
+        links = self.links[name] = Transport(
+            self.loop,
+            Kept(self.clock, name),
+            KINDS,
+            fleet,
+            MemberId(name, number),
+            token,
+            random.Random(1).random,
         )
         links.on_heard = lambda who, word: self.heard[name].append((who, word))
         links.start(self.at[name])
@@ -41,7 +47,7 @@
         self.loop.after(500, self.beat)
 
     def up(self, name, to):
-        self.until(lambda: self.links[name].peers[to].phase is ends.Phase.OPEN)
+        self.until(lambda: self.links[name].peers[to].phase is outbound.Phase.OPEN)
 
     def close(self):
         for links in self.links.values():
@@ -67,25 +73,25 @@
 def test_words_arrive_in_order_from_who_said_them(pair):
     a, b = both(pair)
     for term in range(500):
-        assert a.say(Who("b", 1), Vote(term, True))
+        assert a.say(MemberId("b", 1), RequestVoteResponse(term, True))
     pair.until(lambda: len(pair.heard["b"]) == 500)
-    assert pair.heard["b"] == [(Who("a", 1), Vote(term, True)) for term in range(500)]
+    assert pair.heard["b"] == [(MemberId("a", 1), RequestVoteResponse(term, True)) for term in range(500)]
 
 
 def test_nothing_is_said_to_another_number_of_that_name(pair):
     a, b = both(pair)
-    assert not a.say(Who("b", 2), Vote(1, True))
-    b.renumber(Who("b", 2))
-    pair.until(lambda: a.say(Who("b", 2), Vote(2, True)))
+    assert not a.say(MemberId("b", 2), RequestVoteResponse(1, True))
+    b.renumber(MemberId("b", 2))
+    pair.until(lambda: a.say(MemberId("b", 2), RequestVoteResponse(2, True)))
     pair.until(lambda: pair.heard["b"])
-    assert not a.say(Who("b", 1), Vote(1, True))
+    assert not a.say(MemberId("b", 1), RequestVoteResponse(1, True))
 
 
 def test_a_member_that_comes_back_is_dialled_again(pair):
     a, b = both(pair)
     b.close()
-    pair.until(lambda: a.peers["b"].phase is not ends.Phase.OPEN)
-    assert not a.say(Who("b", 1), Vote(1, True))
+    pair.until(lambda: a.peers["b"].phase is not outbound.Phase.OPEN)
+    assert not a.say(MemberId("b", 1), RequestVoteResponse(1, True))
     pair.turns(300)
     pair.start("b", token=8)
     pair.up("a", "b")
@@ -95,14 +101,14 @@
 @pytest.mark.parametrize(
     "greeting, kind",
     [
-        (Greeting("other", Who("b", 1), 5), "another fleet"),
-        (Greeting("whk", Who("x", 1), 5), "no member"),
-        (Greeting("whk", Who("a", 1), 5), "ourselves"),
-        (Greeting("whk", Who("b", 2), 5), "an old disk"),
-        (Greeting("whk", Who("b", 4), 5, 9, 10), "protocol"),
-        (Greeting("whk", Who("b", 3), 5), ""),
-        (Greeting("whk", Who("b", 0), 5), ""),
-        (Greeting("whk", Who("b", 4), 5, 1, 2), ""),
+        (Handshake("other", MemberId("b", 1), 5), "another fleet"),
+        (Handshake("whk", MemberId("x", 1), 5), "no member"),
+        (Handshake("whk", MemberId("a", 1), 5), "ourselves"),
+        (Handshake("whk", MemberId("b", 2), 5), "an old disk"),
+        (Handshake("whk", MemberId("b", 4), 5, 9, 10), "protocol"),
+        (Handshake("whk", MemberId("b", 3), 5), ""),
+        (Handshake("whk", MemberId("b", 0), 5), ""),
+        (Handshake("whk", MemberId("b", 4), 5, 1, 2), ""),
     ],
 )
 def test_who_may_speak(greeting, kind):
@@ -132,10 +138,10 @@
 
 def test_strangers_are_closed_counted_and_told_why(pair):
     a = pair.start("a")
-    other = KINDS.frame(Greeting("other", Who("b", 1), 5))
-    assert spoken(pair, other) == [Refused("of fleet other, this is whk")]
+    other = KINDS.frame(Handshake("other", MemberId("b", 1), 5))
+    assert spoken(pair, other) == [HandshakeRefused("of fleet other, this is whk")]
     assert spoken(pair, b"GET / HTTP/1.1\r\n\r\n") == []
-    assert spoken(pair, KINDS.frame(Vote(1, True))) == []  # a word before the greeting
+    assert spoken(pair, KINDS.frame(RequestVoteResponse(1, True))) == []  # a word before the greeting
     assert spoken(pair, b"") == []  # says nothing at all
     assert a.log.counts["member_refused"] == 1 and a.log.counts["frame_spoilt"] == 1
     assert a.log.counts["stranger"] == 2
@@ -146,20 +152,20 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_spoilt_frames_close_and_never_reach_the_member(pair, seed):
     chance, a = random.Random(seed), pair.start("a")
-    good = KINDS.frame(Greeting("whk", Who("b", 1), 5)) + KINDS.frame(Vote(1, True))
+    good = KINDS.frame(Handshake("whk", MemberId("b", 1), 5)) + KINDS.frame(RequestVoteResponse(1, True))
     data = bytearray(good)
-    at = chance.randrange(len(KINDS.frame(Greeting("whk", Who("b", 1), 5))), len(good))
+    at = chance.randrange(len(KINDS.frame(Handshake("whk", MemberId("b", 1), 5))), len(good))
     data[at] ^= 1 << chance.randrange(8)
     with socket.create_connection(pair.at["a"], 5) as sock:
         sock.sendall(data)
         pair.until(lambda: a.came or a.log.counts["frame_spoilt"])
         pair.turns(30)
     # A length made longer only waits for more, and the number of descriptors says nothing here.
-    assert all(word == Vote(1, True) for _, word in pair.heard["a"])
+    assert all(word == RequestVoteResponse(1, True) for _, word in pair.heard["a"])
     assert (
         a.log.counts["frame_spoilt"]
         or pair.heard["a"]
-        or at - (len(good) - len(KINDS.frame(Vote(1, True)))) in range(8, 16)
+        or at - (len(good) - len(KINDS.frame(RequestVoteResponse(1, True)))) in range(8, 16)
     )
 
 
@@ -192,13 +198,13 @@
 
         pair.until(came)
         found[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        found[0].sendall(KINDS.frame(Welcome(Who("c", 1), 3)))
+        found[0].sendall(KINDS.frame(HandshakeAccepted(MemberId("c", 1), 3)))
         pair.up("a", "c")
-        word = Append(1, 0, 0, 0, (Entry(1, 1, "notes.add", bytes(40_000)),))
-        said = sum(a.say(Who("c", 1), word) for _ in range(200))
+        word = AppendEntries(1, 0, 0, 0, (LogEntry(1, 1, "notes.add", bytes(40_000)),))
+        said = sum(a.say(MemberId("c", 1), word) for _ in range(200))
         assert said < 60 and a.peers["c"].dropped == 200 - said
         assert len(a.peers["c"].connection.outgoing) <= a.peers["c"].connection.BOUND
-        assert a.say(Who("b", 1), word)
+        assert a.say(MemberId("b", 1), word)
         pair.until(lambda: pair.heard["b"])
         pair.until(lambda: a.log.said("member_silent"))  # and it is noticed
         found[0].close()
@@ -210,13 +216,13 @@
     pair.start("c")
     a = pair.start("a", peers=pair.at | {"b": pair.at["c"]})
     pair.until(lambda: a.log.said("not_who_was_dialled"))
-    assert a.peers["b"].phase is not ends.Phase.OPEN and a.peers["c"].who == Who("c", 1)
+    assert a.peers["b"].phase is not outbound.Phase.OPEN and a.peers["c"].who == MemberId("c", 1)
 
 
 def test_files_read_again_move_links(pair):
     a, b = both(pair)
     a.relist({})
-    assert not a.say(Who("b", 1), Vote(1, True)) and not a.came
+    assert not a.say(MemberId("b", 1), RequestVoteResponse(1, True)) and not a.came
     pair.until(lambda: b.log.said("refused_by_member"))
     a.relist({"b": pair.at["b"]})
     pair.up("a", "b"), pair.up("b", "a")
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,10 +7,10 @@
 
 from fleet_sim import SPAN, STEP, Alter, Take, World
 from indigohitch.fleet.audit.check import check
-from indigohitch.fleet.members.leases import Giver
-from indigohitch.fleet.members.roster import Roster
-from indigohitch.fleet.members.work import Phase
-from indigohitch.fleet.terms import Standing
+from indigohitch.fleet.membership.leases import LeaseGrantor
+from indigohitch.fleet.membership.member_work import Phase
+from indigohitch.fleet.membership.roster import Roster
+from indigohitch.fleet.types import MemberStanding
 from indigohitch.net.clock import SECOND
 
 
@@ -81,11 +81,13 @@
 def test_a_guard_taken_away_is_found_by_the_rules(guard, monkeypatch):
     match guard:
         case "over":  # given on as soon as it is shut out
-            monkeypatch.setattr(Giver, "over", lambda *_: True)
+            monkeypatch.setattr(LeaseGrantor, "over", lambda *_: True)
         case "lease":  # a member acts until it hears that it is shut out
-            monkeypatch.setattr("indigohitch.fleet.members.leases.held", lambda *_: 10**9)
+            monkeypatch.setattr("indigohitch.fleet.membership.leases.holder_span", lambda *_: 10**9)
         case "in_force":  # in force without asking who has taken it
-            monkeypatch.setattr("indigohitch.fleet.members.judge.Judge.took", lambda *_: True)
+            monkeypatch.setattr(
+                "indigohitch.fleet.membership.failure_detector.FailureDetector.took", lambda *_: True
+            )
     with pytest.raises(AssertionError, match="acts on|acts by"):
         stalled(cut=guard == "lease")
 
@@ -134,7 +136,7 @@
     world.standings.clear()
     world.run(4)
     assert one.state_machine.index == world.leader.state_machine.index and one.membership.incarnation == 1
-    assert Standing.BROUGHT_UP in world.standings
+    assert MemberStanding.BROUGHT_UP in world.standings
 
 
 def test_a_straggler_that_does_not_move_is_shut_out_and_comes_back():
@@ -146,7 +148,7 @@
     assert one.membership.lease(one.now(world.time)) is None
     roster = world.leader.state_machine.parts["members"]
     assert not roster.changes and roster.in_force and roster.unfit(one.name, 1)
-    assert {Standing.BEHIND, Standing.STRAGGLER, Standing.SHUT_OUT} <= world.standings
+    assert {MemberStanding.BEHIND, MemberStanding.STRAGGLER, MemberStanding.SHUT_OUT} <= world.standings
     one.slow = 200
     world.run(4)
     assert one.membership.incarnation == 2 and one.membership.phase is Phase.VALID
--- a/tests/test_members_leases.py
+++ b/tests/test_members_leases.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from indigohitch.fleet.members import leases
-from indigohitch.fleet.members.leases import Answer, Giver, Holder, ReadFirst
-from indigohitch.fleet.members.words import Renew, Renewed
+from indigohitch.fleet.membership import leases
+from indigohitch.fleet.membership.leases import Answer, LeaseGrantor, LeaseHolder, ReadFirst
+from indigohitch.fleet.membership.messages import LeaseRenewed, RenewLease
 
 SPAN, DRIFT = 8, 0.25  # so coarse that what a drift does shows within a few steps
 RATES = Fraction(3, 4), Fraction(5, 4)
@@ -21,8 +21,8 @@
 
     def __init__(self, rates):
         self.rates, self.time = rates, 0
-        self.holder, self.first = Holder(SPAN, DRIFT), Giver(SPAN, DRIFT, lambda *_: "")
-        self.second = Giver(SPAN, DRIFT, lambda *_: "")
+        self.holder, self.first = LeaseHolder(SPAN, DRIFT), LeaseGrantor(SPAN, DRIFT, lambda *_: "")
+        self.second = LeaseGrantor(SPAN, DRIFT, lambda *_: "")
         self.holder.begin(1)
         self.first.elected(0, 1)
         self.asked, self.told, self.read, self.confirmed, self.out = [], [], 0, 0, False
@@ -61,7 +61,7 @@
         self.time += 1
 
     def ask(self):
-        self.asked = self.asked + [Renew(self.holder.ask(self.clock(0)), 1, 0)]
+        self.asked = self.asked + [RenewLease(self.holder.ask(self.clock(0)), 1, 0)]
 
     def come(self):
         self.carry(self.first.came(self.clock(1), "m", self.asked[0]))
@@ -86,7 +86,7 @@
             match out:
                 case ReadFirst(number):
                     self.read, self.confirmed = number, 0
-                case Answer(_, Renewed() as word):
+                case Answer(_, LeaseRenewed() as word):
                     self.told = self.told + [word]
 
     def broken(self):
@@ -144,7 +144,7 @@
     match guard:
         case "from_hearing":  # the holder counts from when the answer came
             monkeypatch.setattr(
-                Holder,
+                LeaseHolder,
                 "heard",
                 lambda self, word: (
                     setattr(self, "until", SPAN + max(self.sent.values()))
@@ -158,10 +158,12 @@
             monkeypatch.setattr(leases, "given", lambda span, drift: span)
         case "election":  # what another leader gave is not thought of
             monkeypatch.setattr(
-                Giver, "over", lambda self, now, *one: bool(self.term) and now >= (self.until.get(one, 0))
+                LeaseGrantor,
+                "over",
+                lambda self, now, *one: bool(self.term) and now >= (self.until.get(one, 0)),
             )
         case "read":  # the leader answers without asking whether it still leads
-            monkeypatch.setattr(Giver, "came", unread)
+            monkeypatch.setattr(LeaseGrantor, "came", unread)
     assert any(walked(rates)[1] for rates in itertools.product(RATES, repeat=3))
 
 
@@ -181,15 +183,15 @@
 
 def test_a_round_of_answers_looks_through_all_leases_once():
     """Found by make bench-capacity: it was once for each answer, 3.9 s a round for 6,500 members."""
-    giver, members = Giver(SPAN, DRIFT, lambda *_: ""), [f"m{number}" for number in range(300)]
+    giver, members = LeaseGrantor(SPAN, DRIFT, lambda *_: ""), [f"m{number}" for number in range(300)]
     giver.elected(0, 1)
     until = giver.until = Counting({(name, 1): 40 for name in members} | {("ended", 1): 30})
     for name in members:
-        giver.came(30, name, Renew(1, 1, 0, 0, b"", 0, 0, {}))
+        giver.came(30, name, RenewLease(1, 1, 0, 0, b"", 0, 0, {}))
     answers = []
     while giver.round is not None:
         answers += [one for one in giver.confirmed(30, giver.reads) if isinstance(one, Answer)]
-    assert len(answers) == 300 and all(isinstance(one.word, Renewed) for one in answers)
+    assert len(answers) == 300 and all(isinstance(one.word, LeaseRenewed) for one in answers)
     assert until.looks == 1
     assert giver.until == {(name, 1): 30 + giver.length for name in members}
     assert giver.over(30, "ended", 1) and not giver.over(30, "m0", 1)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -7,7 +7,7 @@
 
 from disks import Faulty
 from indigohitch.errors import UnavailableError
-from indigohitch.fleet.members.work import Phase as Member
+from indigohitch.fleet.membership.member_work import Phase as Member
 from indigohitch.fleet.node.node import Node
 from indigohitch.fleet.node.phases import Phase
 from nodes import World
--- a/tests/test_node_inside.py
+++ b/tests/test_node_inside.py
@@ -4,10 +4,10 @@
 
 from indigohitch.config.fleet import MemberText
 from indigohitch.errors import UnavailableError
-from indigohitch.fleet.node import inside as within
-from indigohitch.fleet.node.alone import Bare
-from indigohitch.fleet.node.asked import Asked
-from indigohitch.fleet.node.inside import Handed, Inside
+from indigohitch.fleet.node import companion as within
+from indigohitch.fleet.node.admin_requests import AdminRequests
+from indigohitch.fleet.node.companion import Handed, NodeCompanion
+from indigohitch.fleet.node.headless_member import Bare
 from nodes import Kept, World, free
 
 
@@ -21,7 +21,7 @@
 def handed(world, name, follows=False):
     """That member as a process has it."""
     log = Kept(world.clock, name)
-    inside = Inside(world.loop, log, world.text(name), True, follows, world.ended.append)
+    inside = NodeCompanion(world.loop, log, world.text(name), True, follows, world.ended.append)
     side = Handed(Bare(world.clock, lambda: None, lambda sock: None, lambda: None), inside)
     inside.open()
     world.nodes[name] = inside.node
@@ -30,7 +30,7 @@
 
 def asked(world, name, what, **line):
     told = []
-    Asked(world.nodes[name], told.append).word(what, line)
+    AdminRequests(world.nodes[name], told.append).word(what, line)
     world.until(lambda: told)
     return told[0]
 
@@ -85,11 +85,11 @@
 def test_two_processes_never_share_a_member(world):
     world.start()
     log = Kept(world.clock, "v1")
-    second = Inside(world.loop, log, world.text("v1"), True, True, world.ended.append)
+    second = NodeCompanion(world.loop, log, world.text("v1"), True, True, world.ended.append)
     second.open()  # an upgrade's new process while the old one has it still
     assert second.node is None and log.said("member_not_open")[0]["remedy"]
     with pytest.raises(UnavailableError):
-        Inside(world.loop, log, world.text("v1"), True, False, world.ended.append).open()
+        NodeCompanion(world.loop, log, world.text("v1"), True, False, world.ended.append).open()
     world.kill("v1")
     world.until(lambda: second.node is not None)
     world.nodes["v1"] = second.node
@@ -129,4 +129,4 @@
     assert read["index"] in entries and all(others[i] == check for i, check in entries.items() if i in others)
     assert asked(world, "v1", "notes")["texts"] == ["one", "two"]
     assert asked(world, "v1", "book hours")["part"] and "error" in asked(world, "v1", "book nothing")
-    assert not Asked(world.nodes["v1"], None).word("upgrade", {})
+    assert not AdminRequests(world.nodes["v1"], None).word("upgrade", {})
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -7,15 +7,15 @@
 import pytest
 
 from indigohitch.errors import UnavailableError
-from indigohitch.fleet.ledger.ports import Members
-from indigohitch.fleet.links.words import Welcome
-from indigohitch.fleet.node.founding import Admission, Way, way
+from indigohitch.fleet.node.cluster_bootstrap import Admission, BootstrapMode, bootstrap_mode
+from indigohitch.fleet.node.messages import MESSAGE_TYPES, JoinRequest
 from indigohitch.fleet.node.notes import LONGEST, Notes
 from indigohitch.fleet.node.proposals import MOST, Proposals
 from indigohitch.fleet.node.reads import WAIT, Reads
-from indigohitch.fleet.node.words import WORDS, Admit
+from indigohitch.fleet.raft.interfaces import Members
 from indigohitch.fleet.state_machine import WINDOW, ReplicatedStateMachine
-from indigohitch.fleet.terms import Entry, Who
+from indigohitch.fleet.transport.messages import HandshakeAccepted
+from indigohitch.fleet.types import LogEntry, MemberId
 
 VOTERS = ("a", "b", "c")
 
@@ -49,7 +49,7 @@
                 proposals.turned(now, "a", 1, taken.number, 30)
                 continue
             index += 1
-            entry = Entry(index, 1, taken.kind, taken.body, "a", 1, taken.number)
+            entry = LogEntry(index, 1, taken.kind, taken.body, "a", 1, taken.number)
             proposals.applied(entry, state_machine.apply(entry))
         if chance.random() < 0.02:
             proposals.hurry(now)
@@ -92,31 +92,39 @@
 
 
 def welcomed(name, number=0, met=0, founders=VOTERS):
-    return Welcome(Who(name, number), 1, met, founders)
+    return HandshakeAccepted(MemberId(name, number), 1, met, founders)
 
 
 @pytest.mark.parametrize(
     "votes, welcomes, expected",
     [
-        (True, {}, Way.WAIT),
-        (True, {"b": welcomed("b"), "c": None}, Way.WAIT),
-        (True, {"b": welcomed("b"), "c": welcomed("c")}, Way.FOUND),
-        (True, {"b": welcomed("b", 1), "c": welcomed("c")}, Way.FOUND),  # it founded a moment before
-        (True, {"b": welcomed("b", 1, met=1), "c": None}, Way.ASK),
-        (True, {"b": welcomed("b"), "c": welcomed("c", 1, met=3)}, Way.ASK),
-        (True, {"b": welcomed("b", 1, founders=("b", "c")), "c": None}, Way.ASK),  # older than this file
-        (True, {"b": welcomed("b", founders=("a", "b")), "c": welcomed("c")}, Way.WAIT),
-        (False, {}, Way.ASK),
+        (True, {}, BootstrapMode.WAIT),
+        (True, {"b": welcomed("b"), "c": None}, BootstrapMode.WAIT),
+        (True, {"b": welcomed("b"), "c": welcomed("c")}, BootstrapMode.FOUND),
+        (
+            True,
+            {"b": welcomed("b", 1), "c": welcomed("c")},
+            BootstrapMode.FOUND,
+        ),  # it founded a moment before
+        (True, {"b": welcomed("b", 1, met=1), "c": None}, BootstrapMode.ASK),
+        (True, {"b": welcomed("b"), "c": welcomed("c", 1, met=3)}, BootstrapMode.ASK),
+        (
+            True,
+            {"b": welcomed("b", 1, founders=("b", "c")), "c": None},
+            BootstrapMode.ASK,
+        ),  # older than this file
+        (True, {"b": welcomed("b", founders=("a", "b")), "c": welcomed("c")}, BootstrapMode.WAIT),
+        (False, {}, BootstrapMode.ASK),
     ],
 )
 def test_what_a_new_disk_may_do(votes, welcomes, expected):
-    assert way("a", votes, VOTERS, welcomes)[0] is expected
+    assert bootstrap_mode("a", votes, VOTERS, welcomes)[0] is expected
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_no_number_is_given_to_two_disks(seed):
     """Disks are lost, leaders change and forget, answers are lost: a number is one disk's."""
-    chance, members, met = random.Random(seed), Members((Who("a", 1), Who("b", 1))), 1
+    chance, members, met = random.Random(seed), Members((MemberId("a", 1), MemberId("b", 1))), 1
     admission, given, token = Admission(), {}, 1
     for _ in range(200):
         what = chance.random()
@@ -124,7 +132,7 @@
             token += 1  # another disk, or another start of a fresh one
         elif what < 0.4:
             admission = Admission()  # another leader
-        who = admission.who(Admit("c", token), members, met)
+        who = admission.who(JoinRequest("c", token), members, met)
         assert given.setdefault(who.number, token) == token and who.number > met
         if chance.random() < 0.5:  # the entry is committed: all leaders know of it
             members = Members(members.voters, (who,))
@@ -136,38 +144,38 @@
 
 
 def test_an_old_disk_is_not_admitted():
-    assert Admission().who(Admit("a", 1, number=1), Members((Who("a", 2),)), 0) is None
-    assert Admission().who(Admit("a", 1, number=1), Members(()), 2) is None
-    assert Admission().who(Admit("a", 1, number=2), Members((Who("a", 1),)), 2) == Who("a", 2)
+    assert Admission().who(JoinRequest("a", 1, number=1), Members((MemberId("a", 2),)), 0) is None
+    assert Admission().who(JoinRequest("a", 1, number=1), Members(()), 2) is None
+    assert Admission().who(JoinRequest("a", 1, number=2), Members((MemberId("a", 1),)), 2) == MemberId("a", 2)
 
 
 def test_a_note_too_long_changes_nothing():
     state_machine = ReplicatedStateMachine([Notes()])
     text = b"\x91\xda" + (LONGEST + 1).to_bytes(2, "big") + b"x" * (LONGEST + 1)
-    assert "characters" in state_machine.apply(Entry(1, 1, "notes.add", text, "a", 1, 1)).refused
+    assert "characters" in state_machine.apply(LogEntry(1, 1, "notes.add", text, "a", 1, 1)).refused
     assert not state_machine.parts["notes"].texts
 
 
 def test_words_keep_their_numbers_on_the_wire():
     """A word moved would be read as another by a member of the version before."""
-    assert [word.__name__ for word in WORDS][:21] == [
-        "Greeting",
-        "Welcome",
-        "Refused",
-        "Pulse",
-        "Pulsed",
-        "Ask",
-        "Vote",
-        "Append",
-        "Appended",
-        "Piece",
-        "Pieced",
-        "Take",
-        "Renew",
-        "Renewed",
-        "NotRenewed",
+    assert [word.__name__ for word in MESSAGE_TYPES][:21] == [
+        "Handshake",
+        "HandshakeAccepted",
+        "HandshakeRefused",
+        "Ping",
+        "Pong",
+        "RequestVote",
+        "RequestVoteResponse",
+        "AppendEntries",
+        "AppendEntriesResponse",
+        "InstallSnapshot",
+        "InstallSnapshotResponse",
+        "TimeoutNow",
+        "RenewLease",
+        "LeaseRenewed",
+        "LeaseNotRenewed",
         "Forward",
-        "TurnedAway",
+        "ProposalRejected",
         "ReadAsk",
         "ReadAt",
         "Admit",
--- a/tests/test_seats_part.py
+++ b/tests/test_seats_part.py
@@ -5,14 +5,14 @@
 import pytest
 
 from indigohitch.errors import InvalidRequestError
-from indigohitch.fleet.ports import At
+from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.fleet.seats.allocator import Allocation, SeatAllocator, SeatSettings
 from indigohitch.fleet.seats.contract import Contract, Grant, Recall, Return, Terms
 from indigohitch.fleet.seats.nodeclock import Meter, Nodes, Verdict, header, read
 from indigohitch.fleet.seats.part import Seats
 from indigohitch.fleet.seats.rebalancing import MemberDemand, fair_parts, rebalance
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
-from indigohitch.fleet.terms import Lease, Stamp
+from indigohitch.fleet.types import Lease, Stamp
 
 SECOND = 10_000
 SETTINGS = SeatSettings(place_kept=2 * SECOND, come_back=SECOND, drift=0.01)
@@ -39,7 +39,7 @@
 
     def does(self, word, row, who="a", incarnation=1):
         self.index += 1
-        told = self.part.apply(At(self.index, 1, self.time, who, incarnation), word, row)
+        told = self.part.apply(EntryContext(self.index, 1, self.time, who, incarnation), word, row)
         self.allocator.sync()
         return told
 
@@ -61,7 +61,7 @@
         with pytest.raises(InvalidRequestError):
             one.grant(count, pool=pool)
     one.grant(2)
-    one.part.member_gone(At(9, 1, 0, "lead", 1), "a", 1)
+    one.part.member_gone(EntryContext(9, 1, 0, "lead", 1), "a", 1)
     assert not one.part.features["geo"].held()
     with pytest.raises(InvalidRequestError, match="gone"):
         one.grant(1)
@@ -238,7 +238,7 @@
     one.grant(2)
     one.grant(1, "b", "ta")
     one.does("recall", Recall("geo", "", "a", 1, 1))
-    one.part.member_gone(At(9, 1, 0, "lead", 1), "c", 4)
+    one.part.member_gone(EntryContext(9, 1, 0, "lead", 1), "c", 4)
     state_machine, other = one.part.state_machine, ReplicatedStateMachine([Seats()])
     other.restore(state_machine.snapshot())
     assert other.digest() == state_machine.digest()
--- a/tests/test_seats_schedules.py
+++ b/tests/test_seats_schedules.py
@@ -6,7 +6,7 @@
 
 from indigohitch.fleet.seats import allocator, nodeclock, part, pool
 from indigohitch.fleet.seats.contract import Terms
-from indigohitch.fleet.terms import Lease
+from indigohitch.fleet.types import Lease
 from seatdays import schedule
 
 SECOND = 10_000
--- a/tests/test_versions_store.py
+++ b/tests/test_versions_store.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from indigohitch.errors import InvalidRequestError
-from indigohitch.fleet.disk.files import Files
+from indigohitch.fleet.storage.files import FileSystem
 from indigohitch.versions.store import Store
 from indigohitch.versions.store_records import Harmed, read
 from indigohitch.versions.tables import Root, root_of
@@ -89,14 +89,14 @@
 
 
 def test_on_a_real_disk(tmp_path):
-    store = Store(Files(), str(tmp_path))
+    store = Store(FileSystem(), str(tmp_path))
     store.open()
     store.add(Version(1, root_of({1: {"a": 1.0}}), None, "x", 0))
     store.name("good", 1)
     store.close()
     with open(store.path, "ab") as file:
         file.write(b"IHvt torn")
-    again = Store(Files(), str(tmp_path))
+    again = Store(FileSystem(), str(tmp_path))
     again.open()
     assert again.history.get("good").root == root_of({1: {"a": 1.0}})
     assert os.path.getsize(again.path) == again.good
