--- a/indigohitch/standins/lanes.py
+++ b/indigohitch/standins/fault_links.py
@@ -35,15 +35,15 @@
     spoil: float = 0.0
 
 
-NONE = Fault()
+NO_FAULT = Fault()
 
 
-class Lane:
+class FaultLink:
     def __init__(self, sender: str, receiver: str, uniform: Callable[[], float]) -> None:
         self.sender, self.receiver, self.uniform = sender, receiver, uniform
         self.halves: set[Half] = set()
         self.bytes = self.spoilt = 0
-        self.fault = NONE
+        self.fault = NO_FAULT
 
     def changed(self) -> None:
         for half in list(self.halves):
@@ -61,7 +61,7 @@
 class Half:
     """Bytes of one direction of a passage: out of `source`, into `sink`."""
 
-    def __init__(self, loop: EventLoop, lane: Lane) -> None:
+    def __init__(self, loop: EventLoop, lane: FaultLink) -> None:
         self.loop, self.lane = loop, lane
         self.source: Stream | None = None
         self.sink: Stream | None = None
@@ -188,7 +188,7 @@
 class Gate:
     """The port that one member's file names for another."""
 
-    def __init__(self, loop: EventLoop, forth: Lane, back: Lane, to: tuple[str, int]) -> None:
+    def __init__(self, loop: EventLoop, forth: FaultLink, back: FaultLink, to: tuple[str, int]) -> None:
         self.loop, self.forth, self.back, self.to = loop, forth, back, to
         self.passages: set[Passage] = set()
         # Bound and never listening: it keeps the port ours while a refusing gate listens nowhere.
--- a/indigohitch/standins/breaker.py
+++ b/indigohitch/standins/fault_proxy.py
@@ -25,10 +25,10 @@
 from ..net.clock import SECOND, Clock
 from ..net.connection import READ
 from ..net.loop import EventLoop
-from .lanes import NONE, Fault, Gate, Lane
+from .fault_links import NO_FAULT, Fault, FaultLink, Gate
 
 
-class Breaker:
+class FaultProxy:
     WAIT = 10.0  # s until a call that the thread does not answer is a defect of ours
 
     def __init__(self, seed: int = 1) -> None:
@@ -37,7 +37,7 @@
         self.loop = EventLoop(Clock(), self.broken.append)
         self.loop.pool.left = 1 << 30  # a stand-in's memory is nobody's concern
         self.gates: dict[tuple[str, str], Gate] = {}
-        self.lanes: dict[tuple[str, str], Lane] = {}
+        self.lanes: dict[tuple[str, str], FaultLink] = {}
         self.told: list[tuple[float, str]] = []  # when (time.monotonic), what was done
         self._calls: deque[Callable[[], None]] = deque()
         self._woken, self._wake = socket.socketpair()
@@ -98,9 +98,9 @@
 
         return self._do(make)
 
-    def _lane(self, sender: str, receiver: str) -> Lane:
+    def _lane(self, sender: str, receiver: str) -> FaultLink:
         if (sender, receiver) not in self.lanes:
-            self.lanes[sender, receiver] = Lane(sender, receiver, self.uniform)
+            self.lanes[sender, receiver] = FaultLink(sender, receiver, self.uniform)
         return self.lanes[sender, receiver]
 
     def _between(self, some: Iterable[str], others: Iterable[str]) -> list[tuple[str, str]]:
@@ -116,9 +116,9 @@
         """These faults stand on lanes (sender, receiver), and no others."""
 
         def change() -> None:
-            differ = [lane for pair, lane in self.lanes.items() if lane.fault != wanted.get(pair, NONE)]
+            differ = [lane for pair, lane in self.lanes.items() if lane.fault != wanted.get(pair, NO_FAULT)]
             for lane in differ:
-                lane.fault = wanted.get((lane.sender, lane.receiver), NONE)
+                lane.fault = wanted.get((lane.sender, lane.receiver), NO_FAULT)
             for gate in self.gates.values():
                 gate.changed()
             for lane in differ:
--- a/proofs/fleetkit/faults.py
+++ b/proofs/fleetkit/faults.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from indigohitch.net.clock import SECOND
-from indigohitch.standins.lanes import NONE, Fault
+from indigohitch.standins.fault_links import NO_FAULT, Fault
 
 from .fleet import Fleet
 
@@ -173,6 +173,6 @@
             if fault := LANES.get(event.kind):
                 for pair in self.fleet.breaker.lanes:
                     met = pair[1] == name and event.kind != "mute" or pair[0] == name and event.kind != "deaf"
-                    if met and not wanted.get(pair, NONE).cut:
+                    if met and not wanted.get(pair, NO_FAULT).cut:
                         wanted[pair] = fault
         self.fleet.breaker.stand(wanted)
--- a/proofs/fleetkit/fleet.py
+++ b/proofs/fleetkit/fleet.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from indigohitch import control
-from indigohitch.standins.breaker import Breaker
+from indigohitch.standins.fault_proxy import FaultProxy
 
 from .files import Place, Pool
 from .processes import Member, program, until
@@ -46,7 +46,7 @@
         self.more, self.clocks, self.drifts = more or [], clocks, drifts or {}
         self.environment = (environment or {}) | ({"FLEET_PATCH": str(patch)} if patch else {})
         self.altered = clocks or bool(patch)
-        self.breaker, self.relay = Breaker(seed), relay
+        self.breaker, self.relay = FaultProxy(seed), relay
         self.places: dict[str, Place] = {}
         self.members: dict[str, Member] = {}
         self.listed: dict[str, list[str]] = {}  # by member: whom its file lists, if not all
--- a/proofs/previouskit/names.py
+++ b/proofs/previouskit/names.py
@@ -32,6 +32,7 @@
 
     def open(self, folder: str, size: int):
         from indigohitch.fleet.disk.files import Files
+
         from indigohitch.versions.store import Store
 
         store = Store(Files(), folder, size)
--- a/proofs/seats.py
+++ b/proofs/seats.py
@@ -24,7 +24,7 @@
 from seats_truth import Servers, Truth
 from seats_verdict import Observed, Promise, broken, result
 
-from indigohitch.standins.breaker import Breaker
+from indigohitch.standins.fault_proxy import FaultProxy
 
 QUICK, BROKEN = os.environ.get("QUICK") == "1", os.environ.get("BROKEN") == "1"
 CONTRACT, CUT = 45, 15
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self.begun = time.monotonic()
         self.path = Path(tempfile.mkdtemp(prefix="proof-seats-"))
-        self.servers, self.way = Servers(self.path, 4, 5.0), Breaker(2)
+        self.servers, self.way = Servers(self.path, 4, 5.0), FaultProxy(2)
         host, port = self.servers.at["n4"].split(":")
         slow = "{}:{}".format(*self.way.gate("sidecars", "n4", (host, int(port))))
         pool = Pool(servers=self.servers.at | {"n4": slow}, rpcs=RPCS, routes=ROUTES)
--- a/proofs/versions_world.py
+++ b/proofs/versions_world.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from indigohitch import interface as face
-from indigohitch.standins.breaker import Breaker
+from indigohitch.standins.fault_proxy import FaultProxy
 from indigohitch.versions.checks import Facts
 from indigohitch.versions.tables import Root, root_of
 from indigohitch.versions.terms import Channel
@@ -26,7 +26,7 @@
     def __init__(self, folder: str, seed: int) -> None:
         self.folder, self.chance, self.truth = folder, random.Random(seed), Truth()
         self.facts = Facts({f"n{n}": "ready" for n in range(BACKENDS)}, frozenset(range(SLICES)), blast=0.9)
-        self.breaker = Breaker(seed)
+        self.breaker = FaultProxy(seed)
         self.relays: list[Relay] = []
         self.drains: dict[str, float] = {}  # backend: since when
         self.cold_until: dict[str, float] = {}
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from indigohitch.standins.breaker import Breaker
+from indigohitch.standins.fault_proxy import FaultProxy
 
 
 class Echo:
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def pair():
-    breaker, a, b = Breaker(seed=3), Echo("a"), Echo("b")
+    breaker, a, b = FaultProxy(seed=3), Echo("a"), Echo("b")
     breaker.gate("a", "b", b.at)
     breaker.gate("b", "a", a.at)
     yield breaker, a, b
@@ -207,7 +207,7 @@
 
 def test_spoils_the_same_bytes_by_the_same_seed():
     def run(seed):
-        breaker, b = Breaker(seed), Echo("b")
+        breaker, b = FaultProxy(seed), Echo("b")
         breaker.gate("a", "b", b.at)
         sock = dial(breaker, "a", "b")
         breaker.spoil("a", "b", 0.3)
@@ -227,7 +227,7 @@
 
 
 def test_groups():
-    breaker = Breaker()
+    breaker = FaultProxy()
     echoes = {name: Echo(name) for name in "abc"}
     for s in "abc":
         for r in "abc":
