--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -85,7 +85,8 @@
     file = tmp_path / "conf"
     file.write_text("name c1\nfleet f\ndistributor d1 127.0.0.1:1\nsubscribe maps\n")
     program = (
-        "import sys; from indigohitch import coordinator; from indigohitch.fleet.node import subscriber_process\n"
+        "import sys; from indigohitch import coordinator\n"
+        "from indigohitch.fleet.node import subscriber_process\n"
         "subscriber_process.main = lambda text: 0\n"
         f"assert coordinator.main({str(file)!r}) == 0\n"
         "print([name for name in sys.modules if name.startswith('indigohitch.fleet.raft.')])"
