--- a/tools/naming_metrics.py
+++ b/tools/naming_metrics.py
@@ -16,10 +16,19 @@
 from pathlib import Path
 
 PLAIN = set(
-    ["told", "tell", "tells", "ask", "asked", "asking", "asker", "askers", "tries", "tried", "held", "holds", "holding", "holdings", "news", "room", "rooms", "trouble", "troubles", "troubled", "gone", "come", "comes", "came", "goes", "went", "stands", "stood", "whole", "gather", "gathering", "gathered", "worth", "wanted"]
+    """
+    told tell tells ask asked asking asker askers tries tried held holds holding holdings news room
+    rooms trouble troubles troubled gone come comes came goes went stands stood whole gather
+    gathering gathered worth wanted
+    """.split()
 )
 HOUSE = set(
-    ["said", "say", "says", "heard", "hear", "hears", "hearing", "words", "word", "giver", "giving", "taker", "taking", "doubt", "doubted", "doubtful", "anew", "begun", "began", "shots", "shot", "spoilt", "harmed", "mend", "mended", "withdrawn", "strain", "strained", "stranger", "strangers", "figures", "further", "lets", "unsaid", "unheard", "torn", "garbled", "aside", "beside", "loose", "maybe", "knock", "yonder", "most", "least", "many", "again", "upto", "meanwhile", "lately"]
+    """
+    said say says heard hear hears hearing words word giver giving taker taking doubt doubted
+    doubtful anew begun began shots shot spoilt harmed mend mended withdrawn strain strained
+    stranger strangers figures further lets unsaid unheard torn garbled aside beside loose maybe
+    knock yonder most least many again upto meanwhile lately
+    """.split()
 )
 BARE = {
     "out",
