--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -33,9 +33,9 @@
         for service in sorted({*scope, *self.instances.services}):
             bodies = self.resources(service) if service in scope else {}
             for unreadable in self.instances.update(service, bodies):
-                self.trouble("backend_unreadable", unreadable)
+                self.warning("backend_unreadable", unreadable)
         if self.instances.empty:
-            self.trouble("no_backends", NoInstancesError("no service names a backend"))
+            self.warning("no_backends", NoInstancesError("no service names a backend"))
         if self.watching:
             self.tell_news()
 
--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -1,6 +1,4 @@
-"""The part `batches`: contract, prices, batches, the plan, who holds which piece.  Deterministic.
-
-`pieces` has what becomes of each piece; here stands what all of them go by."""
+"""The part `batches` of the state machine: contract, prices, batches, the plan; `tasks` has each piece."""
 
 from __future__ import annotations
 
--- a/proofs/batches.py
+++ b/proofs/batches.py
@@ -184,7 +184,7 @@
         self.fleet.restart(name)
         return id
 
-    def warning(self):
+    def trouble(self):
         plan = drawn(28, self.fleet, CHAOS, KINDS, gap=1.6, span=(0.5, 1.8))
         player = Player(self.fleet, plan).start()
         lost = self.kill_one_that_runs()
--- a/proofs/fleet.py
+++ b/proofs/fleet.py
@@ -88,7 +88,7 @@
         fleet.go_on(other)
         fleet.breaker.heal()
 
-    def warning(self) -> None:
+    def trouble(self) -> None:
         player = Player(self.fleet, drawn(SEED, self.fleet, SECONDS, KINDS, gap=1.2))
         self.platforms.undisturbed = player.undisturbed
         player.start()
--- a/proofs/versions_world.py
+++ b/proofs/versions_world.py
@@ -146,7 +146,7 @@
                     publisher.apply_orders(self.at(), self.away(name), "away")
             self.made(self.program.publisher.unpin(self.at(), "proof"))
 
-    def warning(self) -> None:
+    def trouble(self) -> None:
         relay = self.chance.choice(self.relays)
         kind = self.chance.choice(("reset", "cut", "slow", "spoil", "heal", "restart"))
         if kind == "reset":
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -57,7 +57,7 @@
         self.told = Told()
         self.told.count = lambda *_: None
         self.lost = []
-        self.told.trouble = lambda what, **words: self.lost.append((what, words.get("why")))
+        self.told.warning = lambda what, **words: self.lost.append((what, words.get("why")))
         self.loop = EventLoop(Clock(), self.failed)
         self.relays = [Relay(), Relay()]
         self.marks = []
