--- a/tests/test_crossing_doubt.py
+++ b/tests/test_crossing_doubt.py
@@ -30,8 +30,8 @@
     program = serving(platform, 30.0)
     platform.relay_faults.append(fault)
     drain(platform, "b1")
-    unclear = program.said("relay_call_unresolved")[0]["ms"]
-    found = program.said("call_outcome_resolved")[0]
+    unclear = eventually(lambda: program.said("relay_call_unresolved"))[0]["ms"]
+    found = eventually(lambda: program.said("call_outcome_resolved"))[0]
     again = next(sent for sent in program.said("relay_call_sent") if sent["ms"] >= unclear)
     assert found["effect"] == "none" and again["tries"] == 2 and again["ms"] - unclear < 200
     assert len(rounds(platform, platform.marks[-1])) == 1 and none_lost(platform)
