--- a/proofs/fleet_verdict.py
+++ b/proofs/fleet_verdict.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 import time
-from typing import TYPE_CHECKING
+from collections.abc import Mapping
+from typing import Protocol
 
-from fleet_load import CONTRACT, CUT, FEATURE
-from seats_truth import Truth
+from audit_platform import Platforms
+from fleet_load import CONTRACT, CUT, FEATURE, Running
+from fleetkit import Fleet
+from seats_truth import Servers, Truth
 
 from indigohitch.fleet.audit.folders import audited
 from indigohitch.fleet.audit.heads import Facts
 
-if TYPE_CHECKING:
-    from fleet import Proof
-
 ZEROS = (
     "lost_commits",
     "doubled_commits",
@@ -36,7 +36,27 @@
 MORE_THAN_NONE = ("commits", "rpcs", "seats_given", "pieces_done", "acts", "upgrades")
 
 
-def judged(proof: Proof, found: dict, acted: dict[str, int], facts: Facts | None, noise: list[str]) -> dict:
+class FleetRun(Protocol):
+    """What the verdict reads of a run."""
+
+    fleet: Fleet
+    running: Running
+    platforms: Platforms
+    servers: Servers
+    texts: Mapping[str, list[str] | None]  # the notes that each member holds at the end
+    pieces: dict[str, int]  # of batches, by state
+    upgrades: list[dict]
+    wrong: list[str]
+    in_force: int  # ns, once the cut contract is
+    leaked: int  # seats still assigned at the end
+    begun: float  # s, monotonic
+
+    def say(self, text: str) -> None: ...
+
+
+def judged(
+    proof: FleetRun, found: dict, acted: dict[str, int], facts: Facts | None, noise: list[str]
+) -> dict:
     """The figures of a run, each part's by its own checker."""
     running, fleet, platforms = proof.running, proof.fleet, proof.platforms
     lost, doubled = set(), set()
--- a/proofs/ledger_verdict.py
+++ b/proofs/ledger_verdict.py
@@ -2,17 +2,24 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
+from fleetkit import Fleet, Notes
 from ledger_reads import Reads
 
-if TYPE_CHECKING:
-    from ledger_processes import Proof
-
 FAILOVER = 2.0  # s, at most
 
 
-def judged(proof: Proof, found: dict, reads: Reads) -> dict:
+class LedgerRun(Protocol):
+    """What the verdict reads of a run."""
+
+    fleet: Fleet
+    notes: Notes
+    failovers: list[float]  # s, each
+    wrong: list[str]
+
+
+def judged(proof: LedgerRun, found: dict, reads: Reads) -> dict:
     """The figures of a run; `found`: where each member's state stands at the end, and its digest."""
     fleet, lost, doubled = proof.fleet, set(), set()
     for name in fleet.voters:
--- a/proofs/soakkit/collector.py
+++ b/proofs/soakkit/collector.py
@@ -2,23 +2,34 @@
 
 from __future__ import annotations
 
+import random
 from collections import Counter
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from indigohitch.net.clock import SECOND
 from indigohitch.net.connection import Connection, parse_address
+from indigohitch.net.loop import EventLoop
 
 from . import settings
+from .process import Coordinator
+from .truth import Truth
 
-if TYPE_CHECKING:
-    from .cell import Cell
+
+class CollectorCell(Protocol):
+    """What a collector sees of the cell that it reports in."""
+
+    loop: EventLoop
+    chance: random.Random
+    truth: Truth
+    coordinator: Coordinator
+    is_ready: bool
 
 
 class Collector:
     EVERY = int(settings.REPORTS * SECOND)
     HOT, HOT_FOR = 3, 6  # slices in demand at a time; reports until it shifts
 
-    def __init__(self, cell: Cell) -> None:
+    def __init__(self, cell: CollectorCell) -> None:
         self.cell, self.chance = cell, cell.chance
         self.connection: Connection | None = None
         self.usual = [self.chance.lognormvariate(0.8, 0.8) for _ in range(settings.SLICES)]
--- a/tests/test_source_layout.py
+++ b/tests/test_source_layout.py
@@ -38,6 +38,16 @@
     return ".".join([*outer, *([node.module] if node.module else [])])
 
 
+def proofs() -> dict[str, Path]:
+    """The modules of proofs/, which import each other without or with the folder's name."""
+    folder = ROOT / "proofs"
+    found = {}
+    for path in folder.rglob("*.py"):
+        parts = path.relative_to(folder).with_suffix("").parts
+        found[".".join(parts[:-1] if parts[-1] == "__init__" else parts)] = path
+    return found
+
+
 def imported(name: str, path: Path, known: dict[str, Path]) -> set[str]:
     """Modules of the package that this one names in any import, also in functions and under TYPE_CHECKING."""
     package = name.split(".") if path.name == "__init__.py" else name.split(".")[:-1]
@@ -46,7 +56,7 @@
         if isinstance(node, ast.Import):
             found.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            base = base_of(node, package)
+            base = base_of(node, package).removeprefix("proofs.")
             members = {f"{base}.{alias.name}" for alias in node.names}
             found.update(member if member in known else base for member in members)
     return (found & known.keys()) - {name}
@@ -78,6 +88,12 @@
     assert circles({name: imported(name, path, known) for name, path in known.items()}) == []
 
 
+def test_no_proof_imports_itself_through_others():
+    known = proofs()
+    assert len(known) > 60
+    assert circles({name: imported(name, path, known) for name, path in known.items()}) == []
+
+
 def test_a_circle_under_type_checking_or_in_a_function_is_found(tmp_path):
     texts = {
         "p.a": "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n    from .b import B\n",
