--- a/indigohitch/control.py
+++ b/indigohitch/control.py
@@ -20,7 +20,7 @@
     def __init__(self, control: ControlSocket) -> None:
         self.control, self.connection = control, None
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         while (line := connection.incoming.line()) is not None:
             self.ask(line)
             if not connection.open:
@@ -43,7 +43,7 @@
         if self.connection is not None and self.connection.open:
             self.connection.write(orjson.dumps(told, default=str) + b"\n")
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         self.control.askers.discard(self)
 
 
--- a/indigohitch/fleet/transport/inbound.py
+++ b/indigohitch/fleet/transport/inbound.py
@@ -43,7 +43,7 @@
             links.loop, sock, self, links.kinds.most + (64 << 10), pool or links.loop.pool
         )
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         self.heard_at = self.links.loop.clock.now()
         try:
             for word, _ in self.frames.feed(connection.incoming.take()):
@@ -79,7 +79,7 @@
         self.connection.write(data)
         return True
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         self.links.gone(self)
 
     def close(self) -> None:
--- a/indigohitch/fleet/transport/outbound.py
+++ b/indigohitch/fleet/transport/outbound.py
@@ -117,11 +117,11 @@
         self.frames = FrameDecoder(self.links.kinds)
         self.be(Phase.DIALLING)
 
-    def opened(self, connection: Connection) -> None:
+    def on_connected(self, connection: Connection) -> None:
         self.be(Phase.GREETING)
         self.write(self.links.greeting())
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         data = connection.incoming.take()
         self.received += len(data)
         try:
@@ -171,7 +171,7 @@
         self.sent += len(data)
         return True
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         if connection is self.connection and self.phase is not Phase.CLOSED:
             self.lost(why)
 
--- a/indigohitch/net/connection.py
+++ b/indigohitch/net/connection.py
@@ -27,9 +27,9 @@
 class Reader(Protocol):
     """Who owns what a connection brings."""
 
-    def opened(self, connection: Connection) -> None: ...
-    def heard(self, connection: Connection) -> bool | None: ...  # True: no more of it this turn
-    def closed(self, connection: Connection, why: str) -> None: ...
+    def on_connected(self, connection: Connection) -> None: ...
+    def on_data(self, connection: Connection) -> bool | None: ...  # True: no more of it this turn
+    def on_closed(self, connection: Connection, why: str) -> None: ...
 
 
 class Connection:
@@ -107,7 +107,7 @@
         else:
             close_in_order(self.sock)
         if why:
-            self.reader.closed(self, why)  # it may look at what was left unread
+            self.reader.on_closed(self, why)  # it may look at what was left unread
         self.incoming.close()
         self.outgoing.close()
 
@@ -147,7 +147,7 @@
             if not writable:
                 return
             self.connecting = False
-            self.reader.opened(self)
+            self.reader.on_connected(self)
         if writable and self.open and (why := self._flush()):
             self.close(why)
         if readable and self.open:
@@ -166,5 +166,5 @@
                 self.close("ended")
                 return
             self.received += max(got, 0)
-            if self.reader.heard(self) or got < 0 or not self.open:
+            if self.reader.on_data(self) or got < 0 or not self.open:
                 return
--- a/indigohitch/net/http_client.py
+++ b/indigohitch/net/http_client.py
@@ -76,10 +76,10 @@
         self.idle_span = 0
         self.drop_spare()
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         self.drop_spare()  # nobody asked: whatever it is, no next answer may begin with it
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         self._wake()
 
     def close(self) -> None:
--- a/indigohitch/net/http_exchange.py
+++ b/indigohitch/net/http_exchange.py
@@ -122,10 +122,10 @@
 
     # ---- what the connection tells
 
-    def opened(self, connection: Connection) -> None:
+    def on_connected(self, connection: Connection) -> None:
         self._send(connection)
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         data = connection.incoming.take()
         self.worn_until = 0
         try:
@@ -148,7 +148,7 @@
         elif self.stream is not None:
             self._rearm()  # a stream's deadline is for silence
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         if self.client.loop.clock.now() < self.worn_until and self.request.startswith(b"GET "):
             self.worn_until = 0  # closed as the request came: reading again changes nothing
             self._dial()
--- a/indigohitch/net/request_connection.py
+++ b/indigohitch/net/request_connection.py
@@ -48,10 +48,10 @@
         if status >= 200:  # an interim one is followed by the answer
             self.status, self.keeps = status, self.parser.should_keep_alive()
 
-    def opened(self, stream: Stream) -> None:
+    def on_connected(self, stream: Stream) -> None:
         stream.wake()
 
-    def heard(self, stream: Stream) -> None:
+    def on_data(self, stream: Stream) -> None:
         data = stream.incoming.take()
         if self.job is None:
             stream.close("unasked")
@@ -69,10 +69,10 @@
                 self.load.ended(self)
             self.load.over(self, job, self.status, "")
 
-    def drained(self, stream: Stream) -> None:
+    def on_output_drained(self, stream: Stream) -> None:
         pass
 
-    def closed(self, stream: Stream, why: str) -> None:
+    def on_closed(self, stream: Stream, why: str) -> None:
         self.keeps = False
         job, self.job = self.job, None
         self.load.ended(self)
--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -11,7 +11,7 @@
 
 
 class Stream(Connection):
-    """Its reader has one more word to hear: `drained(connection)`, when what waited has been written.  The
+    """Its reader has one method more: `on_output_drained`, when all that waited has been written.  The
     reader calls `wake` after it took something from `incoming`."""
 
     BOUND = 64 << 10  # a ring: 1 GB passes through two of these a direction; more only adds delay
@@ -93,7 +93,7 @@
         self._writing = bool(self.outgoing)
         self._watch()
         if waited and not self._writing:
-            self.reader.drained(self)
+            self.reader.on_output_drained(self)
         return ""
 
     def _read(self) -> None:
@@ -112,7 +112,7 @@
                 self.held = True
                 self._watch()
                 return
-            self.reader.heard(self)
+            self.reader.on_data(self)
             # Less than a block: there is hardly more, and the next turn would find it.
             if not self.open or got < self.incoming.FIRST:
                 return
--- a/indigohitch/platform_protocol/inbound_connection.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -55,7 +55,7 @@
         else:
             connection.pace(self.STRANGER_READS, self.STRANGER_STEP, crowd=True)
 
-    def heard(self, connection: Connection) -> bool:
+    def on_data(self, connection: Connection) -> bool:
         """What asks for signs of life is read once a turn, whoever it is."""
         ring, hub = connection.incoming, self.collectors
         while connection.open and (line := ring.line()) is not None:
@@ -118,7 +118,7 @@
             self.begin(connection)
             self.collectors.joined(connection)
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         log = self.collectors.log
         if len(connection.incoming):
             log.warning("line_truncated", zone=self.zone)
--- a/indigohitch/platform_protocol/inbound_connections.py
+++ b/indigohitch/platform_protocol/inbound_connections.py
@@ -98,7 +98,7 @@
         if not connection.incoming.push(rest):
             self.drop(connection, "accepted_no_memory")  # its owner comes again, and says it whole
         elif rest:
-            caller.heard(connection)
+            caller.on_data(connection)
 
     def joined(self, connection: Connection) -> None:
         zone = connection.reader.zone
--- a/indigohitch/sidecar/clients.py
+++ b/indigohitch/sidecar/clients.py
@@ -54,7 +54,7 @@
             and not len(self.stream.outgoing)
         )
 
-    def heard(self, stream: Stream) -> None:
+    def on_data(self, stream: Stream) -> None:
         if self.lingering:
             stream.incoming.take()
         elif self.rpc is not None:
@@ -171,7 +171,7 @@
         """Bytes that the system holds for the client."""
         return int.from_bytes(fcntl.ioctl(self.stream.sock, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
 
-    def drained(self, stream: Stream) -> None:
+    def on_output_drained(self, stream: Stream) -> None:
         self.since = self.host.now
         if self.rpc is not None:
             self.rpc.client_drained()
@@ -182,7 +182,7 @@
         else:
             self.next()
 
-    def closed(self, stream: Stream, why: str) -> None:
+    def on_closed(self, stream: Stream, why: str) -> None:
         self.gone()
 
     def gone(self) -> None:
--- a/indigohitch/sidecar/servers.py
+++ b/indigohitch/sidecar/servers.py
@@ -69,21 +69,21 @@
 
     # ---- what the stream tells
 
-    def opened(self, stream: Stream) -> None:
+    def on_connected(self, stream: Stream) -> None:
         self.rpc.connected()
 
-    def heard(self, stream: Stream) -> None:
+    def on_data(self, stream: Stream) -> None:
         if self.rpc is not None:
             self.rpc.answer_came()
         else:
-            self.closed(stream, "unasked")
+            self.on_closed(stream, "unasked")
             stream.close()
 
-    def drained(self, stream: Stream) -> None:
+    def on_output_drained(self, stream: Stream) -> None:
         if self.rpc is not None:
             self.rpc.upstream_drained()
 
-    def closed(self, stream: Stream, why: str) -> None:
+    def on_closed(self, stream: Stream, why: str) -> None:
         if self.rpc is not None:
             self.rpc.upstream_closed(why)
         elif self in self.server.idle:
--- a/indigohitch/standins/fault_links.py
+++ b/indigohitch/standins/fault_links.py
@@ -100,7 +100,7 @@
         while self.queue and self.queue[0][0] <= now and allowed > 0:
             room = min(sink.room(), allowed)
             if room <= 0:
-                return  # `drained` pumps again
+                return  # `on_output_drained` pumps again
             due, data = self.queue.popleft()
             if len(data) > room:
                 self.queue.appendleft((due, data[room:]))
@@ -146,16 +146,16 @@
             return
         self.forth.sink = self.back.source = self.far
 
-    def opened(self, stream: Stream) -> None:
+    def on_connected(self, stream: Stream) -> None:
         self.forth.pump()
 
-    def heard(self, stream: Stream) -> None:
+    def on_data(self, stream: Stream) -> None:
         (self.forth if stream is self.near else self.back).pump()
 
-    def drained(self, stream: Stream) -> None:
+    def on_output_drained(self, stream: Stream) -> None:
         (self.back if stream is self.near else self.forth).pump()
 
-    def closed(self, stream: Stream, why: str) -> None:
+    def on_closed(self, stream: Stream, why: str) -> None:
         if self not in self.gate.passages:
             return
         out, into = (self.forth, self.back) if stream is self.near else (self.back, self.forth)
--- a/indigohitch/standins/peer.py
+++ b/indigohitch/standins/peer.py
@@ -76,7 +76,7 @@
         if "early" not in self.act:
             self.queue.append((self.method, self.target, self.heads, self.act, self.got))
 
-    def heard(self, stream: Stream) -> None:
+    def on_data(self, stream: Stream) -> None:
         data = stream.incoming.take()
         self.server.counts["bytes"] += len(data)
         try:
@@ -177,7 +177,7 @@
             self.drip(int(act["drip"]) * SECOND // 1000)
             return
         self.writing = memoryview(head + b"\r\n" + body)  # cut without copying the rest
-        self.drained(self.stream)
+        self.on_output_drained(self.stream)
 
     def drip(self, gap: int) -> None:
         part, self.writing = self.writing[:1024], self.writing[1024:]
@@ -191,7 +191,7 @@
         self.busy = False
         self.next()
 
-    def drained(self, stream: Stream) -> None:
+    def on_output_drained(self, stream: Stream) -> None:
         while self.writing and stream.room() > 0:
             room = min(stream.room(), 1 << 18)
             part, self.writing = bytes(self.writing[:room]), self.writing[room:]
@@ -199,5 +199,5 @@
         if not self.writing and self.busy:
             self.done()
 
-    def closed(self, stream: Stream, why: str) -> None:
+    def on_closed(self, stream: Stream, why: str) -> None:
         self.server.peers.discard(self)
--- a/proofs/soakkit/collector.py
+++ b/proofs/soakkit/collector.py
@@ -26,12 +26,12 @@
         self.reports = 0
         cell.loop.after(self.EVERY, self.report)
 
-    def opened(self, connection: Connection) -> None: ...
+    def on_connected(self, connection: Connection) -> None: ...
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         connection.incoming.take()
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         if connection is self.connection:
             self.connection = None
 
--- a/proofs/soakkit/http_server.py
+++ b/proofs/soakkit/http_server.py
@@ -51,15 +51,15 @@
 
     # ---- what the connection and the parser tell
 
-    def opened(self, connection: Connection) -> None: ...
+    def on_connected(self, connection: Connection) -> None: ...
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         try:
             self.parser.feed_data(connection.incoming.take())
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.reset()
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         self.server.peers.discard(self)
         self.server.left(self)
 
--- a/proofs/soakkit/process.py
+++ b/proofs/soakkit/process.py
@@ -135,11 +135,11 @@
     def __init__(self, coordinator: Coordinator) -> None:
         self.coordinator = coordinator
 
-    def opened(self, connection: Connection) -> None:
+    def on_connected(self, connection: Connection) -> None:
         connection.write(b"hb\r\n")
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         if connection.incoming.line() == b"hb_ok":
             self.coordinator.ready()
 
-    def closed(self, connection: Connection, why: str) -> None: ...
+    def on_closed(self, connection: Connection, why: str) -> None: ...
