--- a/proofs/batches.py
+++ b/proofs/batches.py
@@ -12,7 +12,6 @@
 import math
 import os
 import random
-import subprocess
 import sys
 import tempfile
 import time
@@ -21,62 +20,20 @@
 HERE = Path(__file__).parent
 sys.path[:0] = [str(HERE.parent), str(HERE)]
 
+from batchkit.acts import doubled_steps, incomplete  # noqa: E402
 from batchkit.costs import Case  # noqa: E402
 from batchkit.field import Field, wait_for  # noqa: E402
+from batchkit.interactive import Interactive, p99  # noqa: E402
 from fleetkit import Player, drawn, until  # noqa: E402
 
 QUICK, BROKEN = (os.environ.get(name) == "1" for name in ("QUICK", "BROKEN"))
 SECONDS = 12 if QUICK else 40  # of the small case
 LOADED = 12 if QUICK else 48  # of the interactive RPCs
 CHAOS = 7 if QUICK else 60
-RATE, BURST = 30, 50  # a second, at each sidecar
 TRIES = 3  # of the interactive RPCs: five slow ones make a tail, by any cause
 KINDS = {"kill": 2, "stop": 2, "cut": 3, "deaf": 1, "mute": 1, "slow": 1}
 
 
-class Interactive:
-    """Open loops at both sidecars, with a burst of a second in every other one."""
-
-    def __init__(self, field, seconds, seed):
-        self.processes, self.lost = [], 0
-        for place, name in enumerate(field.cars):
-            bursts = [(BURST, wait, 1) for wait in range(1, seconds, 2)]
-            for rate, wait, span in ((RATE, 0, seconds), *bursts):
-                program = (
-                    f"import sys, time; time.sleep({wait}); "
-                    "from indigohitch.standins.load import main; main(sys.argv[1:])"
-                )
-                words = [
-                    sys.executable,
-                    "-c",
-                    program,
-                    field.fleet.listen[name],
-                    "open",
-                    str(rate),
-                    str(span),
-                    "20",
-                    "0.1",
-                    "0.2",
-                    str(seed + place),
-                ]
-                self.processes.append(subprocess.Popen(words, cwd=HERE.parent, stdout=subprocess.PIPE))
-
-    def answered(self):
-        """Of each RPC that was: when it was due (Unix time) and its latency in ms."""
-        found = []
-        for process in self.processes:
-            told = json.loads(process.communicate()[0])
-            found += [
-                (due / 10_000, took / 10) for due, took, status, *_ in told["results"] if 0 < status < 500
-            ]
-            self.lost += told["lost"]
-        return found
-
-
-def p99(latencies):
-    return sorted(latencies)[len(latencies) * 99 // 100]
-
-
 class Proof:
     def __init__(self, path):
         self.begun, self.rng = time.monotonic(), random.Random(28)
@@ -215,13 +172,6 @@
                 self.word(id, piece)
         return part is not None and not part.pieces.open
 
-    def twice(self):
-        return {
-            id: count
-            for id, count in self.field.servers.acts().items()
-            if count > 1 and id.split(".")[0] in ("sd", "td")
-        }
-
     def run(self):
         self.prices()
         self.fleet.start()
@@ -241,16 +191,11 @@
         held = self.trouble()
         until(self.over, 60, "all to be over")
         part = self.field.part()
-        counts, twice = part.pieces.counts(), self.twice()
+        counts = part.pieces.counts()
         missed = [id for id, piece in part.pieces.all.items() if piece.state.value == "missed"]
         planned = [id for id in missed if part.pieces.all[id].version]
         acts = self.field.servers.acts()
-        gaps = [
-            id
-            for id, piece in part.pieces.all.items()
-            if piece.state.value == "done"
-            and any(f"{id}.{step}" not in acts for step in range(piece.cut.steps))
-        ]
+        twice, gaps = doubled_steps(acts), incomplete(part.pieces.all, acts)
         self.must(not twice, f"ran twice: {twice}")
         self.must(not planned, f"missed though planned: {planned}")
         self.must(not lost, f"{lost} interactive RPCs lost beside batches")
--- a/proofs/fleetkit/fleet.py
+++ b/proofs/fleetkit/fleet.py
@@ -39,8 +39,7 @@
         relay: bool = True,
     ) -> None:
         """`more`: lines of each file; `each`: further ones by member; `drifts`: by member, with `clocks`;
-        `patch`: a file of Python that each member runs first (altered.py); without `relay` the members
-        reach each other directly."""
+        `patch`: a Python file that each member runs first; no `relay`: members reach each other directly."""
         self.path, self.name, self.seed = Path(path), name, seed
         self.pools, self.waits, self.each = pools or [], WAITS if waits is None else waits, each or {}
         self.more, self.clocks, self.drifts = more or [], clocks, drifts or {}
@@ -84,10 +83,8 @@
             place = self.places[name]
             lines = [*self.waits, *self.more, *self.each.get(name, [])]
             if self.altered:
-                lines.append(
-                    "program "
-                    + " ".join([*program("sidecar" if place.listen else "run", True), str(place.file)])
-                )
+                command = program("sidecar" if place.listen else "run", True)
+                lines.append(" ".join(["program", *command, str(place.file)]))
             if place.listen:
                 lines += [line for pool in self.pools for line in pool.lines()]
             place.write(
--- a/tests/test_breaker.py
+++ b/tests/test_fault_proxy.py
@@ -7,37 +7,10 @@
 
 import pytest
 
+from echo import Echo
 from indigohitch.standins.fault_proxy import FaultProxy
 
 
-class Echo:
-    """Members that answer with what they heard; `heard` keeps all bytes by who listened."""
-
-    def __init__(self, name):
-        self.name, self.heard, self.ends = name, bytearray(), []
-        self.listening = socket.create_server(("127.0.0.1", 0))
-        self.at = self.listening.getsockname()
-        threading.Thread(target=self.accept, daemon=True).start()
-
-    def accept(self):
-        while True:
-            try:
-                sock, _ = self.listening.accept()
-            except OSError:
-                return
-            threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
-
-    def serve(self, sock):
-        try:
-            while data := sock.recv(65536):
-                self.heard += data
-                sock.sendall(data)
-            self.ends.append("ended")
-        except OSError:
-            self.ends.append("reset")
-        sock.close()
-
-
 @pytest.fixture
 def pair():
     breaker, a, b = FaultProxy(seed=3), Echo("a"), Echo("b")
