--- a/benchmarks/distribution_cost.py
+++ b/benchmarks/distribution_cost.py
@@ -20,8 +20,8 @@
 from indigohitch.fleet.distribution import interfaces  # noqa: E402
 from indigohitch.fleet.distribution.distributor import Distributor  # noqa: E402
 from indigohitch.fleet.distribution.limits import Limits, SubscriberLimits  # noqa: E402
-from indigohitch.fleet.distribution.messages import KINDS  # noqa: E402
-from indigohitch.fleet.distribution.replicated_part import Distribution, ServiceResources, Set  # noqa: E402
+from indigohitch.fleet.distribution.messages import MESSAGE_TYPES  # noqa: E402
+from indigohitch.fleet.distribution.replicated_part import DistributionPart, ServiceResources, SetResources  # noqa: E402
 from indigohitch.fleet.distribution.subscriber import Subscriber  # noqa: E402
 from indigohitch.fleet.distribution.types import Resource  # noqa: E402
 from indigohitch.fleet.interfaces import EntryContext  # noqa: E402
@@ -46,7 +46,7 @@
         self.time = {"distributor": 0.0, "subscribers": 0.0}
         self.bytes = {"update": 0, "other": 0}
         self.updates = 0
-        self.part = Distribution()
+        self.part = DistributionPart()
         self.machine = Distributor("d0", self.part.catalogue, Limits(), self.now)
         self.services = [f"service-{number:04}.internal" for number in range(SERVICES)]
         self.keys = [
@@ -56,7 +56,7 @@
         for service, key in self.keys:
             self.apply(service, key, 0)
         self.catalogue_mb = memory_mb() - began
-        self.distributor(interfaces.Level(self.now))
+        self.distributor(interfaces.CaughtUp(self.now))
         self.subscribers = {}
         for number in range(1, subscribers + 1):
             scope = self.chance.sample(self.services, REACH)
@@ -67,9 +67,9 @@
 
     def apply(self, service: str, key: str, state: int) -> None:
         self.index += 1
-        body = Set((ServiceResources(service, (Resource(key, b"%d" % state * BODY),)),))
+        body = SetResources((ServiceResources(service, (Resource(key, b"%d" % state * BODY),)),))
         changed = self.part.apply(EntryContext(self.index, 1, self.now, "", 0), "set", body)
-        self.distributor(interfaces.Changed(changed))
+        self.distributor(interfaces.ResourcesChanged(changed))
 
     def distributor(self, *inputs: interfaces.DistributorInput) -> None:
         """Steps until nothing is due; what goes out is carried to the subscribers, and back."""
@@ -79,31 +79,33 @@
             sent = []
             for each in waiting:
                 for output in self.machine.step(self.now, each):
-                    if isinstance(output, interfaces.Send):
-                        sent.append((output.connection, KINDS.frame(output.message)))
+                    if isinstance(output, interfaces.SendToSubscriber):
+                        sent.append((output.connection, MESSAGE_TYPES.frame(output.message)))
             self.time["distributor"] += time.process_time() - began
             waiting = [heard for connection, frame in sent for heard in self.subscriber(connection, frame)]
             if not waiting and self.machine.due <= self.now:
-                waiting = [interfaces.Due()]
+                waiting = [interfaces.Tick()]
 
-    def subscriber(self, number: int, frame: bytes) -> list[interfaces.Heard]:
+    def subscriber(self, number: int, frame: bytes) -> list[interfaces.MessageReceived]:
         machine = self.subscribers[number]
         began = time.process_time()
         frames = []
-        for message, _ in FrameDecoder(KINDS).feed(frame):
+        for message, _ in FrameDecoder(MESSAGE_TYPES).feed(frame):
             kind = "update" if type(message).__name__ == "Update" else "other"
             self.updates += kind == "update"
             self.bytes[kind] += len(frame)
-            for output in machine.step(self.now, interfaces.Told("d0", message)):
-                if isinstance(output, interfaces.Say):
-                    frames.append(KINDS.frame(output.message))
+            for output in machine.step(self.now, interfaces.DistributorMessageReceived("d0", message)):
+                if isinstance(output, interfaces.SendToDistributor):
+                    frames.append(MESSAGE_TYPES.frame(output.message))
         self.time["subscribers"] += time.process_time() - began
         return self.heard(number, frames)
 
-    def heard(self, number: int, frames: list[bytes]) -> list[interfaces.Heard]:
+    def heard(self, number: int, frames: list[bytes]) -> list[interfaces.MessageReceived]:
         began = time.process_time()
         found = [
-            interfaces.Heard(number, word) for frame in frames for word, _ in FrameDecoder(KINDS).feed(frame)
+            interfaces.MessageReceived(number, word)
+            for frame in frames
+            for word, _ in FrameDecoder(MESSAGE_TYPES).feed(frame)
         ]
         self.time["distributor"] += time.process_time() - began
         self.bytes["other"] += sum(map(len, frames))
@@ -111,16 +113,26 @@
 
     def connect_all(self) -> None:
         for number, machine in self.subscribers.items():
-            machine.step(self.now, interfaces.Due())
-            said = machine.step(self.now, interfaces.Connected("d0"))
-            frames = [KINDS.frame(output.message) for output in said if isinstance(output, interfaces.Say)]
-            self.distributor(interfaces.Joined(number, machine.name), *self.heard(number, frames))
+            machine.step(self.now, interfaces.Tick())
+            said = machine.step(self.now, interfaces.ConnectionEstablished("d0"))
+            frames = [
+                MESSAGE_TYPES.frame(output.message)
+                for output in said
+                if isinstance(output, interfaces.SendToDistributor)
+            ]
+            self.distributor(
+                interfaces.SubscriberConnected(number, machine.name), *self.heard(number, frames)
+            )
 
     def renew_all(self) -> None:
         """What a quiet lease's quarter costs."""
         for number, machine in self.subscribers.items():
-            said = machine.step(self.now, interfaces.Due())
-            frames = [KINDS.frame(output.message) for output in said if isinstance(output, interfaces.Say)]
+            said = machine.step(self.now, interfaces.Tick())
+            frames = [
+                MESSAGE_TYPES.frame(output.message)
+                for output in said
+                if isinstance(output, interfaces.SendToDistributor)
+            ]
             self.distributor(*self.heard(number, frames))
 
     def measure(self, what) -> dict:
@@ -141,10 +153,10 @@
         """So many, spread over `span`."""
         for service, key in self.chance.sample(self.keys, count):
             self.now += span // count
-            self.distributor(interfaces.Level(self.now), interfaces.Due())
+            self.distributor(interfaces.CaughtUp(self.now), interfaces.Tick())
             self.apply(service, key, 1 + self.index % 9)
         self.now += SECOND
-        self.distributor(interfaces.Due())
+        self.distributor(interfaces.Tick())
 
     def right(self) -> bool:
         catalogue = self.part.catalogue
--- a/indigohitch/fleet/distribution/admin_requests.py
+++ b/indigohitch/fleet/distribution/admin_requests.py
@@ -10,35 +10,37 @@
 
 from ...encoding.rows import Row
 from ...errors import InvalidRequestError
-from .replicated_part import Remove, Replace, ServiceKeys, ServiceResources, Set
+from .replicated_part import RemoveResources, ReplaceResources, ServiceKeys, ServiceResources, SetResources
 from .types import Resource
 
 FORM = '{"ask": "distribute set", "services": {"maps": {"m1": "10.0.0.1:80 serving"}}}'
-WORDS = {"set": Set, "replace": Replace, "remove": Remove}
+COMMANDS = {"set": SetResources, "replace": ReplaceResources, "remove": RemoveResources}
 
 
-def entry_of(word: str, services: object) -> Row:
+def parse_entry(word: str, services: object) -> Row:
     """Raises Unfit."""
-    kind = WORDS.get(word)
+    kind = COMMANDS.get(word)
     if kind is None:
         raise InvalidRequestError(
-            f"no such word: distribute {word[:40]}", "", f"one of {', '.join(WORDS)}, as {FORM}"
+            f"no such word: distribute {word[:40]}", "", f"one of {', '.join(COMMANDS)}, as {FORM}"
         )
     if not isinstance(services, Mapping) or not services:
         raise InvalidRequestError("no services are named", "", f"as {FORM}")
-    if kind is Remove:
-        return Remove(tuple(ServiceKeys(name, keys_of(name, keys)) for name, keys in services.items()))
-    found = (ServiceResources(name, resources_of(name, given)) for name, given in services.items())
+    if kind is RemoveResources:
+        return RemoveResources(
+            tuple(ServiceKeys(name, parse_keys(name, keys)) for name, keys in services.items())
+        )
+    found = (ServiceResources(name, parse_resources(name, given)) for name, given in services.items())
     return kind(tuple(found))
 
 
-def keys_of(service: str, keys: object) -> tuple[str, ...]:
+def parse_keys(service: str, keys: object) -> tuple[str, ...]:
     if not isinstance(keys, list) or not all(isinstance(key, str) for key in keys):
         raise InvalidRequestError("a list of keys is wanted", service, f"as {FORM}")
     return tuple(keys)
 
 
-def resources_of(service: str, given: object) -> tuple[Resource, ...]:
+def parse_resources(service: str, given: object) -> tuple[Resource, ...]:
     if not isinstance(given, Mapping) or not all(isinstance(body, str) for body in given.values()):
         raise InvalidRequestError("a text for each key is wanted", service, f"as {FORM}")
     return tuple(Resource(key, body.encode()) for key, body in given.items())
--- a/indigohitch/fleet/distribution/patience.py
+++ b/indigohitch/fleet/distribution/connection_deadlines.py
@@ -8,14 +8,14 @@
 from .limits import SubscriberLimits
 
 NEVER = 1 << 62
-MOST_DOUBLINGS = 4
-MOST_SILENT_DOUBLINGS = 2  # 10 s: distributors that are all late work off what was asked of them by then
+MAX_DOUBLINGS = 4
+MAX_SILENT_DOUBLINGS = 2  # 10 s: distributors that are all late work off what was asked of them by then
 # Silence of all distributors for longer than that is a network that is cut, not load: patience doubles no
 # more, so that content is in force within 6 s once the network is back.
-CUT_OFF = 15 * SECOND
+PARTITION_TIMEOUT = 15 * SECOND
 
 
-class Patience:
+class ConnectionDeadlines:
     def __init__(self, limits: SubscriberLimits, chance: random.Random, now: int) -> None:
         self.limits, self.chance = limits, chance
         self.heard_at = now  # a word of any distributor; at first the start
@@ -29,7 +29,9 @@
     def await_word(self, now: int) -> None:
         """Twice the patience after each that was silent: whoever asks the next one too early only adds to the
         load that made the first one late."""
-        doublings = 0 if now - self.heard_at > CUT_OFF else min(self.silent_times, MOST_SILENT_DOUBLINGS)
+        doublings = (
+            0 if now - self.heard_at > PARTITION_TIMEOUT else min(self.silent_times, MAX_SILENT_DOUBLINGS)
+        )
         self.silent_at = now + (self.limits.answer << doublings)
 
     def heard(self, now: int) -> None:
@@ -42,12 +44,12 @@
         if first_choice:
             self.home_at, self.home_times = NEVER, 0
         else:
-            span = self.limits.home << min(self.home_times, MOST_DOUBLINGS)
+            span = self.limits.home << min(self.home_times, MAX_DOUBLINGS)
             self.home_at = now + span + self.chance.randrange(span + 1)
 
     def await_current(self, now: int) -> None:
         """It has a lease, doubled each time that all were left in vain, to bring the content up to date."""
-        self.stale_at = now + (self.limits.lease << min(self.stale_times, MOST_DOUBLINGS))
+        self.stale_at = now + (self.limits.lease << min(self.stale_times, MAX_DOUBLINGS))
 
     def current(self, until: int) -> None:
         """Once it was brought up to date, it is left as soon as the lease runs out."""
--- a/indigohitch/fleet/distribution/convergence.py
+++ b/indigohitch/fleet/distribution/convergence.py
@@ -16,10 +16,12 @@
 from .messages import Behind, Report, Unreachable
 from .resource_store import ResourceStore
 from .subscription import Subscription
-from .types import MARK, DistributorName, SubscriberName, Version, mark
+from .types import MARK_BYTES, DistributorName, SubscriberName, Version, subscriber_mark
 
-NAMED = 16  # of those behind and of those lost, in a report
-SILENT = 5 * SECOND  # a distributor whose last report is older counts as unreachable, with all of its own
+MAX_NAMED = 16  # of those behind and of those lost, in a report
+REPORT_TIMEOUT = (
+    5 * SECOND
+)  # a distributor whose last report is older counts as unreachable, with all of its own
 
 
 class ConvergenceReport(Row, frozen=True):
@@ -40,12 +42,12 @@
     silent: tuple[DistributorName, ...]
 
 
-def split(marks: bytes) -> set[bytes]:
-    return {marks[at : at + MARK] for at in range(0, len(marks), MARK)}
+def split_marks(marks: bytes) -> set[bytes]:
+    return {marks[at : at + MARK_BYTES] for at in range(0, len(marks), MARK_BYTES)}
 
 
 @dataclass(slots=True, frozen=True)
-class Departed:
+class DepartedSubscriber:
     acknowledged: Version
     acting_until: int
     forget_at: int
@@ -56,22 +58,24 @@
 
     def __init__(self, name: DistributorName, limits: Limits) -> None:
         self.name, self.limits = name, limits
-        self.departed: dict[SubscriberName, Departed] = {}
+        self.departed: dict[SubscriberName, DepartedSubscriber] = {}
         self.number = 0
 
     def arrives(self, name: SubscriberName) -> None:
         self.departed.pop(name, None)
 
     def departs(self, now: int, subscription: Subscription) -> None:
-        self.departed[subscription.subscriber] = Departed(
+        self.departed[subscription.subscriber] = DepartedSubscriber(
             subscription.acknowledged, subscription.acting_until, now + self.limits.remembered
         )
 
     def seen_elsewhere(self, report: Report) -> None:
         """Those lost here that are connected there."""
         if self.departed and report.connected:
-            there = split(report.connected)
-            self.departed = {name: one for name, one in self.departed.items() if mark(name) not in there}
+            there = split_marks(report.connected)
+            self.departed = {
+                name: one for name, one in self.departed.items() if subscriber_mark(name) not in there
+            }
 
     def sweep(self, now: int) -> None:
         for name in [name for name, one in self.departed.items() if now >= one.forget_at]:
@@ -91,17 +95,17 @@
             key=lambda each: each.missing.version,
         )
         joining = [each for each in subscriptions if each.missing is None and not each.confirmed]
-        behind = tuple(behind_row(now, each, version) for each in (lacking + joining)[:NAMED])
+        behind = tuple(behind_row(now, each, version) for each in (lacking + joining)[:MAX_NAMED])
         lost = tuple(
             Unreachable(name, one.acknowledged, max(0, one.acting_until - now))
-            for name, one in sorted(self.departed.items(), key=lambda item: -item[1].acting_until)[:NAMED]
+            for name, one in sorted(self.departed.items(), key=lambda item: -item[1].acting_until)[:MAX_NAMED]
         )
         self.number += 1
         return Report(
             self.name,
             self.number,
             version,
-            in_force_here(version, catalogue, lacking),
+            version_in_force(version, catalogue, lacking),
             max((now - each.missing.since for each in lacking), default=0),
             ledger_age,
             len(subscriptions),
@@ -109,7 +113,7 @@
             behind,
             lost,
             b"".join(each.mark for each in subscriptions),
-            b"".join(mark(name) for name in self.departed),
+            b"".join(subscriber_mark(name) for name in self.departed),
         )
 
 
@@ -123,7 +127,7 @@
     )
 
 
-def in_force_here(version: Version, catalogue: ResourceStore, lacking: list[Subscription]) -> Version:
+def version_in_force(version: Version, catalogue: ResourceStore, lacking: list[Subscription]) -> Version:
     """The last version before the oldest change that one of them lacks."""
     if not lacking:
         return version
@@ -141,7 +145,7 @@
 
     def heard(self, now: int, report: Report) -> None:
         known = self.reports.get(report.distributor)
-        fresh = known is None or report.number > known[0].number or now - known[1] > SILENT
+        fresh = known is None or report.number > known[0].number or now - known[1] > REPORT_TIMEOUT
         if report.distributor != self.name and fresh:
             self.reports[report.distributor] = report, now
         for name in [name for name, one in self.reports.items() if now - one[1] > self.limits.remembered]:
@@ -149,17 +153,17 @@
 
     def in_force(self, now: int, own: Report) -> ConvergenceReport:
         """`own`: of this distributor, made now."""
-        heard = {name: one for name, one in self.reports.items() if now - one[1] <= SILENT}
+        heard = {name: one for name, one in self.reports.items() if now - one[1] <= REPORT_TIMEOUT}
         reports = [(own, 0), *((report, now - at) for report, at in heard.values())]
         silent = (self.others | self.reports.keys()) - heard.keys()
         newest = max(report.version for report, _ in reports)
         serving = [(report, age) for report, age in reports if report.subscribers]
-        connected = set().union(*(split(report.connected) for report, _ in reports))
-        lost = set().union(*(split(report.lost) for report, _ in reports))
+        connected = set().union(*(split_marks(report.connected) for report, _ in reports))
+        lost = set().union(*(split_marks(report.lost) for report, _ in reports))
         lost |= set().union(
-            *(split(self.reports[name][0].connected) for name in silent & self.reports.keys())
+            *(split_marks(self.reports[name][0].connected) for name in silent & self.reports.keys())
         )
-        named = tuple(one for report, age in reports for one in still_lost(report, age, connected))
+        named = tuple(one for report, age in reports for one in still_unreachable(report, age, connected))
         lost -= connected
         return ConvergenceReport(
             min((report.in_force for report, _ in serving), default=newest),
@@ -167,9 +171,11 @@
             max((missing_age(report, age, newest) for report, age in serving), default=0),
             sum(report.subscribers for report, _ in reports),
             sum(report.behind_count for report, _ in reports),
-            tuple(sorted((one for report, _ in reports for one in report.behind), key=oldest))[:NAMED],
+            tuple(sorted((one for report, _ in reports for one in report.behind), key=missing_order))[
+                :MAX_NAMED
+            ],
             len(lost),
-            named[:NAMED],
+            named[:MAX_NAMED],
             self.acting(named, len(lost)),
             tuple(sorted(silent)),
         )
@@ -181,11 +187,11 @@
         return max((one.acting for one in named), default=0)
 
 
-def still_lost(report: Report, age: int, connected: set[bytes]) -> list[Unreachable]:
+def still_unreachable(report: Report, age: int, connected: set[bytes]) -> list[Unreachable]:
     return [
         Unreachable(one.subscriber, one.acknowledged, max(0, one.acting - age))
         for one in report.unreachable
-        if mark(one.subscriber) not in connected
+        if subscriber_mark(one.subscriber) not in connected
     ]
 
 
@@ -197,5 +203,5 @@
     return max(report.in_force_age + age if report.in_force_age else 0, ledger_age + age if lags else 0)
 
 
-def oldest(behind: Behind) -> tuple[Version, SubscriberName]:
+def missing_order(behind: Behind) -> tuple[Version, SubscriberName]:
     return behind.missing, behind.subscriber
--- a/indigohitch/fleet/distribution/distributor.py
+++ b/indigohitch/fleet/distribution/distributor.py
@@ -6,29 +6,29 @@
 
 from ...net.clock import SECOND
 from .convergence import ConvergenceReport, ConvergenceTracker, FleetConvergence
-from .errors import DistributorClosing
+from .errors import DistributorClosingError
 from .interfaces import (
-    Changed,
-    Closing,
+    CaughtUp,
     DistributorInput,
     DistributorOutput,
-    Due,
-    Heard,
-    HeardReport,
-    Joined,
-    Left,
-    Level,
+    MessageReceived,
     Note,
-    Replaced,
+    ReportReceived,
+    ResourcesChanged,
+    ResourcesReplaced,
+    ShutdownStarted,
+    SubscriberConnected,
+    SubscriberDisconnected,
+    Tick,
 )
 from .limits import Limits
 from .messages import Report
 from .resource_store import ResourceStore
-from .serving import Serving
-from .subscription import Missing
+from .subscription import MissingChange
+from .subscription_server import SubscriptionServer
 from .types import DistributorName
 
-SWEEP = SECOND // 2  # updates without an answer and claims in doubt are looked at so often
+SWEEP_INTERVAL = SECOND // 2  # updates without an answer and claims in doubt are looked at so often
 
 
 class Distributor:
@@ -47,19 +47,19 @@
         self.name, self.catalogue, self.limits = name, catalogue, limits
         self.tally = ConvergenceTracker(name, limits)
         self.fleet = FleetConvergence(name, others, limits)
-        self.serving = Serving(catalogue, limits, self.tally, now)
+        self.serving = SubscriptionServer(catalogue, limits, self.tally, now)
         self.announced = catalogue.version  # the subscriptions were told of all changes up to it
-        self.sweep_at = now + SWEEP
+        self.sweep_at = now + SWEEP_INTERVAL
         self.steps = {
-            Joined: self.joined,
-            Heard: self.heard,
-            Left: self.left,
-            Changed: self.changed,
-            Replaced: self.replaced,
-            Level: self.level_reached,
-            HeardReport: self.heard_report,
-            Closing: self.close_all,
-            Due: self.sweep,
+            SubscriberConnected: self.joined,
+            MessageReceived: self.heard,
+            SubscriberDisconnected: self.left,
+            ResourcesChanged: self.changed,
+            ResourcesReplaced: self.replaced,
+            CaughtUp: self.level_reached,
+            ReportReceived: self.heard_report,
+            ShutdownStarted: self.close_all,
+            Tick: self.sweep,
         }
 
     # ---- from outside ------------------------------------------------------------------------------
@@ -103,21 +103,21 @@
 
     # ---- inputs ------------------------------------------------------------------------------------
 
-    def joined(self, input: Joined) -> None:
+    def joined(self, input: SubscriberConnected) -> None:
         self.serving.subscribers.join(input.connection, input.subscriber)
 
-    def heard(self, input: Heard) -> None:
+    def heard(self, input: MessageReceived) -> None:
         self.serving.heard(input)
 
-    def left(self, input: Left) -> None:
+    def left(self, input: SubscriberDisconnected) -> None:
         self.serving.forget(input.connection)
 
-    def close_all(self, input: Closing) -> None:
+    def close_all(self, input: ShutdownStarted) -> None:
         self.serving.closing = True
         for connection in list(self.serving.subscribers.names):
-            self.serving.refuse(connection, DistributorClosing("this distributor is about to end"))
+            self.serving.refuse(connection, DistributorClosingError("this distributor is about to end"))
 
-    def changed(self, input: Changed) -> None:
+    def changed(self, input: ResourcesChanged) -> None:
         missing = self.announce()
         subscribers = self.serving.subscribers
         for service in input.services:
@@ -125,31 +125,31 @@
                 subscribers.subscriptions[connection].changed(service, missing)
                 self.serving.admission.want(connection)
 
-    def replaced(self, input: Replaced) -> None:
+    def replaced(self, input: ResourcesReplaced) -> None:
         missing = self.announce()
         for connection, subscription in self.serving.subscribers.subscriptions.items():
             subscription.catalogue_replaced(missing)
             self.serving.admission.want(connection)
 
-    def announce(self) -> Missing:
+    def announce(self) -> MissingChange:
         """The oldest change since the last that the subscriptions were told of."""
         oldest = self.catalogue.after(self.announced)
         self.announced = self.catalogue.version
-        return Missing(oldest, self.serving.now, self.serving.level)
+        return MissingChange(oldest, self.serving.now, self.serving.level)
 
-    def level_reached(self, input: Level) -> None:
+    def level_reached(self, input: CaughtUp) -> None:
         if not self.serving.level:
             fields = {"version": self.catalogue.version.text()}
             self.serving.out.append(Note("distributor_level", fields))
         self.serving.level_reached(input.asked)
 
-    def heard_report(self, input: HeardReport) -> None:
+    def heard_report(self, input: ReportReceived) -> None:
         self.fleet.heard(self.serving.now, input.report)
         self.tally.seen_elsewhere(input.report)
 
-    def sweep(self, input: Due) -> None:
+    def sweep(self, input: Tick) -> None:
         now = self.serving.now
         if now >= self.sweep_at:
-            self.sweep_at = now + SWEEP
+            self.sweep_at = now + SWEEP_INTERVAL
             self.serving.sweep()
             self.tally.sweep(now)
--- a/indigohitch/fleet/distribution/choice.py
+++ b/indigohitch/fleet/distribution/distributor_choice.py
@@ -16,10 +16,10 @@
 from .limits import SubscriberLimits
 from .types import DistributorName, SubscriberName
 
-MOST_DOUBLINGS = 16
+MAX_DOUBLINGS = 16
 
 
-def rendezvous(
+def rendezvous_order(
     subscriber: SubscriberName, distributors: Mapping[DistributorName, float]
 ) -> list[DistributorName]:
     """By preference; a distributor of twice the weight comes first twice as often."""
@@ -31,7 +31,7 @@
     return sorted(distributors, key=lambda name: (cost(name), name))
 
 
-class Choice:
+class DistributorChoice:
     """`distributors`: weights above 0 by name."""
 
     def __init__(
@@ -41,7 +41,7 @@
         limits: SubscriberLimits,
         chance: random.Random,
     ) -> None:
-        self.order = rendezvous(subscriber, distributors)
+        self.order = rendezvous_order(subscriber, distributors)
         self.limits, self.chance = limits, chance
         self.not_before = dict.fromkeys(self.order, 0)
         self.failures = dict.fromkeys(self.order, 0)  # in a row
@@ -60,7 +60,7 @@
 
     def failed(self, now: int, name: DistributorName) -> None:
         """It did not answer, or its connection ended: exponential backoff with jitter."""
-        doublings = min(self.failures[name], MOST_DOUBLINGS)
+        doublings = min(self.failures[name], MAX_DOUBLINGS)
         self.failures[name] += 1
         backoff = min(self.limits.backoff << doublings, self.limits.most_backoff)
         self.wait(now, name, backoff)
--- a/indigohitch/fleet/distribution/connecting.py
+++ b/indigohitch/fleet/distribution/distributor_connector.py
@@ -6,21 +6,21 @@
 import random
 from collections.abc import Mapping
 
-from .choice import Choice
-from .interfaces import Dial, HangUp
+from .connection_deadlines import ConnectionDeadlines
+from .distributor_choice import DistributorChoice
+from .interfaces import Dial, Disconnect
 from .limits import SubscriberLimits
-from .patience import Patience
 from .types import DistributorName, SubscriberName
 
 
-class Phase(enum.Enum):
+class ConnectionPhase(enum.Enum):
     WAITING = "waiting"  # until the next distributor is dialled
     DIALLING = "dialling"
     SUBSCRIBING = "subscribing"  # connected, and no update for this subscription yet
     SERVED = "served"
 
 
-class Connecting:
+class DistributorConnector:
     def __init__(
         self,
         name: SubscriberName,
@@ -30,21 +30,21 @@
         now: int,
     ) -> None:
         self.limits, self.chance = limits, chance
-        self.choice = Choice(name, distributors, limits, chance)
-        self.patience = Patience(limits, chance, now)
-        self.phase = Phase.WAITING
+        self.choice = DistributorChoice(name, distributors, limits, chance)
+        self.patience = ConnectionDeadlines(limits, chance, now)
+        self.phase = ConnectionPhase.WAITING
         self.distributor: DistributorName = ""
         self.dial_at = now
 
     @property
     def is_connected(self) -> bool:
-        return self.phase in (Phase.SUBSCRIBING, Phase.SERVED)
+        return self.phase in (ConnectionPhase.SUBSCRIBING, ConnectionPhase.SERVED)
 
     @property
     def due(self) -> int:
-        if self.phase is Phase.WAITING:
+        if self.phase is ConnectionPhase.WAITING:
             return self.dial_at
-        return self.patience.silent_at if self.phase is Phase.DIALLING else self.patience.due
+        return self.patience.silent_at if self.phase is ConnectionPhase.DIALLING else self.patience.due
 
     def dial(self, now: int) -> Dial | None:
         """None: all have failed or refused a moment ago; `dial_at` says when one may be asked."""
@@ -52,34 +52,34 @@
         if chosen is None:
             self.dial_at = max(self.choice.next_at(), now + 1)
             return None
-        self.phase, self.distributor = Phase.DIALLING, chosen
+        self.phase, self.distributor = ConnectionPhase.DIALLING, chosen
         self.patience.await_word(now)
         return Dial(chosen)
 
     def connected(self, now: int, distributor: DistributorName) -> bool:
         """False: it is not the one that was dialled last."""
-        if self.phase is not Phase.DIALLING or distributor != self.distributor:
+        if self.phase is not ConnectionPhase.DIALLING or distributor != self.distributor:
             return False
-        self.phase = Phase.SUBSCRIBING
+        self.phase = ConnectionPhase.SUBSCRIBING
         self.patience.connected(now, distributor == self.choice.first)
         return True
 
     def served(self) -> None:
-        self.phase = Phase.SERVED
+        self.phase = ConnectionPhase.SERVED
         self.choice.served(self.distributor)
 
     def lost(self, now: int, distributor: DistributorName) -> None:
-        if self.phase is not Phase.WAITING and distributor == self.distributor:
+        if self.phase is not ConnectionPhase.WAITING and distributor == self.distributor:
             self.choice.failed(now, distributor)
             self.wait(now)
 
-    def leave_impatiently(self, now: int, lease_until: int) -> HangUp | None:
+    def leave_impatiently(self, now: int, lease_until: int) -> Disconnect | None:
         """None: there is no cause to leave."""
         patience = self.patience
         if now >= patience.silent_at:
             patience.left_silent()
             return self.leave(now, "no answer", failed=True)
-        if self.phase is Phase.DIALLING:
+        if self.phase is ConnectionPhase.DIALLING:
             return None
         if now >= max(patience.stale_at, lease_until):
             patience.left_stale()
@@ -89,7 +89,7 @@
             return self.leave(now, "the first choice is tried again")
         return None
 
-    def leave(self, now: int, why: str, failed: bool = False, again: int = 0) -> HangUp:
+    def leave(self, now: int, why: str, failed: bool = False, again: int = 0) -> Disconnect:
         """`again`: not there before so long."""
         left = self.distributor
         if failed:
@@ -97,9 +97,9 @@
         elif again:
             self.choice.refused(now, left, again)
         self.wait(now)
-        return HangUp(left, why)
+        return Disconnect(left, why)
 
     def wait(self, now: int) -> None:
         """Subscribers that lose one distributor together don't come to the next one together."""
-        self.phase, self.distributor = Phase.WAITING, ""
+        self.phase, self.distributor = ConnectionPhase.WAITING, ""
         self.dial_at = now + self.chance.randrange(self.limits.first_delay + 1)
--- a/indigohitch/fleet/distribution/connections.py
+++ b/indigohitch/fleet/distribution/distributor_listener.py
@@ -16,20 +16,29 @@
 from ..transport.outbound import KERNEL
 from ..types import MemberId
 from .distributor import Distributor
-from .interfaces import Close, Closing, DistributorOutput, Heard, Joined, Left, Note, Send
+from .interfaces import (
+    CloseConnection,
+    DistributorOutput,
+    MessageReceived,
+    Note,
+    SendToSubscriber,
+    ShutdownStarted,
+    SubscriberConnected,
+    SubscriberDisconnected,
+)
 from .limits import Limits
-from .messages import KINDS
-from .stepping import Stepping
+from .machine_driver import MachineDriver
+from .messages import MESSAGE_TYPES
 
-STRANGERS = 512  # all that another distributor served may come within a second
+MAX_UNIDENTIFIED = 512  # all that another distributor served may come within a second
 # Of the buffers of all connections: what can't be had closes the connection that wanted it.
-BUFFERS = 64 << 20
-HEAD = 1 << 10  # room beside one update: welcomes and answers to pulses
+BUFFER_POOL_BYTES = 64 << 20
+SPARE_OUTPUT_BYTES = 1 << 10  # room beside one update: welcomes and answers to pulses
 # A subscriber asks each second: one that is silent for so long is stopped or cut off.
-SILENT = 6 * SECOND
+SUBSCRIBER_TIMEOUT = 6 * SECOND
 
 
-class Connections:
+class DistributorListener:
     def __init__(
         self,
         loop: EventLoop,
@@ -42,11 +51,13 @@
     ) -> None:
         self.loop, self.log, self.fleet, self.me, self.token = loop, log, fleet, me, token
         self.limits = limits
-        self.arrivals = Acceptor(loop, log, KINDS, self, "subscribers", STRANGERS, BufferPool(BUFFERS))
+        self.arrivals = Acceptor(
+            loop, log, MESSAGE_TYPES, self, "subscribers", MAX_UNIDENTIFIED, BufferPool(BUFFER_POOL_BYTES)
+        )
         self.connections: dict[int, InboundLink] = {}
         self.numbers: dict[InboundLink, int] = {}
         self.last = self.sent = 0  # number of the last connection; bytes
-        self.stepping = Stepping(loop, machine, self.carry)
+        self.stepping = MachineDriver(loop, machine, self.carry)
 
     def start(self, at: tuple[str, int]) -> None:
         """Raises OSError where the address can't be had."""
@@ -60,7 +71,7 @@
     def beat(self, now: int) -> None:
         self.arrivals.beat(now)
         for number, one in list(self.connections.items()):
-            if now - one.heard_at > SILENT:
+            if now - one.heard_at > SUBSCRIBER_TIMEOUT:
                 self.drop(number, "silent", "see whether it runs; it comes back by itself")
             else:
                 one.connection.outgoing.trim()
@@ -83,27 +94,27 @@
         one.who, one.token = greeting.who, greeting.token
         self.connections[self.last], self.numbers[one] = one, self.last
         one.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
-        one.connection.outgoing.allow(self.limits.update_bytes + HEAD)
+        one.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
         one.answer(links.HandshakeAccepted(self.me, self.token))
-        self.stepping.step(Joined(self.last, greeting.who.name))
+        self.stepping.step(SubscriberConnected(self.last, greeting.who.name))
 
     def heard(self, one: InboundLink, word: Row) -> None:
         if one in self.numbers:
-            self.stepping.step(Heard(self.numbers[one], word))
+            self.stepping.step(MessageReceived(self.numbers[one], word))
 
     def gone(self, one: InboundLink) -> None:
         number = self.numbers.pop(one, None)
         if number is not None:
             del self.connections[number]
-            self.stepping.step(Left(number))
+            self.stepping.step(SubscriberDisconnected(number))
 
     # ---- what the machine wants --------------------------------------------------------------------
 
     def carry(self, output: DistributorOutput) -> None:
         match output:
-            case Send(number, message):
+            case SendToSubscriber(number, message):
                 self.send(number, message)
-            case Close(number, _):
+            case CloseConnection(number, _):
                 self.close_one(number)
             case Note(event, fields):
                 self.log.event(event, **fields)
@@ -112,7 +123,7 @@
         one = self.connections.get(number)
         if one is None:
             return
-        data = KINDS.frame(message)
+        data = MESSAGE_TYPES.frame(message)
         if not one.put(data):
             self.drop(number, "it does not read", "see whether it runs; it comes back by itself")
             return
@@ -130,7 +141,7 @@
 
     def close(self) -> None:
         self.arrivals.close()
-        self.stepping.step(Closing())
+        self.stepping.step(ShutdownStarted())
         self.stepping.end()
         for number in list(self.connections):
             self.close_one(number)
--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -15,21 +15,23 @@
 from ...net.loop import EventLoop
 from ..interfaces import ProposalRequest
 from ..types import Lease, LogEntry, MemberId, Outcome
-from .connections import STRANGERS, Connections
 from .convergence import ConvergenceReport
 from .distributor import Distributor
-from .interfaces import Changed, HeardReport, Level, Replaced
+from .distributor_listener import MAX_UNIDENTIFIED, DistributorListener
+from .interfaces import CaughtUp, ReportReceived, ResourcesChanged, ResourcesReplaced
 from .limits import Limits
 from .messages import Behind, Report, Unreachable
-from .replicated_part import Distribution
-
-CONFIRM = SECOND // 2  # between confirmed reads: what is told is older by that at most
-REPORT = SECOND
-LISTEN_AGAIN = SECOND
-OTHER_DESCRIPTORS = STRANGERS + 256  # those who have not greeted; members' links, files, the control socket
+from .replicated_part import DistributionPart
+
+CONFIRM_INTERVAL = SECOND // 2  # between confirmed reads: what is told is older by that at most
+REPORT_INTERVAL = SECOND
+LISTEN_RETRY_DELAY = SECOND
+RESERVED_DESCRIPTORS = (
+    MAX_UNIDENTIFIED + 256
+)  # those who have not greeted; members' links, files, the control socket
 LIMITS = Limits()
 
-Read = Callable[[Callable[[int | None], None]], None]
+ConfirmedRead = Callable[[Callable[[int | None], None]], None]
 
 
 class DistributorRole:
@@ -46,14 +48,14 @@
         me: str,
         token: int,
         addresses: dict[str, tuple[str, int]],
-        part: Distribution,
-        read: Read,
+        part: DistributionPart,
+        read: ConfirmedRead,
         say: Callable[[str, Row], bool],
     ) -> None:
         self.loop, self.log, self.me, self.addresses = loop, log, me, addresses
         self.part, self.read, self.say = part, read, say
         self.machine = Distributor(me, part.catalogue, LIMITS, loop.clock.now(), self.others)
-        self.connections = Connections(loop, log, fleet, MemberId(me, 0), token, self.machine, LIMITS)
+        self.connections = DistributorListener(loop, log, fleet, MemberId(me, 0), token, self.machine, LIMITS)
         self.listen_due = self.confirm_due = self.report_due = 0
         self.reading = False
         self.closed = False
@@ -68,11 +70,11 @@
         if entry.kind.startswith("distribution.") and not outcome.refused and not outcome.doubled:
             services = msgspec.msgpack.decode(outcome.told, type=tuple[str, ...])
             if services:
-                self.connections.stepping.step(Changed(services))
+                self.connections.stepping.step(ResourcesChanged(services))
         return []
 
     def restored(self, now: int) -> list[ProposalRequest]:
-        self.connections.stepping.step(Replaced())
+        self.connections.stepping.step(ResourcesReplaced())
         return []
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
@@ -92,23 +94,23 @@
         if not self.connections.open and now >= self.listen_due:
             self.listen(now)
         if now >= self.confirm_due:
-            self.confirm_due = now + CONFIRM
+            self.confirm_due = now + CONFIRM_INTERVAL
             self.confirm(now)
         if now >= self.report_due:
-            self.report_due = now + REPORT
+            self.report_due = now + REPORT_INTERVAL
             self.connections.beat(now)
             self.tell(now)
         return []
 
     def listen(self, now: int) -> None:
-        wanted = LIMITS.subscribers + OTHER_DESCRIPTORS
+        wanted = LIMITS.subscribers + RESERVED_DESCRIPTORS
         if (allowed := raise_file_limit(wanted)) < wanted:
             remedy = f"raise the limit on descriptors to {wanted}"
             self.log.warning("descriptors_few", allowed=allowed, wanted=wanted, remedy=remedy)
         try:
             self.connections.start(self.addresses[self.me])
         except OSError as bad:
-            self.listen_due = now + LISTEN_AGAIN
+            self.listen_due = now + LISTEN_RETRY_DELAY
             self.log.warning("distributor_cannot_listen", **error_fields(bad, "free the address"))
 
     def confirm(self, now: int) -> None:
@@ -116,7 +118,7 @@
             # In a turn of its own: the entry that completes a read is told to the machine after this.
             self.reading = False
             if index is not None:
-                self.loop.after(0, lambda: self.connections.stepping.step(Level(now)))
+                self.loop.after(0, lambda: self.connections.stepping.step(CaughtUp(now)))
 
         if self.reading:
             return
@@ -133,7 +135,7 @@
 
     def heard_report(self, who: MemberId, word: Report) -> None:
         if not self.closed and who.name == word.distributor:
-            self.connections.stepping.step(HeardReport(word))
+            self.connections.stepping.step(ReportReceived(word))
 
     # ---- the end, and people -----------------------------------------------------------------------
 
@@ -144,11 +146,11 @@
 
     def figures(self) -> dict:
         now = self.loop.clock.now()
-        in_force = plain(self.machine.in_force(now))
+        in_force = convergence_status(self.machine.in_force(now))
         return self.connections.figures() | self.machine.figures(now) | {"in_force": in_force}
 
 
-def plain(found: ConvergenceReport) -> dict:
+def convergence_status(found: ConvergenceReport) -> dict:
     """As `status` names it; times in tenths of a millisecond."""
     return {
         "version": found.version.text(),
@@ -156,15 +158,15 @@
         "age": found.age,
         "subscribers": found.subscribers,
         "behind_count": found.behind_count,
-        "behind": [plain_behind(one) for one in found.behind],
+        "behind": [behind_status(one) for one in found.behind],
         "unreachable_count": found.unreachable_count,
-        "unreachable": [plain_unreachable(one) for one in found.unreachable],
+        "unreachable": [unreachable_status(one) for one in found.unreachable],
         "acting": found.acting,
         "silent": list(found.silent),
     }
 
 
-def plain_behind(one: Behind) -> dict:
+def behind_status(one: Behind) -> dict:
     return {
         "subscriber": one.subscriber,
         "acknowledged": one.acknowledged.text(),
@@ -173,7 +175,7 @@
     }
 
 
-def plain_unreachable(one: Unreachable) -> dict:
+def unreachable_status(one: Unreachable) -> dict:
     return {
         "subscriber": one.subscriber,
         "acknowledged": one.acknowledged.text(),
--- a/indigohitch/fleet/distribution/interfaces.py
+++ b/indigohitch/fleet/distribution/interfaces.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Due:
+class Tick:
     pass
 
 
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Joined:
+class SubscriberConnected:
     """A subscriber has greeted.  `connection` is unique in this process and only grows."""
 
     connection: int
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class MessageReceived:
     """A message of a subscriber: Subscribe, Acknowledge, Reject, Renew."""
 
     connection: int
@@ -38,55 +38,65 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
+class SubscriberDisconnected:
     connection: int
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class ResourcesChanged:
     """The catalogue has applied an entry that changed these services."""
 
     services: tuple[ServiceName, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Replaced:
+class ResourcesReplaced:
     """The catalogue was set to a snapshot, or read from the disk."""
 
 
 @dataclass(slots=True, frozen=True)
-class Level:
+class CaughtUp:
     """All that was committed at `asked` (own clock, before the confirmed read went out) is applied here."""
 
     asked: int
 
 
 @dataclass(slots=True, frozen=True)
-class HeardReport:
+class ReportReceived:
     """Of another distributor."""
 
     report: Row
 
 
 @dataclass(slots=True, frozen=True)
-class Closing:
+class ShutdownStarted:
     """This distributor is about to end: subscribers are sent elsewhere."""
 
 
-DistributorInput = Joined | Heard | Left | Changed | Replaced | Level | HeardReport | Closing | Due
+DistributorInput = (
+    SubscriberConnected
+    | MessageReceived
+    | SubscriberDisconnected
+    | ResourcesChanged
+    | ResourcesReplaced
+    | CaughtUp
+    | ReportReceived
+    | ShutdownStarted
+    | Tick
+)
 
 # ---- into a subscriber -----------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Connected:
+class ConnectionEstablished:
     """The distributor that was dialled has welcomed the subscriber."""
 
     distributor: DistributorName
 
 
 @dataclass(slots=True, frozen=True)
-class Lost:
+class ConnectionLost:
     """The dialled distributor did not answer, or its connection has ended."""
 
     distributor: DistributorName
@@ -94,7 +104,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
+class DistributorMessageReceived:
     """A message of the distributor: Update, Current, Refused."""
 
     distributor: DistributorName
@@ -102,19 +112,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Rescope:
+class ScopeChanged:
     """The services that the subscriber reaches from now on."""
 
     services: frozenset[ServiceName]
 
 
-SubscriberInput = Connected | Lost | Told | Rescope | Due
+SubscriberInput = ConnectionEstablished | ConnectionLost | DistributorMessageReceived | ScopeChanged | Tick
 
 # ---- out -------------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
-class Send:
+class SendToSubscriber:
     """Of a distributor: to that connection."""
 
     connection: int
@@ -122,7 +132,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Close:
+class CloseConnection:
     """Of a distributor: once what was sent is out."""
 
     connection: int
@@ -137,7 +147,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HangUp:
+class Disconnect:
     """Of a subscriber: close the connection, no `Lost` follows."""
 
     distributor: DistributorName
@@ -145,14 +155,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class SendToDistributor:
     """Of a subscriber: to the distributor it is connected with."""
 
     message: Row
 
 
 @dataclass(slots=True, frozen=True)
-class Applied:
+class UpdateApplied:
     """Of a subscriber: the content is at `version` now; `services` have changed, were added or left."""
 
     version: Version
@@ -167,5 +177,5 @@
     fields: dict = field(default_factory=dict)
 
 
-DistributorOutput = Send | Close | Note
-SubscriberOutput = Dial | HangUp | Say | Applied | Note
+DistributorOutput = SendToSubscriber | CloseConnection | Note
+SubscriberOutput = Dial | Disconnect | SendToDistributor | UpdateApplied | Note
--- a/indigohitch/fleet/distribution/stepping.py
+++ b/indigohitch/fleet/distribution/machine_driver.py
@@ -9,7 +9,7 @@
 
 from ...net.due_timer import DueTimer
 from ...net.loop import EventLoop
-from .interfaces import Due
+from .interfaces import Tick
 
 
 class Machine(Protocol):
@@ -18,12 +18,12 @@
     def step(self, now: int, input) -> list: ...
 
 
-class Stepping:
+class MachineDriver:
     def __init__(self, loop: EventLoop, machine: Machine, carry: Callable[[object], None]) -> None:
         self.loop, self.machine, self.carry = loop, machine, carry
         self.waiting: deque = deque()
         self.busy = self.ended = False
-        self.timer = DueTimer(loop, lambda: self.machine.due, lambda: self.step(Due()))
+        self.timer = DueTimer(loop, lambda: self.machine.due, lambda: self.step(Tick()))
 
     def step(self, input) -> None:
         if self.ended:
--- a/indigohitch/fleet/distribution/messages.py
+++ b/indigohitch/fleet/distribution/messages.py
@@ -166,6 +166,6 @@
     lost: bytes = b""
 
 
-WORDS = (Subscribe, Acknowledge, Reject, Renew, Update, Current, Refused, Report)
+DISTRIBUTION_MESSAGES = (Subscribe, Acknowledge, Reject, Renew, Update, Current, Refused, Report)
 # In the order of their numbers on the wire: what is added goes to the end.
-KINDS = MessageTypes(b"IHds", links.PROTOCOL, (*links.MESSAGE_TYPES, *WORDS), 4 << 20)
+MESSAGE_TYPES = MessageTypes(b"IHds", links.PROTOCOL, (*links.MESSAGE_TYPES, *DISTRIBUTION_MESSAGES), 4 << 20)
--- a/indigohitch/fleet/distribution/replicated_part.py
+++ b/indigohitch/fleet/distribution/replicated_part.py
@@ -10,12 +10,12 @@
 from ...encoding.rows import Row
 from ...errors import InvalidDataError, InvalidRequestError
 from ..interfaces import EntryContext, StateMachine
-from .resource_store import CatalogueRow, ResourceStore
+from .resource_store import ResourceStore, ResourceStoreRow
 from .types import Resource, ServiceName, Version
 
-LONGEST_NAME = 255
-LONGEST_BODY = 4_096
-MOST_SERVICE_BYTES = 256 << 10  # a quarter of what one update may have
+MAX_NAME_LENGTH = 255
+MAX_BODY_BYTES = 4_096
+MAX_SERVICE_BYTES = 256 << 10  # a quarter of what one update may have
 
 
 class ServiceResources(Row, frozen=True):
@@ -28,46 +28,48 @@
     keys: tuple[str, ...]
 
 
-class Set(Row, frozen=True):
+class SetResources(Row, frozen=True):
     """`distribution.set`: these resources stand as given; all others stay."""
 
     services: tuple[ServiceResources, ...]
 
 
-class Remove(Row, frozen=True):
+class RemoveResources(Row, frozen=True):
     """`distribution.remove`: these resources go, where they are."""
 
     services: tuple[ServiceKeys, ...]
 
 
-class Replace(Row, frozen=True):
+class ReplaceResources(Row, frozen=True):
     """`distribution.replace`: these services hold what is given and nothing else; without any they go."""
 
     services: tuple[ServiceResources, ...]
 
 
-class Distribution:
+class DistributionPart:
     """StateMachinePart.  Each entry returns the names of the services that it changed."""
 
     name = "distribution"
-    kinds = {"set": Set, "remove": Remove, "replace": Replace}
+    kinds = {"set": SetResources, "remove": RemoveResources, "replace": ReplaceResources}
     state_machine: StateMachine
 
     def __init__(self) -> None:
         self.catalogue = ResourceStore()
 
-    def apply(self, at: EntryContext, word: str, body: Set | Remove | Replace) -> tuple[ServiceName, ...]:
+    def apply(
+        self, at: EntryContext, word: str, body: SetResources | RemoveResources | ReplaceResources
+    ) -> tuple[ServiceName, ...]:
         version = Version(at.term, at.index)
         if len({each.service for each in body.services}) < len(body.services):
             raise InvalidRequestError(
                 "a service is named twice", remedy="name all of its resources in one place"
             )
-        if isinstance(body, Remove):
+        if isinstance(body, RemoveResources):
             return self.catalogue.apply(version, {}, {each.service: each.keys for each in body.services})
-        self.check(body.services, keeps=isinstance(body, Set))
+        self.check(body.services, keeps=isinstance(body, SetResources))
         changed = {each.service: each.resources for each in body.services}
         removed = {}
-        if isinstance(body, Replace):
+        if isinstance(body, ReplaceResources):
             removed = {name: self.absent(name, resources) for name, resources in changed.items()}
         return self.catalogue.apply(version, changed, removed)
 
@@ -84,19 +86,19 @@
                 check_resource(each.service, resource)
                 stands[resource.key] = resource.body
             size = sum(len(key) + len(body) for key, body in stands.items())
-            if size > MOST_SERVICE_BYTES:
+            if size > MAX_SERVICE_BYTES:
                 raise InvalidRequestError(
                     f"{size} bytes of resources",
                     each.service,
-                    f"split the service; one takes {MOST_SERVICE_BYTES} bytes",
+                    f"split the service; one takes {MAX_SERVICE_BYTES} bytes",
                 )
 
-    def row(self) -> CatalogueRow:
+    def row(self) -> ResourceStoreRow:
         return self.catalogue.row()
 
     def restore(self, row: bytes) -> None:
         try:
-            found = msgspec.msgpack.decode(row, type=CatalogueRow)
+            found = msgspec.msgpack.decode(row, type=ResourceStoreRow)
         except msgspec.MsgspecError as bad:
             raise InvalidDataError(f"not the services of a state machine: {bad}") from None
         self.catalogue.restore(found)
@@ -105,9 +107,9 @@
 def check_resource(service: ServiceName, resource: Resource) -> None:
     """Raises Unfit."""
     for name in (service, resource.key):
-        if not 0 < len(name) <= LONGEST_NAME:
-            raise InvalidRequestError(f"a name of {len(name)} characters", service, f"1 to {LONGEST_NAME}")
-    if len(resource.body) > LONGEST_BODY:
+        if not 0 < len(name) <= MAX_NAME_LENGTH:
+            raise InvalidRequestError(f"a name of {len(name)} characters", service, f"1 to {MAX_NAME_LENGTH}")
+    if len(resource.body) > MAX_BODY_BYTES:
         raise InvalidRequestError(
-            f"{len(resource.body)} bytes of {resource.key}", service, f"{LONGEST_BODY} at most"
+            f"{len(resource.body)} bytes of {resource.key}", service, f"{MAX_BODY_BYTES} at most"
         )
--- a/indigohitch/fleet/distribution/resource_store.py
+++ b/indigohitch/fleet/distribution/resource_store.py
@@ -17,9 +17,9 @@
 from .messages import ServiceChange
 from .types import NO_VERSION, Resource, ServiceName, Version
 
-MOST_REMOVED = 64  # keys remembered for each service beyond as many as it has
-MOST_EMPTY = 4_096  # services without resources that are remembered
-MOST_HISTORY = (
+MAX_REMOVED_KEYS = 64  # keys remembered for each service beyond as many as it has
+MAX_EMPTY_SERVICES = 4_096  # services without resources that are remembered
+MAX_VERSION_HISTORY = (
     4_096  # recent versions: some hours of an ordinary day, six seconds of ten times the worst burst
 )
 
@@ -33,13 +33,13 @@
     floor: Version
 
 
-class CatalogueRow(Row):
+class ResourceStoreRow(Row):
     version: Version = NO_VERSION
     floor: Version = NO_VERSION
     services: list[ServiceRow] = []
 
 
-class Service:
+class StoredService:
     """`changed` and `removed`: versions by key, the last change last.  `floor`: of the newest removed key
     that is not remembered."""
 
@@ -74,13 +74,13 @@
         return True
 
     def forget(self) -> None:
-        while len(self.removed) > MOST_REMOVED + len(self.changed):
+        while len(self.removed) > MAX_REMOVED_KEYS + len(self.changed):
             oldest = next(iter(self.removed))
             self.floor = max(self.floor, self.removed.pop(oldest))
 
     def since(self, version: Version) -> tuple[list[str], list[str]]:
         """Keys changed and keys removed after it."""
-        return newer(self.changed, version), newer(self.removed, version)
+        return keys_changed_after(self.changed, version), keys_changed_after(self.removed, version)
 
     def change(self, since: Version | None) -> msgspec.Raw:
         """From what was held at that version, or whole where it is None, forgotten, or whole is less."""
@@ -102,7 +102,7 @@
         return self.encoded[known]
 
 
-def newer(versions: Mapping[str, Version], than: Version) -> list[str]:
+def keys_changed_after(versions: Mapping[str, Version], than: Version) -> list[str]:
     """Keys of later changes; `versions` is in the order of change."""
     return [key for key, _ in takewhile(lambda item: item[1] > than, reversed(versions.items()))]
 
@@ -111,7 +111,7 @@
     def __init__(self) -> None:
         self.version = NO_VERSION  # of the last entry that changed anything
         self.floor = NO_VERSION  # what became of services that are not known is forgotten up to here
-        self.services: dict[ServiceName, Service] = {}
+        self.services: dict[ServiceName, StoredService] = {}
         self.empty: dict[ServiceName, None] = {}  # in the order in which they became so
         self.history: list[Version] = []  # recent versions, ascending; not part of the replicated state
 
@@ -129,8 +129,8 @@
         if touched:
             self.version = version
             self.history.append(version)
-            if len(self.history) > 2 * MOST_HISTORY:
-                del self.history[:MOST_HISTORY]
+            if len(self.history) > 2 * MAX_VERSION_HISTORY:
+                del self.history[:MAX_VERSION_HISTORY]
         return tuple(touched)
 
     def touch(
@@ -138,7 +138,7 @@
     ) -> bool:
         service = self.services.get(name)
         if service is None:
-            service = Service(name, self.floor)
+            service = StoredService(name, self.floor)
         if not service.apply(version, resources, keys):
             return False
         self.services[name] = service
@@ -149,7 +149,7 @@
         return True
 
     def forget(self) -> None:
-        while len(self.empty) > MOST_EMPTY:
+        while len(self.empty) > MAX_EMPTY_SERVICES:
             oldest = next(iter(self.empty))
             del self.empty[oldest]
             self.floor = max(self.floor, self.services.pop(oldest).version)
@@ -174,7 +174,7 @@
     def change(self, name: ServiceName, since: Version | None) -> msgspec.Raw:
         """The msgpack of a `ServiceChange`; `since` None: whole."""
         service = self.services.get(name)
-        return (service if service is not None else Service(name, self.floor)).change(since)
+        return (service if service is not None else StoredService(name, self.floor)).change(since)
 
     def before(self, version: Version) -> Version | None:
         """The last version before that one; None: it is not remembered."""
@@ -190,7 +190,7 @@
 
     # ---- as a whole --------------------------------------------------------------------------------
 
-    def row(self) -> CatalogueRow:
+    def row(self) -> ResourceStoreRow:
         services = [
             ServiceRow(
                 name,
@@ -200,13 +200,13 @@
             )
             for name, service in sorted(self.services.items(), key=lambda item: (item[1].version, item[0]))
         ]
-        return CatalogueRow(self.version, self.floor, services)
+        return ResourceStoreRow(self.version, self.floor, services)
 
-    def restore(self, row: CatalogueRow) -> None:
+    def restore(self, row: ResourceStoreRow) -> None:
         self.version, self.floor = row.version, row.floor
         self.services, self.empty, self.history = {}, {}, [row.version]
         for each in row.services:
-            service = self.services[each.service] = Service(each.service, each.floor)
+            service = self.services[each.service] = StoredService(each.service, each.floor)
             service.content = ServiceContent(each.service, {key: body for key, body, _ in each.resources})
             service.changed = {key: at for key, _, at in each.resources}
             service.removed = dict(each.removed)
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -8,19 +8,19 @@
 from ...errors import InvalidDataError
 from ..membership.leases import LeaseHolder
 from ..membership.messages import LeaseRenewed
-from .connecting import Connecting, Phase
-from .errors import DigestMismatch, NoDistributor, OlderVersion, UnknownBase
+from .distributor_connector import ConnectionPhase, DistributorConnector
+from .errors import DigestMismatchError, NoDistributorError, OlderVersionError, UnknownBaseError
 from .interfaces import (
-    Applied,
-    Connected,
-    Due,
-    Lost,
+    ConnectionEstablished,
+    ConnectionLost,
+    DistributorMessageReceived,
     Note,
-    Rescope,
-    Say,
+    ScopeChanged,
+    SendToDistributor,
     SubscriberInput,
     SubscriberOutput,
-    Told,
+    Tick,
+    UpdateApplied,
 )
 from .limits import SubscriberLimits
 from .messages import (
@@ -33,10 +33,10 @@
     Subscribe,
     Update,
 )
-from .subscriber_scope import REASONS, SubscriberScope
+from .subscriber_scope import REJECT_REASONS, SubscriberScope
 from .types import DistributorName, ServiceName, SubscriberName, Version
 
-INCARNATION = 1  # of the lease: numbers of its renewals grow over all connections
+LEASE_INCARNATION = 1  # of the lease: numbers of its renewals grow over all connections
 
 
 class Subscriber:
@@ -57,18 +57,18 @@
         self.asked: frozenset[ServiceName] = frozenset()  # the scope of the last Subscribe
         self.request = 0
         self.open_request = False  # the last Subscribe is not answered yet
-        self.connecting = Connecting(name, distributors, limits, chance, now)
+        self.connecting = DistributorConnector(name, distributors, limits, chance, now)
         self.holder = LeaseHolder(limits.lease, limits.drift)
-        self.holder.begin(INCARNATION)
+        self.holder.begin(LEASE_INCARNATION)
         self.lease_here = 0  # until when answers over this connection alone let the content count as current
         self.alone = False  # no distributor answers; logged once
         self.now, self.out = now, []
         self.steps = {
-            Connected: self.connected,
-            Lost: self.lost,
-            Told: self.told,
-            Rescope: self.rescope,
-            Due: self.timed,
+            ConnectionEstablished: self.connected,
+            ConnectionLost: self.lost,
+            DistributorMessageReceived: self.told,
+            ScopeChanged: self.rescope,
+            Tick: self.timed,
         }
         self.words = {Update: self.update, Current: self.current, Refused: self.refused}
 
@@ -122,10 +122,8 @@
             "resources": sum(len(content.bodies) for content in self.held.services.values()),
         }
 
-    # ---- the connection ----------------------------------------------------------------------------
-
-    def timed(self, input: Due) -> None:
-        if self.connecting.phase is Phase.WAITING:
+    def timed(self, input: Tick) -> None:
+        if self.connecting.phase is ConnectionPhase.WAITING:
             if self.now >= self.connecting.dial_at:
                 self.dial()
             return
@@ -141,17 +139,17 @@
             self.out.append(dial)
         elif not self.alone and self.connecting.choice.none_answers():
             self.alone = True
-            trouble = NoDistributor("no distributor answers", self.name)
+            trouble = NoDistributorError("no distributor answers", self.name)
             fields = {"version": self.version.text(), "age": self.age(self.now)}
             self.out.append(Note("no_distributor", trouble.fields() | fields))
 
-    def connected(self, input: Connected) -> None:
+    def connected(self, input: ConnectionEstablished) -> None:
         if self.connecting.connected(self.now, input.distributor):
             self.lease_here = 0
             self.subscribe()
             self.renew_at_once()
 
-    def lost(self, input: Lost) -> None:
+    def lost(self, input: ConnectionLost) -> None:
         self.connecting.lost(self.now, input.distributor)
 
     def leave(self, why: str, failed: bool = False, again: int = 0) -> None:
@@ -160,24 +158,24 @@
 
     # ---- the subscription --------------------------------------------------------------------------
 
-    def rescope(self, input: Rescope) -> None:
+    def rescope(self, input: ScopeChanged) -> None:
         """What is held stays until the first update for the new scope."""
         self.wanted = input.services
-        if self.connecting.phase is Phase.SERVED:
+        if self.connecting.phase is ConnectionPhase.SERVED:
             self.subscribe_anew()
 
     def subscribe(self) -> None:
         self.request += 1
         self.asked, self.open_request = self.wanted, True
         claim = self.held.claim(self.asked)
-        self.out.append(Say(Subscribe(self.request, self.version, claim)))
+        self.out.append(SendToDistributor(Subscribe(self.request, self.version, claim)))
 
     def subscribe_anew(self) -> None:
         """One subscription is out at a time."""
         if not self.open_request and self.wanted != self.asked:
             self.subscribe()
 
-    def told(self, input: Told) -> None:
+    def told(self, input: DistributorMessageReceived) -> None:
         connecting = self.connecting
         if not connecting.is_connected or input.distributor != connecting.distributor:
             return  # of a connection that is over
@@ -195,7 +193,7 @@
         back = update.version < self.version
         try:
             changed = self.held.apply(update, scope)
-        except (OlderVersion, UnknownBase, DigestMismatch, InvalidDataError) as refused:
+        except (OlderVersionError, UnknownBaseError, DigestMismatchError, InvalidDataError) as refused:
             self.reject(update, refused)
             return
         if back:
@@ -203,23 +201,25 @@
         elif added:
             # Another distributor that was ahead of this one knew nothing of what has been added.
             self.holder.until = min(self.holder.until, self.lease_here)
-        self.out.append(Say(Acknowledge(update.number, update.version, update.digest)))
-        self.out.append(Applied(update.version, changed))
+        self.out.append(SendToDistributor(Acknowledge(update.number, update.version, update.digest)))
+        self.out.append(UpdateApplied(update.version, changed))
         if answers:
             self.answered()
 
     def answered(self) -> None:
         self.open_request, self.alone = False, False
-        if self.connecting.phase is Phase.SUBSCRIBING:
+        if self.connecting.phase is ConnectionPhase.SUBSCRIBING:
             self.connecting.served()
         self.renew_at_once()
         self.subscribe_anew()
 
     def reject(
-        self, update: Update, refused: OlderVersion | UnknownBase | DigestMismatch | InvalidDataError
+        self,
+        update: Update,
+        refused: OlderVersionError | UnknownBaseError | DigestMismatchError | InvalidDataError,
     ) -> None:
-        reason = REASONS[type(refused)]
-        self.out.append(Say(Reject(update.number, reason, self.version, refused.what)))
+        reason = REJECT_REASONS[type(refused)]
+        self.out.append(SendToDistributor(Reject(update.number, reason, self.version, refused.what)))
         fields = {"distributor": self.connecting.distributor, "reason": reason.name}
         self.out.append(Note("update_rejected", refused.fields() | fields))
         if reason is RejectReason.OLDER:
@@ -239,12 +239,12 @@
     def renew(self) -> None:
         number = self.holder.ask(self.now)
         if number is not None:
-            self.out.append(Say(Renew(number)))
+            self.out.append(SendToDistributor(Renew(number)))
 
     def current(self, word: Current) -> None:
         if word.age is None:
             return
-        until = self.holder.heard(LeaseRenewed(word.number, INCARNATION), word.age)
+        until = self.holder.heard(LeaseRenewed(word.number, LEASE_INCARNATION), word.age)
         self.lease_here = max(self.lease_here, until)
         if self.now < self.holder.until:
             self.connecting.patience.current(self.holder.until)
--- a/indigohitch/fleet/distribution/subscriber_connection.py
+++ b/indigohitch/fleet/distribution/subscriber_connection.py
@@ -15,11 +15,22 @@
 from ..transport.messages import SUBSCRIBER, Handshake, HandshakeAccepted
 from ..transport.outbound import OutboundLink
 from ..types import MemberId
-from .errors import NoDistributor
-from .interfaces import Applied, Connected, Dial, HangUp, Lost, Note, Rescope, Say, SubscriberOutput, Told
+from .errors import NoDistributorError
+from .interfaces import (
+    ConnectionEstablished,
+    ConnectionLost,
+    Dial,
+    Disconnect,
+    DistributorMessageReceived,
+    Note,
+    ScopeChanged,
+    SendToDistributor,
+    SubscriberOutput,
+    UpdateApplied,
+)
 from .limits import SubscriberLimits
-from .messages import KINDS
-from .stepping import Stepping
+from .machine_driver import MachineDriver
+from .messages import MESSAGE_TYPES
 from .subscriber import Subscriber
 from .types import DistributorName, ServiceName, SubscriberName
 
@@ -40,10 +51,10 @@
         distributors: Mapping[DistributorName, tuple[str, int]],
         chance: random.Random,
         limits: SubscriberLimits | None = None,
-        applied: Callable[[Applied], None] = lambda output: None,
+        applied: Callable[[UpdateApplied], None] = lambda output: None,
     ) -> None:
         self.loop, self.log, self.fleet, self.name = loop, log, fleet, name
-        self.kinds, self.chance, self.applied = KINDS, chance.random, applied
+        self.kinds, self.chance, self.applied = MESSAGE_TYPES, chance.random, applied
         self.distributors = dict(distributors)
         self.token = chance.getrandbits(62)
         self.link: OutboundLink | None = None
@@ -51,26 +62,26 @@
         weights = dict.fromkeys(distributors, 1.0)
         limits = limits or SubscriberLimits()
         self.machine = Subscriber(name, services, weights, limits, chance, loop.clock.now())
-        self.stepping = Stepping(loop, self.machine, self.carry)
+        self.stepping = MachineDriver(loop, self.machine, self.carry)
 
     def start(self) -> None:
         self.stepping.timer.arm()
 
     def rescope(self, services: Collection[ServiceName]) -> None:
-        self.stepping.step(Rescope(frozenset(services)))
+        self.stepping.step(ScopeChanged(frozenset(services)))
 
     # ---- what the machine wants --------------------------------------------------------------------
 
     def carry(self, output: SubscriberOutput) -> None:
         match output:
-            case Say(message):
+            case SendToDistributor(message):
                 if self.link is not None and not self.link.say(message):
                     self.link.connection.close("no room")
-            case Applied():
+            case UpdateApplied():
                 self.applied(output)
             case Dial(distributor):
                 self.dial(distributor)
-            case HangUp(_, why):
+            case Disconnect(_, why):
                 self.hang_up(why)
             case Note(event, fields):
                 self.log.event(event, **fields)
@@ -105,7 +116,7 @@
 
     def up(self, link: OutboundLink) -> None:
         self.log.event("distributor_reached", distributor=link.name)
-        self.stepping.step(Connected(link.name))
+        self.stepping.step(ConnectionEstablished(link.name))
 
     def down(self, link: OutboundLink, why: str) -> None:
         self.lost(link, why)
@@ -116,12 +127,14 @@
     def lost(self, link: OutboundLink, why: str) -> None:
         if link is self.link:
             self.dropped()
-            self.log.warning("distributor_lost", distributor=link.name, **error_fields(NoDistributor(why)))
-            self.stepping.step(Lost(link.name, why))
+            self.log.warning(
+                "distributor_lost", distributor=link.name, **error_fields(NoDistributorError(why))
+            )
+            self.stepping.step(ConnectionLost(link.name, why))
 
     def replied(self, link: OutboundLink, word: Row) -> None:
         if link is self.link:
-            self.stepping.step(Told(link.name, word))
+            self.stepping.step(DistributorMessageReceived(link.name, word))
 
     def spoilt(self, name: str, broken: BrokenFrameError) -> None:
         log_broken_frame(self.log, name, broken, "distributors")
--- a/indigohitch/fleet/distribution/subscribers.py
+++ b/indigohitch/fleet/distribution/subscriber_registry.py
@@ -11,17 +11,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Claim:
+class PendingClaim:
     """Of a newer version than the distributor has: either it lags, or that version never was."""
 
     word: Subscribe
     since: int
 
 
-class Subscribers:
+class SubscriberRegistry:
     def __init__(self) -> None:
         self.names: dict[int, SubscriberName] = {}  # by connection
-        self.claims: dict[int, Claim] = {}  # in doubt
+        self.claims: dict[int, PendingClaim] = {}  # in doubt
         self.subscriptions: dict[int, Subscription] = {}
         self.by_name: dict[SubscriberName, int] = {}  # served ones
         self.by_service: dict[ServiceName, dict[int, None]] = {}
@@ -51,7 +51,7 @@
         self.reindex(connection, ())
         return subscription
 
-    def doubt(self, connection: int, claim: Claim) -> None:
+    def doubt(self, connection: int, claim: PendingClaim) -> None:
         self.claims[connection] = claim
 
     def decided(self, connection: int) -> None:
--- a/indigohitch/fleet/distribution/subscriber_scope.py
+++ b/indigohitch/fleet/distribution/subscriber_scope.py
@@ -10,15 +10,15 @@
 
 from ...errors import InvalidDataError
 from .content import ServiceContent, scope_digest
-from .errors import DigestMismatch, OlderVersion, UnknownBase
+from .errors import DigestMismatchError, OlderVersionError, UnknownBaseError
 from .messages import HeldService, RejectReason, ServiceChange, Update
 from .types import NO_VERSION, ServiceName
 
 # What a distributor is told of an update that can't be taken.
-REASONS = {
-    OlderVersion: RejectReason.OLDER,
-    UnknownBase: RejectReason.BASE,
-    DigestMismatch: RejectReason.DIGEST,
+REJECT_REASONS = {
+    OlderVersionError: RejectReason.OLDER,
+    UnknownBaseError: RejectReason.BASE,
+    DigestMismatchError: RejectReason.DIGEST,
     InvalidDataError: RejectReason.UNREADABLE,
 }
 
@@ -49,17 +49,17 @@
             return
         if update.whole and update.void == self.version:
             return
-        raise OlderVersion(f"version {update.version.text()} after {self.version.text()}")
+        raise OlderVersionError(f"version {update.version.text()} after {self.version.text()}")
 
     def apply(self, update: Update, scope: Collection[ServiceName]) -> tuple[ServiceName, ...]:
         """Returns the services that are others now, were added or left.  Raises OlderVersion, UnknownBase,
         DigestMismatch, Unreadable; then nothing has changed."""
         self.check_version(update)
         if not update.whole and update.base != self.version:
-            raise UnknownBase(f"an update of {update.base.text()}, held is {self.version.text()}")
+            raise UnknownBaseError(f"an update of {update.base.text()}, held is {self.version.text()}")
         services = self.after(update, scope)
         if scope_digest(services.values()) != update.digest:
-            raise DigestMismatch(f"version {update.version.text()} has another content than told")
+            raise DigestMismatchError(f"version {update.version.text()} has another content than told")
         changed = {
             name
             for name in services.keys() | self.services.keys()
@@ -72,7 +72,7 @@
         held = {} if update.whole else self.services
         services = {name: held.get(name) or ServiceContent(name) for name in scope}
         for raw in update.changes:
-            change = decoded(raw)
+            change = decode_change(raw)
             if change.service not in services:
                 raise InvalidDataError("a change of a service that is not in the scope", change.service)
             before = ServiceContent(change.service) if change.whole else services[change.service]
@@ -80,7 +80,7 @@
         return services
 
 
-def decoded(raw: msgspec.Raw) -> ServiceChange:
+def decode_change(raw: msgspec.Raw) -> ServiceChange:
     """Raises Unreadable."""
     try:
         return msgspec.msgpack.decode(raw, type=ServiceChange)
--- a/indigohitch/fleet/distribution/subscription.py
+++ b/indigohitch/fleet/distribution/subscription.py
@@ -13,15 +13,15 @@
 
 from ..membership.leases import grantor_span
 from .content import scope_digest
-from .errors import DigestMismatch, ScopeTooLarge
+from .errors import DigestMismatchError, ScopeTooLargeError
 from .limits import Limits
 from .messages import Acknowledge, Reject, RejectReason, Subscribe, Update
 from .resource_store import ResourceStore
-from .types import NO_VERSION, ServiceName, SubscriberName, Version, mark
+from .types import NO_VERSION, ServiceName, SubscriberName, Version, subscriber_mark
 
 
 @dataclass(slots=True, frozen=True)
-class Missing:
+class MissingChange:
     """A change that the subscriber lacks.  `since`: when this distributor applied it; `level`: when the
     distributor was last level with the ledger before that (0: never)."""
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Flight:
+class InFlightUpdate:
     """An update that is out."""
 
     number: int
@@ -41,7 +41,7 @@
     size: int
     sent: int
     unknown: frozenset[ServiceName]  # whole in it
-    missing: Missing | None  # the oldest change in it
+    missing: MissingChange | None  # the oldest change in it
 
 
 class Subscription:
@@ -49,16 +49,16 @@
         self, connection: int, subscriber: SubscriberName, catalogue: ResourceStore, limits: Limits
     ) -> None:
         self.connection, self.subscriber = connection, subscriber
-        self.mark = mark(subscriber)
+        self.mark = subscriber_mark(subscriber)
         self.catalogue, self.limits = catalogue, limits
         self.request = 0
         self.scope: tuple[ServiceName, ...] = ()
         self.acknowledged = NO_VERSION
         self.void = NO_VERSION  # claimed, and never was
-        self.dirty: dict[ServiceName, Missing] = {}  # changed since what was acknowledged or is out
+        self.dirty: dict[ServiceName, MissingChange] = {}  # changed since what was acknowledged or is out
         # To be sent whole; None: nothing is held of it, so nothing older is acted on.
-        self.unknown: dict[ServiceName, Missing | None] = {}
-        self.flight: Flight | None = None
+        self.unknown: dict[ServiceName, MissingChange | None] = {}
+        self.flight: InFlightUpdate | None = None
         self.rescope: Subscribe | None = None  # came while an update was out
         self.answered = False  # an update for this request has been acknowledged
         self.number = 0
@@ -75,7 +75,7 @@
         self.acknowledged = claim.held
         if claim.held != NO_VERSION:  # another distributor may have renewed its lease a moment ago
             self.acting_until = now + grantor_span(self.limits.lease, self.limits.drift)
-        lacking = Missing(Version(claim.held.term, claim.held.index + 1), now, 0)
+        lacking = MissingChange(Version(claim.held.term, claim.held.index + 1), now, 0)
         for held in claim.services:
             known = bool(held.digest) and self.limits.resume
             if known and held.digest == self.catalogue.digest(held.service):
@@ -104,7 +104,7 @@
 
     def check_scope(self, claim: Subscribe) -> None:
         if len(claim.services) > self.limits.services:
-            raise ScopeTooLarge(f"{len(claim.services)} services", self.subscriber)
+            raise ScopeTooLargeError(f"{len(claim.services)} services", self.subscriber)
 
     def begin(self, claim: Subscribe) -> None:
         self.check_scope(claim)
@@ -115,9 +115,9 @@
         """The version that the subscriber holds never was: all is sent whole, and until then it lacks all."""
         self.void, self.acknowledged = void, NO_VERSION
         self.dirty.clear()
-        self.unknown = dict.fromkeys(self.scope, Missing(Version(0, 1), now, 0))
+        self.unknown = dict.fromkeys(self.scope, MissingChange(Version(0, 1), now, 0))
 
-    def send_whole(self, missing: Missing | None = None) -> None:
+    def send_whole(self, missing: MissingChange | None = None) -> None:
         """`missing`: the oldest change that was in an update which came to nothing."""
         oldest = self.oldest([missing, self.missing])
         self.unknown = dict.fromkeys(self.scope, oldest)
@@ -125,32 +125,32 @@
 
     # ---- what happens ------------------------------------------------------------------------------
 
-    def changed(self, service: ServiceName, missing: Missing) -> None:
+    def changed(self, service: ServiceName, missing: MissingChange) -> None:
         """Changes of one service that wait become one: the oldest counts for how long."""
         out = self.flight.version if self.flight is not None else self.acknowledged
         if service not in self.unknown and self.catalogue.changed_at(service) > out:
             self.dirty.setdefault(service, missing)
 
-    def catalogue_replaced(self, missing: Missing) -> None:
+    def catalogue_replaced(self, missing: MissingChange) -> None:
         """Any service may have changed; removals may have been forgotten."""
         for service in self.scope:
             self.changed(service, missing)
 
-    def acknowledge(self, word: Acknowledge) -> Flight | None:
+    def acknowledge(self, word: Acknowledge) -> InFlightUpdate | None:
         """The update that it answers; None for one that is not out.  Raises DigestMismatch for a subscriber
         that claims to hold something else than it was sent."""
         flight = self.flight
         if flight is None or word.number != flight.number:
             return None
         if word.version != flight.version or word.digest != flight.digest:
-            raise DigestMismatch("an acknowledgement of something else than was sent", self.subscriber)
+            raise DigestMismatchError("an acknowledgement of something else than was sent", self.subscriber)
         self.flight, self.rejections, self.void = None, 0, NO_VERSION
         self.acknowledged = flight.version
         self.answered = self.answered or flight.request == self.request
         self.start_rescope()
         return flight
 
-    def reject(self, word: Reject) -> Flight | None:
+    def reject(self, word: Reject) -> InFlightUpdate | None:
         """The update that it answers changed nothing; what it held stands.  Raises DigestMismatch where it
         takes nothing that it is sent."""
         flight = self.flight
@@ -159,9 +159,11 @@
         self.flight = None
         self.rejections += 1
         if self.rejections >= self.limits.rejections:
-            raise DigestMismatch(f"{self.rejections} updates rejected in a row: {word.why}", self.subscriber)
+            raise DigestMismatchError(
+                f"{self.rejections} updates rejected in a row: {word.why}", self.subscriber
+            )
         if word.reason is RejectReason.BASE and self.rejections == 1:
-            missing = flight.missing or Missing(flight.version, flight.sent, 0)
+            missing = flight.missing or MissingChange(flight.version, flight.sent, 0)
             self.acknowledged = word.held
             self.unknown.update(dict.fromkeys(flight.unknown, missing))
             self.catalogue_replaced(missing)
@@ -190,7 +192,7 @@
         changes += [catalogue.change(name, self.acknowledged) for name in sorted(self.dirty)]
         size = encoded_size(changes)
         if size > self.limits.update_bytes:
-            raise ScopeTooLarge(f"an update of {size} bytes", self.subscriber)
+            raise ScopeTooLargeError(f"an update of {size} bytes", self.subscriber)
         return Update(
             self.request,
             self.number + 1,
@@ -204,7 +206,7 @@
 
     def sent(self, now: int, update: Update) -> None:
         self.number = update.number
-        self.flight = Flight(
+        self.flight = InFlightUpdate(
             update.number,
             update.request,
             update.version,
@@ -221,14 +223,14 @@
     # ---- what it lacks -----------------------------------------------------------------------------
 
     @property
-    def missing(self) -> Missing | None:
+    def missing(self) -> MissingChange | None:
         """The oldest change that it has not acknowledged, None where it has all that are known here."""
         if self.flight is not None and self.flight.missing is not None:
             return self.flight.missing
         return self.oldest([*self.dirty.values(), *self.unknown.values()])
 
     @staticmethod
-    def oldest(missing: Iterable[Missing | None]) -> Missing | None:
+    def oldest(missing: Iterable[MissingChange | None]) -> MissingChange | None:
         some = [each for each in missing if each is not None]
         return min(some, key=lambda each: (each.version, each.since), default=None)
 
--- a/indigohitch/fleet/distribution/serving.py
+++ b/indigohitch/fleet/distribution/subscription_server.py
@@ -7,17 +7,17 @@
 from .admission import Admission
 from .convergence import ConvergenceTracker
 from .errors import (
-    DistributorBehind,
-    DistributorClosing,
-    DistributorFull,
-    NotLevel,
-    NotServedNow,
-    ScopeTooLarge,
-    SubscriberReplaced,
-    SubscriberSilent,
-    VersionNeverWas,
+    DistributorBehindError,
+    DistributorClosingError,
+    DistributorFullError,
+    DistributorStartingError,
+    ScopeTooLargeError,
+    SubscriberReplacedError,
+    SubscriberTimeoutError,
+    SubscriptionRefusedError,
+    UnknownVersionError,
 )
-from .interfaces import Close, DistributorOutput, Heard, Note, Send
+from .interfaces import CloseConnection, DistributorOutput, MessageReceived, Note, SendToSubscriber
 from .limits import Limits
 from .messages import (
     Acknowledge,
@@ -29,15 +29,15 @@
     Subscribe,
 )
 from .resource_store import ResourceStore
-from .subscribers import Claim, Subscribers
+from .subscriber_registry import PendingClaim, SubscriberRegistry
 from .subscription import Subscription, encoded_size
 from .types import NO_VERSION, Version
 
 
-class Serving:
+class SubscriptionServer:
     def __init__(self, catalogue: ResourceStore, limits: Limits, tally: ConvergenceTracker, now: int) -> None:
         self.catalogue, self.limits, self.tally = catalogue, limits, tally
-        self.subscribers = Subscribers()
+        self.subscribers = SubscriberRegistry()
         self.admission = Admission(limits)
         self.level = 0  # when the distributor was last surely level with the ledger; 0: not since it started
         self.closing = False
@@ -65,11 +65,11 @@
     def close(self, connection: int, why: str) -> None:
         if connection in self.subscribers.names:
             self.forget(connection)
-            self.out.append(Close(connection, why))
+            self.out.append(CloseConnection(connection, why))
 
-    def refuse(self, connection: int, cause: NotServedNow | ScopeTooLarge) -> None:
+    def refuse(self, connection: int, cause: SubscriptionRefusedError | ScopeTooLargeError) -> None:
         word = Refused(cause.reason, self.catalogue.version, self.limits.again, str(cause))
-        self.out.append(Send(connection, word))
+        self.out.append(SendToSubscriber(connection, word))
         self.close(connection, cause.what)
 
     def note(self, event: str, trouble: DirectorError) -> None:
@@ -77,7 +77,7 @@
 
     # ---- what subscribers say ----------------------------------------------------------------------
 
-    def heard(self, input: Heard) -> None:
+    def heard(self, input: MessageReceived) -> None:
         if input.connection not in self.subscribers.names:
             return  # closed here meanwhile
         handle = self.words.get(type(input.message))
@@ -86,7 +86,7 @@
             return
         try:
             handle(input.connection, input.message)
-        except (NotServedNow, ScopeTooLarge) as cause:
+        except (SubscriptionRefusedError, ScopeTooLargeError) as cause:
             self.refuse(input.connection, cause)
         except DirectorError as trouble:
             self.note("subscriber_closed", trouble)
@@ -98,13 +98,13 @@
             self.subscribers.index(connection)
             self.admission.want(connection)
         elif self.closing:
-            raise DistributorClosing("this distributor is about to end")
+            raise DistributorClosingError("this distributor is about to end")
         elif not self.level:
-            raise NotLevel("not level with the ledger since it started")
+            raise DistributorStartingError("not level with the ledger since it started")
         elif self.subscribers.count_besides(connection) >= self.limits.subscribers:
-            raise DistributorFull(f"serves {self.limits.subscribers} subscribers")
+            raise DistributorFullError(f"serves {self.limits.subscribers} subscribers")
         elif self.limits.guard_versions and claim.held > self.catalogue.version:
-            self.subscribers.doubt(connection, Claim(claim, self.now))
+            self.subscribers.doubt(connection, PendingClaim(claim, self.now))
         else:
             self.accept(connection, claim)
 
@@ -115,10 +115,10 @@
         self.subscribers.decided(connection)
         if void != NO_VERSION:
             subscription.forget_claim(self.now, void)
-            self.note("version_void", VersionNeverWas(f"version {void.text()} is claimed", name))
+            self.note("version_void", UnknownVersionError(f"version {void.text()} is claimed", name))
         earlier = self.subscribers.connection_of(name)
         if earlier is not None:
-            replaced = SubscriberReplaced("connected again", name)
+            replaced = SubscriberReplacedError("connected again", name)
             self.note("subscriber_replaced", replaced)
             self.close(earlier, replaced.text())
         self.subscribers.serve(connection, subscription)
@@ -142,7 +142,7 @@
         )
         older = word.reason is RejectReason.OLDER or word.held > self.catalogue.version
         if older and self.limits.guard_versions:
-            raise DistributorBehind(f"the subscriber holds {word.held.text()}")
+            raise DistributorBehindError(f"the subscriber holds {word.held.text()}")
         elif subscription.reject(word) is not None:
             self.update_answered(connection)
 
@@ -159,7 +159,7 @@
         if age is not None:
             until = self.now - age + grantor_span(self.limits.lease, self.limits.drift)
             subscription.acting_until = max(subscription.acting_until, until)
-        self.out.append(Send(connection, Current(word.number, self.catalogue.version, age)))
+        self.out.append(SendToSubscriber(connection, Current(word.number, self.catalogue.version, age)))
 
     def age(self, subscription: Subscription) -> int | None:
         """All that was committed so long ago is in what the subscriber has acknowledged."""
@@ -180,14 +180,14 @@
             return False
         try:
             update = subscription.compose()
-        except ScopeTooLarge as too_large:
+        except ScopeTooLargeError as too_large:
             self.refuse(connection, too_large)
             return False
         if not self.admission.fits(connection, encoded_size(update.changes)):
             return False
         subscription.sent(self.now, update)
         self.admission.sent(connection, subscription.flight.size)
-        self.out.append(Send(connection, update))
+        self.out.append(SendToSubscriber(connection, update))
         return True
 
     # ---- once in a while ---------------------------------------------------------------------------
@@ -205,15 +205,15 @@
     def accept_claim(self, connection: int, word: Subscribe, void: Version = NO_VERSION) -> None:
         try:
             self.accept(connection, word, void)
-        except ScopeTooLarge as too_large:
+        except ScopeTooLargeError as too_large:
             self.refuse(connection, too_large)
 
     def sweep(self) -> None:
         """Ends with those that don't answer, and sends away those whose claim could not be judged."""
         for connection in self.subscribers.unanswered(self.now - self.limits.acknowledge):
             name = self.subscribers.names[connection]
-            silent = SubscriberSilent("an update was not answered in time", name)
+            silent = SubscriberTimeoutError("an update was not answered in time", name)
             self.note("subscriber_silent", silent)
             self.close(connection, silent.text())
         for connection in self.subscribers.doubts_before(self.now - self.limits.again):
-            self.refuse(connection, DistributorBehind("the subscriber holds a newer version"))
+            self.refuse(connection, DistributorBehindError("the subscriber holds a newer version"))
--- a/indigohitch/fleet/distribution/types.py
+++ b/indigohitch/fleet/distribution/types.py
@@ -25,10 +25,10 @@
 NO_VERSION = Version(0, 0)  # of who holds nothing
 
 
-MARK = 4  # bytes of a subscriber's mark: among 6,500 two are alike once in two hundred fleets
+MARK_BYTES = 4  # bytes of a subscriber's mark: among 6,500 two are alike once in two hundred fleets
 
 
-def mark(subscriber: SubscriberName) -> bytes:
+def subscriber_mark(subscriber: SubscriberName) -> bytes:
     """A short name for reports that list all subscribers."""
     return xxhash.xxh32_digest(subscriber.encode())
 
--- a/indigohitch/fleet/node/admin_requests.py
+++ b/indigohitch/fleet/node/admin_requests.py
@@ -21,7 +21,7 @@
 
 from ...errors import InvalidRequestError, UnavailableError
 from ..batches.admin_requests import batch_of, word_of
-from ..distribution.admin_requests import entry_of
+from ..distribution.admin_requests import parse_entry
 from ..types import Outcome
 from .messages import BODY
 
@@ -84,7 +84,7 @@
         self.put("batches.word", msgspec.msgpack.encode(word_of(rest)))
 
     def distribute(self, rest: str, line: dict) -> None:
-        entry = entry_of(rest, line.get("services"))
+        entry = parse_entry(rest, line.get("services"))
         self.put(f"distribution.{rest}", msgspec.msgpack.encode(entry))
 
     def put(self, kind: str, body: bytes) -> None:
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -18,9 +18,9 @@
 from ..audit.work import AuditWork
 from ..batches.part import Batches
 from ..batches.setup import work_of as batches_work
-from ..distribution.distributor_role import DistributorRole, Read
+from ..distribution.distributor_role import ConfirmedRead, DistributorRole
 from ..distribution.messages import Report
-from ..distribution.replicated_part import Distribution
+from ..distribution.replicated_part import DistributionPart
 from ..fleet_clock import FleetClock, FleetClockWork
 from ..interfaces import StateMachinePart, Work
 from ..membership.member_work import Membership
@@ -42,7 +42,7 @@
     voters: Callable[[], Collection[str]]
     lease: Callable[[int], Lease | None]
     token: Callable[[], int]  # 62 bits of chance
-    read: Read | None = None  # confirmed by a majority
+    read: ConfirmedRead | None = None  # confirmed by a majority
     say: Callable[[str, Row], bool] | None = None  # to another member
 
 
@@ -72,7 +72,7 @@
 
 def parts() -> list[StateMachinePart]:
     """In a fixed order; each only knows those before it."""
-    return [Notes(), Roster(), FleetClock(), Heads(), Seats(), Batches(), Distribution()]
+    return [Notes(), Roster(), FleetClock(), Heads(), Seats(), Batches(), DistributionPart()]
 
 
 def assembled(place: Place) -> Assembly:
@@ -109,7 +109,7 @@
     return Assembly(state_machine, membership, acts, auditing, works, batches.felt, distributing)
 
 
-def distributing_of(place: Place, part: Distribution) -> DistributorRole | None:
+def distributing_of(place: Place, part: DistributionPart) -> DistributorRole | None:
     """None where the file names another member, or none, as a distributor."""
     text = place.text
     if text.me not in text.distributors:
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -16,7 +16,7 @@
 from ...net.loop import Deadline, EventLoop
 from ...upgrade import process_launch
 from ...upgrade.handover_participant import HandoverParticipant
-from ..distribution.interfaces import Applied
+from ..distribution.interfaces import UpdateApplied
 from ..distribution.subscriber_connection import SubscriberConnection
 from .headless import HeadlessProcess
 from .headless_handover import HeadlessHandover
@@ -51,7 +51,7 @@
         self.telling = self.loop.after(TOLD, self.tell)
         self.log.event("content", **self.following.figures()["distribution"])
 
-    def applied(self, output: Applied) -> None:
+    def applied(self, output: UpdateApplied) -> None:
         age = self.following.machine.age(self.loop.clock.now())
         self.log.event(
             "version_applied",
--- a/proofs/scalekit/hollow.py
+++ b/proofs/scalekit/hollow.py
@@ -15,8 +15,8 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent.parent))
 
-from indigohitch.fleet.distribution.connecting import Phase  # noqa: E402
-from indigohitch.fleet.distribution.interfaces import Told  # noqa: E402
+from indigohitch.fleet.distribution.distributor_connector import ConnectionPhase  # noqa: E402
+from indigohitch.fleet.distribution.interfaces import DistributorMessageReceived  # noqa: E402
 from indigohitch.fleet.distribution.limits import SubscriberLimits  # noqa: E402
 from indigohitch.fleet.distribution.messages import Update  # noqa: E402
 from indigohitch.fleet.distribution.subscriber_connection import SubscriberConnection  # noqa: E402
@@ -41,14 +41,16 @@
 
     @property
     def served(self) -> bool:
-        return self.machine.connecting.phase is Phase.SERVED
+        return self.machine.connecting.phase is ConnectionPhase.SERVED
 
     def watched(self, input) -> None:
         if self.muted:
             return
         held = self.machine.version
         match input:
-            case Told(_, Update(whole=True, void=void)) if held != NO_VERSION and void == NO_VERSION:
+            case DistributorMessageReceived(_, Update(whole=True, void=void)) if (
+                held != NO_VERSION and void == NO_VERSION
+            ):
                 self.record.wholes += not self.record.tampered
         self.step(input)
         self.record.stands(clock(), self.served)
--- a/tests/distribution_truth.py
+++ b/tests/distribution_truth.py
@@ -1,7 +1,12 @@
 """What must hold of distributors and subscribers after each step, and the ledger that says what is true."""
 
 from indigohitch.fleet.distribution.content import ServiceContent, scope_digest
-from indigohitch.fleet.distribution.replicated_part import Remove, ServiceKeys, ServiceResources, Set
+from indigohitch.fleet.distribution.replicated_part import (
+    RemoveResources,
+    ServiceKeys,
+    ServiceResources,
+    SetResources,
+)
 from indigohitch.fleet.distribution.types import NO_VERSION, Resource, Version
 from indigohitch.fleet.membership.leases import grantor_span
 from indigohitch.net.clock import SECOND
@@ -16,10 +21,10 @@
 
     def set(self, service, bodies):
         resources = tuple(Resource(key, body) for key, body in bodies.items())
-        self.append("set", Set((ServiceResources(service, resources),)), service, bodies, ())
+        self.append("set", SetResources((ServiceResources(service, resources),)), service, bodies, ())
 
     def remove(self, service, *keys):
-        self.append("remove", Remove((ServiceKeys(service, keys),)), service, {}, keys)
+        self.append("remove", RemoveResources((ServiceKeys(service, keys),)), service, {}, keys)
 
     def append(self, word, body, service, bodies, keys):
         version = Version(self.term, len(self.log) + 1)
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -13,7 +13,7 @@
 from indigohitch.fleet.distribution.distributor import Distributor
 from indigohitch.fleet.distribution.limits import Limits, SubscriberLimits
 from indigohitch.fleet.distribution.messages import Update
-from indigohitch.fleet.distribution.replicated_part import Distribution
+from indigohitch.fleet.distribution.replicated_part import DistributionPart
 from indigohitch.fleet.distribution.subscriber import Subscriber
 from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.net.clock import SECOND
@@ -26,7 +26,7 @@
     """A distributor's process: `held_up`: it hears nothing of the ledger any more."""
 
     name: str
-    part: Distribution
+    part: DistributionPart
     machine: Distributor
     position: int = 0  # in the ledger
     held_up: bool = False
@@ -70,12 +70,12 @@
             changed = server.part.apply(
                 EntryContext(version.index, version.term, self.now, "", 0), word, body
             )
-            self.put(server, interfaces.Changed(changed))
+            self.put(server, interfaces.ResourcesChanged(changed))
 
     # ---- processes ---------------------------------------------------------------------------------
 
     def start(self, name):
-        part = Distribution()
+        part = DistributionPart()
         machine = Distributor(name, part.catalogue, self.limits, self.now, self.names)
         self.servers[name] = server = Server(name, part, machine)
         self.at(self.now, self.follow, server)
@@ -137,7 +137,7 @@
 
     def rescope(self, name, scope):
         self.scopes[name] = frozenset(scope)
-        self.put(self.subscribers[name], interfaces.Rescope(self.scopes[name]))
+        self.put(self.subscribers[name], interfaces.ScopeChanged(self.scopes[name]))
 
     # ---- time --------------------------------------------------------------------------------------
 
@@ -162,16 +162,16 @@
         if self.timers.get(process) == due:
             del self.timers[process]
             if process.name not in self.stopped:
-                self.put(process, interfaces.Due())
+                self.put(process, interfaces.Tick())
 
     def tick(self):
         for server in [server for server in self.servers.values() if self.lives(server)]:
             if self.majority and server.position == len(self.log):
-                self.put(server, interfaces.Level(self.now))
+                self.put(server, interfaces.CaughtUp(self.now))
             report = server.machine.report(self.now)
             for other in self.servers.values():
                 if other is not server and self.lives(other):
-                    self.put(other, interfaces.HeardReport(report))
+                    self.put(other, interfaces.ReportReceived(report))
         self.check_leases()
         self.at(self.now + TICK, self.tick)
 
@@ -189,7 +189,7 @@
             link = self.links.get(getattr(output, "connection", 0))
             if isinstance(output, interfaces.Note):
                 self.notes.append((server.name, output))
-            elif link is not None and isinstance(output, interfaces.Send):
+            elif link is not None and isinstance(output, interfaces.SendToSubscriber):
                 if isinstance(output.message, Update):
                     self.updates.append((self.now, server.name, link.subscriber, output.message))
                 self.send(link, 1, output.message)
@@ -206,11 +206,11 @@
                 self.dial(machine, output.distributor)
             elif isinstance(output, interfaces.Note):
                 self.notes.append((machine.name, output))
-            elif isinstance(output, interfaces.Applied):
+            elif isinstance(output, interfaces.UpdateApplied):
                 self.check_applied(machine, before, input.message)
-            elif link is not None and isinstance(output, interfaces.HangUp):
+            elif link is not None and isinstance(output, interfaces.Disconnect):
                 self.hang_up(link)
-            elif link is not None and isinstance(output, interfaces.Say):
+            elif link is not None and isinstance(output, interfaces.SendToDistributor):
                 self.send(link, 0, output.message)
         self.wake(machine)
 
--- a/tests/golden/fleet/write_frames.py
+++ b/tests/golden/fleet/write_frames.py
@@ -154,7 +154,10 @@
     ),
 ]
 # By file: the table of numbers, and the words said with it.
-TABLES = {"frames-members": (node.KINDS, MEMBERS), "frames-subscribers": (distribution.KINDS, SUBSCRIBERS)}
+TABLES = {
+    "frames-members": (node.KINDS, MEMBERS),
+    "frames-subscribers": (distribution.MESSAGE_TYPES, SUBSCRIBERS),
+}
 
 
 def plain(value: object) -> object:
--- a/tests/golden/fleet/write_rows.py
+++ b/tests/golden/fleet/write_rows.py
@@ -25,8 +25,8 @@
 from indigohitch.fleet.distribution import messages
 from indigohitch.fleet.distribution.content import ServiceContent, scope_digest
 from indigohitch.fleet.distribution.convergence import ConvergenceReport
-from indigohitch.fleet.distribution.distributor_role import plain
-from indigohitch.fleet.distribution.types import mark
+from indigohitch.fleet.distribution.distributor_role import convergence_status
+from indigohitch.fleet.distribution.types import subscriber_mark
 from indigohitch.fleet.membership import entries as wishes
 from indigohitch.fleet.membership.member_work import Membership
 from indigohitch.fleet.membership.roster import Roster
@@ -127,7 +127,7 @@
     fill, service = Filler().row, ServiceContent("maps", {"m2": b"two", "m1": b"one"})
     shown = fill(contract.Pass)
     return {
-        "in_force": plain(fill(ConvergenceReport)),
+        "in_force": convergence_status(fill(ConvergenceReport)),
         "seats": seats_figures(),
         "wishes": wished(),
         "audit_report": auditing.shown(fill(auditing.Report)),
@@ -135,7 +135,7 @@
         "service_change": msgspec.msgpack.encode(fill(messages.ServiceChange)).hex(),
         "service_digest": service.digest.hex(),
         "scope_digest": scope_digest([service, ServiceContent("empty")]).hex(),
-        "mark": mark("s1").hex(),
+        "mark": subscriber_mark("s1").hex(),
         "acts": [RELAY, about("stop 1").hex()],
         "finding": msgspec.msgpack.encode(fill(check.Finding)).hex(),
     }
--- a/tests/golden/fleet/write_story.py
+++ b/tests/golden/fleet/write_story.py
@@ -11,7 +11,13 @@
 
 from indigohitch.fleet.audit.heads import Head
 from indigohitch.fleet.batches import rows as batches
-from indigohitch.fleet.distribution.replicated_part import Remove, Replace, ServiceKeys, ServiceResources, Set
+from indigohitch.fleet.distribution.replicated_part import (
+    RemoveResources,
+    ReplaceResources,
+    ServiceKeys,
+    ServiceResources,
+    SetResources,
+)
 from indigohitch.fleet.distribution.types import Resource
 from indigohitch.fleet.fleet_clock import Tick
 from indigohitch.fleet.membership import entries as members
@@ -142,10 +148,12 @@
         )
 
     maps = given("maps", m1=b"10.0.0.1:80 serving", m2=b"10.0.0.2:80 serving")
-    story.put("distribution.set", Set(services=(maps, given("ocr", o1=b"10.0.1.1:80 serving"))))
-    story.put("distribution.remove", Remove(services=(ServiceKeys(service="maps", keys=("m1", "no")),)))
-    story.put("distribution.replace", Replace(services=(given("ocr", o2=b"10.0.1.2:80 draining"),)))
-    story.put("distribution.set", Set(services=(given("maps", m3=b"x" * 5000),)))
+    story.put("distribution.set", SetResources(services=(maps, given("ocr", o1=b"10.0.1.1:80 serving"))))
+    story.put(
+        "distribution.remove", RemoveResources(services=(ServiceKeys(service="maps", keys=("m1", "no")),))
+    )
+    story.put("distribution.replace", ReplaceResources(services=(given("ocr", o2=b"10.0.1.2:80 draining"),)))
+    story.put("distribution.set", SetResources(services=(given("maps", m3=b"x" * 5000),)))
 
 
 def evicted(story: Story) -> None:
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -6,7 +6,7 @@
 from distribution_world import World, refusals, settled
 from indigohitch.fleet.distribution.limits import Limits
 from indigohitch.fleet.distribution.messages import RefusalReason
-from indigohitch.fleet.distribution.subscriber_scope import decoded
+from indigohitch.fleet.distribution.subscriber_scope import decode_change
 from indigohitch.net.clock import SECOND
 
 
@@ -95,7 +95,7 @@
 
 def test_a_region_cut_off_resumes_with_one_message_of_what_differs():
     updates = a_region_is_cut_off(Limits())
-    changes = [decoded(raw) for update in updates for raw in update.changes]
+    changes = [decode_change(raw) for update in updates for raw in update.changes]
     assert all(not change.whole and len(change.changed) == 2 for change in changes)
     assert len(changes) <= 4 and all(change.removed == ("a",) for change in changes)
 
--- a/tests/test_distribution_found.py
+++ b/tests/test_distribution_found.py
@@ -4,7 +4,7 @@
 from indigohitch.fleet.distribution.distributor import Distributor
 from indigohitch.fleet.distribution.limits import Limits
 from indigohitch.fleet.distribution.messages import HeldService, RefusalReason, Subscribe, Update
-from indigohitch.fleet.distribution.replicated_part import Distribution, ServiceResources, Set
+from indigohitch.fleet.distribution.replicated_part import DistributionPart, ServiceResources, SetResources
 from indigohitch.fleet.distribution.types import NO_VERSION, Resource, Version
 from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.fleet.membership.leases import grantor_span
@@ -15,11 +15,13 @@
 
 
 def distributor(limits=LIMITS):
-    part = Distribution()
-    part.apply(EntryContext(1, 1, 0, "", 0), "set", Set((ServiceResources("s", (Resource("a", b""),)),)))
+    part = DistributionPart()
+    part.apply(
+        EntryContext(1, 1, 0, "", 0), "set", SetResources((ServiceResources("s", (Resource("a", b""),)),))
+    )
     machine = Distributor("d", part.catalogue, limits, NOW)
-    machine.step(NOW, interfaces.Level(NOW))
-    machine.step(NOW, interfaces.Joined(1, "one"))
+    machine.step(NOW, interfaces.CaughtUp(NOW))
+    machine.step(NOW, interfaces.SubscriberConnected(1, "one"))
     return machine
 
 
@@ -29,17 +31,21 @@
 
 def test_who_subscribes_again_while_its_claim_is_in_doubt_is_served_once():
     machine = distributor()
-    machine.step(NOW, interfaces.Heard(1, Subscribe(1, Version(1, 9), (HeldService("s", b"x"),))))
-    assert updates(machine.step(NOW, interfaces.Heard(1, Subscribe(2, NO_VERSION, (HeldService("s"),)))))
-    assert machine.step(NOW + 1, interfaces.Level(NOW + 1)) == []
+    machine.step(NOW, interfaces.MessageReceived(1, Subscribe(1, Version(1, 9), (HeldService("s", b"x"),))))
+    assert updates(
+        machine.step(NOW, interfaces.MessageReceived(1, Subscribe(2, NO_VERSION, (HeldService("s"),))))
+    )
+    assert machine.step(NOW + 1, interfaces.CaughtUp(NOW + 1)) == []
     subscribers = machine.serving.subscribers
     assert list(subscribers.subscriptions) == list(subscribers.names) == [1] and not subscribers.claims
 
 
 def test_requests_that_do_not_grow_leave_nothing_of_an_older_scope():
     machine = distributor()
-    machine.step(NOW, interfaces.Heard(1, Subscribe(0, NO_VERSION, (HeldService("s"), HeldService("t")))))
-    machine.step(NOW, interfaces.Heard(1, Subscribe(0, NO_VERSION, (HeldService("u"),))))
+    machine.step(
+        NOW, interfaces.MessageReceived(1, Subscribe(0, NO_VERSION, (HeldService("s"), HeldService("t"))))
+    )
+    machine.step(NOW, interfaces.MessageReceived(1, Subscribe(0, NO_VERSION, (HeldService("u"),))))
     subscription = machine.serving.subscribers.subscriptions[1]
     assert subscription.flight is not None and subscription.scope == ("s", "t")
     assert subscription.rescope is not None and not subscription.unknown
@@ -47,8 +53,8 @@
 
 def test_who_is_lost_at_once_may_act_under_the_lease_of_the_distributor_before():
     machine = distributor()
-    machine.step(NOW, interfaces.Heard(1, Subscribe(1, Version(1, 1), (HeldService("s", b"x"),))))
-    machine.step(NOW, interfaces.Left(1))
+    machine.step(NOW, interfaces.MessageReceived(1, Subscribe(1, Version(1, 1), (HeldService("s", b"x"),))))
+    machine.step(NOW, interfaces.SubscriberDisconnected(1))
     lost = machine.report(NOW + SECOND).unreachable
     assert [one.acting for one in lost] == [grantor_span(LIMITS.lease, LIMITS.drift) - SECOND]
 
@@ -56,12 +62,12 @@
 def test_a_full_distributor_takes_back_who_is_served_there_over_another_connection():
     machine = distributor(Limits(subscribers=1))
     claim = Subscribe(1, NO_VERSION, (HeldService("s"),))
-    machine.step(NOW, interfaces.Heard(1, claim))
-    machine.step(NOW, interfaces.Joined(2, "two"))
-    refused = machine.step(NOW, interfaces.Heard(2, claim))
+    machine.step(NOW, interfaces.MessageReceived(1, claim))
+    machine.step(NOW, interfaces.SubscriberConnected(2, "two"))
+    refused = machine.step(NOW, interfaces.MessageReceived(2, claim))
     assert refused[0].message.reason is RefusalReason.FULL
-    machine.step(NOW, interfaces.Joined(3, "one"))
-    outputs = machine.step(NOW, interfaces.Heard(3, claim))
+    machine.step(NOW, interfaces.SubscriberConnected(3, "one"))
+    outputs = machine.step(NOW, interfaces.MessageReceived(3, claim))
     assert updates(outputs) and [
-        each.connection for each in outputs if isinstance(each, interfaces.Close)
+        each.connection for each in outputs if isinstance(each, interfaces.CloseConnection)
     ] == [1]
--- a/tests/test_distribution_in_force.py
+++ b/tests/test_distribution_in_force.py
@@ -3,17 +3,17 @@
 from collections import Counter
 
 from distribution_world import World, settled
-from indigohitch.fleet.distribution.choice import rendezvous
 from indigohitch.fleet.distribution.convergence import FleetConvergence
+from indigohitch.fleet.distribution.distributor_choice import rendezvous_order
 from indigohitch.fleet.distribution.limits import Limits
 from indigohitch.fleet.distribution.messages import Report
-from indigohitch.fleet.distribution.types import Version, mark
+from indigohitch.fleet.distribution.types import Version, subscriber_mark
 from indigohitch.fleet.membership.leases import grantor_span
 from indigohitch.net.clock import SECOND
 
 
 def marks(names):
-    return b"".join(mark(name) for name in names)
+    return b"".join(subscriber_mark(name) for name in names)
 
 
 def report(name, version, in_force, connected=(), lost=(), age=0):
@@ -75,10 +75,10 @@
 
 def test_rendezvous_spreads_those_of_a_lost_distributor_over_all_others():
     weights = dict.fromkeys("abcdef", 1.0)
-    orders = [rendezvous(f"s{number}", weights) for number in range(6_500)]
+    orders = [rendezvous_order(f"s{number}", weights) for number in range(6_500)]
     first = Counter(order[0] for order in orders)
     assert max(first.values()) < 1.1 * 6_500 / 6
     after = Counter(order[1] if order[0] == "a" else order[0] for order in orders)
     assert max(after.values()) < 1.1 * 6_500 / 5
-    heavy = Counter(rendezvous(f"s{number}", weights | {"a": 2.0})[0] for number in range(6_500))
+    heavy = Counter(rendezvous_order(f"s{number}", weights | {"a": 2.0})[0] for number in range(6_500))
     assert 0.9 * 2 / 7 < heavy["a"] / 6_500 < 1.1 * 2 / 7
--- a/tests/test_distribution_patience.py
+++ b/tests/test_distribution_patience.py
@@ -5,8 +5,8 @@
 import pytest
 
 from indigohitch.fleet.distribution import interfaces
+from indigohitch.fleet.distribution.connection_deadlines import ConnectionDeadlines
 from indigohitch.fleet.distribution.limits import SubscriberLimits
-from indigohitch.fleet.distribution.patience import Patience
 from indigohitch.fleet.distribution.subscriber import Subscriber
 from indigohitch.net.clock import SECOND
 
@@ -15,7 +15,7 @@
 
 
 def test_patience_with_silence_doubles_until_one_brings_the_content_up_to_date():
-    patience, spans = Patience(LIMITS, random.Random(1), 0), []
+    patience, spans = ConnectionDeadlines(LIMITS, random.Random(1), 0), []
     for _ in range(5):
         patience.heard(1_000)
         spans.append((patience.silent_at - 1_000) // LIMITS.answer)
@@ -28,7 +28,7 @@
 
 def test_one_that_was_current_is_left_as_soon_as_its_lease_is_over():
     """Who is cut off from the ledger is left in time for the next one to tell a change within 6 s."""
-    patience = Patience(LIMITS, random.Random(1), 0)
+    patience = ConnectionDeadlines(LIMITS, random.Random(1), 0)
     patience.connected(0, True)
     assert patience.stale_at == LIMITS.lease
     patience.current(LIMITS.lease + 7)
@@ -46,7 +46,7 @@
     while True:
         now = max(now, one.due)
         if (
-            any(isinstance(output, interfaces.Dial) for output in one.step(now, interfaces.Due()))
+            any(isinstance(output, interfaces.Dial) for output in one.step(now, interfaces.Tick()))
             and now >= back
         ):
             return now - back
--- a/tests/test_distribution_role.py
+++ b/tests/test_distribution_role.py
@@ -6,8 +6,8 @@
 import pytest
 
 from indigohitch.fleet.distribution.distributor_role import DistributorRole
-from indigohitch.fleet.distribution.interfaces import Changed, Level
-from indigohitch.fleet.distribution.replicated_part import Distribution, ServiceResources, Set
+from indigohitch.fleet.distribution.interfaces import CaughtUp, ResourcesChanged
+from indigohitch.fleet.distribution.replicated_part import DistributionPart, ServiceResources, SetResources
 from indigohitch.fleet.distribution.types import Resource
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.types import LogEntry
@@ -25,7 +25,7 @@
 
 def test_a_read_that_an_entry_completes_counts_after_that_entry(looped):
     """An update made between the two would have another digest than its content (proofs/scale.py)."""
-    part, reads, heard = Distribution(), [], []
+    part, reads, heard = DistributionPart(), [], []
     state = ReplicatedStateMachine([part])
     log = Kept(looped.clock, "d1")
     role = DistributorRole(
@@ -34,14 +34,14 @@
     step = role.connections.stepping.step
     role.connections.stepping.step = lambda input: (heard.append(type(input)), step(input))
     role.confirm(looped.clock.now())
-    body = msgspec.msgpack.encode(Set((ServiceResources("maps", (Resource("m1", b"serving"),)),)))
+    body = msgspec.msgpack.encode(SetResources((ServiceResources("maps", (Resource("m1", b"serving"),)),)))
     entry = LogEntry(1, 1, "distribution.set", body, "n1", 1, 1)
     outcome = state.apply(entry)
     reads[0](1)
     role.applied(looped.clock.now(), entry, outcome)
-    looped.until(lambda: Level in heard)
+    looped.until(lambda: CaughtUp in heard)
     role.close()
-    assert heard[:2] == [Changed, Level]
+    assert heard[:2] == [ResourcesChanged, CaughtUp]
 
 
 def test_the_soft_limit_on_descriptors_is_raised_as_far_as_it_goes(monkeypatch):
@@ -61,7 +61,7 @@
         "d1",
         1,
         {"d1": address},
-        Distribution(),
+        DistributionPart(),
         lambda done: None,
         lambda name, word: True,
     )
