--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -8,7 +8,7 @@
 from ..log import Log
 from ..platform_protocol.backend_source import ListCallback
 from .errors import NoInstancesError
-from .instances import Instances, Told
+from .instances import Instances, ListUpdate
 
 Resources = Callable[[str], Mapping[str, bytes]]
 
@@ -43,7 +43,7 @@
         news = self.instances.changes(self.version) if self.begun else self.instances.whole(self.version)
         self.pass_on(news)
 
-    def pass_on(self, told: Told | None) -> None:
+    def pass_on(self, told: ListUpdate | None) -> None:
         if told is not None:
             self.begun = True
             self.log.count("subscription_lists")
