--- a/tools/rename_map.py
+++ b/tools/rename_map.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import fnmatch
 import tomllib
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -43,8 +44,11 @@
                 return ".".join([self.modules[prefix], *parts[length:]])
         return dotted
 
-    def may_touch(self, text: str) -> bool:
-        """Whether any old name stands in this text at all: parsing is slow."""
+    def may_touch(self, path: str, text: str) -> bool:
+        """Whether any old name that counts in this file stands in its text at all: parsing is slow."""
         dotted = [*self.modules, *self.symbols]
-        old = {name.rsplit(".", 1)[1] for name in dotted} | {rule.old for rule in self.attributes}
+        old = {name.rsplit(".", 1)[1] for name in dotted}
+        for rule in self.attributes:
+            if any(fnmatch.fnmatch(path, pattern) for pattern in rule.paths):
+                old.add(rule.old)
         return any(name in text for name in old | set(self.strings))
--- a/tools/renamer.py
+++ b/tools/renamer.py
@@ -188,15 +188,25 @@
         return updated_node.with_changes(names=names)
 
 
+class AttributeRenamer(Renamer):
+    """The same for a map of attributes and strings only: names need not be resolved, which is slow."""
+
+    METADATA_DEPENDENCIES = (PositionProvider,)
+
+    def _new_symbol(self, node: cst.CSTNode) -> str | None:
+        return None
+
+
 def renamed(job: tuple[RenameMap, str]) -> tuple[str, str | None, list[str]]:
     """The new text of a file, None where nothing changes, and what the attribute rules met."""
     rename_map, path = job
     text = Path(path).read_text()
-    if not rename_map.may_touch(text):
+    if not rename_map.may_touch(path, text):
         return path, None, []
+    kind = Renamer if rename_map.modules or rename_map.symbols else AttributeRenamer
     wrapper = MetadataWrapper(
         cst.parse_module(text), cache={FullyQualifiedNameProvider: module_of(path)}, unsafe_skip_copy=True
     )
-    renamer = Renamer(rename_map, path)
+    renamer = kind(rename_map, path)
     new = wrapper.visit(renamer).code
     return path, new if new != text else None, renamer.found
