--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -79,10 +79,10 @@
     def more_figures(self) -> dict:
         front = self.side.front
         return {
-            "proxies": len(front.holdings.proxies),
-            "slices": len(front.holdings.stood),
+            "proxies": len(front.store_mirror.proxies),
+            "slices": len(front.store_mirror.stood),
             "calls_waiting": len(front.relay.waiting),
-            "relay_watch_started": front.holdings.begun,
+            "relay_watch_started": front.store_mirror.begun,
         }
 
     def file_now(self) -> Text:
--- a/indigohitch/platform_protocol/call_log.py
+++ b/indigohitch/platform_protocol/call_log.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Occupancy:
+class ChannelOccupancy:
     """How full the two bounds of the channel are as a call is considered."""
 
     messages: int  # written within the window that the settings count over
@@ -31,7 +31,7 @@
         self.number += 1
         self.tries = 0
 
-    def sent(self, orders: Sequence[face.Order], lines: int, found: Occupancy) -> None:
+    def sent(self, orders: Sequence[face.Order], lines: int, found: ChannelOccupancy) -> None:
         """A call goes out with so many lines to all proxies."""
         self.tries += 1
         self.log.event(
@@ -45,7 +45,7 @@
             calls=found.waiting,
         )
 
-    def held(self, event: str, found: Occupancy, for_tenths: int, **fields) -> None:
+    def held(self, event: str, found: ChannelOccupancy, for_tenths: int, **fields) -> None:
         """The call at the head of the queue waits for the bound that `event` names."""
         self.log.warning(
             event,
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -17,11 +17,11 @@
 from ..net.loop import Deadline, EventLoop
 from .call_codec import FORM, encode, form
 from .call_log import CallLog
-from .call_resolution import Effect
-from .channel_backlog import Backlog
-from .channel_limits import ChannelBounds
-from .in_flight_call import FirstCall
-from .invariants import Attempt, Guard
+from .call_resolution import CallOutcome
+from .channel_backlog import ChannelBacklog
+from .channel_limits import ChannelLimits
+from .in_flight_call import InFlightCall
+from .invariants import Attempt, InvariantChecker
 from .outbox import Outbox
 
 
@@ -39,17 +39,17 @@
         methods: Sequence[str],
         most: int,
         over: int,
-        backlog: Backlog,
+        backlog: ChannelBacklog,
     ) -> None:
         """A proxy may get `most` messages (0: any number) within `over`; `backlog` bounds their lines."""
         self.loop, self.log, self.methods = loop, log, methods
         self.outbox, self.backlog = Outbox(log, methods, backlog), backlog
         self.told = CallLog(log)
-        self.bounds = ChannelBounds(
+        self.bounds = ChannelLimits(
             self.outbox, MessageRateLimit(most, over + self.MARGIN), backlog, self.told
         )
-        self.first = FirstCall(loop, self._found)
-        self.guard = Guard(log, most, over, backlog)
+        self.first = InFlightCall(loop, self._found)
+        self.guard = InvariantChecker(log, most, over, backlog)
         self.failing: Callable[[str], None] = lambda outcome: None  # a call broke, and how
         self.stands: Callable[[list[face.Order]], None] = lambda orders: None  # what becomes of orders
         self.dropped: Callable[[list[face.Order]], None] = lambda orders: None
@@ -204,7 +204,7 @@
     def _answered(self, answer: HttpResponse) -> None:
         raise NotImplementedError
 
-    def _found(self, effect: Effect, proved: int) -> None:
+    def _found(self, effect: CallOutcome, proved: int) -> None:
         raise NotImplementedError
 
     def _repeat(self) -> None:
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -20,7 +20,7 @@
 from .relay_watch import EventStream, event_of
 
 
-class MarkProof:
+class MarkerEvidence:
     """Whether a mark that a proxy has answered shows that a call was carried out, to its end.
 
     A mark that an earlier call had, as after a module that began anew, shows nothing."""
@@ -48,7 +48,7 @@
         return mark == self.mark
 
 
-class Effect(Enum):
+class CallOutcome(Enum):
     """What became of a call; the log tells the value."""
 
     NONE = "none"  # it was not carried out
@@ -66,15 +66,20 @@
     end: int
 
 
-class Evidence:
+class TableEvidence:
     """What the tables `stood` before say of the `orders` of a call.  No I/O."""
 
     def __init__(
-        self, stood: stored_tables.Tables, orders: Sequence[face.Order], maybe: Iterable[face.Order] = ()
+        self,
+        stood: stored_tables.StoredTables,
+        orders: Sequence[face.Order],
+        maybe: Iterable[face.Order] = (),
     ) -> None:
         """`maybe`: orders that went before, of which nobody knows; `orders` make up for them."""
         changed = {
-            n: stored_tables.Table(dict(stood[n].lines)) for n in stored_tables.touched(orders) if n in stood
+            n: stored_tables.StoredTable(dict(stood[n].lines))
+            for n in stored_tables.touched(orders)
+            if n in stood
         }
         earlier = {n: set(table.lines.items()) for n, table in changed.items()}
         for order in maybe:
@@ -114,16 +119,16 @@
                 self._found[table] = (backend, weight) in sign.after
 
     @property
-    def effect(self) -> Effect:
+    def effect(self) -> CallOutcome:
         if not self.any:
-            return Effect.UNKNOWN
+            return CallOutcome.UNKNOWN
         first, last = self._found.get(self._first.table), self._found.get(self._last.table)
         if first and last:
-            return Effect.STANDS
-        return Effect.NONE if first is False and last is False else Effect.UNKNOWN
+            return CallOutcome.STANDS
+        return CallOutcome.NONE if first is False and last is False else CallOutcome.UNKNOWN
 
 
-class Inquiry:
+class OutcomeQuery:
     """Reads from a stream of its own what stands, again and again until that tells or it is dropped."""
 
     WITHIN = SECOND // 20  # a call is carried out by then, counted from when it went, or never
@@ -132,18 +137,18 @@
     AGAIN = SECOND // 10
     DOUBLINGS = 3  # of that wait, where what was read did not tell
 
-    def __init__(self, loop: EventLoop, told: Callable[[Effect, int], None]) -> None:
+    def __init__(self, loop: EventLoop, told: Callable[[CallOutcome, int], None]) -> None:
         """`told` hears the effect, and how many orders are proved to stand by it."""
         self.loop, self.told = loop, told
         self.to: tuple[str, int] | None = None
-        self.evidence: Evidence | None = None  # while one is open
+        self.evidence: TableEvidence | None = None  # while one is open
         self.until_known = False
         self.due: Deadline | None = None
         self.exchange: HttpExchange | None = None
         self.heard = False  # in this try: the relay is in reach
         self.read_in_vain = 0  # tries that were answered and did not tell
 
-    def open(self, to: tuple[str, int], went: int, evidence: Evidence, until_known: bool) -> None:
+    def open(self, to: tuple[str, int], went: int, evidence: TableEvidence, until_known: bool) -> None:
         """Into a call that went at `went`; one that is open goes on.  An effect that stays unknown is told
         once the relay has shown to be in reach, or never where it is asked `until_known`."""
         self.until_known = until_known
@@ -167,7 +172,7 @@
             return
         self.heard = True
         effect, proved = self.evidence.effect, self.evidence.proved
-        if effect is not Effect.UNKNOWN:
+        if effect is not CallOutcome.UNKNOWN:
             self.drop()
             self.told(effect, proved)
         elif not self.evidence.any:
@@ -187,7 +192,7 @@
         self._close()
         if self.heard and not self.until_known:
             self.evidence = None
-            self.told(Effect.UNKNOWN, 0)
+            self.told(CallOutcome.UNKNOWN, 0)
             return
         self.read_in_vain += self.heard
         self.due = self.loop.after(self.AGAIN << min(self.read_in_vain, self.DOUBLINGS), self._ask)
--- a/indigohitch/platform_protocol/channel_backlog.py
+++ b/indigohitch/platform_protocol/channel_backlog.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Sent:
+class SentCall:
     """A call that may lie in the channel."""
 
     each: int  # lines to each proxy
@@ -26,7 +26,7 @@
         return self.each * len(self.waiting)
 
 
-class Backlog:
+class ChannelBacklog:
     """At most `most` lines (0: any number) may wait.
 
     What proxies have answered by marks has left.  Of the rest `pace` lines leave in a second.  Both come from
@@ -38,7 +38,7 @@
         """Each call goes to all `proxies`, with `head` lines of its own."""
         self.most, self.pace = most, pace
         self.head, self.proxies = head, proxies
-        self.calls: list[Sent] = []  # in the order in which they went
+        self.calls: list[SentCall] = []  # in the order in which they went
         self.lines, self.at = 0.0, 0  # that may wait, and when
 
     def size(self, orders: Sequence[face.Order]) -> int:
@@ -50,16 +50,16 @@
         many = len(self.proxies())
         return cut(orders, int(self.most / many) - self.head) if self.most and many else len(orders)
 
-    def sent(self, now: int, orders: Sequence[face.Order]) -> Sent:
+    def sent(self, now: int, orders: Sequence[face.Order]) -> SentCall:
         self._drain(now)
         last = orders[-1]
         mark = last.mark if isinstance(last, face.UpdateMarker) else None
-        call = Sent(len(orders) + self.head, mark, set(self.proxies()))
+        call = SentCall(len(orders) + self.head, mark, set(self.proxies()))
         self.calls.append(call)
         self.lines += call.lines
         return call
 
-    def taken_back(self, call: Sent) -> None:
+    def taken_back(self, call: SentCall) -> None:
         """It was surely not carried out."""
         if call in self.calls:
             self.calls.remove(call)
--- a/indigohitch/platform_protocol/channel_limits.py
+++ b/indigohitch/platform_protocol/channel_limits.py
@@ -3,15 +3,17 @@
 from __future__ import annotations
 
 from ..logic.rate_limit import MessageRateLimit
-from .call_log import CallLog, Occupancy
-from .channel_backlog import Backlog, Sent
+from .call_log import CallLog, ChannelOccupancy
+from .channel_backlog import ChannelBacklog, SentCall
 from .outbox import Outbox
 
 
-class ChannelBounds:
-    def __init__(self, outbox: Outbox, pace: MessageRateLimit, backlog: Backlog, told: CallLog) -> None:
+class ChannelLimits:
+    def __init__(
+        self, outbox: Outbox, pace: MessageRateLimit, backlog: ChannelBacklog, told: CallLog
+    ) -> None:
         self.outbox, self.pace, self.backlog, self.told = outbox, pace, backlog, told
-        self.copies: list[Sent] = []  # the first call, each time that it went
+        self.copies: list[SentCall] = []  # the first call, each time that it went
         self.wanting = 0  # lines of the first call, while it waits for room in the channel
 
     def free_at(self, now: int, in_doubt: bool) -> int:
@@ -65,5 +67,5 @@
             self.last_not_carried_out()
         return many
 
-    def occupancy(self) -> Occupancy:
-        return Occupancy(len(self.pace.sent), round(self.backlog.lines), len(self.outbox.calls))
+    def occupancy(self) -> ChannelOccupancy:
+        return ChannelOccupancy(len(self.pace.sent), round(self.backlog.lines), len(self.outbox.calls))
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -14,7 +14,7 @@
 from ..logic.state import DEPARTING_STATES
 from ..net.clock import SECOND
 from ..net.loop import EventLoop
-from .stored_tables import Tables
+from .stored_tables import StoredTables
 
 
 class PausedTime:
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Departure:
+class DrainingBackend:
     """A backend that leaves, since when, and the slices whose lines there were told to be late."""
 
     state: str
@@ -45,7 +45,7 @@
     done: int | None = None  # when it was seen to hold no line
 
 
-class DrainWatch:
+class DrainMonitor:
     # The protocol's slack on sockets, for the time limits of drains.
     SLACK = SECOND * 3 // 10
     # For so long time limits wait after a call that broke, after one without an answer that can be read, and
@@ -60,7 +60,7 @@
         loop: EventLoop,
         log: Log,
         grace: int,
-        stood: Callable[[], Tables],
+        stood: Callable[[], StoredTables],
         queued: Callable[[], int],
         gone_binds: bool = True,
     ) -> None:
@@ -68,7 +68,7 @@
         wait; `gone_binds`: also a backend that is gone, and not only one that drains, may hold no line."""
         self.loop, self.log, self.grace, self.stood, self.queued = loop, log, grace, stood, queued
         self.binding = DEPARTING_STATES if gone_binds else DEPARTING_STATES[:1]
-        self.leaving: dict[str, Departure] = {}
+        self.leaving: dict[str, DrainingBackend] = {}
         self.withdrawn: set[str] = set()
         self.time = PausedTime()
         self.given: dict[int, int] = {}  # slices that came into charge, by the time that stands still
@@ -99,7 +99,7 @@
             self.leaving.pop(backend, None)
         elif known is None and state in self.binding:
             now = self.loop.clock.now()
-            self.leaving[backend] = Departure(state, now, self.time.at(now))
+            self.leaving[backend] = DrainingBackend(state, now, self.time.at(now))
         elif known is not None:
             known.state = state
 
@@ -146,14 +146,14 @@
             self.checking = True
             self.loop.after(self.CHECK, self.check)
 
-    def _without_lines(self, backend: str, departure: Departure, now: int) -> None:
+    def _without_lines(self, backend: str, departure: DrainingBackend, now: int) -> None:
         if departure.done is None:
             departure.done = now
             self.log.event("drain_completed", backend=backend, after_ms=(now - departure.told) / 10)
         elif now - departure.done > self.KEPT:
             del self.leaving[backend]
 
-    def _judge(self, backend: str, departure: Departure, slices: list[int], now: int) -> None:
+    def _judge(self, backend: str, departure: DrainingBackend, slices: list[int], now: int) -> None:
         if not slices:
             self._without_lines(backend, departure, now)
             return
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -21,16 +21,16 @@
 from .backend_source import BackendSource, ListCallback
 from .backend_start_times import Starts
 from .call_codec import NO_CALL
-from .channel_backlog import Backlog
+from .channel_backlog import ChannelBacklog
 from .discovery import Discovery, parse_backend_list
-from .drain_monitor import DrainWatch
+from .drain_monitor import DrainMonitor
 from .inbound_connections import Collectors
 from .messages import Known
 from .probes import Probes
 from .relay import Relay
 from .relay_watch import News
 from .resource_limits import Limits
-from .store_mirror import Holdings
+from .store_mirror import StoreMirror
 
 
 class Front:
@@ -72,30 +72,35 @@
             [method.name for method in self.boot["methods"]],
             self.boot.get("messages_most", 0),
             self.boot.get("counted_over", 0),
-            Backlog(
+            ChannelBacklog(
                 self._figure("queue_cap") * MAX_PENDING_SHARE,
                 self._figure("lines_per_s") * UNACKNOWLEDGED_DRAIN_SHARE,
                 self._figure("envelope"),
-                lambda: self.holdings.proxies,
+                lambda: self.store_mirror.proxies,
             ),
         )
-        self.holdings = Holdings(loop, log, self.hear_news, self.relay.pending, self._order_more)
-        self.relay.stands, self.relay.dropped = self._stand, self.holdings.dropped
-        self.drains = DrainWatch(
+        self.store_mirror = StoreMirror(loop, log, self.hear_news, self.relay.pending, self._order_more)
+        self.relay.stands, self.relay.dropped = self._stand, self.store_mirror.dropped
+        self.drain_monitor = DrainMonitor(
             loop,
             log,
             self._figure("drain_grace"),
-            lambda: self.holdings.stood,
+            lambda: self.store_mirror.stood,
             lambda: len(self.relay.waiting),
             not self.boot.get("dropped_stay_open"),
         )
-        self.holdings.given, self.holdings.broken_off = self.drains.slice_given, self.drains.news_lost
-        self.relay.failing = self.drains.relay_failed
-        self.relay.guard.begun = lambda: self.holdings.begun or bool(self.holdings.stood)
-        self.relay.guard.too_late = self.drains.grace_over
-        self.news = News(loop, log, store, self.holdings)
-        self.relay.first.stood = lambda: self.holdings.stood
-        self.relay.outbox.urgent = lambda orders: urgent_tables(self.coordinator, orders, self.holdings.stood)
+        self.store_mirror.given, self.store_mirror.broken_off = (
+            self.drain_monitor.slice_given,
+            self.drain_monitor.news_lost,
+        )
+        self.relay.failing = self.drain_monitor.relay_failed
+        self.relay.guard.begun = lambda: self.store_mirror.begun or bool(self.store_mirror.stood)
+        self.relay.guard.too_late = self.drain_monitor.grace_over
+        self.news = News(loop, log, store, self.store_mirror)
+        self.relay.first.stood = lambda: self.store_mirror.stood
+        self.relay.outbox.urgent = lambda orders: urgent_tables(
+            self.coordinator, orders, self.store_mirror.stood
+        )
         self.relay.doubted = self.news.anew
         zones, slices = self.boot.get("zones"), self.boot.get("slices")
         self.known = Known(
@@ -180,7 +185,7 @@
     def _tell_all(self) -> None:
         self.anew = False
         self.hear(face.BackendList("remembered", self.discovery.version, tuple(self.listed.values())))
-        self.holdings.tell_all()
+        self.store_mirror.tell_all()
 
     def _carry(self, orders: list[face.Order]) -> None:
         call = []
@@ -217,8 +222,8 @@
         self.relay.order(orders, joins=True)
 
     def _stand(self, orders: list[face.Order]) -> None:
-        self.holdings.stands(orders)
-        self.drains.stands(orders)
+        self.store_mirror.stands(orders)
+        self.drain_monitor.stands(orders)
 
     # ---- news --------------------------------------------------------------------------------------
 
@@ -248,7 +253,7 @@
                 del self.listed[entry.backend], self.addresses[entry.backend]
         for id in [id for id in self.heard_of if id not in self.listed][: -self.GONE]:
             del self.heard_of[id]
-        self.drains.listed(news)
+        self.drain_monitor.listed(news)
         self.hear(news)
 
     def close(self) -> None:
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -8,12 +8,12 @@
 from ..upgrade.module_state import freeze, thaw
 from . import stored_tables
 from .backend_start_times import Start
-from .channel_backlog import Sent
+from .channel_backlog import SentCall
 from .front import Front
 
 
 def front_state(front: Front) -> shots.CoordinatorState:
-    relay, holdings = front.relay, front.holdings
+    relay, holdings = front.relay, front.store_mirror
     return shots.CoordinatorState(
         freeze(front.coordinator),
         [list(event_codec.pack_entry(entry)) for entry in front.listed.values()],
@@ -52,7 +52,7 @@
     front.heard_of.clear()
     front.heard_of.update(dict.fromkeys(state.heard_of))  # the reader of lines holds the same dict
     front.discovery.restore(state.version)
-    relay, holdings = front.relay, front.holdings
+    relay, holdings = front.relay, front.store_mirror
     relay.held = True
     waiting = [[event_codec.unpack(order) for order in call] for call in state.waiting]
     relay.restore(
@@ -61,7 +61,7 @@
     _restore_backlog(front)
     holdings.proxies = {joined.proxy: joined for joined in map(event_codec.unpack, state.proxies)}
     holdings.stood = {
-        row.number: stored_tables.Table(dict(row.lines), row.level and event_codec.unpack(row.level))
+        row.number: stored_tables.StoredTable(dict(row.lines), row.level and event_codec.unpack(row.level))
         for row in state.stood
     }
     holdings.begun, holdings.lost = state.begun, set(state.lost)
@@ -74,7 +74,7 @@
     to_go = list(relay.waiting)[1 if relay.first.failures else 0 :]
     unsent = {order.mark for call in to_go for order in call if isinstance(order, face.UpdateMarker)}
     calls = [
-        Sent(each, mark, set(proxies))
+        SentCall(each, mark, set(proxies))
         for mark, (each, proxies) in channel.unacked.items()
         if mark not in unsent
     ]
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -180,6 +180,6 @@
             front.discovery.subscribe(True)
         for backend in self.state.probing:
             front.probes.send(backend, front.addresses.get(backend))
-        if front.holdings.lost:
-            front.holdings.tell_lost_soon()
+        if front.store_mirror.lost:
+            front.store_mirror.tell_lost_soon()
         front.relay.hold(False)
--- a/indigohitch/platform_protocol/in_flight_call.py
+++ b/indigohitch/platform_protocol/in_flight_call.py
@@ -8,22 +8,22 @@
 from ..logic.call_scheduling import BLIND_RETRY_DELAY, retry_delay
 from ..net.loop import EventLoop
 from . import stored_tables
-from .call_resolution import Effect, Evidence, Inquiry, MarkProof
+from .call_resolution import CallOutcome, MarkerEvidence, OutcomeQuery, TableEvidence
 
 
-class FirstCall:
-    def __init__(self, loop: EventLoop, found: Callable[[Effect, int], None]) -> None:
-        """`found` hears what the store tells of a call in doubt (Inquiry)."""
+class InFlightCall:
+    def __init__(self, loop: EventLoop, found: Callable[[CallOutcome, int], None]) -> None:
+        """`found` hears what the store tells of a call in doubt (OutcomeQuery)."""
         self.loop = loop
         self.failures = 0  # tries that may have been carried out
         self.may_repeat = False  # it is in doubt, and may go again
         self.unsent = 0  # tries in a row by which nothing went out
         self.went = self.went_before = 0  # when a call did last that may have been carried out; and before
-        self.proof = MarkProof()
-        self.inquiry = Inquiry(loop, found)
+        self.proof = MarkerEvidence()
+        self.inquiry = OutcomeQuery(loop, found)
         # Orders of earlier calls that nobody knows of, each once: what they set goes again in this one.
         self.maybe: dict[face.Order, None] = {}
-        self.stood: Callable[[], stored_tables.Tables] = (
+        self.stood: Callable[[], stored_tables.StoredTables] = (
             dict  # what stands in the store, but for calls in doubt
         )
 
@@ -67,7 +67,7 @@
 
     def inquire(self, to: tuple[str, int], orders: Sequence[face.Order], until_known: bool = False) -> None:
         """What stands in the store may tell, and costs no message; a sign of life lets it go again."""
-        evidence = Evidence(self.stood(), orders, self.maybe)
+        evidence = TableEvidence(self.stood(), orders, self.maybe)
         if evidence.any or not until_known:
             self.inquiry.open(to, self.went, evidence, until_known)
 
--- a/indigohitch/platform_protocol/invariants.py
+++ b/indigohitch/platform_protocol/invariants.py
@@ -14,7 +14,7 @@
 from .. import interface as face
 from ..log import Log
 from ..net.clock import SECOND
-from .channel_backlog import Backlog
+from .channel_backlog import ChannelBacklog
 
 
 class Invariant(enum.Enum):
@@ -38,12 +38,12 @@
     out: bool  # another one is out
 
 
-class Guard:
+class InvariantChecker:
     TOLD = 20  # backends in one log line
     AGAIN = SECOND // 4  # until a call that may not go is looked at again
     SETTLED = SECOND // 20  # a call is carried out by then, counted from when it went, or never
 
-    def __init__(self, log: Log, most: int, over: int, backlog: Backlog) -> None:
+    def __init__(self, log: Log, most: int, over: int, backlog: ChannelBacklog) -> None:
         """A proxy may get `most` messages (0: any number) within `over` tenths of a ms."""
         self.log, self.most, self.over, self.backlog = log, most, over, backlog
         self.went: deque[int] = deque()  # within the last `over`
--- a/indigohitch/platform_protocol/outbox.py
+++ b/indigohitch/platform_protocol/outbox.py
@@ -9,7 +9,7 @@
 from ..log import Log
 from ..logic.call_scheduling import is_urgent, urgent_orders_first
 from .call_codec import merge, pieces
-from .channel_backlog import Backlog
+from .channel_backlog import ChannelBacklog
 
 
 class Outbox:
@@ -19,7 +19,7 @@
     # is bounded.
     WAITING = 8
 
-    def __init__(self, log: Log, methods: Sequence[str], backlog: Backlog) -> None:
+    def __init__(self, log: Log, methods: Sequence[str], backlog: ChannelBacklog) -> None:
         self.log, self.methods, self.backlog = log, methods, backlog
         self.calls: deque[list[face.Order]] = deque()
         # Which tables among orders have a time limit to keep, as things stand.
--- a/indigohitch/platform_protocol/relay.py
+++ b/indigohitch/platform_protocol/relay.py
@@ -8,7 +8,7 @@
 from ..net.http_exchange import HttpResponse
 from .call_codec import encode, read_answer
 from .call_queue import CallQueue
-from .call_resolution import Effect
+from .call_resolution import CallOutcome
 
 
 class Relay(CallQueue):
@@ -77,13 +77,13 @@
         self.first.may_repeat = True
         self._call()
 
-    def _found(self, effect: Effect, proved: int) -> None:
+    def _found(self, effect: CallOutcome, proved: int) -> None:
         """What stands in the store tells what became of the call, or only that the relay is in reach."""
-        if effect is Effect.UNKNOWN:
+        if effect is CallOutcome.UNKNOWN:
             self._wait_until(self.first.repeat_at(in_reach=True), self._repeat)
             return
         self.log.event("call_outcome_resolved", effect=effect.value, orders=proved)
-        if effect is Effect.STANDS:
+        if effect is CallOutcome.STANDS:
             self._taken(proved, "tables")
         else:
             for _ in range(self.bounds.none_carried_out()):
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -12,7 +12,7 @@
 from . import stored_tables
 
 
-class Opening:
+class InitialSnapshot:
     """The start of the news, until its first sign of life."""
 
     def __init__(self, answered: list[face.Order]) -> None:
@@ -22,7 +22,7 @@
         self.answered = answered  # orders answered since it was asked for
 
 
-class Holdings:
+class StoreMirror:
     # A slice and its lines come one by one, perhaps in pieces, and the module hears of them together, once
     # nothing more came for so long.  At the start nothing presses, and the first sign of life ends it.
     SETTLE, SETTLE_AT_START = SECOND // 20, SECOND // 10
@@ -39,11 +39,11 @@
         """`pending`: the orders not known to stand; `order`: for the few that make an event true."""
         self.loop, self.log, self.hear, self.pending, self.order = loop, log, hear, pending, order
         self.proxies: dict[int, face.ProxyJoined] = {}
-        self.stood: stored_tables.Tables = {}  # what stands in the store, by slice in charge
-        self.fresh: stored_tables.Tables = {}  # slices given, not told to the module yet
+        self.stood: stored_tables.StoredTables = {}  # what stands in the store, by slice in charge
+        self.fresh: stored_tables.StoredTables = {}  # slices given, not told to the module yet
         self.since: list[face.Order] = []  # orders answered while some were
         self.settling: Deadline | None = None
-        self.opening: Opening | None = None
+        self.opening: InitialSnapshot | None = None
         self.asked: list[face.Order] | None = None  # orders answered since the next stream was asked for
         self.begun = False  # the news have told once what stands
         self.lost: set[int] = set()  # tables whose orders were dropped: to be told anew
@@ -58,7 +58,7 @@
 
     def news_opening(self) -> None:
         self._unsettled()
-        self.opening, self.asked = Opening(self.asked or []), None
+        self.opening, self.asked = InitialSnapshot(self.asked or []), None
 
     def news_lost(self) -> None:
         """What the stream told last may be half a table: the next one tells it whole."""
@@ -82,7 +82,9 @@
                 if number not in self.stood:
                     self.given(number)
                 known = self.stood.get(number) if self.opening is not None else None
-                self.fresh[number] = stored_tables.Table(level=known.level if known is not None else None)
+                self.fresh[number] = stored_tables.StoredTable(
+                    level=known.level if known is not None else None
+                )
                 if self.opening is None or number in self.opening.taken:
                     self._repeat(number)
                 self._settle_soon()
@@ -100,7 +102,7 @@
                     return
                 if number not in self.fresh:  # a line that comes late joins those told before
                     known = self.stood[number]
-                    self.fresh[number] = stored_tables.Table(dict(known.lines), known.level)
+                    self.fresh[number] = stored_tables.StoredTable(dict(known.lines), known.level)
                 self.fresh[number].lines[backend] = weight
                 self._settle_soon()
             case _:
@@ -126,7 +128,7 @@
         span = self.SETTLE if self.opening is None else self.SETTLE_AT_START
         self.settling = self.loop.after(span, self._settle)
 
-    def _unsettled(self) -> tuple[stored_tables.Tables, list[face.Order]]:
+    def _unsettled(self) -> tuple[stored_tables.StoredTables, list[face.Order]]:
         """The slices not told yet, no longer ours to tell, and what was answered meanwhile."""
         if self.settling is not None:
             self.settling.cancel()
@@ -152,7 +154,7 @@
             self.given(number)  # another has written there: it was in another's charge meanwhile
         self._tell(changed)
 
-    def _make_true(self, fresh: stored_tables.Tables, answered: list[face.Order]) -> None:
+    def _make_true(self, fresh: stored_tables.StoredTables, answered: list[face.Order]) -> None:
         """What was answered since the stream was asked for may or may not be in what it told.  Where it is
         not, the slice may have been another's meanwhile, when orders are answered and change nothing: they go
         again, and what waits for those slices after them."""
@@ -190,7 +192,7 @@
 
     # ---- orders ------------------------------------------------------------------------------------
 
-    def ahead(self) -> stored_tables.Tables:
+    def ahead(self) -> stored_tables.StoredTables:
         """What will stand once all that is ordered does: what the module takes for standing."""
         ahead = stored_tables.copy(self.stood)
         stored_tables.carry_out(ahead, self.pending())
--- a/indigohitch/platform_protocol/stored_tables.py
+++ b/indigohitch/platform_protocol/stored_tables.py
@@ -10,15 +10,15 @@
 
 
 @dataclass(slots=True)
-class Table:
+class StoredTable:
     lines: dict[str, float] = field(default_factory=dict)
     level: face.SetAdmission | None = None  # the level of its own, where it has one
 
 
-Tables = dict[int, Table]
+StoredTables = dict[int, StoredTable]
 
 
-def carry_out(tables: Tables, orders: Iterable[face.Order]) -> None:
+def carry_out(tables: StoredTables, orders: Iterable[face.Order]) -> None:
     """What these orders make of the tables; an order for a slice not in charge changes nothing."""
     for order in orders:
         table = tables.get(getattr(order, "table", face.ALL_TABLES))
@@ -34,15 +34,15 @@
             table.level = order
 
 
-def copy(tables: Tables) -> Tables:
-    return {number: Table(dict(table.lines), table.level) for number, table in tables.items()}
+def copy(tables: StoredTables) -> StoredTables:
+    return {number: StoredTable(dict(table.lines), table.level) for number, table in tables.items()}
 
 
 def touched(orders: Iterable[face.Order]) -> set[int]:
     return {o.table for o in orders if isinstance(o, (face.SetRoute, face.ClearTable, face.SetAdmission))}
 
 
-def given(number: int, table: Table) -> list[face.Event]:
+def given(number: int, table: StoredTable) -> list[face.Event]:
     """A slice with its lines, as the module hears of it."""
     return [
         face.SliceOwnership(number, True),
@@ -50,7 +50,7 @@
     ]
 
 
-def levels_reset(numbers: Iterable[int], tables: Tables) -> list[face.Order]:
+def levels_reset(numbers: Iterable[int], tables: StoredTables) -> list[face.Order]:
     """A slice given comes without a level: where one stands, this makes it true."""
     return [
         replace(tables[n].level, methods=(), level=1.0)
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -13,9 +13,9 @@
 from indigohitch.net.http_exchange import HttpResponse
 from indigohitch.platform_protocol import stored_tables
 from indigohitch.platform_protocol.backend_list_log import log_list
-from indigohitch.platform_protocol.call_log import CallLog, Occupancy
+from indigohitch.platform_protocol.call_log import CallLog, ChannelOccupancy
 from indigohitch.platform_protocol.front import Front
-from indigohitch.platform_protocol.invariants import Guard, Invariant
+from indigohitch.platform_protocol.invariants import Invariant, InvariantChecker
 from listroom import Hands
 from log_names import former_line, former_pattern
 from relay_room import Room
@@ -65,7 +65,7 @@
 
 
 def _call_log(log: Kept) -> None:
-    told, orders, full = CallLog(log), [face.ClearTable(1), face.ClearTable(2)], Occupancy(3, 40, 2)
+    told, orders, full = CallLog(log), [face.ClearTable(1), face.ClearTable(2)], ChannelOccupancy(3, 40, 2)
     told.begin()
     told.sent(orders, 12, full)
     told.held("call_held_back", full, 125)
@@ -84,7 +84,7 @@
 
 
 def _invariants(log: Kept) -> None:
-    guard = Guard(log, 1, 1, SimpleNamespace(most=0, lines=0))
+    guard = InvariantChecker(log, 1, 1, SimpleNamespace(most=0, lines=0))
     for invariant in Invariant:
         guard._violated(invariant, orders=1)
     guard.refused([face.SetRoute(1, "b2", 1.0), face.SetRoute(2, "b1", 1.0)])
@@ -108,8 +108,8 @@
     with MonkeyPatch.context() as patch:
         room = Room(patch)
         room.relay.log = log
-        room.stood[1] = stored_tables.Table({"b0": 1.0})
-        room.store[1] = stored_tables.Table(after)
+        room.stood[1] = stored_tables.StoredTable({"b0": 1.0})
+        room.store[1] = stored_tables.StoredTable(after)
         room.relay.order([face.SetRoute(1, "b0", 0.0), face.SetRoute(1, "b1", 2.0)])
         calls = log.counts["relay_calls"]
         room.answer("reset")
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -16,7 +16,7 @@
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol import call_queue, call_resolution, discovery, probes, relay_watch
 from indigohitch.platform_protocol.call_codec import FORM, encode, form, read_answer
-from indigohitch.platform_protocol.call_resolution import Evidence, Inquiry
+from indigohitch.platform_protocol.call_resolution import OutcomeQuery, TableEvidence
 from indigohitch.platform_protocol.relay_watch import EventStream, event_of
 from listroom import Hands
 from log_names import former_counts
@@ -161,8 +161,8 @@
 
 def _inquiry(_: list[str]) -> list[dict]:
     with Desk(call_resolution) as desk:
-        inquiry = Inquiry(desk.loop, lambda effect, proved: None)
-        inquiry.open(TO, desk.loop.clock.now() - SECOND, Evidence({}, []), False)
+        inquiry = OutcomeQuery(desk.loop, lambda effect, proved: None)
+        inquiry.open(TO, desk.loop.clock.now() - SECOND, TableEvidence({}, []), False)
         desk.loop.turn()
         return Recorder.asked
 
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -12,7 +12,7 @@
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol import call_queue, call_resolution, stored_tables
 from indigohitch.platform_protocol import relay as calls
-from indigohitch.platform_protocol.channel_backlog import Backlog
+from indigohitch.platform_protocol.channel_backlog import ChannelBacklog
 from seam import Shifted
 
 
@@ -59,7 +59,7 @@
             ["search"],
             most,
             over,
-            Backlog(
+            ChannelBacklog(
                 cap * MAX_PENDING_SHARE, pace * UNACKNOWLEDGED_DRAIN_SHARE, head, lambda: range(self.proxies)
             ),
         )
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_gate.py
@@ -6,7 +6,7 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import EventLoop
-from indigohitch.platform_protocol.channel_backlog import Backlog
+from indigohitch.platform_protocol.channel_backlog import ChannelBacklog
 from indigohitch.platform_protocol.relay import Relay
 from indigohitch.standins.stamped import Stamped
 
@@ -43,7 +43,7 @@
         ["search"],
         0,
         0,
-        Backlog(0, 0),
+        ChannelBacklog(0, 0),
     )
     went, void, may = [], [], False
     relay.client.request = lambda *words: went.append(words[4])
--- a/tests/test_crossing_backlog.py
+++ b/tests/test_crossing_backlog.py
@@ -5,7 +5,7 @@
 from indigohitch import interface as face
 from indigohitch.net.clock import SECOND
 from indigohitch.platform_protocol.call_codec import cut, merge
-from indigohitch.platform_protocol.channel_backlog import Backlog
+from indigohitch.platform_protocol.channel_backlog import ChannelBacklog
 from relay_room import Channel, Room
 from stage import SETTINGS, drain, none_lost
 from waiting import eventually
@@ -69,7 +69,7 @@
 
 
 def test_what_may_wait_in_the_channel_at_any_moment():
-    backlog = Backlog(most=900, pace=500, head=9, proxies=lambda: range(10))
+    backlog = ChannelBacklog(most=900, pace=500, head=9, proxies=lambda: range(10))
     call = lines(61, 1)
     assert backlog.size(call) == 700
     backlog.sent(0, call)
@@ -82,12 +82,12 @@
     assert backlog.fits_at(10001, 700) == 10001
     assert backlog.fits_at(10001, 5000) == 10001 + 4000  # more than the cap alone: once nothing waits
     assert backlog.cut(lines(100, 2)) == 81
-    assert Backlog(most=0, pace=0).fits_at(5, 10**9) == 5
+    assert ChannelBacklog(most=0, pace=0).fits_at(5, 10**9) == 5
 
 
 def test_marks_make_room_for_each_copy_once():
     proxies = set(range(10))
-    backlog = Backlog(most=900, pace=0.001, proxies=lambda: proxies)  # by itself hardly a line leaves
+    backlog = ChannelBacklog(most=900, pace=0.001, proxies=lambda: proxies)  # by itself hardly a line leaves
     for orders in (lines(20, 1), lines(30, 1), lines(10, 2)):
         backlog.sent(0, orders)
     marks = [(3, 1, 580), (3, 7, 580), (4, 2, 520), (3, 1, 490), (3, 1, 490), (3, 2, 480)]
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -48,9 +48,9 @@
         }
         self.front = Front(self.loop, self.log, found)
         self.front.relay.client.request = self.request
-        self.store = {n: stored_tables.Table({f"b{n % BACKENDS}": 1.0}) for n in range(SLICES)}
+        self.store = {n: stored_tables.StoredTable({f"b{n % BACKENDS}": 1.0}) for n in range(SLICES)}
         self.queue, self.acks, self.most, self.at = [], [], 0.0, self.clock.now()
-        holdings = self.front.holdings
+        holdings = self.front.store_mirror
         holdings.news_asked()
         holdings.news_opening()
         for proxy in range(PROXIES):
@@ -108,7 +108,7 @@
         while self.acks and self.acks[0][0] <= now:
             _, mark = self.acks.pop(0)
             for proxy in range(PROXIES if mark is not None else 0):
-                self.front.holdings.news(face.UpdateAcknowledged(proxy, mark, 10))
+                self.front.store_mirror.news(face.UpdateAcknowledged(proxy, mark, 10))
 
     def drain(self, some):
         """These go; until none has a line."""
--- a/tests/test_crossing_doubt.py
+++ b/tests/test_crossing_doubt.py
@@ -4,8 +4,8 @@
 
 from indigohitch import interface as face
 from indigohitch.net.clock import SECOND
-from indigohitch.platform_protocol.call_resolution import Effect, Evidence, MarkProof
-from indigohitch.platform_protocol.stored_tables import Table
+from indigohitch.platform_protocol.call_resolution import CallOutcome, MarkerEvidence, TableEvidence
+from indigohitch.platform_protocol.stored_tables import StoredTable
 from stage import drain, none_lost
 from test_crossing_backlog import UNCLEAR, bounded, moved, play, rounds, serving
 from waiting import eventually
@@ -43,7 +43,7 @@
     room, channel = bounded(monkeypatch)
     channel.pace /= 5
     for tables in (room.store, room.stood):
-        tables.update({number: Table({"old": 1.0}) for number in range(30)})
+        tables.update({number: StoredTable({"old": 1.0}) for number in range(30)})
     orders = [order for number in range(30) for order in moved(number, 1)[:2]] + [face.UpdateMarker(1, False)]
     room.relay.order(orders)
     began = room.clock.now()
@@ -66,7 +66,7 @@
 
 
 def test_what_the_tables_tell_of_a_call():
-    stood = {1: Table({"a": 1.0}), 2: Table({"a": 1.0, "b": 1.0}), 3: Table({})}
+    stood = {1: StoredTable({"a": 1.0}), 2: StoredTable({"a": 1.0, "b": 1.0}), 3: StoredTable({})}
 
     def move(table, old, new):
         return [face.SetRoute(table, new, 1.0), face.SetRoute(table, old, 0.0)]
@@ -74,30 +74,32 @@
     orders = [*move(1, "a", "c"), face.SetRoute(3, "c", 1.0), *move(2, "a", "c"), face.UpdateMarker(7, False)]
 
     def told(*lines, of=orders):
-        evidence = Evidence(stood, of)
+        evidence = TableEvidence(stood, of)
         for line in lines:
             evidence.line(*line)
         return evidence.effect
 
-    assert Evidence(stood, orders).proved == 6  # the mark went with what it stands behind
-    assert Evidence(stood, [*orders[:5], face.SetRoute(9, "c", 1.0), orders[5]]).proved == 5  # may be refused
-    assert told() is told((1, "c", 1.0)) is told((3, "c", 1.0), (2, "b", 1.0)) is Effect.UNKNOWN
-    assert told((1, "c", 1.0), (2, "b", 1.0), (2, "c", 1.0)) is Effect.STANDS
-    assert told((1, "a", 1.0), (2, "a", 1.0), (2, "b", 1.0)) is Effect.NONE
-    assert told((1, "c", 1.0), (2, "a", 1.0)) is Effect.UNKNOWN  # in part: an order between was refused
-    assert told((1, "a", 2.0), (2, "c", 2.0)) is Effect.UNKNOWN  # written by another
-    assert told((1, "c", 1.0), of=move(1, "a", "c")) is Effect.STANDS
+    assert TableEvidence(stood, orders).proved == 6  # the mark went with what it stands behind
+    assert (
+        TableEvidence(stood, [*orders[:5], face.SetRoute(9, "c", 1.0), orders[5]]).proved == 5
+    )  # may be refused
+    assert told() is told((1, "c", 1.0)) is told((3, "c", 1.0), (2, "b", 1.0)) is CallOutcome.UNKNOWN
+    assert told((1, "c", 1.0), (2, "b", 1.0), (2, "c", 1.0)) is CallOutcome.STANDS
+    assert told((1, "a", 1.0), (2, "a", 1.0), (2, "b", 1.0)) is CallOutcome.NONE
+    assert told((1, "c", 1.0), (2, "a", 1.0)) is CallOutcome.UNKNOWN  # in part: an order between was refused
+    assert told((1, "a", 2.0), (2, "c", 2.0)) is CallOutcome.UNKNOWN  # written by another
+    assert told((1, "c", 1.0), of=move(1, "a", "c")) is CallOutcome.STANDS
     for silent in (
         [face.UpdateMarker(7, False)],
         [face.SetRoute(3, "c", 1.0)],
         [face.SetRoute(1, "a", 1.0)],
         move(9, "a", "b"),
     ):
-        assert not Evidence(stood, silent).any
+        assert not TableEvidence(stood, silent).any
 
 
 def test_a_mark_that_an_earlier_call_had_proves_nothing():
-    proof = MarkProof()
+    proof = MarkerEvidence()
     proof.begin([face.UpdateMarker(7, False)])
     assert not proof.answered(6) and not proof.shown and proof.answered(7) and proof.shown
     proof.begin([face.UpdateMarker(7, False)])
--- a/tests/test_crossing_handovers.py
+++ b/tests/test_crossing_handovers.py
@@ -8,7 +8,7 @@
 from indigohitch import interface as face
 from indigohitch.net.loop import Deadline
 from indigohitch.platform_protocol import stored_tables
-from indigohitch.platform_protocol.store_mirror import Holdings
+from indigohitch.platform_protocol.store_mirror import StoreMirror
 from test_holdings import Told
 
 SLICE = 5
@@ -23,21 +23,21 @@
         self.store, self.held, self.calls, self.carried = {"b0": 1.0}, True, [], 0
         self.told, self.hours = Told(), Hours()
         self.hours.after = lambda span, action: Deadline(0, action)  # settled by hand
-        self.holdings = Holdings(
+        self.store_mirror = StoreMirror(
             self.hours,
             self.told,
             self.told.hear,
             lambda: [o for call in self.calls for o in call],
             self.calls.append,
         )
-        self.holdings.news_asked()
-        self.holdings.news_opening()
+        self.store_mirror.news_asked()
+        self.store_mirror.news_opening()
         self.hear(*NAMED)
-        self.holdings.news_alive()
+        self.store_mirror.news_alive()
 
     def hear(self, *events):
         for event in events:
-            self.holdings.news(event)
+            self.store_mirror.news(event)
 
     def order(self, *orders):
         """The module orders, and takes it for standing."""
@@ -57,7 +57,7 @@
 
     def answer(self):
         self.carried -= 1
-        self.holdings.stands(self.calls.pop(0))
+        self.store_mirror.stands(self.calls.pop(0))
 
     def change(self, held, lines=None):
         """Taken, or given with these lines; the news of it."""
@@ -73,7 +73,7 @@
         )
 
     def end(self):
-        self.holdings._settle()
+        self.store_mirror._settle()
         while self.calls:
             if not self.carried:
                 self.carry_out()
@@ -108,11 +108,11 @@
         else:
             for n in range(len(told) + 1):
                 if n == pause and first == "settle":
-                    relay.holdings._settle()
+                    relay.store_mirror._settle()
                 if n == min(at, len(told)):
                     relay.answer()
                 if n == pause and first == "answer":
-                    relay.holdings._settle()
+                    relay.store_mirror._settle()
                 relay.hear(*told[n : n + 1])
             believed, stands = relay.end()
             assert believed == stands, (carried, at, pause, first)
@@ -126,20 +126,20 @@
     """Its answer: before the new stream's first byte, in its start, before and after its sign of life."""
     relay = Relay()
     relay.order(*OURS)
-    relay.holdings.news_lost()
-    relay.holdings.news_asked()
+    relay.store_mirror.news_lost()
+    relay.store_mirror.news_asked()
     if carried == "before the view":
         relay.carry_out()
     view = relay.change(True)
     if carried == "after the view":
         relay.carry_out()
     relay.answer() if answered == "before" else None
-    relay.holdings.news_opening()
+    relay.store_mirror.news_opening()
     for event in view:
         relay.hear(event)
         relay.answer() if answered == "between" and event is view[0] else None
     relay.answer() if answered == "after" else None
-    relay.holdings.news_alive()
+    relay.store_mirror.news_alive()
     relay.answer() if answered == "alive" else None
     believed, stands = relay.end()
     assert believed == stands == {"b1": 1.0}
@@ -161,25 +161,25 @@
 def test_a_table_that_a_stream_left_half_told_is_not_taken_for_the_whole(end):
     """Seen: a slice of which only `owner` had come was an empty one, and got a line at another backend."""
     relay = Relay()
-    relay.holdings.news_asked()
-    relay.holdings.news_opening()
+    relay.store_mirror.news_asked()
+    relay.store_mirror.news_opening()
     relay.hear(NAMED[0])  # ... and its line is cut off
     if end == "lost":
-        relay.holdings.news_lost()
-    relay.holdings.news_asked()
+        relay.store_mirror.news_lost()
+    relay.store_mirror.news_asked()
     assert relay.told.tables == {SLICE: {"b0": 1.0}}
-    relay.holdings.news_opening()
-    relay.holdings._settle()
+    relay.store_mirror.news_opening()
+    relay.store_mirror._settle()
     assert relay.told.tables == {SLICE: {"b0": 1.0}}
     relay.hear(*NAMED)
-    relay.holdings.news_alive()
+    relay.store_mirror.news_alive()
     assert relay.told.tables == {SLICE: {"b0": 1.0}} and relay.told.charges == 1
 
 
 def test_given_and_taken_in_one_piece_is_nothing():
     relay = Relay()
     relay.hear(face.SliceOwnership(7, True), face.StoredRoute(7, "b1", 1.0), face.SliceOwnership(7, False))
-    relay.holdings._settle()
+    relay.store_mirror._settle()
     assert relay.told.charges == 1 and set(relay.told.tables) == {SLICE}
 
 
@@ -187,29 +187,29 @@
     """An earlier tenure's answers say nothing of what stands in the next."""
     relay = Relay()
     relay.order(*OURS)
-    relay.holdings.news_asked()
+    relay.store_mirror.news_asked()
     relay.carry_out()
     relay.answer()
-    relay.holdings.news_opening()
+    relay.store_mirror.news_opening()
     relay.hear(*relay.change(True))
     relay.hear(*relay.change(False))
     relay.hear(*relay.change(True, {"b2": 1.0}))
-    relay.holdings.news_alive()
+    relay.store_mirror.news_alive()
     believed, stands = relay.end()
     assert believed == stands == {"b2": 1.0}
 
 
 def test_orders_are_told_as_lost_only_for_slices_still_in_charge():
     relay = Relay()
-    relay.holdings.dropped([face.SetRoute(SLICE, "b3", 1.0), face.SetRoute(8, "b3", 1.0)])
+    relay.store_mirror.dropped([face.SetRoute(SLICE, "b3", 1.0), face.SetRoute(8, "b3", 1.0)])
     relay.hear(*relay.change(False))
     relay.hear(*relay.change(True, {"b2": 1.0}))
-    relay.holdings._tell_lost()  # between the giving and the telling of it
+    relay.store_mirror._tell_lost()  # between the giving and the telling of it
     believed, stands = relay.end()
     assert believed == stands == {"b2": 1.0} and set(relay.told.tables) == {SLICE}
-    relay.holdings.dropped([face.SetRoute(SLICE, "b3", 1.0)])
+    relay.store_mirror.dropped([face.SetRoute(SLICE, "b3", 1.0)])
     relay.hear(*relay.change(False))
-    relay.holdings._tell_lost()
+    relay.store_mirror._tell_lost()
     assert relay.told.tables == {}
 
 
@@ -223,7 +223,7 @@
     relay.answer() if answered == "before the giving" else None
     relay.hear(*relay.change(True))
     relay.answer() if answered == "before it is told" else None
-    relay.holdings._settle()
+    relay.store_mirror._settle()
     last = [o for call in relay.calls for o in call if isinstance(o, face.SetAdmission)][-1:]
     assert [o.level for o in last] == ([] if answered == "before the giving" else [1.0])
 
@@ -242,8 +242,8 @@
             for event in (face.SliceOwnership(n, True), face.StoredRoute(n, "b0", 1.0))
         )
     )
-    relay.holdings._settle()
+    relay.store_mirror._settle()
     given = len(copied)
     relay.hear(*(face.SliceOwnership(n, False) for n in range(10, 1010)))
     relay.hear(*(face.StoredRoute(SLICE, f"b{n}", 1.0) for n in range(100)))
-    assert len(copied) == given and set(relay.holdings.stood) == {SLICE}
+    assert len(copied) == given and set(relay.store_mirror.stood) == {SLICE}
--- a/tests/test_crossing_relay.py
+++ b/tests/test_crossing_relay.py
@@ -181,13 +181,13 @@
         raise AssertionError("never came true")
 
     front.start()
-    until(lambda: front.holdings.begun and front.relay.idle and platform.agrees())
+    until(lambda: front.store_mirror.begun and front.relay.idle and platform.agrees())
     platform.relay_faults.append("silent done")
     front.relay.order([face.SetRoute(3, "b1", 1.0)])
     until(lambda: "b1" in platform.tables[3])
     front.relay.allowed = lambda orders: False
     until(lambda: log.counts["orders_blocked"])
-    assert "b1" not in front.holdings.stood[3].lines
-    until(lambda: "b1" in front.holdings.stood[3].lines)
+    assert "b1" not in front.store_mirror.stood[3].lines
+    until(lambda: "b1" in front.store_mirror.stood[3].lines)
     front.close()
     loop.close()
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -60,8 +60,8 @@
         self.old.fresh({})
         self.front = self.old.front
         self.front.relay.hold(True)  # nothing here answers
-        self.front.holdings.news_asked()
-        self.front.holdings.news_opening()
+        self.front.store_mirror.news_asked()
+        self.front.store_mirror.news_opening()
         self.news(
             face.ProxyJoined(1, "east", 5.0, True),
             face.ProxyJoined(2, "east", 5.0, True),
@@ -70,7 +70,7 @@
             face.SliceOwnership(4, True),
             face.StoredRoute(4, "b1", 1.0),
         )
-        self.front.holdings.news_alive()
+        self.front.store_mirror.news_alive()
         self.handed()
 
     def side(self):
@@ -81,7 +81,7 @@
 
     def news(self, *events):
         for event in events:
-            self.front.holdings.news(event)
+            self.front.store_mirror.news(event)
 
     def handed(self):
         """What came so far goes to the module."""
@@ -122,7 +122,7 @@
         face.SliceOwnership(9, True),
         face.StoredRoute(9, "b2", 1.0),
     )
-    bench.front.holdings._settle()
+    bench.front.store_mirror._settle()
     if way == "upgrade":
         front = bench.over()
     else:
@@ -130,8 +130,8 @@
         front = bench.new.front
     module = front.coordinator
     assert front.discovery.version == 2 and module.backends["b1"].state == "draining"
-    assert set(module.proxies) == set(front.holdings.proxies) == {2}
-    assert set(module.slices) == set(front.holdings.stood) == {4, 9}
+    assert set(module.proxies) == set(front.store_mirror.proxies) == {2}
+    assert set(module.slices) == set(front.store_mirror.stood) == {4, 9}
 
 
 @pytest.mark.parametrize("went", ["answered", "reset", "not yet"])
--- a/tests/test_drain_watch.py
+++ b/tests/test_drain_watch.py
@@ -8,8 +8,8 @@
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
 from indigohitch.net.loop import EventLoop
-from indigohitch.platform_protocol.drain_monitor import DrainWatch, PausedTime
-from indigohitch.platform_protocol.stored_tables import Table
+from indigohitch.platform_protocol.drain_monitor import DrainMonitor, PausedTime
+from indigohitch.platform_protocol.stored_tables import StoredTable
 from seam import Shifted
 from stage import drain
 from waiting import eventually
@@ -22,8 +22,8 @@
         self.clock, self.file = Shifted(), open(path / "log", "w+b")
         self.loop = EventLoop(self.clock, self.fail)
         self.log = Log(self.clock, "t", self.file.fileno())
-        self.stood = {1: Table({"b1": 1.0}), 2: Table({"b2": 1.0})}
-        self.watch = DrainWatch(self.loop, self.log, GRACE, lambda: self.stood, lambda: 7, gone_binds)
+        self.stood = {1: StoredTable({"b1": 1.0}), 2: StoredTable({"b2": 1.0})}
+        self.watch = DrainMonitor(self.loop, self.log, GRACE, lambda: self.stood, lambda: 7, gone_binds)
 
     def fail(self, broken):
         raise broken
@@ -56,14 +56,14 @@
     assert room.log.counts["invariant_drain_overdue"] == 1
     (told,) = room.said("drain_overdue")
     assert told["backend"] == "b1" and told["slices"] == [1] and told["calls_waiting"] == 7
-    room.stood[1] = Table({"b2": 1.0})
+    room.stood[1] = StoredTable({"b2": 1.0})
     room.go(SECOND)
     assert room.said("drain_completed")[0]["after_ms"] > 4000
 
 
 def test_a_line_that_goes_in_time_is_told_with_its_time(room):
     room.listed(b1="draining")
-    room.stood[1] = Table({"b2": 1.0})
+    room.stood[1] = StoredTable({"b2": 1.0})
     room.go(SECOND)
     room.go(GRACE)
     assert len(room.said("drain_completed")) == 1 and not room.said("drain_overdue")
@@ -71,9 +71,9 @@
 
 def test_a_line_that_comes_back_to_a_backend_that_leaves_is_told(room):
     room.listed(b1="draining")
-    room.stood[1] = Table({"b2": 1.0})
+    room.stood[1] = StoredTable({"b2": 1.0})
     room.go(SECOND)
-    room.stood[1] = Table({"b1": 1.0})
+    room.stood[1] = StoredTable({"b1": 1.0})
     room.go(SECOND)
     assert room.said("route_returned_to_draining_backend")[0]["slices"] == [1]
     room.go(GRACE)
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -9,7 +9,7 @@
 from indigohitch.event_batch import EventBatch
 from indigohitch.net.loop import Deadline
 from indigohitch.platform_protocol import stored_tables
-from indigohitch.platform_protocol.store_mirror import Holdings
+from indigohitch.platform_protocol.store_mirror import StoreMirror
 
 
 def test_pieces_of_one_period_are_handled_together():
@@ -77,7 +77,7 @@
     rng, told, hours = random.Random(seed), Told(), Hours()
     hours.after = lambda span, action: Deadline(0, action)  # the sign of life settles all
     store, proxies, calls, done = {n: {"b0": 1.0} for n in range(6)}, {1, 2}, [], 0
-    holdings = Holdings(hours, told, told.hear, lambda: list(calls), calls.extend)
+    holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
 
     def step():
         nonlocal done
@@ -101,7 +101,7 @@
         holdings.news_opening()
         start = [face.ProxyJoined(p, "east", 1.0, False) for p in sorted(proxies)]
         for number, lines in store.items():
-            start += stored_tables.given(number, stored_tables.Table(dict(lines)))
+            start += stored_tables.given(number, stored_tables.StoredTable(dict(lines)))
         for event in start:
             holdings.news(event)
             if rng.random() < 0.2 and not isinstance(event, face.SliceOwnership):
@@ -126,10 +126,10 @@
     told, hours = Told(), Hours()
     hours.after = lambda span, action: Deadline(0, action)
     calls = []
-    holdings = Holdings(hours, told, told.hear, list, calls.extend)
+    holdings = StoreMirror(hours, told, told.hear, list, calls.extend)
     for _ in range(3):
         holdings.news_opening()
-        for event in stored_tables.given(4, stored_tables.Table({"b1": 1.0})):
+        for event in stored_tables.given(4, stored_tables.StoredTable({"b1": 1.0})):
             holdings.news(event)
         holdings.news_alive()
     assert told.charges == 1 and told.tables == {4: {"b1": 1.0}}
@@ -144,14 +144,14 @@
     was taken away later as one of two, and was the last."""
     told, calls, hours = Told(), [], Hours()
     hours.after = lambda span, action: Deadline(0, action)
-    holdings = Holdings(hours, told, told.hear, lambda: list(calls), calls.extend)
+    holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
 
     def begin(answered=()):
         holdings.news_asked()
         holdings.stands(list(answered))
         holdings.news_opening()
         for number in (4, 5):
-            for event in stored_tables.given(number, stored_tables.Table({"b1": 1.0})):
+            for event in stored_tables.given(number, stored_tables.StoredTable({"b1": 1.0})):
                 holdings.news(event)
         holdings.news_alive()
 
@@ -171,7 +171,7 @@
     """Found by the soak: the check of drains took its line for one that had stood all the time."""
     told, hours = Told(), Hours()
     hours.after = lambda span, action: Deadline(0, action)
-    holdings = Holdings(hours, told, told.hear, list, lambda orders: None)
+    holdings = StoreMirror(hours, told, told.hear, list, lambda orders: None)
     given = []
     holdings.given = given.append
 
@@ -180,7 +180,7 @@
         holdings.news_asked()
         holdings.news_opening()
         for number, backend in enumerate(lines.values()):
-            for event in stored_tables.given(number, stored_tables.Table({backend: 1.0})):
+            for event in stored_tables.given(number, stored_tables.StoredTable({backend: 1.0})):
                 holdings.news(event)
         holdings.news_alive()
 
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -67,7 +67,7 @@
     merged = merge(orders)
 
     def end(orders):
-        found = {n: stored_tables.Table({"b1": 1.0}) for n in range(4)}
+        found = {n: stored_tables.StoredTable({"b1": 1.0}) for n in range(4)}
         stored_tables.carry_out(found, orders)
         return found, {o.backend: o.out for o in orders if isinstance(o, face.EjectBackend)}
 
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -4,8 +4,8 @@
 
 from indigohitch import interface as face
 from indigohitch.net.clock import SECOND
-from indigohitch.platform_protocol.call_resolution import Effect, Evidence
-from indigohitch.platform_protocol.stored_tables import Table
+from indigohitch.platform_protocol.call_resolution import CallOutcome, TableEvidence
+from indigohitch.platform_protocol.stored_tables import StoredTable
 from relay_room import Room
 
 MOST, OVER = 12, 10 * SECOND
@@ -107,11 +107,11 @@
 def test_a_call_in_doubt_goes_again_with_what_came_since(monkeypatch, carried_out):
     """The store can't tell, as the lines are new: one message for both, not two."""
     room = limited(monkeypatch)
-    room.store, room.stood = {1: Table({"b0": 1.0})}, {1: Table({"b0": 1.0})}
+    room.store, room.stood = {1: StoredTable({"b0": 1.0})}, {1: StoredTable({"b0": 1.0})}
     room.mute = True
     room.relay.order(move(1, 1))
     if carried_out:
-        room.store[1] = Table({"b1": 1.0})
+        room.store[1] = StoredTable({"b1": 1.0})
     room.answer("timeout")
     room.relay.order([put(1, "b2"), put(1, "b1", 0.0), face.UpdateMarker(2, False)])
     room.until(lambda: room.relay.out, 2 * SECOND)
@@ -120,24 +120,24 @@
     room.mute = False
     room.answer("timeout")
     room.until(lambda: room.relay.out, 2 * SECOND)
-    room.store[1] = Table({"b2": 1.0})
+    room.store[1] = StoredTable({"b2": 1.0})
     room.answer("timeout")
     room.until(lambda: room.relay.idle, 2 * SECOND)
     assert room.stood[1].lines == {"b2": 1.0}
 
 
 def test_lines_that_an_earlier_call_may_have_left_prove_nothing():
-    stood = {1: Table({"a": 1.0}), 2: Table({"a": 1.0})}
+    stood = {1: StoredTable({"a": 1.0}), 2: StoredTable({"a": 1.0})}
     maybe = [put(1, "b"), put(1, "a", 0.0)]
     orders = [*maybe, put(2, "c"), put(2, "a", 0.0)]
-    evidence = Evidence(stood, orders, maybe)
+    evidence = TableEvidence(stood, orders, maybe)
     evidence.line(1, "b", 1.0)
-    assert evidence.effect is Effect.UNKNOWN
+    assert evidence.effect is CallOutcome.UNKNOWN
     evidence.line(2, "a", 1.0)
-    assert evidence.effect is Effect.NONE
+    assert evidence.effect is CallOutcome.NONE
     evidence.line(2, "c", 1.0)
-    assert evidence.effect is Effect.STANDS and evidence.proved == 4
-    assert not Evidence(stood, maybe, maybe).any
+    assert evidence.effect is CallOutcome.STANDS and evidence.proved == 4
+    assert not TableEvidence(stood, maybe, maybe).any
 
 
 def test_a_silent_relay_costs_few_messages(monkeypatch):
