--- a/benchmarks/batches_model.py
+++ b/benchmarks/batches_model.py
@@ -136,7 +136,7 @@
         for id in list(self.part.pieces.open):
             self.run(id, lost, watts)
         if lost is not None:
-            self.part.member_gone(self.at(), lost, self.incarnations[lost])
+            self.part.on_lease_expired(self.at(), lost, self.incarnations[lost])
             self.incarnations[lost] += 1
         self.operator()
         self.power[self.slot] = sum(watts.values())
--- a/benchmarks/capacitykit/entries_cell.py
+++ b/benchmarks/capacitykit/entries_cell.py
@@ -33,7 +33,9 @@
     def carry_out(self, outputs: list) -> list[bytes]:
         for output in outputs:
             if isinstance(output, WriteEntries):
-                RECORDS.frame(WriteBatch((LogWrite(output.ballot, output.cut, output.entries),)))
+                RECORDS.frame(
+                    WriteBatch((LogWrite(output.hard_state, output.truncate_from, output.entries),))
+                )
             elif isinstance(output, ApplyEntries):
                 for entry in output.entries:
                     self.state_machine.apply(entry)
@@ -54,7 +56,7 @@
 def led(entries: int) -> tuple[float, float]:
     """By a leader with four other voters and no followers."""
     memory, leader, applied = Memory(), Leader(group(0)), Applied()
-    applied.state_machine.index = leader.machine.commit  # its first entry holds nothing
+    applied.state_machine.index = leader.machine.commit_index  # its first entry holds nothing
 
     def some(first: int) -> None:
         for number in range(first, min(first + TOGETHER, entries + 1)):
--- a/benchmarks/capacitykit/ledger_cell.py
+++ b/benchmarks/capacitykit/ledger_cell.py
@@ -65,14 +65,14 @@
     def __init__(self, members: Members) -> None:
         super().__init__(members.voters[0], members)
         self.others = members.voters[1:] + members.followers
-        self.now = self.machine.due
+        self.now = self.machine.due_at
         self.step(Tick())
         asked = self.machine.term + 1
         for who in members.voters[1:]:
             self.step(MessageReceived(who, RequestVoteResponse(asked, True, True)))
         for who in members.voters[1:]:
             self.step(MessageReceived(who, RequestVoteResponse(self.machine.term, True)))
-        if not self.machine.leading:
+        if not self.machine.leadership:
             raise RuntimeError("the machine measured was not elected")
         self.hear(self.answers(self.machine.state.log.last))
         self.beat()
@@ -89,12 +89,12 @@
         return outputs
 
     def beat(self) -> list:
-        self.now = self.machine.due
+        self.now = self.machine.due_at
         return self.step(Tick())
 
 
 def frames_of(outputs: list) -> list[bytes]:
-    return [KINDS.frame(output.word) for output in outputs if isinstance(output, SendMessage)]
+    return [KINDS.frame(output.message) for output in outputs if isinstance(output, SendMessage)]
 
 
 def proposal(number: int) -> Proposal:
--- a/indigohitch/fleet/audit/acts.py
+++ b/indigohitch/fleet/audit/acts.py
@@ -56,7 +56,12 @@
         if self.chain is None or self.chain.incarnation != lease.incarnation:
             self.chain = Chain(self.me, lease.incarnation)
         record = self.chain.next(
-            self.state_machine.term, self.state_machine.index, kind, about, self.when(now), lease.left(now)
+            self.state_machine.term,
+            self.state_machine.index,
+            kind,
+            about,
+            self.when(now),
+            lease.remaining(now),
         )
         try:
             self.store.append(record, kind in self.firm)
--- a/indigohitch/fleet/audit/heads.py
+++ b/indigohitch/fleet/audit/heads.py
@@ -101,17 +101,17 @@
 
     # ---- what the roster tells -----------------------------------------------------------------------
 
-    def member_joined(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_member_joined(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.of(name, incarnation)
 
-    def member_shut_out(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_member_evicted(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.of(name, incarnation).shut_out = at.index
 
-    def member_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
+    def on_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
         kept = self.of(name, incarnation)
         kept.gone, kept.gone_at = at.index, when
 
-    def change_in_force(
+    def on_change_converged(
         self, at: EntryContext, version: int, taken: tuple[tuple[str, int, int], ...]
     ) -> None:
         self.facts.held.append(Held(version, at.index, taken))
--- a/indigohitch/fleet/audit/work.py
+++ b/indigohitch/fleet/audit/work.py
@@ -115,9 +115,9 @@
         head, self.out = self.out, None
         if head is None or outcome is None:
             return []
-        if outcome.refused:  # gone: the ledger takes no more of this incarnation
+        if outcome.rejection:  # gone: the ledger takes no more of this incarnation
             self.told = max(self.told, (head.incarnation, head.number))
-        elif why := msgspec.msgpack.decode(outcome.told):
+        elif why := msgspec.msgpack.decode(outcome.result):
             self.wrong, self.told = why, (head.incarnation, head.number)
             self.trouble(
                 DirectorError(
--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -135,7 +135,7 @@
                 return self.pieces.word(at, body)
         raise ValueError(f"no word of this part: {word}")
 
-    def member_gone(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.pieces.gone(at, name, incarnation)
 
     def settle(self, at: EntryContext) -> None:
--- a/indigohitch/fleet/batches/pending.py
+++ b/indigohitch/fleet/batches/pending.py
@@ -27,5 +27,5 @@
 
     def answered(self, tag: str, outcome: Outcome | None) -> None:
         self.since.pop(tag, None)
-        if outcome is not None and outcome.refused and tag in (CONTRACT_TAG, PRICES_TAG):
-            self.trouble = outcome.refused
+        if outcome is not None and outcome.rejection and tag in (CONTRACT_TAG, PRICES_TAG):
+            self.trouble = outcome.rejection
--- a/indigohitch/fleet/batches/runner.py
+++ b/indigohitch/fleet/batches/runner.py
@@ -62,7 +62,7 @@
     ) -> list[ProposalRequest]:
         """`time`: fleet time; `lanes`: how many pieces this member runs at a time."""
         self.lease, self.strained = lease, strained
-        if lease is None or lease.left(now) <= 0 or not time:
+        if lease is None or lease.remaining(now) <= 0 or not time:
             return []  # what is out ends by itself; nothing else goes
         held = self.part.pieces.held.get((me, lease.incarnation), {})
         for id in [id for id in self.runs if id not in held]:
@@ -158,7 +158,7 @@
         run.phase = Phase.BETWEEN
         if outcome == "ok":
             run.step, run.back = step + 1, BACK
-            if self.lease is not None and self.lease.left(now) and piece.state is State.RUNNING:
+            if self.lease is not None and self.lease.remaining(now) and piece.state is State.RUNNING:
                 self.go_on(now, id, run, piece)
         elif outcome == "not run" or outcome == "unknown" and piece.idempotent:
             run.due, run.back = max(run.due, now + run.back), min(2 * run.back, BACK_MOST)
--- a/indigohitch/fleet/batches/work.py
+++ b/indigohitch/fleet/batches/work.py
@@ -57,7 +57,7 @@
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         self.pending.answered(tag, outcome)
-        self.runner.answered(tag, None if outcome is None else bool(outcome.refused))
+        self.runner.answered(tag, None if outcome is None else bool(outcome.rejection))
         return []
 
     def report(self, now: int) -> bytes:
--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -67,8 +67,8 @@
     # ---- from the ledger ---------------------------------------------------------------------------
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
-        if entry.kind.startswith("distribution.") and not outcome.refused and not outcome.doubled:
-            services = msgspec.msgpack.decode(outcome.told, type=tuple[str, ...])
+        if entry.kind.startswith("distribution.") and not outcome.rejection and not outcome.is_duplicate:
+            services = msgspec.msgpack.decode(outcome.result, type=tuple[str, ...])
             if services:
                 self.connections.stepping.step(ResourcesChanged(services))
         return []
--- a/indigohitch/fleet/fleet_clock.py
+++ b/indigohitch/fleet/fleet_clock.py
@@ -149,7 +149,7 @@
         return self.running.at(now)
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
-        if entry.kind == "hours.tick" and not outcome.refused and not outcome.doubled:
+        if entry.kind == "hours.tick" and not outcome.rejection and not outcome.is_duplicate:
             time = msgspec.msgpack.decode(entry.body, type=ClockTick).time
             # The leader counts from when it read the clocks: the way of a tick must not add up.
             own = self._out is not None and self._out[0] == time
@@ -167,7 +167,7 @@
         return []
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
-        if outcome is not None and outcome.refused:
+        if outcome is not None and outcome.rejection:
             self._out = None
         return []
 
--- a/indigohitch/fleet/interfaces.py
+++ b/indigohitch/fleet/interfaces.py
@@ -58,31 +58,31 @@
 
 @runtime_checkable
 class MemberJoinedListener(Protocol):
-    def member_joined(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_member_joined(self, at: EntryContext, name: str, incarnation: int) -> None:
         """It has a new incarnation, which is compared and may not act yet."""
 
 
 @runtime_checkable
 class MemberEvictedListener(Protocol):
-    def member_shut_out(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_member_evicted(self, at: EntryContext, name: str, incarnation: int) -> None:
         """Its lease is not renewed any more, and may still run."""
 
 
 @runtime_checkable
 class LeaseEndedListener(Protocol):
-    def member_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
+    def on_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
         """As `member_gone`, which follows; `when`: fleet time at which its lease had run out, or 0."""
 
 
 @runtime_checkable
 class LeaseExpiredListener(Protocol):
-    def member_gone(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
         """That incarnation holds nothing any more: its lease has surely run out, or it left by itself."""
 
 
 @runtime_checkable
 class ConvergenceListener(Protocol):
-    def change_in_force(
+    def on_change_converged(
         self, at: EntryContext, version: int, taken: tuple[tuple[str, int, int], ...]
     ) -> None:
         """All changes up to `version` are; `taken` as in `members.in_force`."""
@@ -149,5 +149,5 @@
 class LeaseBoundWork(Protocol):
     """A work that has things out which end with the lease, as a job with a seat."""
 
-    def holds(self, now: int) -> bool:
+    def has_leased_resources(self, now: int) -> bool:
         """Something is out: it must not be given on before its end."""
--- a/indigohitch/fleet/membership/member_work.py
+++ b/indigohitch/fleet/membership/member_work.py
@@ -164,9 +164,9 @@
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         self.out.discard(tag)
-        if tag != "join" or self.phase is not Phase.JOINING or outcome is None or outcome.refused:
+        if tag != "join" or self.phase is not Phase.JOINING or outcome is None or outcome.rejection:
             return []
-        self.phase, self.incarnation = Phase.COMPARED, msgspec.msgpack.decode(outcome.told, type=int)
+        self.phase, self.incarnation = Phase.COMPARED, msgspec.msgpack.decode(outcome.result, type=int)
         self.holder.begin(self.incarnation)
         return self.look(now)
 
--- a/indigohitch/fleet/membership/roster.py
+++ b/indigohitch/fleet/membership/roster.py
@@ -99,7 +99,7 @@
     def changed(self, at: EntryContext, what: str, hard: bool = False, allowed: int = 0) -> None:
         """For parts, within the entry that changes what the fleet acts by.  A hard one (a contract cut, a
         member or server removed) may count on the old version's end only once it is in force: `in_force`
-        has reached that entry, and `change_in_force(at, version, taken)` of each part that has it is
+        has reached that entry, and `on_change_converged(at, version, taken)` of each part that has it is
         called."""
         change = Change(at.index, what, hard, allowed)
         same = [n for n, one in enumerate(self.changes) if (one.what, one.hard) == (what, hard)]
@@ -154,7 +154,7 @@
             join.name, incarnation, join.votes, at.index, since=at.index
         )
         for part in listeners(self.state_machine.parts, MemberJoinedListener):
-            part.member_joined(at, join.name, incarnation)
+            part.on_member_joined(at, join.name, incarnation)
         return incarnation
 
     def shut(self, at: EntryContext, member: Member, why: str) -> None:
@@ -162,7 +162,7 @@
         if member.life is MemberState.VALID:
             member.life, member.since, member.why = MemberState.SHUT_OUT, at.index, why
             for part in listeners(self.state_machine.parts, MemberEvictedListener):
-                part.member_shut_out(at, member.name, member.incarnation)
+                part.on_member_evicted(at, member.name, member.incarnation)
         elif member.life is MemberState.COMPARED:
             member.why = why
             self.end(at, member)
@@ -170,9 +170,9 @@
     def end(self, at: EntryContext, member: Member, when: int = 0) -> None:
         member.life, member.since = MemberState.GONE, at.index
         for part in listeners(self.state_machine.parts, LeaseEndedListener):
-            part.member_ended(at, member.name, member.incarnation, when)
+            part.on_lease_ended(at, member.name, member.incarnation, when)
         for part in listeners(self.state_machine.parts, LeaseExpiredListener):
-            part.member_gone(at, member.name, member.incarnation)
+            part.on_lease_expired(at, member.name, member.incarnation)
         if member.incarnation < self.highest[member.name]:  # of each name the last one gone is told of
             del self.members[member.name, member.incarnation]
 
@@ -228,7 +228,7 @@
         self.in_force = body.version
         self.changes = [change for change in self.changes if change.index > body.version]
         for part in listeners(self.state_machine.parts, ConvergenceListener):
-            part.change_in_force(at, body.version, body.taken)
+            part.on_change_converged(at, body.version, body.taken)
 
     # ---- as a whole --------------------------------------------------------------------------------
 
--- a/indigohitch/fleet/node/admin_requests.py
+++ b/indigohitch/fleet/node/admin_requests.py
@@ -99,11 +99,11 @@
                 {"error": "not known: this member began anew; it may have taken effect", "unknown": True}
             )
             return
-        told = {"index": outcome.index, "doubled": outcome.doubled}
-        if outcome.refused:
-            told |= {"refused": outcome.refused, "error": outcome.refused}
-        elif outcome.told:
-            told["told"] = msgspec.msgpack.decode(outcome.told)
+        told = {"index": outcome.index, "doubled": outcome.is_duplicate}
+        if outcome.rejection:
+            told |= {"refused": outcome.rejection, "error": outcome.rejection}
+        elif outcome.result:
+            told["told"] = msgspec.msgpack.decode(outcome.result)
         self.answer(told)
 
     def read(self, rest: str, line: dict) -> None:
@@ -147,8 +147,8 @@
                         "proposer": entry.proposer,
                         "incarnation": entry.incarnation,
                         "number": entry.number,
-                        "refused": outcome.refused,
-                        "doubled": outcome.doubled,
+                        "refused": outcome.rejection,
+                        "doubled": outcome.is_duplicate,
                         "digest": check.hex(),
                     }
                     for entry, check, outcome in recent
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -68,8 +68,8 @@
 
     def begin(self, me: MemberId, held: RecoveredState) -> None:
         """Raises Unreadable for a state machine that can't be read."""
-        if held.snap.state:
-            self.state_machine.restore(held.snap.state)
+        if held.snapshot.state:
+            self.state_machine.restore(held.snapshot.state)
         self.machine = RaftNode(me, held, self.bootstrap, self.chance, self.loop.clock.now())
         self.on_restored()
         self.timer.arm()
@@ -142,14 +142,14 @@
         outcome = self.state_machine.apply(entry)
         check = digest(msgspec.msgpack.encode(entry))
         self.recent.append(
-            (msgspec.structs.replace(entry, body=b""), check, msgspec.structs.replace(outcome, told=b""))
+            (msgspec.structs.replace(entry, body=b""), check, msgspec.structs.replace(outcome, result=b""))
         )
         self.on_applied(entry, outcome)
 
     # ---- time --------------------------------------------------------------------------------------
 
     def next_due(self) -> int | None:
-        return self.machine.due if self.machine is not None else None
+        return self.machine.due_at if self.machine is not None else None
 
     def end(self) -> None:
         self.machine = None
--- a/indigohitch/fleet/node/introductions.py
+++ b/indigohitch/fleet/node/introductions.py
@@ -18,7 +18,7 @@
 
     def highest(self, name: str) -> int:
         """The highest number met of that name; 0 before any."""
-        return self.disk.identity.met.get(name, 0)
+        return self.disk.identity.seen_numbers.get(name, 0)
 
     def welcome(self, who: MemberId) -> HandshakeAccepted:
         """The answer to one that greets."""
@@ -35,7 +35,7 @@
         if 0 < who.number < self.highest(who.name):
             return f"{who.name} comes with an old disk, number {who.number}"
         try:
-            self.disk.folder.met(who)
+            self.disk.folder.record_seen_number(who)
         except OSError as bad:
             return f"its number can't be kept: {bad}"
         return ""
--- a/indigohitch/fleet/node/join.py
+++ b/indigohitch/fleet/node/join.py
@@ -51,7 +51,7 @@
 
     def begin(self, number: int, founders: tuple[str, ...], members: Members) -> None:
         try:
-            held = self.node.disk.found(number, founders, members)
+            held = self.node.disk.initialize(number, founders, members)
         except OSError as bad:
             self.node.log.warning("not_founded", why=str(bad), remedy="make room, or mend the disk")
             return
@@ -83,7 +83,7 @@
         if not node.driver.leads or listed is None or node.phase is not Phase.TAKING_PART:
             return
         machine = node.driver.machine
-        who = self.admission.who(word, machine.members, node.disk.identity.met.get(name, 0))
+        who = self.admission.who(word, machine.members, node.disk.identity.seen_numbers.get(name, 0))
         if who is None:
             node.log.warning(
                 "old_disk",
@@ -93,9 +93,9 @@
             )
             return
         if not cluster_bootstrap.stands(who, listed.votes, machine.members):
-            node.driver.step(ChangeMembers(who, votes=listed.votes))
-        committed = machine.state.belonging.index <= machine.commit
-        if not word.number and committed and who in machine.state.belonging.everyone:
+            node.driver.step(ChangeMembers(who, as_voter=listed.votes))
+        committed = machine.state.configuration.index <= machine.commit_index
+        if not word.number and committed and who in machine.state.configuration.everyone:
             node.links.say_to(name, JoinResponse(who, word.token, node.disk.identity.founders))
 
     def take_out(self, name: str) -> str:
@@ -108,5 +108,5 @@
             who for who in node.driver.members.voters + node.driver.members.followers if who.name == name
         ]
         for who in found:
-            node.driver.step(ChangeMembers(who, out=True))
+            node.driver.step(ChangeMembers(who, remove=True))
         return "" if found else f"no member {name[:64]}"
--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -20,7 +20,7 @@
             return
         node.be(Phase.LEAVING)
         now, working = node.loop.clock.now(), node.working
-        if give_up and not working.holds(now):
+        if give_up and not working.has_leased_resources(now):
             auditing, membership = node.assembly.auditing, node.assembly.membership
             working.want(auditing, auditing.last(now))
             working.want(membership, membership.leave())
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -153,8 +153,8 @@
         self.log.event(
             "member",
             number=me.number,
-            term=held.ballot.term,
-            snapshot=held.snap.index,
+            term=held.hard_state.term,
+            snapshot=held.snapshot.index,
             entries=len(held.entries),
         )
         self.links.renumber(me)
@@ -207,7 +207,7 @@
             self.belonging.renew(now, self.leader_name, self.working.reports)
             self.working.turn(now, self.lease(now))
         # One elected right after a start decides nothing until its state holds what was committed before.
-        if self.phase is Phase.TAKING_PART and self.driver.machine.settled:
+        if self.phase is Phase.TAKING_PART and self.driver.machine.has_committed_in_term:
             self.lead(now)
         self.belonging.look()
 
--- a/indigohitch/fleet/node/work_loop.py
+++ b/indigohitch/fleet/node/work_loop.py
@@ -108,9 +108,9 @@
         found = {work.name: self.call(work, work.report, now) for work in self.works}
         return {name: report for name, report in found.items() if report}
 
-    def holds(self, now: int) -> bool:
+    def has_leased_resources(self, now: int) -> bool:
         """Something is out that ends with the lease, as a job with a seat: it must not be given on before."""
-        return any(work.holds(now) for work in self.works if isinstance(work, LeaseBoundWork))
+        return any(work.has_leased_resources(now) for work in self.works if isinstance(work, LeaseBoundWork))
 
     def figures(self) -> dict:
         return {work.name: self.call(work, work.figures) or {} for work in self.works}
--- a/indigohitch/fleet/raft/durability.py
+++ b/indigohitch/fleet/raft/durability.py
@@ -27,7 +27,7 @@
         return not self.failed and self.done >= self.ballot_at
 
     @property
-    def match(self) -> int:
+    def match_index(self) -> int:
         """Entries up to here may be acknowledged."""
         return 0 if self.installing or self.failed else self.stable
 
--- a/indigohitch/fleet/raft/election.py
+++ b/indigohitch/fleet/raft/election.py
@@ -25,12 +25,15 @@
         """Also one that the last entry takes out, until that is committed: it may be the only one that has
         the entry (dissertation, 4.2.2)."""
         state = self.state
-        belongs = state.me in state.belonging.voters or state.me in state.belonging.at(state.commit).voters
+        belongs = (
+            state.member_id in state.configuration.voters
+            or state.member_id in state.configuration.at(state.commit_index).voters
+        )
         return (
             belongs
             and not state.durable.failed
             and not state.durable.installing
-            and not state.belonging.outdated(state.me)
+            and not state.configuration.outdated(state.member_id)
         )
 
     def due(self) -> None:
@@ -41,7 +44,7 @@
             state.be(Role.FOLLOWER, None)
             return
         state.be(Role.ASKING, None)
-        self.given = {state.me}
+        self.given = {state.member_id}
         self.ask(state.term + 1, pre=True)
         self.counted()
 
@@ -49,42 +52,42 @@
         """In the next term, with the own vote; it counts, and the others are asked, once it is written."""
         state = self.state
         state.wait_anew()
-        state.vote(state.term + 1, state.me)
+        state.vote(state.term + 1, state.member_id)
         state.be(Role.CANDIDATE, None)
         self.given, self.handed = set(), handed
 
     def written(self) -> None:
         state = self.state
         if state.role is Role.CANDIDATE and not self.given and state.durable.safe:
-            self.given = {state.me}
+            self.given = {state.member_id}
             self.ask(state.term, pre=False)
             self.counted()
 
     def ask(self, term: int, pre: bool) -> None:
         log = self.state.log
         word = RequestVote(term, log.last, log.last_term, pre, self.handed and not pre)
-        for who in self.state.belonging.members.voters:
-            if who != self.state.me:
+        for who in self.state.configuration.members.voters:
+            if who != self.state.member_id:
                 self.state.send(who, word)
 
     def heard_vote(self, sender: MemberId, word: RequestVoteResponse) -> None:
         state = self.state
-        if not word.given:
+        if not word.vote_granted:
             if word.term > state.term:
                 state.vote(word.term, None)
                 state.be(Role.FOLLOWER, None)
             return
-        if word.pre:
+        if word.is_pre_vote:
             fits = state.role is Role.ASKING and word.term == state.term + 1
         else:
             fits = state.role is Role.CANDIDATE and word.term == state.term and bool(self.given)
-        if fits and sender in state.belonging.voters:
+        if fits and sender in state.configuration.voters:
             self.given.add(sender)
             self.counted()
 
     def counted(self) -> None:
         state = self.state
-        if len(self.given & state.belonging.voters) < state.belonging.majority:
+        if len(self.given & state.configuration.voters) < state.configuration.majority:
             return
         if state.role is Role.ASKING:
             self.stand()
@@ -104,12 +107,12 @@
         state = self.state
         if state.durable.failed:
             return
-        fits = (word.last_term, word.last_index) >= (state.log.last_term, state.log.last)
-        if word.pre:
+        fits = (word.last_log_term, word.last_log_index) >= (state.log.last_term, state.log.last)
+        if word.is_pre_vote:
             given = fits and word.term > state.term and not state.led
             state.send(sender, RequestVoteResponse(word.term if given else state.term, given, True))
             return
-        if word.term < state.term or (state.led and not word.handed):
+        if word.term < state.term or (state.led and not word.is_leadership_transfer):
             state.send(sender, RequestVoteResponse(state.term, False))
             return
         if word.term > state.term:
@@ -117,7 +120,7 @@
             state.vote(word.term, vote)
             state.be(Role.FOLLOWER, None)
         else:
-            vote = state.ballot.vote
+            vote = state.hard_state.vote
             if vote is None and fits and state.role in (Role.FOLLOWER, Role.ASKING):
                 vote = sender
                 state.vote(word.term, vote)
--- a/indigohitch/fleet/raft/follower.py
+++ b/indigohitch/fleet/raft/follower.py
@@ -46,13 +46,13 @@
         self.state = state
         self.agreed = 0  # up to here the log is as this term's leader has it
         self.agreed_in = 0  # that term
-        self.round = 0  # of the last word of that leader
+        self.read_round = 0  # of the last word of that leader
         self.owed = False  # an answer waits for the ballot to be written
         self.told = 0  # up to where it was acknowledged in this term
         self.echoed = 0  # the last round that was echoed in it
         self.coming: tuple | None = None  # the snapshot whose pieces come: index, term, digest
         self.pieces = bytearray()
-        self.lateness = DelayMonitor(state.bootstrap["election"])
+        self.lateness = DelayMonitor(state.settings["election"])
 
     def led_by(self, sender: MemberId, word: AppendEntries | InstallSnapshot) -> bool:
         """Whether the word is of this term's leader."""
@@ -67,11 +67,11 @@
         if state.role is Role.LEADER:
             raise ValueError(f"two leaders in term {word.term}: {sender.name} too")
         if self.agreed_in != word.term:
-            self.agreed, self.agreed_in, self.round = 0, word.term, 0
+            self.agreed, self.agreed_in, self.read_round = 0, word.term, 0
             self.owed, self.told, self.echoed = False, 0, 0
             self.lateness.begin(state.now)
         state.be(Role.FOLLOWER, sender)
-        if isinstance(word, InstallSnapshot) or not self.lateness.late(state.now, word.at):
+        if isinstance(word, InstallSnapshot) or not self.lateness.late(state.now, word.sent_at):
             state.heard = state.now
             state.wait_anew()
         return True
@@ -80,15 +80,15 @@
         if not self.led_by(sender, word):
             return
         state, log = self.state, self.state.log
-        self.round = max(self.round, word.round)
-        index, entries = word.prev_index, word.entries
+        self.read_round = max(self.read_round, word.read_round)
+        index, entries = word.prev_log_index, word.entries
         if index < log.base:  # what stands there was committed: it is the same
             entries = entries[log.base - index :]
             index = min(index + len(word.entries), log.base)
-        elif log.term(index) != word.prev_term:
+        elif log.term(index) != word.prev_log_term:
             if not state.durable.failed:
-                at, term = log.hint(index, word.prev_term)
-                state.send(sender, AppendEntriesResponse(state.term, False, at, index, term, word.round))
+                at, term = log.hint(index, word.prev_log_term)
+                state.send(sender, AppendEntriesResponse(state.term, False, at, index, term, word.read_round))
             return
         known = 0
         for entry in entries:
@@ -102,9 +102,9 @@
         self.agreed = max(self.agreed, index + len(entries))
         if self.coming and self.agreed >= self.coming[0]:
             self.drop()
-        state.commit_to(min(word.commit, self.agreed))
+        state.commit_to(min(word.leader_commit, self.agreed))
         # New entries are answered once they are written; a round of reads doesn't wait for the disk.
-        if not fresh or self.round > self.echoed:
+        if not fresh or self.read_round > self.echoed:
             self.answer()
 
     def answer(self) -> None:
@@ -112,12 +112,14 @@
         state = self.state
         self.owed = not state.durable.safe
         if not self.owed:
-            self.told, self.echoed = self.match, self.round
-            state.send(state.leader, AppendEntriesResponse(state.term, True, self.told, round=self.round))
+            self.told, self.echoed = self.match_index, self.read_round
+            state.send(
+                state.leader, AppendEntriesResponse(state.term, True, self.told, read_round=self.read_round)
+            )
 
     @property
-    def match(self) -> int:
-        return min(max(self.agreed, self.state.commit), self.state.durable.match)
+    def match_index(self) -> int:
+        return min(max(self.agreed, self.state.commit_index), self.state.durable.match_index)
 
     def written(self) -> None:
         """More may be acknowledged than was, or something at last."""
@@ -127,7 +129,7 @@
             and state.leader is not None
             and state.durable.safe
             and self.agreed_in == state.term
-            and (self.owed or self.match > self.told)
+            and (self.owed or self.match_index > self.told)
         ):
             self.answer()
 
@@ -142,15 +144,18 @@
         if not self.led_by(sender, word):
             return
         state = self.state
-        if word.index <= state.commit or state.log.term(word.index) == word.snap_term:
+        if (
+            word.last_included_index <= state.commit_index
+            or state.log.term(word.last_included_index) == word.last_included_term
+        ):
             self.drop()
-            self.agreed = max(self.agreed, word.index)
-            state.commit_to(word.index)
+            self.agreed = max(self.agreed, word.last_included_index)
+            state.commit_to(word.last_included_index)
             self.answer()
             return
         if state.durable.failed:
             return
-        of = (word.index, word.snap_term, word.digest)
+        of = (word.last_included_index, word.last_included_term, word.digest)
         if of != self.coming:
             self.coming, self.pieces = of, bytearray()
         if word.offset == len(self.pieces):
@@ -159,8 +164,10 @@
             state_bytes = bytes(self.pieces)
             self.drop()
             if digest(state_bytes) == word.digest:
-                state.install(Snapshot(word.index, word.snap_term, word.members, state_bytes))
-                self.agreed = max(self.agreed, word.index)
+                state.install(
+                    Snapshot(word.last_included_index, word.last_included_term, word.members, state_bytes)
+                )
+                self.agreed = max(self.agreed, word.last_included_index)
                 return  # answered once it is written
-            state.note("snapshot_spoilt", index=word.index, sender=sender.name)
-        state.send(sender, InstallSnapshotResponse(state.term, word.index, len(self.pieces)))
+            state.note("snapshot_spoilt", index=word.last_included_index, sender=sender.name)
+        state.send(sender, InstallSnapshotResponse(state.term, word.last_included_index, len(self.pieces)))
--- a/indigohitch/fleet/raft/interfaces.py
+++ b/indigohitch/fleet/raft/interfaces.py
@@ -43,8 +43,8 @@
 class RecoveredState:
     """What a disk gave back at a start: entries follow the snapshot without a gap."""
 
-    ballot: HardState
-    snap: Snapshot
+    hard_state: HardState
+    snapshot: Snapshot
     entries: list[LogEntry] = field(default_factory=list)
 
 
@@ -56,7 +56,7 @@
     """A word of another member, from words.py."""
 
     sender: MemberId
-    word: Row
+    message: Row
 
 
 @dataclass(slots=True, frozen=True)
@@ -75,9 +75,9 @@
 class ChangeMembers:
     """An operator's wish: add (as a follower that votes once it has learned), or take out."""
 
-    who: MemberId
-    out: bool = False
-    votes: bool = True
+    member: MemberId
+    remove: bool = False
+    as_voter: bool = True
 
 
 @dataclass(slots=True, frozen=True)
@@ -104,7 +104,7 @@
 class SnapshotCompleted:
     """The driver's answer to `TakeSnapshot`: on the disk, the log up to it is forgotten there."""
 
-    snap: Snapshot
+    snapshot: Snapshot
 
 
 @dataclass(slots=True, frozen=True)
@@ -139,7 +139,7 @@
 @dataclass(slots=True, frozen=True)
 class SendMessage:
     to: MemberId
-    word: Row
+    message: Row
 
 
 @dataclass(slots=True, frozen=True)
@@ -148,8 +148,8 @@
     (0: none); `ballot` None: as it was."""
 
     number: int
-    ballot: HardState | None = None
-    cut: int = 0
+    hard_state: HardState | None = None
+    truncate_from: int = 0
     entries: tuple[LogEntry, ...] = ()
 
 
@@ -164,7 +164,7 @@
 class RestoreSnapshot:
     """Set the state machine to this, write it to the disk in place of the log, then `Snapped`."""
 
-    snap: Snapshot
+    snapshot: Snapshot
 
 
 @dataclass(slots=True, frozen=True)
@@ -183,7 +183,7 @@
     What was taken is answered by its entry in a `Commit`."""
 
     proposal: Proposal
-    again: int
+    retry_after_ticks: int
     leader: MemberId | None
 
 
@@ -194,7 +194,7 @@
 
     number: int
     index: int
-    ok: bool = True
+    is_confirmed: bool = True
     leader: MemberId | None = None
 
 
--- a/indigohitch/fleet/raft/leader.py
+++ b/indigohitch/fleet/raft/leader.py
@@ -24,12 +24,12 @@
         self.peers: dict[MemberId, Progress] = {}
         self.wishes: dict[MemberId, ChangeMembers] = {}  # not reached yet
         self.open = sum(
-            map(entry_size, state.log.some(state.commit + 1, state.log.last))
+            map(entry_size, state.log.some(state.commit_index + 1, state.log.last))
         )  # bytes not committed
-        self.beat_due = state.now + state.bootstrap["beat"]
+        self.beat_due = state.now + state.settings["beat"]
         self.heir: MemberId | None = None  # to whom the place is given up
         self.heir_until = 0
-        state.be(Role.LEADER, state.me)
+        state.be(Role.LEADER, state.member_id)
         self.renew_peers()
         self.add(LogEntry(state.log.last + 1, state.term, "", b""))
         self.beat()
@@ -39,22 +39,22 @@
     def add(self, entry: LogEntry) -> None:
         self.open += entry_size(entry)
         self.state.store(0, (entry,))
-        if self.state.belonging.index == entry.index:
+        if self.state.configuration.index == entry.index:
             self.renew_peers()
 
     def renew_peers(self) -> None:
         """One that was taken out stays until it has heard of it."""
-        for who in self.state.belonging.everyone:
-            if who != self.state.me and who not in self.peers:
+        for who in self.state.configuration.everyone:
+            if who != self.state.member_id and who not in self.peers:
                 self.peers[who] = Progress(self.state, who)
 
     def feed(self) -> None:
         for peer in self.peers.values():
-            peer.feed(self.reads.round)
+            peer.feed(self.reads.read_round)
 
     def propose(self, proposal: Proposal) -> None:
         """What is not committed is bounded, in number and in bytes; above it the proposer comes back."""
-        state, bootstrap = self.state, self.state.bootstrap
+        state, bootstrap = self.state, self.state.settings
         most = bootstrap["append_most"] * bootstrap["inflight"]
         if len(proposal.body) > most:
             # One entry goes in one word: a larger one would never reach anybody, and hold up all behind it.
@@ -69,8 +69,8 @@
             state.out.append(ProposalRejected(proposal, bootstrap["election"], None))
         elif self.heir is not None:
             state.out.append(ProposalRejected(proposal, bootstrap["beat"], None))
-        elif state.log.last - state.commit >= bootstrap["proposals_most"] or self.open >= most:
-            state.out.append(ProposalRejected(proposal, bootstrap["beat"], state.me))
+        elif state.log.last - state.commit_index >= bootstrap["proposals_most"] or self.open >= most:
+            state.out.append(ProposalRejected(proposal, bootstrap["beat"], state.member_id))
         else:
             self.add(
                 LogEntry(
@@ -91,17 +91,21 @@
         state = self.state
         held = sorted(
             (
-                state.durable.match if who == state.me else self.peers[who].match if who in self.peers else 0
-                for who in state.belonging.voters
+                state.durable.match_index
+                if who == state.member_id
+                else self.peers[who].match_index
+                if who in self.peers
+                else 0
+                for who in state.configuration.voters
             ),
             reverse=True,
         )
-        index = held[state.belonging.majority - 1]
-        if index > state.commit and self.own_term(index):
-            self.open -= sum(map(entry_size, state.log.some(state.commit + 1, index)))
+        index = held[state.configuration.majority - 1]
+        if index > state.commit_index and self.own_term(index):
+            self.open -= sum(map(entry_size, state.log.some(state.commit_index + 1, index)))
             state.commit_to(index)
             # Who waits for it elsewhere hears of it soon, and not with each commit under load.
-            self.beat_due = min(self.beat_due, state.now + state.bootstrap["beat"] // 10)
+            self.beat_due = min(self.beat_due, state.now + state.settings["beat"] // 10)
             self.changed()
         while self.reads.answer():
             self.new_round()
@@ -119,9 +123,9 @@
         if isinstance(word, InstallSnapshotResponse):
             peer.pieced(word)
             return
-        self.reads.heard(sender, word.round)
+        self.reads.heard(sender, word.read_round)
         more = peer.appended(word)
-        peer.feed(self.reads.round)
+        peer.feed(self.reads.read_round)
         if more and sender in self.wishes:
             self.wish(self.wishes[sender])
         if more or self.reads.waiting:
@@ -135,9 +139,9 @@
         that comes late by another says that this process stood still: answers may lie unread, so it judges
         at the next."""
         state = self.state
-        heard = {who for who, peer in self.peers.items() if not peer.silent} | {state.me}
-        stood_still = state.now - self.beat_due >= state.bootstrap["beat"]
-        if len(heard & state.belonging.voters) < state.belonging.majority and not stood_still:
+        heard = {who for who, peer in self.peers.items() if not peer.silent} | {state.member_id}
+        stood_still = state.now - self.beat_due >= state.settings["beat"]
+        if len(heard & state.configuration.voters) < state.configuration.majority and not stood_still:
             state.note("majority_lost", term=state.term, heard=sorted(who.name for who in heard))
             state.be(Role.FOLLOWER, None)
             return
@@ -147,18 +151,19 @@
         for wish in list(self.wishes.values()):
             self.wish(wish)
         self.beat()
-        last = state.belonging.index
+        last = state.configuration.index
         for who in [
             who
             for who, peer in self.peers.items()
-            if who not in state.belonging.everyone and (peer.silent or peer.match >= last <= state.commit)
+            if who not in state.configuration.everyone
+            and (peer.silent or peer.match_index >= last <= state.commit_index)
         ]:
             del self.peers[who]  # it has been told with this beat that its end is committed
 
     def beat(self) -> None:
-        self.beat_due = self.state.now + self.state.bootstrap["beat"]
+        self.beat_due = self.state.now + self.state.settings["beat"]
         for peer in self.peers.values():
-            peer.beat(self.reads.round)
+            peer.beat(self.reads.read_round)
 
     # ---- reads -------------------------------------------------------------------------------------
 
@@ -170,47 +175,50 @@
     def new_round(self) -> None:
         round, state = self.reads.begin(), self.state
         for who in self.peers:
-            if who in state.belonging.voters:
+            if who in state.configuration.voters:
                 state.send(who, AppendEntries(state.term, 0, 0, 0, (), round, state.now))
 
     # ---- members -----------------------------------------------------------------------------------
 
     def change(self, change: ChangeMembers) -> None:
         """A wish is kept until it is reached or this leader ends; who has it asks till the members are so."""
-        self.wishes[change.who] = change
+        self.wishes[change.member] = change
         self.wish(change)
 
     @property
     def may_change(self) -> bool:
-        return self.state.commit >= max(self.state.belonging.index, self.reads.first)
+        return self.state.commit_index >= max(self.state.configuration.index, self.reads.first)
 
     def wish(self, change: ChangeMembers) -> None:
         """The next step towards it, if none is under way."""
-        state, peer = self.state, self.peers.get(change.who)
+        state, peer = self.state, self.peers.get(change.member)
         if not self.may_change:
             return
         try:
             members = next_configuration(
-                state.belonging.members,
-                change.who,
-                change.out,
-                change.votes,
+                state.configuration.members,
+                change.member,
+                change.remove,
+                change.as_voter,
                 peer is not None and peer.learned,
             )
         except ValueError as bad:
-            self.wishes.pop(change.who, None)
-            state.note("change_refused", who=change.who.name, number=change.who.number, why=str(bad))
+            self.wishes.pop(change.member, None)
+            state.note("change_refused", who=change.member.name, number=change.member.number, why=str(bad))
             return
         if members is not None:
             self.add(configuration_entry(members, state.log.last + 1, state.term))
             self.feed()
-        elif change.out or not change.votes or change.who in state.belonging.voters:
-            del self.wishes[change.who]
+        elif change.remove or not change.as_voter or change.member in state.configuration.voters:
+            del self.wishes[change.member]
 
     def changed(self) -> None:
         """A leader that doesn't vote any more ends once that is committed (dissertation, 4.2.2)."""
         state = self.state
-        if state.me not in state.belonging.voters and state.commit >= state.belonging.index:
+        if (
+            state.member_id not in state.configuration.voters
+            and state.commit_index >= state.configuration.index
+        ):
             self.beat()  # so that the others know it to be committed
             state.be(Role.FOLLOWER, None)
 
@@ -219,18 +227,18 @@
     def hand_over(self, to: MemberId | None) -> None:
         state = self.state
         able = [
-            (peer.match, who)
+            (peer.match_index, who)
             for who, peer in self.peers.items()
-            if who in state.belonging.voters and not peer.silent and (to is None or who == to)
+            if who in state.configuration.voters and not peer.silent and (to is None or who == to)
         ]
         if not able:
             state.note("not_handed_over", term=state.term, to=to.name if to else "")
             return
         self.heir = max(able)[1]
-        self.heir_until = state.now + state.bootstrap["election"]
+        self.heir_until = state.now + state.settings["election"]
         self.hand_on()
 
     def hand_on(self) -> None:
         """Once the heir has all that this one has."""
-        if self.heir in self.peers and self.peers[self.heir].match >= self.state.log.last:
+        if self.heir in self.peers and self.peers[self.heir].match_index >= self.state.log.last:
             self.state.send(self.heir, TimeoutNow(self.state.term))
--- a/indigohitch/fleet/raft/log.py
+++ b/indigohitch/fleet/raft/log.py
@@ -28,7 +28,7 @@
 
     def replace(self, snap: Snapshot) -> None:
         """All of it by a snapshot."""
-        self.snap, self.base, self.base_term = snap, snap.index, snap.term
+        self.snapshot, self.base, self.base_term = snap, snap.index, snap.term
         self.entries: list[LogEntry] = []
         self.grown = 0  # bytes of entries after the snapshot
 
@@ -94,4 +94,4 @@
         if at:
             self.base, self.base_term = self.base + at, self.entries[at - 1].term
             del self.entries[:at]
-        self.snap = snap
+        self.snapshot = snap
--- a/indigohitch/fleet/raft/messages.py
+++ b/indigohitch/fleet/raft/messages.py
@@ -13,18 +13,18 @@
     `handed`: the leader itself has asked the sender to stand."""
 
     term: int
-    last_index: int
-    last_term: int
-    pre: bool = False
-    handed: bool = False
+    last_log_index: int
+    last_log_term: int
+    is_pre_vote: bool = False
+    is_leadership_transfer: bool = False
 
 
 class RequestVoteResponse(Row, frozen=True):
     """`term` as asked for where it is given, else the sender's own."""
 
     term: int
-    given: bool
-    pre: bool = False
+    vote_granted: bool
+    is_pre_vote: bool = False
 
 
 class AppendEntries(Row, frozen=True):
@@ -33,12 +33,12 @@
     leader's clock as it was sent, of use only against other words of the same leader; 0: not told."""
 
     term: int
-    prev_index: int
-    prev_term: int
-    commit: int
+    prev_log_index: int
+    prev_log_term: int
+    leader_commit: int
     entries: tuple[LogEntry, ...] = ()
-    round: int = 0
-    at: int = 0
+    read_round: int = 0
+    sent_at: int = 0
 
 
 class AppendEntriesResponse(Row, frozen=True):
@@ -47,19 +47,19 @@
     `match`."""
 
     term: int
-    ok: bool
-    match: int
-    prev_index: int = 0
-    hint_term: int = 0
-    round: int = 0
+    success: bool
+    match_index: int
+    prev_log_index: int = 0
+    conflict_term: int = 0
+    read_round: int = 0
 
 
 class InstallSnapshot(Row, frozen=True):
     """Of a snapshot of `total` bytes with that digest, from `offset` on."""
 
     term: int
-    index: int
-    snap_term: int
+    last_included_index: int
+    last_included_term: int
     members: Members
     total: int
     digest: bytes
@@ -71,7 +71,7 @@
     """Of the snapshot at `index` the sender holds the first `offset` bytes."""
 
     term: int
-    index: int
+    last_included_index: int
     offset: int
 
 
--- a/indigohitch/fleet/raft/node.py
+++ b/indigohitch/fleet/raft/node.py
@@ -56,7 +56,7 @@
         self.state = RaftState(me, held, bootstrap, chance, now)
         self.votes = Election(self.state, self.elected)
         self.following = Follower(self.state)
-        self.leading: Leader | None = None
+        self.leadership: Leader | None = None
         self.steps = {
             MessageReceived: self.heard,
             Propose: self.propose,
@@ -86,17 +86,17 @@
         state = self.state
         state.now, state.out = now, []
         self.steps[type(input)](input)
-        if self.leading is not None and state.role is not Role.LEADER:
-            self.leading.reads.end(state.leader)
-            self.leading = None
+        if self.leadership is not None and state.role is not Role.LEADER:
+            self.leadership.reads.end(state.leader)
+            self.leadership = None
             state.wait_anew()
         out, state.out = state.out, []
         return out
 
     @property
-    def due(self) -> int:
+    def due_at(self) -> int:
         """When `Due` is to come at the latest."""
-        return self.leading.beat_due if self.leading is not None else self.state.election_due
+        return self.leadership.beat_due if self.leadership is not None else self.state.election_due
 
     @property
     def role(self) -> Role:
@@ -107,69 +107,69 @@
         return self.state.term
 
     @property
-    def settled(self) -> bool:
+    def has_committed_in_term(self) -> bool:
         """Leads, and an entry of its own is committed and put out: its state holds all that was committed
         before its election.  Until then it may stand far back (all have just started), and nothing is to be
         decided by it."""
-        return self.leading is not None and self.state.commit >= self.leading.reads.first
+        return self.leadership is not None and self.state.commit_index >= self.leadership.reads.first
 
     @property
     def leader(self) -> MemberId | None:
         return self.state.leader
 
     @property
-    def commit(self) -> int:
-        return self.state.commit
+    def commit_index(self) -> int:
+        return self.state.commit_index
 
     @property
     def members(self):
         """As this member's log has them now."""
-        return self.state.belonging.members
+        return self.state.configuration.members
 
     # ---- by input ----------------------------------------------------------------------------------
 
     def heard(self, input: MessageReceived) -> None:
-        if not self.state.belonging.outdated(input.sender) and input.sender != self.state.me:
-            self.words[type(input.word)](input.sender, input.word)
+        if not self.state.configuration.outdated(input.sender) and input.sender != self.state.member_id:
+            self.words[type(input.message)](input.sender, input.message)
 
     def answered(self, sender: MemberId, word: AppendEntriesResponse | InstallSnapshotResponse) -> None:
         state = self.state
         if word.term > state.term:
             state.vote(word.term, None)
             state.be(Role.FOLLOWER, None)
-        elif self.leading is not None:
-            self.leading.heard(sender, word)
+        elif self.leadership is not None:
+            self.leadership.heard(sender, word)
 
     def elected(self) -> None:
-        self.leading = Leader(self.state)
-        self.leading.advance()
+        self.leadership = Leader(self.state)
+        self.leadership.advance()
 
     def propose(self, input: Propose) -> None:
         state = self.state
-        if self.leading is not None:
-            self.leading.propose(input.proposal)
+        if self.leadership is not None:
+            self.leadership.propose(input.proposal)
         else:
-            state.out.append(ProposalRejected(input.proposal, state.bootstrap["beat"], state.leader))
+            state.out.append(ProposalRejected(input.proposal, state.settings["beat"], state.leader))
 
     def read(self, input: ReadRequest) -> None:
-        if self.leading is not None:
-            self.leading.read(input.number)
+        if self.leadership is not None:
+            self.leadership.read(input.number)
         else:
             self.state.out.append(ReadConfirmed(input.number, 0, False, self.state.leader))
 
     def change(self, input: ChangeMembers) -> None:
-        if self.leading is not None:
-            self.leading.change(input)
+        if self.leadership is not None:
+            self.leadership.change(input)
 
     def hand_over(self, input: TransferLeadership) -> None:
-        if self.leading is not None:
-            self.leading.hand_over(input.to)
+        if self.leadership is not None:
+            self.leadership.hand_over(input.to)
 
     def timed(self, input: Tick) -> None:
-        if self.state.now < self.due:
+        if self.state.now < self.due_at:
             return
-        if self.leading is not None:
-            self.leading.due()
+        if self.leadership is not None:
+            self.leadership.due()
         else:
             self.votes.due()
 
@@ -180,15 +180,15 @@
         self.kept()
 
     def snapped(self, input: SnapshotCompleted) -> None:
-        self.state.snapped(input.snap)
+        self.state.snapped(input.snapshot)
         self.kept()
 
     def kept(self) -> None:
         """More lies on the disk: what waited for it."""
         self.votes.written()
         self.following.written()
-        if self.leading is not None:
-            self.leading.advance()
+        if self.leadership is not None:
+            self.leadership.advance()
 
     def disk_failed(self, input: StorageFailed) -> None:
         state = self.state
--- a/indigohitch/fleet/raft/read_index.py
+++ b/indigohitch/fleet/raft/read_index.py
@@ -17,27 +17,27 @@
 
     def __init__(self, state: RaftState, first: int) -> None:
         self.state, self.first = state, first  # its first entry
-        self.round = 0
+        self.read_round = 0
         self.echoed: dict[MemberId, int] = {}
         self.waiting: deque[tuple[int, int, int]] = deque()  # number, round, index
 
     @property
     def open(self) -> bool:
         """A round is out that a read waits for."""
-        return bool(self.waiting) and self.waiting[0][1] <= self.round
+        return bool(self.waiting) and self.waiting[0][1] <= self.read_round
 
     def ask(self, number: int) -> bool:
         """Whether a round has to begin now: those that come while one is out share the next."""
-        if len(self.waiting) >= self.state.bootstrap["proposals_most"]:
+        if len(self.waiting) >= self.state.settings["proposals_most"]:
             self.state.out.append(ReadConfirmed(number, 0, False))  # memory is bounded: come back
             return False
         begin = not self.open
-        self.waiting.append((number, self.round + 1, max(self.state.commit, self.first)))
+        self.waiting.append((number, self.read_round + 1, max(self.state.commit_index, self.first)))
         return begin
 
     def begin(self) -> int:
-        self.round += 1
-        return self.round
+        self.read_round += 1
+        return self.read_round
 
     def heard(self, who: MemberId, round: int) -> None:
         if round > self.echoed.get(who, 0):
@@ -45,9 +45,12 @@
 
     def confirmed(self) -> int:
         """The last round that a majority has echoed."""
-        belonging = self.state.belonging
+        belonging = self.state.configuration
         rounds = sorted(
-            (self.round if who == self.state.me else self.echoed.get(who, 0) for who in belonging.voters),
+            (
+                self.read_round if who == self.state.member_id else self.echoed.get(who, 0)
+                for who in belonging.voters
+            ),
             reverse=True,
         )
         return rounds[belonging.majority - 1]
@@ -57,10 +60,12 @@
         if not self.waiting:
             return False
         confirmed, was_open = self.confirmed(), self.open
-        while self.waiting and self.waiting[0][1] <= confirmed and self.waiting[0][2] <= self.state.commit:
+        while (
+            self.waiting and self.waiting[0][1] <= confirmed and self.waiting[0][2] <= self.state.commit_index
+        ):
             number, _, index = self.waiting.popleft()
             self.state.out.append(ReadConfirmed(number, index))
-        return was_open and bool(self.waiting) and self.waiting[0][1] > self.round
+        return was_open and bool(self.waiting) and self.waiting[0][1] > self.read_round
 
     def end(self, leader: MemberId | None) -> None:
         for number, _, _ in self.waiting:
--- a/indigohitch/fleet/raft/state.py
+++ b/indigohitch/fleet/raft/state.py
@@ -44,16 +44,16 @@
         chance: Callable[[], float],
         now: int,
     ) -> None:
-        self.me, self.bootstrap, self.chance, self.now = me, bootstrap, chance, now
-        self.log = Log(held.snap, held.entries)
-        self.belonging = Configuration(held.snap.index, held.snap.members)
-        self.belonging.appended(held.entries)
+        self.member_id, self.settings, self.chance, self.now = me, bootstrap, chance, now
+        self.log = Log(held.snapshot, held.entries)
+        self.configuration = Configuration(held.snapshot.index, held.snapshot.members)
+        self.configuration.appended(held.entries)
         # A ballot is written before the entries of its term; one that is behind them was never promised.
-        self.ballot = max(held.ballot, HardState(self.log.last_term), key=lambda ballot: ballot.term)
+        self.hard_state = max(held.hard_state, HardState(self.log.last_term), key=lambda ballot: ballot.term)
         self.durable = DurabilityTracker(self.log.last)
-        self.commit = held.snap.index
+        self.commit_index = held.snapshot.index
         self.role, self.leader = Role.FOLLOWER, None
-        self.told = (self.role, self.ballot.term, self.leader)
+        self.told = (self.role, self.hard_state.term, self.leader)
         self.heard = now - 2 * bootstrap["election"]  # when a leader was last heard
         self.election_due = 0
         self.snapping = False  # a snapshot of our own is being taken
@@ -62,12 +62,12 @@
 
     @property
     def term(self) -> int:
-        return self.ballot.term
+        return self.hard_state.term
 
     def wait_anew(self) -> None:
         """Until this member asks for votes: an election's time, up to twice as long by chance, so that few
         ask at once (Ongaro and Ousterhout 2014, 5.2)."""
-        self.election_due = self.now + int(self.bootstrap["election"] * (1 + self.chance()))
+        self.election_due = self.now + int(self.settings["election"] * (1 + self.chance()))
 
     @property
     def led(self) -> bool:
@@ -75,7 +75,7 @@
         no term moved by who asks for one, so that a member that comes back doesn't unseat a leader
         (dissertation, 4.2.3)."""
         return self.role is Role.LEADER or (
-            self.leader is not None and self.now - self.heard < self.bootstrap["election"]
+            self.leader is not None and self.now - self.heard < self.settings["election"]
         )
 
     # ---- saying and writing ------------------------------------------------------------------------
@@ -103,25 +103,25 @@
 
     def vote(self, term: int, who: MemberId | None) -> None:
         """Term and vote, to the disk too."""
-        self.ballot = HardState(term, who)
-        self.out += self.durable.write(self.ballot, 0, (), self.log.last)
+        self.hard_state = HardState(term, who)
+        self.out += self.durable.write(self.hard_state, 0, (), self.log.last)
 
     def store(self, cut: int, entries: tuple[LogEntry, ...]) -> None:
         """Entries to the log's end, after it was cut from `cut` on (0: not)."""
         if cut:
-            if cut <= self.commit:
+            if cut <= self.commit_index:
                 raise ValueError(f"entry {cut} was committed and is to be void")
             self.log.cut(cut)
-            self.belonging.cut(cut)
+            self.configuration.cut(cut)
         self.log.append(entries)
-        self.belonging.appended(entries)
+        self.configuration.appended(entries)
         self.out += self.durable.write(None, cut, entries, self.log.last)
 
     def commit_to(self, index: int) -> None:
-        if index <= self.commit:
+        if index <= self.commit_index:
             return
-        self.out.append(ApplyEntries(self.log.some(self.commit + 1, index)))
-        self.commit = index
+        self.out.append(ApplyEntries(self.log.some(self.commit_index + 1, index)))
+        self.commit_index = index
         self.compact()
 
     # ---- snapshots ---------------------------------------------------------------------------------
@@ -129,30 +129,34 @@
     def compact(self) -> None:
         """Memory and disk are bounded: the state machine takes the place of a log that has grown."""
         if (
-            self.log.grown > self.bootstrap["log_most"]
-            and self.commit > self.log.snap.index
+            self.log.grown > self.settings["log_most"]
+            and self.commit_index > self.log.snapshot.index
             and not (self.snapping or self.durable.failed or self.durable.installing)
         ):
             self.snapping = True
             self.out.append(
-                TakeSnapshot(self.commit, self.log.term(self.commit), self.belonging.at(self.commit))
+                TakeSnapshot(
+                    self.commit_index,
+                    self.log.term(self.commit_index),
+                    self.configuration.at(self.commit_index),
+                )
             )
 
     def install(self, snap: Snapshot) -> None:
         """In place of a log that is behind it."""
         self.log.replace(snap)
-        self.belonging.replace(snap.index, snap.members)
-        self.commit, self.snapping = snap.index, False
+        self.configuration.replace(snap.index, snap.members)
+        self.commit_index, self.snapping = snap.index, False
         self.durable.install(snap.index)
         if not self.durable.failed:
             self.out.append(RestoreSnapshot(snap))
 
     def snapped(self, snap: Snapshot) -> None:
         self.durable.snapped(snap.index)
-        if snap.index > self.log.snap.index:
+        if snap.index > self.log.snapshot.index:
             self.snapping = False
-            self.log.snapped(snap, self.bootstrap["log_most"] // 2)
-            self.belonging.snapped(self.log.base)
+            self.log.snapped(snap, self.settings["log_most"] // 2)
+            self.configuration.snapped(self.log.base)
             self.compact()
 
     def disk_back(self) -> None:
@@ -161,7 +165,9 @@
             return
         self.durable.failed = self.snapping = False
         if self.durable.installing:
-            self.out.append(RestoreSnapshot(self.log.snap))
-        first = max(self.durable.stable, self.log.snap.index if self.durable.installing else 0) + 1
-        self.out += self.durable.write(self.ballot, first, self.log.some(first, self.log.last), self.log.last)
+            self.out.append(RestoreSnapshot(self.log.snapshot))
+        first = max(self.durable.stable, self.log.snapshot.index if self.durable.installing else 0) + 1
+        self.out += self.durable.write(
+            self.hard_state, first, self.log.some(first, self.log.last), self.log.last
+        )
         self.compact()
--- a/indigohitch/fleet/seats/part.py
+++ b/indigohitch/fleet/seats/part.py
@@ -185,7 +185,7 @@
             raise InvalidRequestError(f"no contract on {feature}")
         return self.features[feature]
 
-    def member_gone(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.gone[name] = max(incarnation, self.gone.get(name, 0))
         for feature in self.features.values():
             for share in [
--- a/indigohitch/fleet/seats/work.py
+++ b/indigohitch/fleet/seats/work.py
@@ -85,7 +85,7 @@
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         self.out.discard(tag)
         if tag == "contract" and outcome is not None:
-            self.refused = outcome.refused
+            self.refused = outcome.rejection
         return []
 
     def report(self, now: int) -> bytes:
@@ -98,7 +98,7 @@
             Report(lease.incarnation if lease is not None else 0, tuple(wanting), self.stocks)
         )
 
-    def holds(self, now: int) -> bool:
+    def has_leased_resources(self, now: int) -> bool:
         """Jobs with seats are out: what this member holds is not free before their end."""
         self.allocator.expire(now)
         return any(pool.assignments for pool in self.allocator.pools.values())
--- a/indigohitch/fleet/state_machine.py
+++ b/indigohitch/fleet/state_machine.py
@@ -62,17 +62,17 @@
         if entry.incarnation < known.incarnation:
             return Outcome(entry.index, "of an incarnation that is over", b"")
         if (before := known.outcomes.get(entry.number)) is not None:
-            return Outcome(before.index, before.refused, before.told, True)
+            return Outcome(before.index, before.rejection, before.result, True)
         if entry.number <= known.highest - WINDOW:
             return Outcome(entry.index, "too old: whether it took effect is not known any more")
-        outcome = self.carried_out(entry)
+        outcome = self.execute(entry)
         known.outcomes[entry.number] = outcome
         known.highest = max(known.highest, entry.number)
         for old in [n for n in known.outcomes if n <= known.highest - WINDOW]:
             del known.outcomes[old]
         return outcome
 
-    def carried_out(self, entry: LogEntry) -> Outcome:
+    def execute(self, entry: LogEntry) -> Outcome:
         name, _, word = entry.kind.partition(".")
         part = self.parts.get(name)
         kind = part.kinds.get(word) if part is not None else None
--- a/indigohitch/fleet/storage/files.py
+++ b/indigohitch/fleet/storage/files.py
@@ -11,21 +11,21 @@
 class FileSystem:
     """Each raises OSError."""
 
-    def folder(self, path: str) -> None:
+    def make_folder(self, path: str) -> None:
         os.makedirs(path, 0o700, exist_ok=True)
 
-    def names(self, folder: str) -> list[str]:
+    def list_names(self, folder: str) -> list[str]:
         return sorted(os.listdir(folder))
 
     def read(self, path: str) -> bytes:
         with open(path, "rb") as file:
             return file.read()
 
-    def whole(self, path: str, data: bytes) -> None:
+    def write_atomically(self, path: str, data: bytes) -> None:
         """There whole and on the disk, or not there."""
         write_atomically(path, data)
 
-    def append_to(self, path: str) -> int:
+    def open_for_append(self, path: str) -> int:
         return os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
 
     def write(self, fd: int, data: bytes) -> int:
@@ -44,7 +44,7 @@
         except OSError:
             pass
 
-    def cut(self, path: str, size: int) -> None:
+    def truncate(self, path: str, size: int) -> None:
         fd = os.open(path, os.O_WRONLY | os.O_CLOEXEC)
         try:
             os.ftruncate(fd, size)
@@ -55,10 +55,10 @@
     def remove(self, path: str) -> None:
         os.unlink(path)
 
-    def synced(self, folder: str) -> None:
+    def sync_folder(self, folder: str) -> None:
         sync_folder(folder)
 
-    def locked(self, path: str) -> int:
+    def lock_file(self, path: str) -> int:
         """A descriptor that holds the lock until it is closed, also by the process' death; BlockingIOError
         where another process holds it."""
         fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
--- a/indigohitch/fleet/storage/folder.py
+++ b/indigohitch/fleet/storage/folder.py
@@ -20,9 +20,9 @@
 
     def take(self) -> None:
         """Until `leave`, or this process' death, it is no other's.  Raises NotNow."""
-        self.files.folder(self.path)
+        self.files.make_folder(self.path)
         try:
-            self.lock = self.files.locked(f"{self.path}/lock")
+            self.lock = self.files.lock_file(f"{self.path}/lock")
         except BlockingIOError:
             raise UnavailableError(
                 "another process holds this folder",
@@ -37,7 +37,7 @@
 
     def read(self) -> RecoveryResult | None:
         """None where no member has been founded on it.  Raises Unreadable, CorruptStorageError."""
-        names = self.files.names(self.path)
+        names = self.files.list_names(self.path)
         for name in names:
             if name.endswith(PART):
                 self.files.remove(f"{self.path}/{name}")
@@ -61,24 +61,24 @@
 
     def clear(self, found: RecoveryResult) -> None:
         """After a founding that a crash cut short: nothing was promised yet."""
-        if found.held.snap.index or found.held.entries or found.held.ballot.term:
+        if found.held.snapshot.index or found.held.entries or found.held.hard_state.term:
             raise CorruptStorageError("a log and no identity beside it", self.path)
         for path in [segment.path for segment in found.segments] + found.snapshots:
             self.files.remove(path)
 
     def keep(self, identity: id.Identity) -> None:
         """In place of the one that stood, at once: rare, and nothing may go on before it."""
-        self.files.whole(f"{self.path}/identity", id.encode(identity))
+        self.files.write_atomically(f"{self.path}/identity", id.encode(identity))
         self.identity = identity
 
     def founded(self, number: int, founders: tuple[str, ...]) -> None:
         """This member has that number from here on."""
         was = self.identity
-        self.keep(id.Identity(was.fleet, was.name, number, founders, was.met, was.form))
+        self.keep(id.Identity(was.fleet, was.name, number, founders, was.seen_numbers, was.form))
 
-    def met(self, who: MemberId) -> None:
+    def record_seen_number(self, who: MemberId) -> None:
         """Another member showed itself under this number: kept before anything is heard of it."""
-        if who.number > self.identity.met.get(who.name, 0):
+        if who.number > self.identity.seen_numbers.get(who.name, 0):
             was = self.identity
-            met = was.met | {who.name: who.number}
+            met = was.seen_numbers | {who.name: who.number}
             self.keep(id.Identity(was.fleet, was.name, was.number, was.founders, met, was.form))
--- a/indigohitch/fleet/storage/identity.py
+++ b/indigohitch/fleet/storage/identity.py
@@ -19,21 +19,21 @@
     name: str = msgspec.field(name="name")
     number: int = msgspec.field(default=0, name="number")
     founders: tuple[str, ...] = msgspec.field(default=(), name="founders")
-    met: dict[str, int] = msgspec.field(default_factory=dict, name="met")
+    seen_numbers: dict[str, int] = msgspec.field(default_factory=dict, name="met")
     form: int = msgspec.field(default=FORM, name="form")
     # of all else: a changed number would let a lost disk vote again
     check: str = msgspec.field(default="", name="check")
 
     def checked(self) -> str:
-        met = dict(sorted(self.met.items()))
+        met = dict(sorted(self.seen_numbers.items()))
         bare = Identity(self.fleet, self.name, self.number, self.founders, met, self.form)
         return digest(msgspec.json.encode(bare)).hex()
 
 
 def encode(identity: Identity) -> bytes:
     one = identity
-    one.met = dict(sorted(one.met.items()))
-    whole = Identity(one.fleet, one.name, one.number, one.founders, one.met, one.form, one.checked())
+    one.seen_numbers = dict(sorted(one.seen_numbers.items()))
+    whole = Identity(one.fleet, one.name, one.number, one.founders, one.seen_numbers, one.form, one.checked())
     return msgspec.json.format(msgspec.json.encode(whole)) + b"\n"
 
 
--- a/indigohitch/fleet/storage/records.py
+++ b/indigohitch/fleet/storage/records.py
@@ -25,15 +25,15 @@
     fleet: str
     who: MemberId
     base: int
-    ballot: HardState
+    hard_state: HardState
     anew: bool = False
 
 
 class LogWrite(Row, frozen=True):
     """A write: ports.Write without its number."""
 
-    ballot: HardState | None
-    cut: int
+    hard_state: HardState | None
+    truncate_from: int
     entries: tuple[LogEntry, ...]
 
 
--- a/indigohitch/fleet/storage/recovery.py
+++ b/indigohitch/fleet/storage/recovery.py
@@ -34,7 +34,7 @@
     held: RecoveredState
     segments: list[Segment] = field(default_factory=list)
     snapshots: list[str] = field(default_factory=list)  # paths; the last one is in force
-    cut: tuple[str, int] | None = None  # a torn tail: file, and how much of it was good
+    torn_tail: tuple[str, int] | None = None  # a file, and how many of its bytes are good
     void: list[str] = field(default_factory=list)  # segments that a later one has replaced
     follows: bool = True  # the log agrees with the snapshot, and goes on there
 
@@ -51,10 +51,10 @@
 
     def write(self, one: LogWrite, where: str = "in memory") -> None:
         """Raises CorruptStorageError where the entries do not follow."""
-        if one.cut > self.base:
-            del self.entries[one.cut - self.base - 1 :]
-        elif one.cut:  # back into a segment that a snapshot has covered since
-            self.base, self.entries = one.cut - 1, []
+        if one.truncate_from > self.base:
+            del self.entries[one.truncate_from - self.base - 1 :]
+        elif one.truncate_from:  # back into a segment that a snapshot has covered since
+            self.base, self.entries = one.truncate_from - 1, []
         for entry in one.entries:
             if entry.index != self.last + 1:
                 raise CorruptStorageError(f"entry {entry.index} stands after {self.last}", where)
@@ -74,13 +74,13 @@
 
 def recover(files: FileSystem, folder: str) -> RecoveryResult:
     """Reads only.  Raises OSError, CorruptStorageError."""
-    names = files.names(folder)
+    names = files.list_names(folder)
     found = RecoveryResult(RecoveredState(HardState(0), Snapshot(0, 0, Members(()), b"")))
     found.snapshots = [
         f"{folder}/{name}" for name in names if name.startswith(SNAPSHOT) and not name.endswith(PART)
     ]
     if found.snapshots:
-        found.held.snap = snapshots.decode(files.read(found.snapshots[-1]), found.snapshots[-1])
+        found.held.snapshot = snapshots.decode(files.read(found.snapshots[-1]), found.snapshots[-1])
     paths = [
         (int(name[len(SEGMENT) :]), f"{folder}/{name}")
         for name in names
@@ -97,7 +97,7 @@
         if not rows or not isinstance(rows[0][1], SegmentHeader):
             raise CorruptStorageError("a segment has no beginning", path)
         if good < len(data):
-            found.cut = (path, good)
+            found.torn_tail = (path, good)
         read.insert(0, (number, path, rows, good))
         if rows[0][1].anew:  # a crash came before the older ones were taken away
             break
@@ -108,7 +108,7 @@
 
 def replay(found: RecoveryResult, read: list) -> None:
     """Replays segments in order.  Raises CorruptStorageError where they do not go back to the snapshot."""
-    snap, log = found.held.snap, None
+    snap, log = found.held.snapshot, None
     if not read and snap.index:
         raise CorruptStorageError("the log is missing beside its snapshot", found.snapshots[-1])
     for number, path, rows, good in read:
@@ -124,14 +124,14 @@
                 f"it goes on after entry {begin.base}, the one before ends at {log.last}", path
             )
         highest = begin.base
-        found.held.ballot = begin.ballot
+        found.held.hard_state = begin.hard_state
         for at, row in rows[1:]:
             where = f"{path}, byte {at}"
             if not isinstance(row, WriteBatch):
                 raise CorruptStorageError("a segment begins twice", where)
             for one in row.writes:
                 log.write(one, where)
-                found.held.ballot = one.ballot or found.held.ballot
+                found.held.hard_state = one.hard_state or found.held.hard_state
                 highest = max(highest, log.last)
         found.segments.append(Segment(number, path, highest, good))
     if log is not None:
--- a/indigohitch/fleet/storage/segments.py
+++ b/indigohitch/fleet/storage/segments.py
@@ -36,7 +36,7 @@
         part: list[LogEntry] = []
         for entry in one.entries:
             if part and size + entry_size(entry) > MAX_BATCH_BYTES:
-                yield WriteBatch((*waiting, LogWrite(one.ballot, one.cut, tuple(part))))
+                yield WriteBatch((*waiting, LogWrite(one.hard_state, one.truncate_from, tuple(part))))
                 one, waiting, part, size = LogWrite(None, 0, ()), [], [], 0
             part.append(entry)
             size += entry_size(entry)
@@ -63,13 +63,13 @@
         self.files, self.folder, self.fleet, self.who, self.size = files, folder, fleet, who, size
         self.stood, self.snapshots = stood, read
         self.fd = -1
-        self.ballot, self.last = HardState(0), 0  # as the records so far tell them
+        self.hard_state, self.last = HardState(0), 0  # as the records so far tell them
 
     def open(self, ballot: HardState, last: int) -> None:
         """Go on after what was found; raises OSError."""
-        self.ballot, self.last = ballot, last
+        self.hard_state, self.last = ballot, last
         if self.stood:
-            self.fd = self.files.append_to(self.stood[-1].path)
+            self.fd = self.files.open_for_append(self.stood[-1].path)
         else:
             self.begin(b"")
 
@@ -77,10 +77,10 @@
         base = self.last if base is None else base
         number = self.stood[-1].number + 1 if self.stood else 1
         path = f"{self.folder}/{segment_name(number)}"
-        data = RECORDS.frame(SegmentHeader(self.fleet, self.who, base, self.ballot, anew)) + rest
-        self.files.whole(path, data)
+        data = RECORDS.frame(SegmentHeader(self.fleet, self.who, base, self.hard_state, anew)) + rest
+        self.files.write_atomically(path, data)
         self.close()
-        self.fd = self.files.append_to(path)
+        self.fd = self.files.open_for_append(path)
         self.stood.append(Segment(number, path, max(base, self.last), len(data)))
 
     def write(self, writes: list[LogWrite]) -> None:
@@ -101,9 +101,9 @@
 
     def took(self, writes: Iterable[LogWrite]) -> None:
         for one in writes:
-            self.ballot = one.ballot or self.ballot
-            if one.cut:
-                self.last = min(self.last, one.cut - 1)
+            self.hard_state = one.hard_state or self.hard_state
+            if one.truncate_from:
+                self.last = min(self.last, one.truncate_from - 1)
             if one.entries:
                 self.last = one.entries[-1].index
                 self.stood[-1].highest = max(self.stood[-1].highest, self.last)
@@ -111,7 +111,7 @@
     def snapshot(self, snap: Snapshot, follows: bool) -> None:
         """Written; then what it covers is taken away, if the log `follows` it, else all.  Raises OSError."""
         if not follows:
-            self.anew(snap, self.ballot, ())
+            self.anew(snap, self.hard_state, ())
             return
         self.put(snap)
         if self.stood[-1].size > self.size // 4:
@@ -122,14 +122,18 @@
 
     def put(self, snap: Snapshot) -> None:
         path = f"{self.folder}/{snapshot_name(snap.index)}"
-        self.files.whole(path, snapshots.encode(snap))
+        self.files.write_atomically(path, snapshots.encode(snap))
         if path not in self.snapshots:
             self.snapshots.append(path)
 
     def anew(self, snap: Snapshot, ballot: HardState, entries: tuple[LogEntry, ...]) -> None:
         """All of it into files of their own, trusting none that stands; then those go.  Raises OSError."""
         self.close()
-        old, self.ballot, self.last = list(self.stood), ballot, entries[-1].index if entries else snap.index
+        old, self.hard_state, self.last = (
+            list(self.stood),
+            ballot,
+            entries[-1].index if entries else snap.index,
+        )
         self.put(snap)
         frames = b"".join(RECORDS.frame(group) for group in batch_writes([LogWrite(ballot, 0, entries)]))
         self.begin(frames, snap.index, True)
--- a/indigohitch/fleet/storage/store.py
+++ b/indigohitch/fleet/storage/store.py
@@ -67,7 +67,11 @@
         self.state, self.why = StorageState.CLOSED, ""
         self.worker: WorkerThread | None = None
         self.segments: Segments | None = None
-        self.kept, self.snap, self.ballot = Kept(0), Snapshot(0, 0, Members(()), b""), HardState(0)
+        self.kept, self.latest_snapshot, self.hard_state = (
+            Kept(0),
+            Snapshot(0, 0, Members(()), b""),
+            HardState(0),
+        )
         self.waiting: list[tuple[int, LogWrite] | tuple[Snapshot, bool]] = []
         self.again: Deadline | None = None
         self.syncs = self.failures = 0
@@ -92,29 +96,29 @@
         except BaseException:
             self.close()
             raise
-        return RecoveredState(self.ballot, self.snap, list(self.kept.entries))
+        return RecoveredState(self.hard_state, self.latest_snapshot, list(self.kept.entries))
 
     def stood(self, found: RecoveryResult) -> None:
-        if found.cut is not None:
-            path, good = found.cut
+        if found.torn_tail is not None:
+            path, good = found.torn_tail
             self.log.warning("torn_tail_cut", file=path, at=good, remedy="none needed: nothing hung on it")
-            self.files.cut(path, good)
+            self.files.truncate(path, good)
         for path in found.void:
             self.files.remove(path)
         self.begin(found, self.identity.number)
 
-    def found(self, number: int, founders: tuple[str, ...], members: Members) -> RecoveredState:
+    def initialize(self, number: int, founders: tuple[str, ...], members: Members) -> RecoveredState:
         """The disk is this member's from here on, with an empty state machine.  Raises OSError."""
         held = RecoveredState(HardState(0), Snapshot(0, 0, members, b""))
         self.begin(RecoveryResult(held), number)
-        self.segments.put(held.snap)
+        self.segments.put(held.snapshot)
         self.folder.founded(number, founders)
         return held
 
     def begin(self, found: RecoveryResult, number: int) -> None:
         held, identity = found.held, self.identity
-        self.snap, self.ballot = held.snap, held.ballot
-        self.kept = Kept(held.snap.index)
+        self.latest_snapshot, self.hard_state = held.snapshot, held.hard_state
+        self.kept = Kept(held.snapshot.index)
         self.kept.entries = list(held.entries)
         self.segments = Segments(
             self.files,
@@ -125,9 +129,9 @@
             found.snapshots,
         )
         if found.follows:
-            self.segments.open(held.ballot, self.kept.last)
+            self.segments.open(held.hard_state, self.kept.last)
         else:
-            self.segments.anew(held.snap, held.ballot, ())
+            self.segments.anew(held.snapshot, held.hard_state, ())
         self.state = StorageState.IDLE
 
     def close(self) -> None:
@@ -149,12 +153,12 @@
 
     def write(self, write: WriteEntries) -> None:
         """`Written` comes once it is on the disk."""
-        base, cut = self.kept.base, write.cut
+        base, cut = self.kept.base, write.truncate_from
         entries = tuple(entry for entry in write.entries if entry.index > base)  # else: in the snapshot
         if entries and entries[0].index <= self.kept.last:
             cut = min(cut or entries[0].index, entries[0].index)
-        one = LogWrite(write.ballot, max(cut, base + 1) if cut else 0, entries)
-        self.ballot = write.ballot or self.ballot
+        one = LogWrite(write.hard_state, max(cut, base + 1) if cut else 0, entries)
+        self.hard_state = write.hard_state or self.hard_state
         self.kept.write(one)
         self.ask((write.number, one))
 
@@ -164,7 +168,7 @@
         if snap.index < self.kept.base:
             return
         self.kept.entries = self.kept.after(snap) if follows else []
-        self.kept.base, self.snap = snap.index, snap
+        self.kept.base, self.latest_snapshot = snap.index, snap
         self.ask((snap, follows))
 
     def ask(self, job: tuple) -> None:
@@ -231,7 +235,7 @@
         if self.state is not StorageState.FAILED:
             return
         self.state = StorageState.MENDING
-        snap, ballot, entries = self.snap, self.ballot, tuple(self.kept.entries)
+        snap, ballot, entries = self.latest_snapshot, self.hard_state, tuple(self.kept.entries)
         self.do(lambda: self.segments.anew(snap, ballot, entries))
 
     def figures(self) -> dict:
@@ -240,7 +244,7 @@
             "syncs": self.syncs,
             "failures": self.failures,
             "segments": len(self.segments.stood) if self.segments else 0,
-            "snapshot": self.snap.index,
+            "snapshot": self.latest_snapshot.index,
             "entries": len(self.kept.entries),
             **({"why": self.why} if self.why else {}),
         }
--- a/indigohitch/fleet/types.py
+++ b/indigohitch/fleet/types.py
@@ -58,9 +58,9 @@
     empty."""
 
     index: int
-    refused: str = ""
-    told: bytes = b""  # msgpack of what the part returned
-    doubled: bool = False  # it had come before: this is what it came to then
+    rejection: str = ""
+    result: bytes = b""  # msgpack of what the part returned
+    is_duplicate: bool = False  # it had come before: this is what it came to then
 
 
 class Lease(Row, frozen=True):
@@ -69,7 +69,7 @@
     incarnation: int
     until: int
 
-    def left(self, now: int) -> int:
+    def remaining(self, now: int) -> int:
         return max(0, self.until - now)
 
 
--- a/indigohitch/versions/store.py
+++ b/indigohitch/versions/store.py
@@ -31,8 +31,8 @@
         """Reads what is there, cuts a torn tail.  Raises Harmed."""
         self.history = VersionHistory(last) if last is not None else VersionHistory()
         self.history.retains_all = True
-        self.files.folder(self.folder)
-        names = [name for name in self.files.names(self.folder) if name.startswith(NAME)]
+        self.files.make_folder(self.folder)
+        names = [name for name in self.files.list_names(self.folder) if name.startswith(NAME)]
         for name in [name for name in names if name.endswith(PART)]:
             self.files.remove(f"{self.folder}/{name}")  # a crash came before it was whole
         names = [name for name in names if not name.endswith(PART)]
@@ -47,9 +47,9 @@
             raise Harmed("its snapshot is not whole", self.path)
         self.replay(rows[1:])
         if self.good < len(data):
-            self.files.cut(self.path, self.good)
+            self.files.truncate(self.path, self.good)
         self.number = int(names[-1][len(NAME) :])
-        self.fd = self.files.append_to(self.path)
+        self.fd = self.files.open_for_append(self.path)
         for name in names[:-1]:
             self.files.remove(f"{self.folder}/{name}")
 
@@ -126,11 +126,11 @@
         rows += [self.pinned] if self.pinned is not None else []
         data = frames([Begun(len(rows)), *rows])
         path = f"{self.folder}/{NAME}{self.number + 1:09}"
-        self.files.whole(path, data)
+        self.files.write_atomically(path, data)
         old = self.path
         self.close()
         self.path, self.number, self.good = path, self.number + 1, len(data)
-        self.fd = self.files.append_to(path)
+        self.fd = self.files.open_for_append(path)
         self.root = before
         if old:
             try:
--- a/proofs/fleetkit/disks.py
+++ b/proofs/fleetkit/disks.py
@@ -8,7 +8,7 @@
 
 from indigohitch.fleet.storage.files import FileSystem
 
-_write, _fsync, _whole = FileSystem.write, FileSystem.fsync, FileSystem.whole
+_write, _fsync, _whole = FileSystem.write, FileSystem.fsync, FileSystem.write_atomically
 _FULL = Path(os.environ.get("FLEET_FOLDER", "/nowhere")) / "full"
 HOW = os.environ.get("FLEET_DISK", "")
 
@@ -33,4 +33,4 @@
     _whole(self, path, data)
 
 
-FileSystem.write, FileSystem.fsync, FileSystem.whole = write, fsync, whole
+FileSystem.write, FileSystem.fsync, FileSystem.write_atomically = write, fsync, whole
--- a/proofs/ledger_checks.py
+++ b/proofs/ledger_checks.py
@@ -38,9 +38,9 @@
 
     def proposed(self, station, write) -> None:
         """A leader changes the members one at a time."""
-        steps, machine = station.machine.state.belonging.steps, station.machine
-        if machine.leading is not None and write.entries and steps[-1][0] == write.entries[-1].index:
-            if len(steps) > 1 and steps[-2][0] > machine.commit:
+        steps, machine = station.machine.state.configuration.steps, station.machine
+        if machine.leadership is not None and write.entries and steps[-1][0] == write.entries[-1].index:
+            if len(steps) > 1 and steps[-2][0] > machine.commit_index:
                 raise Breach(
                     f"{station.me.name} changes members at {steps[-1][0]}, that of {steps[-2][0]} "
                     "isn't committed"
@@ -50,7 +50,7 @@
         """The same everywhere, in order, and on the disks of a majority the first time it is told.  A leader
         commits older entries only along with one of its own term (figure 8)."""
         machine = station.machine
-        if machine.leading is not None and entries[-1].term != machine.term:
+        if machine.leadership is not None and entries[-1].term != machine.term:
             raise Breach(
                 f"{station.me.name} commits {entries[-1].index} of term {entries[-1].term} alone, "
                 f"leading in {machine.term}"
@@ -64,10 +64,10 @@
                 raise Breach(f"{station.me.name} commits {entry.index} after {len(self.committed)}")
             self.on_majority(station, entry)
             self.committed.append(entry)
-            self.committed_in.append(machine.term if machine.leading is not None else entries[-1].term)
+            self.committed_in.append(machine.term if machine.leadership is not None else entries[-1].term)
 
     def on_majority(self, station, entry) -> None:
-        belonging = station.machine.state.belonging
+        belonging = station.machine.state.configuration
         have = sum(self.world.disk_term(who, entry.index) in (entry.term, -1) for who in belonging.voters)
         if have < belonging.majority:
             raise Breach(
@@ -77,7 +77,7 @@
     def applied(self, station, entry, outcome) -> None:
         """Each proposal takes effect once, and the state machine is the same at the same entry."""
         state_machine = station.state_machine
-        if entry.proposer and not outcome.doubled and not outcome.refused:
+        if entry.proposer and not outcome.is_duplicate and not outcome.rejection:
             key = (entry.proposer, entry.incarnation, entry.number)
             if self.effects.setdefault(key, entry.index) != entry.index:
                 raise Breach(f"proposal {key} took effect at {self.effects[key]} and {entry.index}")
@@ -104,9 +104,9 @@
 
     def sent(self, station, to, word) -> None:
         kind = type(word)
-        if kind is RequestVote and not word.pre:
+        if kind is RequestVote and not word.is_pre_vote:
             self.voted(station, word.term, station.me)
-        elif kind is RequestVoteResponse and word.given and not word.pre:
+        elif kind is RequestVoteResponse and word.vote_granted and not word.is_pre_vote:
             self.voted(station, word.term, to)
         elif kind in (AppendEntries, InstallSnapshot) and self.leaders.get(word.term) != station.me:
             raise Breach(f"{station.me.name} leads unelected in term {word.term}")
@@ -115,14 +115,14 @@
         """One vote a term, and on the disk before it is told."""
         if self.votes.setdefault((station.me, term), candidate) != candidate:
             raise Breach(f"{station.me.name} votes twice in term {term}")
-        ballot = station.disk.ballot
+        ballot = station.disk.hard_state
         if (ballot.term, ballot.vote) != (term, candidate) and ballot.term <= term:
             raise Breach(f"{station.me.name} tells a vote that its disk doesn't hold")
 
     def asked(self, station, before, sender, word) -> None:
         """Who hears a leader helps nobody against it, except one to whom the leader gives its place."""
-        ballot = station.machine.state.ballot
-        if ballot != before and ballot.vote == sender and not word.handed:
+        ballot = station.machine.state.hard_state
+        if ballot != before and ballot.vote == sender and not word.is_leadership_transfer:
             raise Breach(f"{station.me.name} votes for {sender.name} against a leader that it hears")
 
     # ---- clients -----------------------------------------------------------------------------------
@@ -135,5 +135,5 @@
 
     def read_ends(self, station, readable) -> None:
         began = self.reads.pop(readable.number)
-        if readable.ok and readable.index < began:
+        if readable.is_confirmed and readable.index < began:
             raise Breach(f"a read at {station.me.name} answers {readable.index}, {began} was told before")
--- a/proofs/ledger_clients.py
+++ b/proofs/ledger_clients.py
@@ -69,7 +69,7 @@
             self.world.step(station, change)
 
     def readable(self, station: Station, output: ReadConfirmed) -> None:
-        self.world.tally["reads"] += output.ok
+        self.world.tally["reads"] += output.is_confirmed
         self.world.checks.read_ends(station, output)
         if output.number in self.world.leases.renewals:
             self.world.leases.confirmed(station, output)
--- a/proofs/ledger_disk.py
+++ b/proofs/ledger_disk.py
@@ -17,7 +17,7 @@
 
 class Disk:
     def __init__(self, snap: Snapshot) -> None:
-        self.ballot, self.snap, self.entries = HardState(0), snap, []
+        self.hard_state, self.snapshot, self.entries = HardState(0), snap, []
         self.queue = deque()  # asked for, not yet confirmed: Write, Install or Snap
         self.failed = False
 
@@ -25,19 +25,19 @@
         """The next in order, wholly; returns what the member is told."""
         op = self.queue.popleft()
         if isinstance(op, WriteEntries):
-            if op.ballot is not None:
-                self.ballot = op.ballot
-            if op.cut:
-                del self.entries[max(0, op.cut - self.snap.index - 1) :]
-            fresh = [entry for entry in op.entries if entry.index > self.snap.index]
+            if op.hard_state is not None:
+                self.hard_state = op.hard_state
+            if op.truncate_from:
+                del self.entries[max(0, op.truncate_from - self.snapshot.index - 1) :]
+            fresh = [entry for entry in op.entries if entry.index > self.snapshot.index]
             if fresh and fresh[0].index != self.last + 1:
                 raise ValueError(f"a gap on the disk: {fresh[0].index} after {self.last}")
             self.entries += fresh
             return WriteCompleted(op.number)
-        snap = op.snap if isinstance(op, RestoreSnapshot) else op
-        if snap.index > self.snap.index:
-            keep = [] if isinstance(op, RestoreSnapshot) else self.entries[snap.index - self.snap.index :]
-            self.snap, self.entries = snap, keep
+        snap = op.snapshot if isinstance(op, RestoreSnapshot) else op
+        if snap.index > self.snapshot.index:
+            keep = [] if isinstance(op, RestoreSnapshot) else self.entries[snap.index - self.snapshot.index :]
+            self.snapshot, self.entries = snap, keep
         return SnapshotCompleted(snap)
 
     def lose(self, chance) -> None:
@@ -48,14 +48,14 @@
 
     @property
     def last(self) -> int:
-        return self.snap.index + len(self.entries)
+        return self.snapshot.index + len(self.entries)
 
     def term(self, index: int) -> int | None:
         """Of the entry there; -1: within the snapshot."""
-        at = index - self.snap.index
+        at = index - self.snapshot.index
         if at <= 0:
             return -1
         return self.entries[at - 1].term if at <= len(self.entries) else None
 
     def held(self) -> RecoveredState:
-        return RecoveredState(self.ballot, self.snap, list(self.entries))
+        return RecoveredState(self.hard_state, self.snapshot, list(self.entries))
--- a/proofs/ledger_faults.py
+++ b/proofs/ledger_faults.py
@@ -78,7 +78,7 @@
     def use(self) -> None:
         world, random = self.world, self.random
         world.at(world.now + 180, self.use)
-        leading = [s for s in world.stations.values() if s.machine is not None and s.machine.leading]
+        leading = [s for s in world.stations.values() if s.machine is not None and s.machine.leadership]
         if world.now < STORM + 4000:
             world.clients.propose(random.choice(list(world.stations.values())), True)
         elif leading:
@@ -94,7 +94,7 @@
     def fault(self) -> None:
         name = self.random.choices(FAULTS, self.weights)[0] if any(self.weights) else "calm"
         station = self.random.choice(list(self.world.stations.values()))
-        leaders = [s for s in self.world.stations.values() if s.machine is not None and s.machine.leading]
+        leaders = [s for s in self.world.stations.values() if s.machine is not None and s.machine.leadership]
         if leaders and self.random.random() < 0.5:
             station = self.random.choice(leaders)
         getattr(self, name)(station)
@@ -186,7 +186,7 @@
         if way == 0:
             stations = list(self.world.stations.values())
             some = self.random.sample(stations, self.random.randrange(1, len(stations)))
-            self.wishes = [ChangeMembers(station.me, out=True) for station in some]
+            self.wishes = [ChangeMembers(station.me, remove=True) for station in some]
         elif way == 3:
             self.world.crash(station)
             self.begin(MemberId(station.me.name, station.me.number + 1), True)
@@ -195,23 +195,25 @@
 
     def begin(self, who: MemberId, votes: bool) -> None:
         self.world.begin(who, Members(()))
-        self.wishes = [ChangeMembers(who, votes=votes)]
+        self.wishes = [ChangeMembers(who, as_voter=votes)]
 
     # ---- after quiet -------------------------------------------------------------------------------
 
     def not_well(self) -> str:
         """Well: one leads, its members are as wished, all hold what it holds, and every proposal came in."""
         world = self.world
-        leading = [s for s in world.stations.values() if s.machine.leading]
+        leading = [s for s in world.stations.values() if s.machine.leadership]
         if len(leading) != 1:
             return f"{len(leading)} lead"
         members = leading[0].machine.members
         for wish in self.wishes:
-            among = members.voters if wish.votes and not wish.out else members.voters + members.followers
-            if (wish.who in among) is wish.out:
+            among = (
+                members.voters if wish.as_voter and not wish.remove else members.voters + members.followers
+            )
+            if (wish.member in among) is wish.remove:
                 return f"{wish} is not reached"
         for who in members.voters + members.followers:
-            commit = world.stations[who.name].machine.commit
+            commit = world.stations[who.name].machine.commit_index
             if commit < len(world.checks.committed):
                 return f"{who.name} stands at {commit} of {len(world.checks.committed)}"
         return f"proposals {sorted(world.clients.open)} are not in" if world.clients.open else ""
--- a/proofs/ledger_guards.py
+++ b/proofs/ledger_guards.py
@@ -34,8 +34,8 @@
     heard = Election.heard_ask
 
     def twice(self, sender, word):
-        if not word.pre and word.term == self.state.term:
-            self.state.ballot = HardState(word.term, None)
+        if not word.is_pre_vote and word.term == self.state.term:
+            self.state.hard_state = HardState(word.term, None)
         heard(self, sender, word)
 
     return Election, "heard_ask", twice
@@ -48,7 +48,7 @@
 
 def read_alone():
     """A leader answers reads without asking anybody."""
-    return ReadIndexQueue, "confirmed", lambda self: self.round
+    return ReadIndexQueue, "confirmed", lambda self: self.read_round
 
 
 def not_sticky():
--- a/proofs/ledger_leases.py
+++ b/proofs/ledger_leases.py
@@ -54,12 +54,12 @@
                 world.post(
                     station.me, leader, self.asked, station.me, station.local(world.now), station.epoch
                 )
-            if station.machine.settled and moving:
+            if station.machine.has_committed_in_term and moving:
                 self.lead(station)
 
     def asked(self, leader, who, asked_at, epoch) -> None:
         """The leader answers once a read that began after this is confirmed."""
-        if leader.machine.leading is None:
+        if leader.machine.leadership is None:
             return
         world = self.world
         world.clients.numbers += 1
@@ -71,7 +71,12 @@
         of_epoch, who, asked_at, epoch = self.renewals.pop(readable.number)
         toy = leader.state_machine.parts["toy"]
         shut = who.name == toy.holder and (toy.shut or who.name in leader.shutting)
-        if not readable.ok or of_epoch != leader.epoch or shut or leader.state_machine.index < readable.index:
+        if (
+            not readable.is_confirmed
+            or of_epoch != leader.epoch
+            or shut
+            or leader.state_machine.index < readable.index
+        ):
             return
         world = self.world
         leader.given[who.name] = leader.local(world.now) + grantor_span(SPAN, DRIFT)
--- a/proofs/ledger_members.py
+++ b/proofs/ledger_members.py
@@ -45,21 +45,21 @@
 
 def canonical(machine: RaftNode) -> tuple:
     """All that its next steps hang on; times and numbers of writes count from now."""
-    state, following, leading = machine.state, machine.following, machine.leading
+    state, following, leading = machine.state, machine.following, machine.leadership
     durable, now = state.durable, state.now
     led = None
     if leading is not None:
         reads = leading.reads
         led = (
             reads.first,
-            reads.round,
+            reads.read_round,
             tuple(sorted(reads.echoed.items())),
             tuple(reads.waiting),
             leading.beat_due - now,
             tuple(
                 (
                     who,
-                    peer.match,
+                    peer.match_index,
                     peer.next,
                     peer.way,
                     peer.probed,
@@ -70,11 +70,11 @@
             ),
         )
     return (
-        state.me,
+        state.member_id,
         state.role,
-        state.ballot,
+        state.hard_state,
         state.leader,
-        state.commit,
+        state.commit_index,
         tuple((entry.term, entry.kind, entry.number) for entry in state.log.entries),
         durable.stable,
         durable.number - durable.done,
@@ -87,7 +87,7 @@
         machine.votes.handed,
         following.agreed,
         following.agreed_in,
-        following.round,
+        following.read_round,
         following.owed,
         following.told,
         following.echoed,
@@ -106,7 +106,9 @@
 
 def written(disk: tuple, write: WriteEntries) -> tuple:
     ballot, held = disk
-    return write.ballot or ballot, (held[: write.cut - 1] if write.cut else held) + write.entries
+    return write.hard_state or ballot, (
+        held[: write.truncate_from - 1] if write.truncate_from else held
+    ) + write.entries
 
 
 class Places:
@@ -130,7 +132,7 @@
         if number is None:
             number = self.numbers[key] = len(self.places)
             self.places.append((machine and pickle.dumps(machine), disk, queue))
-            leading = machine is not None and machine.leading is not None
+            leading = machine is not None and machine.leadership is not None
             self.leads.append(machine.term if leading else None)
             self.logs.append(tuple(e.term for e in machine.state.log.entries) if machine else ())
         return number
@@ -174,19 +176,19 @@
             sender, _, word = self.words[what]
             what = MessageReceived(self.voters[sender], word)
         elif type(what) is Tick:
-            now = max(now, machine.due)
+            now = max(now, machine.due_at)
         words, commits, read = [], (), None
         outputs = machine.step(now, what)
         for output in outputs:
             kind = type(output)
             if kind is SendMessage:
-                self.sent(at, disk[0], output.word)
-                words.append(self.word(at, self.voters.index(output.to), output.word))
+                self.sent(at, disk[0], output.message)
+                words.append(self.word(at, self.voters.index(output.to), output.message))
             elif kind is WriteEntries and at_once and not queue:
                 disk = written(disk, output)
                 outputs += machine.step(now, WriteCompleted(output.number))
             elif kind is WriteEntries:
-                queue += (WriteEntries(0, output.ballot, output.cut, output.entries),)
+                queue += (WriteEntries(0, output.hard_state, output.truncate_from, output.entries),)
             elif kind is ApplyEntries:
                 commits += output.entries
             elif kind is ReadConfirmed:
@@ -201,14 +203,27 @@
             row, (pickled, (ballot, _), _) = self.words[word][2], self.places[place]
             vain = type(row) in (RequestVoteResponse, AppendEntriesResponse) and row.term < ballot.term
             if type(row) is RequestVoteResponse and row.term == ballot.term and pickled is not None:
-                vain = row.pre or not row.given or pickle.loads(pickled).role is not Role.CANDIDATE
+                vain = (
+                    row.is_pre_vote
+                    or not row.vote_granted
+                    or pickle.loads(pickled).role is not Role.CANDIDATE
+                )
             self.vain[word, place] = vain
         return vain
 
     def sent(self, at: int, ballot: HardState, word) -> None:
         """No vote is told, the own neither, before it is on the disk."""
-        if type(word) is RequestVoteResponse and word.given and not word.pre and ballot.term <= word.term:
+        if (
+            type(word) is RequestVoteResponse
+            and word.vote_granted
+            and not word.is_pre_vote
+            and ballot.term <= word.term
+        ):
             if ballot.term < word.term or ballot.vote is None:
                 raise Found(f"{self.voters[at].name} tells a vote that its disk doesn't hold")
-        elif type(word) is RequestVote and not word.pre and ballot != HardState(word.term, self.voters[at]):
+        elif (
+            type(word) is RequestVote
+            and not word.is_pre_vote
+            and ballot != HardState(word.term, self.voters[at])
+        ):
             raise Found(f"{self.voters[at].name} asks for votes without its own on the disk")
--- a/proofs/ledger_model.py
+++ b/proofs/ledger_model.py
@@ -170,7 +170,7 @@
         if done.commits:
             committed = self.commits(committed, done.commits, self.places.leads[done.place])
         if done.read is not None and reading >= 0:
-            if done.read.ok and done.read.index < reading:
+            if done.read.is_confirmed and done.read.index < reading:
                 raise Found(f"a read answers {done.read.index}, {reading} was told before")
             reading = -1
         term = self.places.leads[done.place]
--- a/proofs/ledger_station.py
+++ b/proofs/ledger_station.py
@@ -95,8 +95,8 @@
     def start(self, now: int) -> None:
         held = self.disk.held()
         self.state_machine = ReplicatedStateMachine([Toy()])
-        if held.snap.state:
-            self.state_machine.restore(held.snap.state)
+        if held.snapshot.state:
+            self.state_machine.restore(held.snapshot.state)
         self.machine = RaftNode(self.me, held, self.bootstrap, self.chance, self.local(now))
         self.epoch += 1
         self.heard, self.due_at, self.stopped_until = None, 0, 0
--- a/proofs/ledger_world.py
+++ b/proofs/ledger_world.py
@@ -111,7 +111,7 @@
         self.wake(station)
 
     def wake(self, station: Station) -> None:
-        due = station.machine.due
+        due = station.machine.due_at
         if due != station.due_at:
             station.due_at = due
             self.at(station.when(due), self.timed, station, station.epoch, due)
@@ -135,8 +135,8 @@
     # ---- links -------------------------------------------------------------------------------------
 
     def send(self, station: Station, output: SendMessage) -> None:
-        self.checks.sent(station, output.to, output.word)
-        self.post(station.me, output.to, self.heard, station.me, output.word)
+        self.checks.sent(station, output.to, output.message)
+        self.post(station.me, output.to, self.heard, station.me, output.message)
 
     def post(self, sender: MemberId, to: MemberId, act, *args) -> None:
         """`act(station, *args)` at the member `to`, if it gets there."""
@@ -158,7 +158,7 @@
 
     def heard(self, station: Station, sender: MemberId, word) -> None:
         local = station.local(self.now)
-        heard, ballot = station.hears_leader(local), station.machine.state.ballot
+        heard, ballot = station.hears_leader(local), station.machine.state.hard_state
         leads = type(word) in (AppendEntries, InstallSnapshot) and word.term >= station.machine.term
         self.step(station, MessageReceived(sender, word))
         if leads and station.machine is not None and station.machine.state.heard == local:
@@ -172,7 +172,7 @@
         if type(op) is WriteEntries:
             self.checks.written(station, op)
             self.checks.proposed(station, op)
-            self.tally["voided"] += bool(op.cut)
+            self.tally["voided"] += bool(op.truncate_from)
         station.disk.queue.append(op)
         if len(station.disk.queue) == 1:
             self.write_next(station)
@@ -193,7 +193,7 @@
             self.step(station, told)
 
     def install(self, station: Station, output: RestoreSnapshot) -> None:
-        station.state_machine.restore(output.snap.state)
+        station.state_machine.restore(output.snapshot.state)
         self.tally["snapshots"] += 1
         self.to_disk(station, output)
 
--- a/tests/acting.py
+++ b/tests/acting.py
@@ -28,7 +28,7 @@
             frozenset({"firm"}),
         )
         self.heads = self.state_machine.parts["audit"]
-        self.heads.member_joined(None, member, incarnation)
+        self.heads.on_member_joined(None, member, incarnation)
         self.now = 0
 
     def do(self, count, kind="done"):
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -33,10 +33,10 @@
             raise OSError(5, "Input/output error")
         super().fsync(fd)
 
-    def whole(self, path, data):
+    def write_atomically(self, path, data):
         if self.stuck or len(data) > self.room:
             raise OSError(28, "No space left on device")
-        super().whole(path, data)
+        super().write_atomically(path, data)
 
 
 class Bench:
@@ -51,7 +51,7 @@
 
     def founded(self):
         assert self.disk.open() is None
-        self.disk.found(1, ("a", "b", "c"), MEMBERS)
+        self.disk.initialize(1, ("a", "b", "c"), MEMBERS)
         return self
 
     def until(self, holds):
--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -41,7 +41,7 @@
         else:
             self.held[body.what] = (at.proposer, at.incarnation)
 
-    def member_gone(self, at, name, incarnation):
+    def on_lease_expired(self, at, name, incarnation):
         self.held = {what: by for what, by in self.held.items() if by != (name, incarnation)}
 
     def row(self):
--- a/tests/golden/fleet/write_frames.py
+++ b/tests/golden/fleet/write_frames.py
@@ -41,21 +41,40 @@
 ]
 MEMBERS: list[Row] = [
     *LINKS,
-    ledger.RequestVote(term=3, last_index=70, last_term=2),
-    ledger.RequestVote(term=3, last_index=70, last_term=2, pre=True, handed=False),
-    ledger.RequestVote(term=3, last_index=70, last_term=2, pre=False, handed=True),
-    ledger.RequestVoteResponse(term=3, given=True),
-    ledger.RequestVoteResponse(term=3, given=False, pre=True),
-    ledger.AppendEntries(term=3, prev_index=7, prev_term=2, commit=6),
+    ledger.RequestVote(term=3, last_log_index=70, last_log_term=2),
+    ledger.RequestVote(
+        term=3, last_log_index=70, last_log_term=2, is_pre_vote=True, is_leadership_transfer=False
+    ),
+    ledger.RequestVote(
+        term=3, last_log_index=70, last_log_term=2, is_pre_vote=False, is_leadership_transfer=True
+    ),
+    ledger.RequestVoteResponse(term=3, vote_granted=True),
+    ledger.RequestVoteResponse(term=3, vote_granted=False, is_pre_vote=True),
+    ledger.AppendEntries(term=3, prev_log_index=7, prev_log_term=2, leader_commit=6),
     ledger.AppendEntries(
-        term=3, prev_index=7, prev_term=2, commit=6, entries=(ENTRY, EMPTY), round=12, at=123_456_789_012
+        term=3,
+        prev_log_index=7,
+        prev_log_term=2,
+        leader_commit=6,
+        entries=(ENTRY, EMPTY),
+        read_round=12,
+        sent_at=123_456_789_012,
+    ),
+    ledger.AppendEntriesResponse(term=3, success=True, match_index=9),
+    ledger.AppendEntriesResponse(
+        term=3, success=False, match_index=5, prev_log_index=7, conflict_term=2, read_round=12
     ),
-    ledger.AppendEntriesResponse(term=3, ok=True, match=9),
-    ledger.AppendEntriesResponse(term=3, ok=False, match=5, prev_index=7, hint_term=2, round=12),
     ledger.InstallSnapshot(
-        term=3, index=60, snap_term=2, members=VOTERS, total=900, digest=DIGEST, offset=300, data=b"state"
+        term=3,
+        last_included_index=60,
+        last_included_term=2,
+        members=VOTERS,
+        total=900,
+        digest=DIGEST,
+        offset=300,
+        data=b"state",
     ),
-    ledger.InstallSnapshotResponse(term=3, index=60, offset=305),
+    ledger.InstallSnapshotResponse(term=3, last_included_index=60, offset=305),
     ledger.TimeoutNow(term=3),
     members.RenewLease(number=40, incarnation=4, applied=60),
     members.RenewLease(
--- a/tests/golden/fleet/write_story.py
+++ b/tests/golden/fleet/write_story.py
@@ -60,9 +60,9 @@
         self.lines.append(
             {
                 "kind": kind,
-                "refused": outcome.refused,
-                "told": outcome.told.hex(),
-                "doubled": outcome.doubled,
+                "refused": outcome.rejection,
+                "told": outcome.result.hex(),
+                "doubled": outcome.is_duplicate,
                 "digest": self.state_machine.digest().hex(),
             }
         )
@@ -204,7 +204,7 @@
     segments.open(HardState(0), 0)
     segments.put(Snapshot(0, 0, VOTERS, b""))
     own = identity.Identity("whk", "a", 1, ("a", "b", "c"), {"c": 3, "b": 2})
-    files.whole(f"{path}/identity", identity.encode(own))
+    files.write_atomically(f"{path}/identity", identity.encode(own))
     segments.write([LogWrite(HardState(1, MemberId("a", 1)), 0, ())])
     for at in range(0, len(entries), 3):
         some = tuple(entries[at : at + 3])
--- a/tests/ledger_group.py
+++ b/tests/ledger_group.py
@@ -38,17 +38,17 @@
     return [LogEntry(at + 1, term, "x.y", b"") for at, term in enumerate(terms)]
 
 
-def machine(me=A, voters=(A, B, C), ballot=None, snap=None, log=(), now=0, **bootstrap):
-    held = RecoveredState(
-        ballot or HardState(0), snap or Snapshot(0, 0, Members(tuple(voters)), b""), list(log)
+def machine(me=A, voters=(A, B, C), hard_state=None, snap=None, log=(), now=0, **bootstrap):
+    recovered = RecoveredState(
+        hard_state or HardState(0), snap or Snapshot(0, 0, Members(tuple(voters)), b""), list(log)
     )
-    return RaftNode(me, held, {**BOOTSTRAP, **bootstrap}, lambda: 0.0, now)
+    return RaftNode(me, recovered, {**BOOTSTRAP, **bootstrap}, lambda: 0.0, now)
 
 
 def stand(one):
     """Up to its own vote being on the disk and the others asked; what comes out then."""
-    one.step(one.due, Tick())
-    one.step(one.due, MessageReceived(B, RequestVoteResponse(one.term + 1, True, True)))
+    one.step(one.due_at, Tick())
+    one.step(one.due_at, MessageReceived(B, RequestVoteResponse(one.term + 1, True, True)))
     return one.step(one.state.now, WriteCompleted(one.state.durable.number))
 
 
@@ -67,7 +67,7 @@
 
 
 def words(kind, outputs):
-    return [(o.to, o.word) for o in outputs if type(o) is SendMessage and type(o.word) is kind]
+    return [(o.to, o.message) for o in outputs if type(o) is SendMessage and type(o.message) is kind]
 
 
 class Group:
@@ -83,7 +83,7 @@
             self.add(machine(one, who, **bootstrap))
 
     def add(self, machine):
-        me = machine.state.me
+        me = machine.state.member_id
         self.machines[me] = machine
         self.applied[me], self.told[me], self.unwritten[me] = [], [], []
 
@@ -98,9 +98,9 @@
     def carry_out(self, me, output):
         kind = type(output)
         if kind is SendMessage:
-            self.sent.append((me, output.to, output.word))
+            self.sent.append((me, output.to, output.message))
             if me not in self.cut and output.to not in self.cut:
-                self.queue.append((output.to, MessageReceived(me, output.word)))
+                self.queue.append((output.to, MessageReceived(me, output.message)))
         elif kind is WriteEntries:
             if me in self.slow:
                 self.unwritten[me].append(output)
@@ -115,20 +115,20 @@
             )
         elif kind is RestoreSnapshot:
             self.applied[me].append(output)
-            self.queue.append((me, SnapshotCompleted(output.snap)))
+            self.queue.append((me, SnapshotCompleted(output.snapshot)))
         else:
             self.told[me].append(output)
 
     def due(self, me):
         """Its timer ends; nobody else's does."""
-        self.now = max(self.now, self.machines[me].due)
+        self.now = max(self.now, self.machines[me].due_at)
         self.step(me, Tick())
 
     def pass_time(self, span):
         until = self.now + span
         while True:
-            me = min(self.machines, key=lambda me: self.machines[me].due)
-            if self.machines[me].due > until:
+            me = min(self.machines, key=lambda me: self.machines[me].due_at)
+            if self.machines[me].due_at > until:
                 break
             self.due(me)
         self.now = until
@@ -138,7 +138,7 @@
             self.step(me, Propose(proposal(number)))
 
     def leaders(self):
-        return [me for me, machine in self.machines.items() if machine.leading is not None]
+        return [me for me, machine in self.machines.items() if machine.leadership is not None]
 
     def numbers(self, me):
         """Of the proposals that it applied."""
--- a/tests/orderedlog.py
+++ b/tests/orderedlog.py
@@ -26,7 +26,7 @@
     def apply(self, at, word, body):
         for part in self.state_machine.parts.values():
             if isinstance(part, LeaseExpiredListener):
-                part.member_gone(at, body.member, body.incarnation)
+                part.on_lease_expired(at, body.member, body.incarnation)
 
     def row(self):
         return 0
--- a/tests/publishing.py
+++ b/tests/publishing.py
@@ -72,21 +72,21 @@
     def __init__(self):
         self.held, self.open, self.room = {}, {}, 1 << 40
 
-    def folder(self, path):
+    def make_folder(self, path):
         pass
 
-    def names(self, folder):
+    def list_names(self, folder):
         return sorted(path[len(folder) + 1 :] for path in self.held)
 
     def read(self, path):
         return bytes(self.held[path])
 
-    def whole(self, path, data):
+    def write_atomically(self, path, data):
         if len(data) > self.room:
             raise OSError(errno.ENOSPC, "full")
         self.held[path] = bytearray(data)
 
-    def append_to(self, path):
+    def open_for_append(self, path):
         fd = max(self.open, default=0) + 1
         self.open[fd] = path
         return fd
@@ -107,7 +107,7 @@
     def close(self, fd):
         del self.open[fd]
 
-    def cut(self, path, size):
+    def truncate(self, path, size):
         del self.held[path][size:]
 
     def remove(self, path):
--- a/tests/seatmembers.py
+++ b/tests/seatmembers.py
@@ -32,7 +32,7 @@
     name, kinds = "members", {"gone": Gone}
 
     def apply(self, at, word, body):
-        self.state_machine.parts["seats"].member_gone(at, body.name, body.incarnation)
+        self.state_machine.parts["seats"].on_lease_expired(at, body.name, body.incarnation)
 
     def row(self):
         return 0
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -62,7 +62,7 @@
 
 def test_acts_that_might_not_be(acting):
     kept = acting.heads.of("m", 1)
-    acting.heads.change_in_force(EntryContext(50, 1, 0, "l", 1), 30, (("m", 1, 25),))
+    acting.heads.on_change_converged(EntryContext(50, 1, 0, "l", 1), 30, (("m", 1, 25),))
     assert {f.number for f in found(acting) if f.kind == "old_version"} == {26, 27, 28, 29}
     kept.shut_out, kept.gone, kept.gone_at = 35, 36, 0
     assert {f.number for f in found(acting) if f.kind == "after_gone"} == set(range(35, 41))
@@ -76,7 +76,7 @@
 
 def test_what_the_ledger_has_let_go_is_not_judged(acting):
     for incarnation in range(2, 2 + KEPT):
-        acting.heads.member_joined(None, "m", incarnation)
+        acting.heads.on_member_joined(None, "m", incarnation)
     assert [one.incarnation for one in acting.heads.facts.kept["m"]] == list(range(2, 2 + KEPT))
     assert not found(acting) and not scrubbed(acting)
 
@@ -97,7 +97,7 @@
     assert heads.of("m", 1).digest == acting.acts.chain.head
     with pytest.raises(InvalidRequestError):
         heads.apply(EntryContext(61, 1, 0, "n", 1), "head", Head("m", 1, 50, b""))
-    heads.member_ended(EntryContext(62, 1, 0, "l", 1), "m", 1, 0)
+    heads.on_lease_ended(EntryContext(62, 1, 0, "l", 1), "m", 1, 0)
     with pytest.raises(InvalidRequestError):
         heads.apply(at, "head", Head("m", 1, 50, b""))
     other = Heads()
--- a/tests/test_batches_pieces.py
+++ b/tests/test_batches_pieces.py
@@ -58,7 +58,7 @@
 
 def test_nothing_is_given_to_who_is_gone():
     part, piece = state_machine_with(idempotent=True)
-    part.member_gone(EntryContext(6, 1, TRUE, "", 0), "m", 5)
+    part.on_lease_expired(EntryContext(6, 1, TRUE, "", 0), "m", 5)
     with pytest.raises(InvalidRequestError, match="gone"):
         part.apply(EntryContext(7, 1, TRUE, "a", 1), "give", Give("x.0", "m", 5))
     part.apply(EntryContext(8, 1, TRUE, "a", 1), "give", Give("x.0", "m", 6))
@@ -66,10 +66,10 @@
 
 def test_a_lost_member_s_piece_goes_on_from_its_checkpoint_or_is_held():
     part, piece = state_machine_with(idempotent=True)
-    part.member_gone(EntryContext(6, 1, TRUE, "", 0), "m", 5)
+    part.on_lease_expired(EntryContext(6, 1, TRUE, "", 0), "m", 5)
     assert piece.state is State.WAITING and piece.step == 2 and not part.pieces.held
     part, piece = state_machine_with()
-    part.member_gone(EntryContext(6, 1, TRUE, "", 0), "m", 5)
+    part.on_lease_expired(EntryContext(6, 1, TRUE, "", 0), "m", 5)
     assert piece.state is State.UNCLEAR and "lost" in piece.why
     with pytest.raises(InvalidRequestError):
         part.apply(
@@ -91,7 +91,7 @@
 )
 def test_an_operator_s_word_frees_what_is_unclear(word, step, state):
     part, piece = state_machine_with()
-    part.member_gone(EntryContext(6, 1, TRUE, "", 0), "m", 5)
+    part.on_lease_expired(EntryContext(6, 1, TRUE, "", 0), "m", 5)
     if state is None:
         with pytest.raises(InvalidRequestError) as told:
             part.apply(EntryContext(7, 1, TRUE, "op", 1), "word", Word("x.0", word, step))
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -27,7 +27,7 @@
     bench.wrote(WriteEntries(3, HardState(2), 4, (entry(4, 2), entry(5, 2))))
     bench.close()
     found = held(tmp_path)
-    assert found.ballot == HardState(2) and found.snap.members == MEMBERS
+    assert found.hard_state == HardState(2) and found.snapshot.members == MEMBERS
     assert [(e.index, e.term) for e in found.entries] == [(1, 1), (2, 1), (3, 1), (4, 2), (5, 2)]
 
 
@@ -49,12 +49,12 @@
 
 def test_a_number_once_met_is_known_after_a_start(tmp_path):
     bench = Bench(tmp_path).founded()
-    bench.disk.folder.met(MemberId("b", 3))
-    bench.disk.folder.met(MemberId("b", 2))
+    bench.disk.folder.record_seen_number(MemberId("b", 3))
+    bench.disk.folder.record_seen_number(MemberId("b", 2))
     bench.close()
     again = Bench(tmp_path)
     again.disk.open()
-    assert again.disk.identity.met == {"b": 3} and again.disk.identity.number == 1
+    assert again.disk.identity.seen_numbers == {"b": 3} and again.disk.identity.number == 1
     again.close()
 
 
@@ -84,7 +84,7 @@
     names = os.listdir(tmp_path)
     assert [n for n in names if n.startswith("book-")] == ["book-000000000015"]
     found = held(tmp_path)
-    assert found.snap == snap and [e.index for e in found.entries] == [16, 17, 18, 19]
+    assert found.snapshot == snap and [e.index for e in found.entries] == [16, 17, 18, 19]
     assert len([n for n in names if n.startswith("log-")]) < 8
 
 
@@ -97,7 +97,7 @@
     bench.until(lambda: WriteCompleted(2) in bench.told)
     bench.close()
     found = held(tmp_path)
-    assert (found.snap, found.ballot, [e.index for e in found.entries]) == (snap, HardState(3), [41])
+    assert (found.snapshot, found.hard_state, [e.index for e in found.entries]) == (snap, HardState(3), [41])
 
 
 @pytest.mark.parametrize("fault", ["full", "stuck"])
@@ -157,4 +157,4 @@
     bench.wrote(WriteEntries(1, HardState(2), 0, tuple(entry(n, 1, bytes(300_000)) for n in range(1, 31))))
     bench.close()
     found = held(tmp_path)
-    assert len(found.entries) == 30 and found.ballot == HardState(2)
+    assert len(found.entries) == 30 and found.hard_state == HardState(2)
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -41,16 +41,16 @@
         if self.chance.random() < self.failing:
             raise OSError(5, "Input/output error")
 
-    def whole(self, path, data):
+    def write_atomically(self, path, data):
         self.moment()
         self.fails()
-        super().whole(path, data)
+        super().write_atomically(path, data)
         self.synced[path] = self.now[path] = data
         self.gone.clear()  # the folder was synced
         self.moment()
 
-    def append_to(self, path):
-        fd = super().append_to(path)
+    def open_for_append(self, path):
+        fd = super().open_for_append(path)
         self.paths[fd] = path
         return fd
 
@@ -78,18 +78,18 @@
     """The log as it should stand after each thing that was asked for."""
 
     def __init__(self):
-        self.ballot, self.terms, self.snap, self.states = HardState(0), [], 0, []
+        self.hard_state, self.terms, self.snapshot, self.states = HardState(0), [], 0, []
         self.keep()
 
     def keep(self):
-        self.states.append((self.ballot, list(self.terms)))
+        self.states.append((self.hard_state, list(self.terms)))
 
     def fits(self, least, found):
         """From that state on: a snapshot may be there before the ballot that was asked for with it, and one
         that was asked for may be missing, as long as what it stands for is there."""
-        index, terms = found.snap.index, [entry.term for entry in found.entries]
+        index, terms = found.snapshot.index, [entry.term for entry in found.entries]
         states = self.states[least:]
-        return any(found.ballot == ballot for ballot, _ in states) and any(
+        return any(found.hard_state == ballot for ballot, _ in states) and any(
             index <= len(log) and terms == log[index:] for _, log in states
         )
 
@@ -102,7 +102,7 @@
     def promised():
         return max(
             [sure.get(t, 0) for t in bench.told if isinstance(t, WriteCompleted)]
-            + [sure.get(t.snap.index, 0) for t in bench.told if isinstance(t, SnapshotCompleted)],
+            + [sure.get(t.snapshot.index, 0) for t in bench.told if isinstance(t, SnapshotCompleted)],
             default=0,
         )
 
@@ -114,23 +114,27 @@
         what, last = chance.random(), len(model.terms)
         if what < 0.75:
             term += chance.random() < 0.2
-            cut = chance.randint(model.snap + 1, last) if last > model.snap and chance.random() < 0.2 else 0
+            cut = (
+                chance.randint(model.snapshot + 1, last)
+                if last > model.snapshot and chance.random() < 0.2
+                else 0
+            )
             model.terms = model.terms[: cut - 1] if cut else model.terms
             at = len(model.terms)
             new = tuple(entry(at + n, term, chance.randbytes(40)) for n in range(1, chance.randint(1, 4)))
-            model.ballot = HardState(term) if chance.random() < 0.3 else model.ballot
+            model.hard_state = HardState(term) if chance.random() < 0.3 else model.hard_state
             model.terms, number = model.terms + [term] * len(new), number + 1
             model.keep()
             sure[WriteCompleted(number)] = len(model.states) - 1
-            bench.disk.write(WriteEntries(number, model.ballot, cut, new))
+            bench.disk.write(WriteEntries(number, model.hard_state, cut, new))
         else:
             install = chance.random() < 0.3
             index = last + chance.randint(1, 5) if install else last
-            if index <= model.snap:
+            if index <= model.snapshot:
                 continue
             if install:
                 model.terms = [None] * (index - 1) + [term]
-            model.snap = index
+            model.snapshot = index
             model.keep()
             sure[index] = len(model.states) - 1
             bench.disk.snapshot(Snapshot(index, model.terms[-1], MEMBERS, b"book"), not install)
--- a/tests/test_disk_recovery.py
+++ b/tests/test_disk_recovery.py
@@ -42,7 +42,7 @@
         return
     found = held(os.path.dirname(path))
     size, ballot, terms = max((s for s in stood if s[0] <= at), key=lambda s: s[0])
-    assert (found.ballot, [e.term for e in found.entries]) == (ballot, terms)
+    assert (found.hard_state, [e.term for e in found.entries]) == (ballot, terms)
     assert os.path.getsize(path) == size
     assert held(os.path.dirname(path)) == found
 
--- a/tests/test_fleet_state_machine.py
+++ b/tests/test_fleet_state_machine.py
@@ -43,21 +43,26 @@
     state_machine = ReplicatedStateMachine([Sums()])
     first = state_machine.apply(entry(1, 1))
     again = state_machine.apply(entry(2, 1))
-    assert (again.doubled, again.index, again.told) == (True, 1, first.told) and not first.doubled
+    assert (again.is_duplicate, again.index, again.result) == (
+        True,
+        1,
+        first.result,
+    ) and not first.is_duplicate
     assert state_machine.parts["sums"].sums == {"a": 1}
-    assert state_machine.apply(entry(3, 7 + WINDOW)).refused == ""
-    assert "too old" in state_machine.apply(entry(4, 2)).refused
-    assert state_machine.apply(entry(5, 1, incarnation=2)).refused == ""
-    assert "over" in state_machine.apply(entry(6, 9 + WINDOW)).refused
+    assert state_machine.apply(entry(3, 7 + WINDOW)).rejection == ""
+    assert "too old" in state_machine.apply(entry(4, 2)).rejection
+    assert state_machine.apply(entry(5, 1, incarnation=2)).rejection == ""
+    assert "over" in state_machine.apply(entry(6, 9 + WINDOW)).rejection
 
 
 def test_what_can_not_be_changes_nothing():
     state_machine = ReplicatedStateMachine([Sums()])
     for index, (kind, much) in enumerate([("sums.add", -1), ("sums.no", 1), ("no.add", 1)], 1):
-        assert state_machine.apply(entry(index, index, much=much, kind=kind)).refused
-    assert state_machine.apply(LogEntry(4, 1, "sums.add", b"\xc1", "n1", 1, 4)).refused
+        assert state_machine.apply(entry(index, index, much=much, kind=kind)).rejection
+    assert state_machine.apply(LogEntry(4, 1, "sums.add", b"\xc1", "n1", 1, 4)).rejection
     assert (
-        state_machine.parts["sums"].sums == {} and state_machine.apply(LogEntry(5, 2, "", b"")).refused == ""
+        state_machine.parts["sums"].sums == {}
+        and state_machine.apply(LogEntry(5, 2, "", b"")).rejection == ""
     )
     with pytest.raises(ValueError):
         state_machine.apply(entry(5, 5))
--- a/tests/test_golden_fleet.py
+++ b/tests/test_golden_fleet.py
@@ -41,19 +41,19 @@
 
 
 def test_a_folder_is_recovered_and_replayed_to_the_same_state(name, recovered):
-    assert recovered.ballot == HardState(3, MemberId("b", 2))
-    assert recovered.snap.index == SNAPSHOT[name] == len(ENTRIES) - len(recovered.entries)
-    assert recovered.snap.members.voters == (MemberId("a", 1), MemberId("b", 2), MemberId("c", 3))
-    assert recovered.snap.members.followers == (MemberId("d", 4),)
+    assert recovered.hard_state == HardState(3, MemberId("b", 2))
+    assert recovered.snapshot.index == SNAPSHOT[name] == len(ENTRIES) - len(recovered.entries)
+    assert recovered.snapshot.members.voters == (MemberId("a", 1), MemberId("b", 2), MemberId("c", 3))
+    assert recovered.snapshot.members.followers == (MemberId("d", 4),)
     state_machine = ReplicatedStateMachine(parts())
-    if recovered.snap.state:
-        state_machine.restore(recovered.snap.state)
-        assert state_machine.digest().hex() == ENTRIES[recovered.snap.index - 1]["digest"]
-        assert state_machine.snapshot() == recovered.snap.state
+    if recovered.snapshot.state:
+        state_machine.restore(recovered.snapshot.state)
+        assert state_machine.digest().hex() == ENTRIES[recovered.snapshot.index - 1]["digest"]
+        assert state_machine.snapshot() == recovered.snapshot.state
     for entry in recovered.entries:
         line, outcome = ENTRIES[entry.index - 1], state_machine.apply(entry)
         assert entry.kind == line["kind"]
-        assert (outcome.refused, outcome.told.hex(), outcome.doubled) == (
+        assert (outcome.rejection, outcome.result.hex(), outcome.is_duplicate) == (
             line["refused"],
             line["told"],
             line["doubled"],
@@ -72,7 +72,7 @@
     (book,) = (GOLDEN / name).glob("book-*")
     assert book.name == f"book-{SNAPSHOT[name]:012}"
     assert snapshots.encode(snapshots.decode(book.read_bytes(), "")) == book.read_bytes()
-    assert snapshots.encode(recovered.snap) == book.read_bytes()
+    assert snapshots.encode(recovered.snapshot) == book.read_bytes()
     data = (GOLDEN / name / "identity").read_bytes()
     assert identity.encode(identity.decode(data, "")) == data
     told = json.loads(data)
@@ -83,8 +83,8 @@
 
 def test_a_founding_writes_the_same_identity(tmp_path):
     bench = Bench(tmp_path).founded()
-    bench.disk.folder.met(MemberId("c", 3))
-    bench.disk.folder.met(MemberId("b", 2))
+    bench.disk.folder.record_seen_number(MemberId("c", 3))
+    bench.disk.folder.record_seen_number(MemberId("b", 2))
     bench.close()
     assert (tmp_path / "identity").read_bytes() == (GOLDEN / "member" / "identity").read_bytes()
 
--- a/tests/test_ledger_members.py
+++ b/tests/test_ledger_members.py
@@ -64,7 +64,7 @@
 def test_follower_hears_all_and_never_stands():
     group = led()
     group.add(empty(D))
-    group.step(A, ChangeMembers(D, votes=False))
+    group.step(A, ChangeMembers(D, as_voter=False))
     group.propose(A, 1)
     group.pass_time(BOOTSTRAP["beat"])
     assert group.numbers(D) == [1]
@@ -78,11 +78,11 @@
     one = machine(A)
     lead(one)
     now = one.state.now
-    assert one.step(now, ChangeMembers(B, out=True)) == []
+    assert one.step(now, ChangeMembers(B, remove=True)) == []
     one.step(now, WriteCompleted(one.state.durable.number))
     one.step(now, MessageReceived(C, AppendEntriesResponse(1, True, 1)))
-    assert of(WriteEntries, one.step(now, ChangeMembers(B, out=True)))
-    assert not of(WriteEntries, one.step(now, ChangeMembers(C, out=True)))
+    assert of(WriteEntries, one.step(now, ChangeMembers(B, remove=True)))
+    assert not of(WriteEntries, one.step(now, ChangeMembers(C, remove=True)))
     assert one.members == Members((A, C))
 
 
@@ -106,7 +106,7 @@
 def test_leader_that_is_taken_out_ends_once_that_is_committed():
     group = led()
     group.cut.update((B, C))
-    group.step(A, ChangeMembers(A, out=True))
+    group.step(A, ChangeMembers(A, remove=True))
     assert group.leaders() == [A]
     group.cut.clear()
     group.pass_time(BOOTSTRAP["beat"])
@@ -117,7 +117,7 @@
 
 def test_last_voter_stays():
     group = led(A)
-    group.step(A, ChangeMembers(A, out=True))
+    group.step(A, ChangeMembers(A, remove=True))
     assert group.machines[A].members == Members((A,)) and group.told[A][-1].event == "change_refused"
 
 
@@ -128,12 +128,12 @@
     group.add(machine(A, (A, B), HardState(1), log=entries(1)))
     group.add(machine(B, (A, B), HardState(1), log=[*entries(1), out]))
     group.pass_time(5 * BOOTSTRAP["election"])
-    assert group.leaders() == [A] and group.machines[A].commit >= 2
+    assert group.leaders() == [A] and group.machines[A].commit_index >= 2
 
 
 def test_change_that_is_void_counts_no_more():
     out = LogEntry(2, 1, "ledger.members", encode_members(Members((A, B))))
-    one = machine(B, ballot=HardState(1), log=[*entries(1), out])
+    one = machine(B, hard_state=HardState(1), log=[*entries(1), out])
     assert one.members == Members((A, B))
     one.step(1, MessageReceived(A, AppendEntries(2, 1, 1, 0, (LogEntry(2, 2, "", b""),))))
     assert one.members == Members((A, B, C))
@@ -151,11 +151,11 @@
     group.cut.clear()
     group.pass_time(2 * BOOTSTRAP["election"])
     installed = [one for one in group.applied[C] if type(one) is RestoreSnapshot]
-    assert len(installed) == 1 and installed[0].snap.state == b"%d" % installed[0].snap.index * 100
-    assert group.numbers(C)[-1] == 200 and group.machines[C].commit == group.machines[A].commit
+    assert len(installed) == 1 and installed[0].snapshot.state == b"%d" % installed[0].snapshot.index * 100
+    assert group.numbers(C)[-1] == 200 and group.machines[C].commit_index == group.machines[A].commit_index
     assert (
         len([1 for _, to, word in group.sent if type(word) is InstallSnapshot])
-        >= len(installed[0].snap.state) // 100
+        >= len(installed[0].snapshot.state) // 100
     )
 
 
@@ -182,13 +182,16 @@
     assert told(one.step(5, piece(100, term=4))) == 200
     out = one.step(6, piece(200, term=4))
     assert (
-        of(RestoreSnapshot, out)[0].snap == SNAP and not words(AppendEntriesResponse, out) and one.commit == 7
+        of(RestoreSnapshot, out)[0].snapshot == SNAP
+        and not words(AppendEntriesResponse, out)
+        and one.commit_index == 7
     )
     assert (
         words(AppendEntriesResponse, one.step(7, SnapshotCompleted(SNAP))) == []
     )  # the ballot isn't written yet
     assert (
-        words(AppendEntriesResponse, one.step(8, WriteCompleted(one.state.durable.number)))[0][1].match == 7
+        words(AppendEntriesResponse, one.step(8, WriteCompleted(one.state.durable.number)))[0][1].match_index
+        == 7
     )
 
 
@@ -201,9 +204,9 @@
 
 
 def test_snapshot_of_what_is_here_sets_nothing():
-    one = machine(B, ballot=HardState(2), log=entries(1, 1, 1, 1, 2, 2, 2, 2))
+    one = machine(B, hard_state=HardState(2), log=entries(1, 1, 1, 1, 2, 2, 2, 2))
     out = one.step(1, piece(0, 0))
-    assert not of(RestoreSnapshot, out) and one.commit == 7 and one.state.log.last == 8
+    assert not of(RestoreSnapshot, out) and one.commit_index == 7 and one.state.log.last == 8
 
 
 def test_snapshot_that_the_disk_didnt_take_is_written_again():
@@ -212,20 +215,21 @@
         one.step(1, piece(offset))
     one.step(2, StorageFailed("full"))
     out = one.step(3, StorageRecovered())
-    assert of(RestoreSnapshot, out)[0].snap == SNAP and of(WriteEntries, out)[0].cut == 8
+    assert of(RestoreSnapshot, out)[0].snapshot == SNAP and of(WriteEntries, out)[0].truncate_from == 8
     one.step(4, SnapshotCompleted(SNAP))
     assert (
-        words(AppendEntriesResponse, one.step(5, WriteCompleted(one.state.durable.number)))[0][1].match == 7
+        words(AppendEntriesResponse, one.step(5, WriteCompleted(one.state.durable.number)))[0][1].match_index
+        == 7
     )
 
 
 def test_member_that_starts_from_a_snapshot_goes_on_after_it():
     one = machine(B, (), HardState(3), SNAP, [LogEntry(8, 3, "x.y", b"")])
-    assert (one.commit, one.state.log.last, one.members) == (7, 8, SNAP.members)
+    assert (one.commit_index, one.state.log.last, one.members) == (7, 8, SNAP.members)
     out = one.step(
         1,
         MessageReceived(
             A, AppendEntries(3, 3, 1, 8, tuple(LogEntry(i, 3, "x.y", b"") for i in range(4, 10)))
         ),
     )
-    assert [entry.index for entry in of(WriteEntries, out)[0].entries] == [9] and one.commit == 8
+    assert [entry.index for entry in of(WriteEntries, out)[0].entries] == [9] and one.commit_index == 8
--- a/tests/test_ledger_reads.py
+++ b/tests/test_ledger_reads.py
@@ -31,9 +31,9 @@
     group.step(A, ReadRequest(1))
     group.cut.update((B, C))
     group.step(A, ReadRequest(2))
-    group.step(A, MessageReceived(B, AppendEntriesResponse(1, True, 1, round=1)))
+    group.step(A, MessageReceived(B, AppendEntriesResponse(1, True, 1, read_round=1)))
     assert [told.number for told in reads(group)] == [1]
-    group.step(A, MessageReceived(B, AppendEntriesResponse(1, True, 1, round=2)))
+    group.step(A, MessageReceived(B, AppendEntriesResponse(1, True, 1, read_round=2)))
     assert [told.number for told in reads(group)] == [1, 2]
 
 
@@ -43,11 +43,11 @@
     now = one.state.now
     one.step(now, ReadRequest(1))
     assert not of(
-        ReadConfirmed, one.step(now, MessageReceived(B, AppendEntriesResponse(1, True, 0, round=1)))
+        ReadConfirmed, one.step(now, MessageReceived(B, AppendEntriesResponse(1, True, 0, read_round=1)))
     )
     one.step(now, WriteCompleted(one.state.durable.number))
     assert of(
-        ReadConfirmed, one.step(now, MessageReceived(B, AppendEntriesResponse(1, True, 1, round=1)))
+        ReadConfirmed, one.step(now, MessageReceived(B, AppendEntriesResponse(1, True, 1, read_round=1)))
     ) == [ReadConfirmed(1, 1)]
 
 
@@ -57,19 +57,19 @@
     group.propose(A, 1, 2)
     group.cut.update((A, B))
     before = group.machines[C].state
-    group.machines[C] = machine(C, ballot=before.ballot, log=before.log.entries, now=group.now)
-    assert group.machines[C].commit == 0
+    group.machines[C] = machine(C, hard_state=before.hard_state, log=before.log.entries, now=group.now)
+    assert group.machines[C].commit_index == 0
     group.cut.clear()
     group.cut.add(A)
     group.slow.add(B)
     group.pass_time(3 * BOOTSTRAP["election"])
-    assert not any(one.settled for one in group.machines.values())
+    assert not any(one.has_committed_in_term for one in group.machines.values())
     group.slow.clear()
     for write in group.unwritten[B]:
         group.step(B, WriteCompleted(write.number))
     group.pass_time(3 * BOOTSTRAP["election"])
     leader = group.leaders()[0]
-    assert group.machines[leader].settled and group.numbers(leader) == [1, 2]
+    assert group.machines[leader].has_committed_in_term and group.numbers(leader) == [1, 2]
 
 
 def test_reads_of_a_leader_that_ends_are_refused_and_their_number_is_bounded():
@@ -77,9 +77,11 @@
     group.cut.update((B, C))
     for number in range(BOOTSTRAP["proposals_most"] + 3):
         group.step(A, ReadRequest(number))
-    assert [told.ok for told in reads(group)] == [False] * 3
+    assert [told.is_confirmed for told in reads(group)] == [False] * 3
     group.pass_time(BOOTSTRAP["election"] + BOOTSTRAP["beat"])
-    assert len(reads(group)) == BOOTSTRAP["proposals_most"] + 3 and not any(told.ok for told in reads(group))
+    assert len(reads(group)) == BOOTSTRAP["proposals_most"] + 3 and not any(
+        told.is_confirmed for told in reads(group)
+    )
 
 
 def test_one_alone_is_its_own_majority():
--- a/tests/test_ledger_votes.py
+++ b/tests/test_ledger_votes.py
@@ -28,18 +28,18 @@
     group.due(A)
     assert group.leaders() == [A]
     assert {group.machines[me].leader for me in (A, B, C)} == {A}
-    assert group.machines[C].commit == 0 and group.machines[A].commit == 1
+    assert group.machines[C].commit_index == 0 and group.machines[A].commit_index == 1
     group.pass_time(BOOTSTRAP["beat"])
-    assert group.machines[C].commit == 1
+    assert group.machines[C].commit_index == 1
 
 
 def test_own_vote_is_on_the_disk_before_others_are_asked_for_theirs():
     one = machine()
-    assert [word.pre for _, word in words(RequestVote, one.step(one.due, Tick()))] == [True, True]
-    asked = one.step(one.due, MessageReceived(B, RequestVoteResponse(1, True, True)))
+    assert [word.is_pre_vote for _, word in words(RequestVote, one.step(one.due_at, Tick()))] == [True, True]
+    asked = one.step(one.due_at, MessageReceived(B, RequestVoteResponse(1, True, True)))
     assert not words(RequestVote, asked) and one.term == 1
     # Votes that come before count nothing: nobody was asked.
-    assert not of(RoleChanged, one.step(one.due, MessageReceived(B, RequestVoteResponse(1, True))))
+    assert not of(RoleChanged, one.step(one.due_at, MessageReceived(B, RequestVoteResponse(1, True))))
     assert [
         to for to, _ in words(RequestVote, one.step(one.state.now, WriteCompleted(one.state.durable.number)))
     ] == [B, C]
@@ -56,7 +56,7 @@
         (B, RequestVoteResponse(1, False))
     ]
     # The same after a restart: the ballot is what was written.
-    again = machine(C, ballot=HardState(1, A))
+    again = machine(C, hard_state=HardState(1, A))
     assert words(RequestVoteResponse, again.step(10, MessageReceived(B, RequestVote(1, 0, 0)))) == [
         (B, RequestVoteResponse(1, False))
     ]
@@ -69,16 +69,16 @@
     "last_index, last_term, given", [(3, 2, True), (9, 1, False), (2, 2, False), (1, 3, True)]
 )
 def test_vote_only_for_a_log_at_least_as_far(last_index, last_term, given):
-    one = machine(C, ballot=HardState(2), log=entries(1, 2, 2))
+    one = machine(C, hard_state=HardState(2), log=entries(1, 2, 2))
     assert (
         words(
             RequestVoteResponse, one.step(9, MessageReceived(A, RequestVote(4, last_index, last_term, True)))
-        )[0][1].given
+        )[0][1].vote_granted
         is given
     )
     out = one.step(10, MessageReceived(A, RequestVote(4, last_index, last_term)))
     out += one.step(20, WriteCompleted(one.state.durable.number))
-    assert words(RequestVoteResponse, out)[0][1].given is given
+    assert words(RequestVoteResponse, out)[0][1].vote_granted is given
     assert one.term == 4
 
 
@@ -100,7 +100,10 @@
     out = one.step(20, MessageReceived(B, RequestVote(7, 99, 7))) + one.step(
         30, MessageReceived(B, RequestVote(7, 99, 7, True))
     )
-    assert [word.given for _, word in words(RequestVoteResponse, out)] == [False, False] and one.term == 1
+    assert [word.vote_granted for _, word in words(RequestVoteResponse, out)] == [
+        False,
+        False,
+    ] and one.term == 1
     later = one.step(10 + BOOTSTRAP["election"], MessageReceived(B, RequestVote(7, 99, 7, True)))
     assert words(RequestVoteResponse, later) == [(B, RequestVoteResponse(7, True, True))] and one.term == 1
 
@@ -156,11 +159,11 @@
     assert not words(
         AppendEntriesResponse, one.step(12, MessageReceived(A, AppendEntries(1, 0, 0, 0, tuple(entries(1)))))
     )
-    assert not words(RequestVote, one.step(one.due, Tick()))
+    assert not words(RequestVote, one.step(one.due_at, Tick()))
     one.step(one.state.now, StorageRecovered())
     said = one.step(one.state.now, WriteCompleted(one.state.durable.number))
     assert (
-        words(RequestVote, one.step(one.due, Tick()))
+        words(RequestVote, one.step(one.due_at, Tick()))
         and one.state.durable.stable == 1
         and not words(RequestVoteResponse, said)
     )
@@ -190,7 +193,7 @@
     group.cut.add(B)
     group.step(A, TransferLeadership(B))
     group.propose(A, 1)
-    assert group.told[A][-1].again == BOOTSTRAP["beat"]
+    assert group.told[A][-1].retry_after_ticks == BOOTSTRAP["beat"]
     group.pass_time(BOOTSTRAP["election"] + BOOTSTRAP["beat"])
     group.propose(A, 1)
     assert group.leaders() == [A] and group.numbers(A) == [1]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,7 +24,7 @@
     world.start().valid()
     assert [w["number"] for w in world.figures("v1")["voters"]] == [1, 1, 1]
     for name in world.members:
-        assert not world.put(name, f"by {name}").refused
+        assert not world.put(name, f"by {name}").rejection
     leader = world.leader()
     world.kill(leader)
     other = next(iter(world.nodes))
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -58,7 +58,9 @@
         assert not numbers or numbers[-1] - numbers[0] < WINDOW
     texts = [text for _, text in state_machine.parts["notes"].texts]
     assert sorted(texts) == [f"{n:04}" for n in range(300)]
-    assert all(len(found) == 1 and not found[0].refused for found in answers.values()) and len(answers) == 300
+    assert (
+        all(len(found) == 1 and not found[0].rejection for found in answers.values()) and len(answers) == 300
+    )
 
 
 def test_another_incarnation_gives_up_what_is_out():
@@ -152,7 +154,7 @@
 def test_a_note_too_long_changes_nothing():
     state_machine = ReplicatedStateMachine([Notes()])
     text = b"\x91\xda" + (LONGEST + 1).to_bytes(2, "big") + b"x" * (LONGEST + 1)
-    assert "characters" in state_machine.apply(LogEntry(1, 1, "notes.add", text, "a", 1, 1)).refused
+    assert "characters" in state_machine.apply(LogEntry(1, 1, "notes.add", text, "a", 1, 1)).rejection
     assert not state_machine.parts["notes"].texts
 
 
--- a/tests/test_seats_part.py
+++ b/tests/test_seats_part.py
@@ -61,7 +61,7 @@
         with pytest.raises(InvalidRequestError):
             one.grant(count, pool=pool)
     one.grant(2)
-    one.part.member_gone(EntryContext(9, 1, 0, "lead", 1), "a", 1)
+    one.part.on_lease_expired(EntryContext(9, 1, 0, "lead", 1), "a", 1)
     assert not one.part.features["geo"].held()
     with pytest.raises(InvalidRequestError, match="gone"):
         one.grant(1)
@@ -238,7 +238,7 @@
     one.grant(2)
     one.grant(1, "b", "ta")
     one.does("recall", Recall("geo", "", "a", 1, 1))
-    one.part.member_gone(EntryContext(9, 1, 0, "lead", 1), "c", 4)
+    one.part.on_lease_expired(EntryContext(9, 1, 0, "lead", 1), "c", 4)
     state_machine, other = one.part.state_machine, ReplicatedStateMachine([Seats()])
     other.restore(state_machine.snapshot())
     assert other.digest() == state_machine.digest()
