--- a/benchmarks/capacitykit/module_cell.py
+++ b/benchmarks/capacitykit/module_cell.py
@@ -60,7 +60,7 @@
             if isinstance(order, face.SetRoute):
                 self.set_line(order)
             elif isinstance(order, face.UpdateMarker):
-                mark = order.mark
+                mark = order.marker
         if mark is not None and self.proxies:
             answers = [face.UpdateAcknowledged(proxy, mark, 3000) for proxy in range(self.proxies)]
             self.turn(answers, SECOND // 10)
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -82,7 +82,7 @@
     for _ in range(40):
         spent, orders = turn(face.TimerFired("beat"), *sums(), span=second // 2)
         steady.append(spent)
-        mark = next((o.mark for o in orders if isinstance(o, face.UpdateMarker)), None)
+        mark = next((o.marker for o in orders if isinstance(o, face.UpdateMarker)), None)
         if mark is not None:
             acked.append(turn(*(face.UpdateAcknowledged(p, mark, 3000) for p in range(proxies)))[0])
     drains = tuple(entry(b, "draining") for b in ids[: backends * 3 // 10])
--- a/indigohitch/interface.py
+++ b/indigohitch/interface.py
@@ -38,7 +38,7 @@
     zone: str
     cell: int
     kind: str
-    started: int  # 0: long ago
+    started_at: int  # 0: long ago
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,7 +88,7 @@
 
     zone: str
     backend: str
-    tries: int
+    attempts: int
     failures: int
     duration: int  # mean of the ok ones, 0 if none
     elapsed: int
@@ -99,8 +99,8 @@
 class ProxyJoined:
     proxy: int
     zone: str
-    rate: float
-    fresh: bool
+    request_rate: float
+    has_no_tables: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -111,7 +111,7 @@
 @dataclass(slots=True, frozen=True)
 class UpdateAcknowledged:
     proxy: int
-    mark: int
+    marker: int
     duration: int
 
 
@@ -120,7 +120,7 @@
     """A slice comes into (or leaves) this coordinator's charge; its stored lines follow."""
 
     slice: int
-    held: bool
+    is_owned: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -182,14 +182,14 @@
 
     table: int
     methods: tuple[int, ...]
-    level: float
-    tries: int
+    admission_ratio: float
+    retry_level: int
 
 
 @dataclass(slots=True, frozen=True)
 class EjectBackend:
     backend: str
-    out: bool
+    ejected: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -205,8 +205,8 @@
 class UpdateMarker:
     """Ask the proxies reached by these orders (or all) to say when they have applied them."""
 
-    mark: int
-    everyone: bool
+    marker: int
+    to_all_proxies: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -222,7 +222,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchBackends:
-    on: bool
+    enabled: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -232,7 +232,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    due: int
+    due_at: int
     tag: str
 
 
--- a/indigohitch/logic/event_handlers.py
+++ b/indigohitch/logic/event_handlers.py
@@ -18,11 +18,11 @@
     c.list_fresh, c.calls_failed = c.list_fresh or news.scope != "remembered", 0
     named = {c.backend(entry.backend): entry for entry in news.entries}
     for b, entry in named.items():
-        if entry.started > b.started and b.state != "unheard":
+        if entry.started_at > b.started and b.state != "unheard":
             b.forget()  # a later start: what we knew of the old process is void
             b.told, b.state = c.now, "unheard"
         turn_to(c, b, entry.state)
-        b.weight, b.started = max(entry.weight, 1e-3), max(b.started, entry.started)
+        b.weight, b.started = max(entry.weight, 1e-3), max(b.started, entry.started_at)
         b.kind, b.zone = entry.kind, entry.zone
     # What a complete list lacks is gone; what only the store knew is, once the list in hand is fresh.
     for b in c.backends.values():
@@ -70,9 +70,9 @@
 
 def on_traffic(c: CoordinatorState, met: face.BackendTraffic) -> None:
     b = c.backend(met.backend)
-    b.tries.add(c.now, met.tries, met.failures)
+    b.tries.add(c.now, met.attempts, met.failures)
     b.unanswered += met.failures
-    if met.tries > met.failures:
+    if met.attempts > met.failures:
         b.ok_heard, b.unanswered = c.now, 0
     judge(c, b, met)
     cost = mean_cost(p.slice for p in b.parts)
@@ -99,13 +99,13 @@
 
 
 def on_acked(c: CoordinatorState, ack: face.UpdateAcknowledged) -> None:
-    c.channel.answered(ack.proxy, ack.mark)
+    c.channel.answered(ack.proxy, ack.marker)
 
 
 def on_charge(c: CoordinatorState, charge: face.SliceOwnership) -> None:
     for part in c.slices.pop(charge.slice).parts if charge.slice in c.slices else ():
         part.go_to(None)
-    if charge.held:
+    if charge.is_owned:
         c.slices[charge.slice] = Slice(charge.slice, c.now)
         c.hold_plans()
 
--- a/indigohitch/model/emulator.py
+++ b/indigohitch/model/emulator.py
@@ -121,7 +121,7 @@
         out = []
         for order in orders:
             if isinstance(order, face.SetTimer):
-                self.at(max(order.due, self.now), self.hear, n, face.TimerFired(order.tag))
+                self.at(max(order.due_at, self.now), self.hear, n, face.TimerFired(order.tag))
             elif isinstance(order, (face.SetRoute, face.EjectBackend, face.UpdateMarker)):
                 out.append(order)
         if out:
@@ -133,9 +133,9 @@
                 self.tables[order.table].set(self.backends[order.backend], order.weight)
                 self.seen.moves += order.weight > 0
             elif isinstance(order, face.EjectBackend):
-                self.backends[order.backend].withdrawn = order.out
+                self.backends[order.backend].withdrawn = order.ejected
             else:
-                self.hear(n, face.UpdateAcknowledged(0, order.mark, self.world.transit))
+                self.hear(n, face.UpdateAcknowledged(0, order.marker, self.world.transit))
 
     def report(self, n: int) -> None:
         every, events = self.world.report, []
--- a/indigohitch/platform_protocol/backend_start_times.py
+++ b/indigohitch/platform_protocol/backend_start_times.py
@@ -33,18 +33,18 @@
         """The same list with starts by our clock; `now` by it, `wall` by the wall's, as the list comes."""
         if news.scope == "failed":
             return news
-        entries = tuple(replace(entry, started=self._start(entry, now, wall)) for entry in news.entries)
+        entries = tuple(replace(entry, started_at=self._start(entry, now, wall)) for entry in news.entries)
         if news.scope != "remembered":
             self.heard = now
         self._forget_some(news)
         return replace(news, entries=entries)
 
     def _start(self, entry: face.BackendEntry, now: int, wall: int) -> int:
-        if not entry.started:
+        if not entry.started_at:
             return 0  # long ago
         known = self.known.pop(entry.backend, None)
-        if known is None or known.told != entry.started:
-            known = Start(entry.started, self._placed(entry.started, known, now, wall))
+        if known is None or known.told != entry.started_at:
+            known = Start(entry.started_at, self._placed(entry.started_at, known, now, wall))
         self.known[entry.backend] = known  # the last that was heard of
         return known.at
 
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -37,9 +37,9 @@
         self.orders = orders
         self.mark, self.shown = -1, False
         last = orders[-1]
-        if isinstance(last, face.UpdateMarker) and last.mark not in self.used:
-            self.mark = last.mark
-            self.used.append(last.mark)
+        if isinstance(last, face.UpdateMarker) and last.marker not in self.used:
+            self.mark = last.marker
+            self.used.append(last.marker)
         return True
 
     def answered(self, mark: int) -> bool:
--- a/indigohitch/platform_protocol/channel_backlog.py
+++ b/indigohitch/platform_protocol/channel_backlog.py
@@ -53,7 +53,7 @@
     def sent(self, now: int, orders: Sequence[face.Order]) -> Sent:
         self._drain(now)
         last = orders[-1]
-        mark = last.mark if isinstance(last, face.UpdateMarker) else None
+        mark = last.marker if isinstance(last, face.UpdateMarker) else None
         call = Sent(len(orders) + self.head, mark, set(self.proxies()))
         self.calls.append(call)
         self.lines += call.lines
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -127,7 +127,7 @@
         """Orders that stand, of which those that shut a backend out are read here."""
         for order in orders:
             if isinstance(order, face.EjectBackend):
-                (self.withdrawn.add if order.out else self.withdrawn.discard)(order.backend)
+                (self.withdrawn.add if order.ejected else self.withdrawn.discard)(order.backend)
 
     def check(self) -> None:
         """Look for lines that stand too long; again while any backend leaves."""
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -72,7 +72,7 @@
     yet to go.  One in doubt may."""
     relay, channel = front.relay, front.coordinator.channel
     to_go = list(relay.waiting)[1 if relay.first.failures else 0 :]
-    unsent = {order.mark for call in to_go for order in call if isinstance(order, face.UpdateMarker)}
+    unsent = {order.marker for call in to_go for order in call if isinstance(order, face.UpdateMarker)}
     calls = [
         Sent(each, mark, set(proxies))
         for mark, (each, proxies) in channel.unacked.items()
--- a/indigohitch/platform_protocol/stored_tables.py
+++ b/indigohitch/platform_protocol/stored_tables.py
@@ -53,7 +53,7 @@
 def levels_reset(numbers: Iterable[int], tables: Tables) -> list[face.Order]:
     """A slice given comes without a level: where one stands, this makes it true."""
     return [
-        replace(tables[n].level, methods=(), level=1.0)
+        replace(tables[n].level, methods=(), admission_ratio=1.0)
         for n in numbers
-        if tables[n].level is not None and tables[n].level.level != 1.0
+        if tables[n].level is not None and tables[n].level.admission_ratio != 1.0
     ]
--- a/indigohitch/upgrade/event_codec.py
+++ b/indigohitch/upgrade/event_codec.py
@@ -18,30 +18,33 @@
     face.ProbeResult: ("Probed", ("backend", "outcome", "duration", "load")),
     face.SliceDemand: ("SliceDemand", ("slice", "method", "total", "unanswered", "elapsed")),
     face.ProxyDemand: ("ProxyDemand", ("proxy", "method", "total", "unanswered", "elapsed")),
-    face.BackendTraffic: ("Traffic", ("zone", "backend", "tries", "failures", "duration", "elapsed", "load")),
-    face.ProxyJoined: ("ProxyJoined", ("proxy", "zone", "rate", "fresh")),
+    face.BackendTraffic: (
+        "Traffic",
+        ("zone", "backend", "attempts", "failures", "duration", "elapsed", "load"),
+    ),
+    face.ProxyJoined: ("ProxyJoined", ("proxy", "zone", "request_rate", "has_no_tables")),
     face.ProxyLeft: ("ProxyLeft", ("proxy",)),
-    face.UpdateAcknowledged: ("Acked", ("proxy", "mark", "duration")),
-    face.SliceOwnership: ("Charge", ("slice", "held")),
+    face.UpdateAcknowledged: ("Acked", ("proxy", "marker", "duration")),
+    face.SliceOwnership: ("Charge", ("slice", "is_owned")),
     face.StoredRoute: ("StoredLine", ("slice", "backend", "weight")),
     face.PeerMessage: ("PeerNote", ("peer", "body")),
     face.TimerFired: ("TimerDue", ("tag",)),
     face.SetRoute: ("SetLine", ("table", "backend", "weight")),
     face.ClearTable: ("ClearTable", ("table",)),
-    face.SetAdmission: ("SetLevel", ("table", "methods", "level", "tries")),
-    face.EjectBackend: ("Withdraw", ("backend", "out")),
+    face.SetAdmission: ("SetLevel", ("table", "methods", "admission_ratio", "retry_level")),
+    face.EjectBackend: ("Withdraw", ("backend", "ejected")),
     face.BindTable: ("Bind", ("proxy", "table", "methods")),
-    face.UpdateMarker: ("Mark", ("mark", "everyone")),
+    face.UpdateMarker: ("Mark", ("marker", "to_all_proxies")),
     face.ProbeBackend: ("Probe", ("backend",)),
     face.SendToPeer: ("TellPeer", ("peer", "body")),
-    face.WatchBackends: ("Subscribe", ("on",)),
+    face.WatchBackends: ("Subscribe", ("enabled",)),
     face.FetchBackends: ("FetchList", ()),
-    face.SetTimer: ("SetTimer", ("due", "tag")),
+    face.SetTimer: ("SetTimer", ("due_at", "tag")),
     face.LogMessage: ("LogLine", ("text",)),
 }
 _KINDS = {name: (kind, fields) for kind, (name, fields) in _WIRE.items()}
 # One entry of a list of backends, which has no name on the wire.
-_LISTED = ("backend", "state", "weight", "zone", "cell", "kind", "started")
+_LISTED = ("backend", "state", "weight", "zone", "cell", "kind", "started_at")
 
 
 def pack_entry(entry: face.BackendEntry) -> tuple:
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -39,7 +39,7 @@
         "zone": e.zone,
         "cell": e.cell,
         "machine": e.kind,
-        "started": e.started,
+        "started": e.started_at,
     }
 
 
@@ -80,20 +80,26 @@
                 "event": "traffic",
                 "zone": e.zone,
                 "backend": e.backend,
-                "tries": e.tries,
+                "tries": e.attempts,
                 "failures": e.failures,
                 "duration": e.duration,
                 "elapsed": e.elapsed,
                 "load": e.load,
             }
         case face.ProxyJoined():
-            return {"event": "proxy came", "proxy": e.proxy, "zone": e.zone, "rate": e.rate, "fresh": e.fresh}
+            return {
+                "event": "proxy came",
+                "proxy": e.proxy,
+                "zone": e.zone,
+                "rate": e.request_rate,
+                "fresh": e.has_no_tables,
+            }
         case face.ProxyLeft():
             return {"event": "proxy went", "proxy": e.proxy}
         case face.UpdateAcknowledged():
-            return {"event": "mark answered", "proxy": e.proxy, "mark": e.mark, "duration": e.duration}
+            return {"event": "mark answered", "proxy": e.proxy, "mark": e.marker, "duration": e.duration}
         case face.SliceOwnership():
-            return {"event": "slice owned", "slice": e.slice, "held": e.held}
+            return {"event": "slice owned", "slice": e.slice, "held": e.is_owned}
         case face.StoredRoute():
             return {"event": "line stored", "slice": e.slice, "backend": e.backend, "weight": e.weight}
         case face.PeerMessage():
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -121,7 +121,7 @@
         orders = self.room.relay.waiting[0]
         stored_tables.carry_out(self.room.store, orders)
         lines = (len(orders) + self.room.relay.backlog.head) * self.room.proxies
-        self.calls.append([lines, orders[-1].mark if isinstance(orders[-1], face.UpdateMarker) else None])
+        self.calls.append([lines, orders[-1].marker if isinstance(orders[-1], face.UpdateMarker) else None])
         self.most = max(self.most, sum(lines for lines, _ in self.calls))
 
     def drain(self):
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -89,7 +89,7 @@
 
     def carry_out(self, orders):
         stored_tables.carry_out(self.store, orders)
-        mark = next((o.mark for o in orders if isinstance(o, face.UpdateMarker)), None)
+        mark = next((o.marker for o in orders if isinstance(o, face.UpdateMarker)), None)
         self.queue.append([(len(orders) + self.front.relay.backlog.head) * PROXIES, mark])
         self.most = max(self.most, sum(lines for lines, _ in self.queue))
 
--- a/tests/test_crossing_handovers.py
+++ b/tests/test_crossing_handovers.py
@@ -225,7 +225,7 @@
     relay.answer() if answered == "before it is told" else None
     relay.holdings._settle()
     last = [o for call in relay.calls for o in call if isinstance(o, face.SetAdmission)][-1:]
-    assert [o.level for o in last] == ([] if answered == "before the giving" else [1.0])
+    assert [o.admission_ratio for o in last] == ([] if answered == "before the giving" else [1.0])
 
 
 def test_what_is_taken_back_by_the_thousand_costs_no_copy_of_all_tables(monkeypatch):
--- a/tests/test_crossing_lists_judge.py
+++ b/tests/test_crossing_lists_judge.py
@@ -51,7 +51,7 @@
         ask, news, lists = self.answered.pop(self.rng.randrange(len(self.answered)))
         verdict = self.judge.judge(ask, news, self.now)
         if verdict.counts:
-            told = {e.backend: e.started for e in news.entries}
+            told = {e.backend: e.started_at for e in news.entries}
             self.held = told if news.scope == "full" else self.held | told
             if verdict is Verdict.BEGUN_ANEW:
                 self.of, self.believed = lists, self.believed + 1
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -66,7 +66,7 @@
         self.news.open()
 
     def hear(self, *events):
-        self.marks += [e.mark for e in events if isinstance(e, face.UpdateAcknowledged)]
+        self.marks += [e.marker for e in events if isinstance(e, face.UpdateAcknowledged)]
         self.told.hear(*events)
 
     def failed(self, broken):
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -163,7 +163,7 @@
     assert lines <= relay.backlog.lines <= lines + spare and relay.backlog.fits_at(now, 0) == now
     assert (sum(call.lines for call in relay.backlog.calls) > 0) == (went != "not yet")
     assert [call.mark for call in relay.bounds.copies] == (
-        [relay.waiting[0][-1].mark] if went == "reset" else []
+        [relay.waiting[0][-1].marker] if went == "reset" else []
     )
 
 
--- a/tests/test_crossing_wire.py
+++ b/tests/test_crossing_wire.py
@@ -59,7 +59,7 @@
                     "campus": e.zone,
                     "block": e.cell,
                     "model": e.kind,
-                    "launched": e.started / 10,
+                    "launched": e.started_at / 10,
                 }
                 for e in entries
             ]
--- a/tests/test_golden_places.py
+++ b/tests/test_golden_places.py
@@ -25,27 +25,33 @@
     (
         ["Traffic", "east", "b1", 4, 5, 6, 7, {"queued": 1}],
         face.BackendTraffic(
-            zone="east", backend="b1", tries=4, failures=5, duration=6, elapsed=7, load={"queued": 1}
+            zone="east", backend="b1", attempts=4, failures=5, duration=6, elapsed=7, load={"queued": 1}
         ),
     ),
-    (["ProxyJoined", 3, "east", 5.0, True], face.ProxyJoined(proxy=3, zone="east", rate=5.0, fresh=True)),
+    (
+        ["ProxyJoined", 3, "east", 5.0, True],
+        face.ProxyJoined(proxy=3, zone="east", request_rate=5.0, has_no_tables=True),
+    ),
     (["ProxyLeft", 3], face.ProxyLeft(proxy=3)),
-    (["Acked", 3, 4, 5], face.UpdateAcknowledged(proxy=3, mark=4, duration=5)),
-    (["Charge", 3, True], face.SliceOwnership(slice=3, held=True)),
+    (["Acked", 3, 4, 5], face.UpdateAcknowledged(proxy=3, marker=4, duration=5)),
+    (["Charge", 3, True], face.SliceOwnership(slice=3, is_owned=True)),
     (["StoredLine", 3, "b1", 1.0], face.StoredRoute(slice=3, backend="b1", weight=1.0)),
     (["PeerNote", 3, b"x"], face.PeerMessage(peer=3, body=b"x")),
     (["TimerDue", "beat"], face.TimerFired(tag="beat")),
     (["SetLine", 3, "b1", 1.0], face.SetRoute(table=3, backend="b1", weight=1.0)),
     (["ClearTable", 3], face.ClearTable(table=3)),
-    (["SetLevel", 3, [1], 0.5, 2], face.SetAdmission(table=3, methods=(1,), level=0.5, tries=2)),
-    (["Withdraw", "b1", True], face.EjectBackend(backend="b1", out=True)),
+    (
+        ["SetLevel", 3, [1], 0.5, 2],
+        face.SetAdmission(table=3, methods=(1,), admission_ratio=0.5, retry_level=2),
+    ),
+    (["Withdraw", "b1", True], face.EjectBackend(backend="b1", ejected=True)),
     (["Bind", 3, 4, [1]], face.BindTable(proxy=3, table=4, methods=[1])),
-    (["Mark", 3, False], face.UpdateMarker(mark=3, everyone=False)),
+    (["Mark", 3, False], face.UpdateMarker(marker=3, to_all_proxies=False)),
     (["Probe", "b1"], face.ProbeBackend(backend="b1")),
     (["TellPeer", -1, b"x"], face.SendToPeer(peer=-1, body=b"x")),
-    (["Subscribe", True], face.WatchBackends(on=True)),
+    (["Subscribe", True], face.WatchBackends(enabled=True)),
     (["FetchList"], face.FetchBackends()),
-    (["SetTimer", 3, "beat"], face.SetTimer(due=3, tag="beat")),
+    (["SetTimer", 3, "beat"], face.SetTimer(due_at=3, tag="beat")),
     (["LogLine", "x"], face.LogMessage(text="x")),
 ]
 
@@ -58,7 +64,7 @@
 
 def test_an_entry_of_a_list_is_what_it_was():
     entry = face.BackendEntry(
-        backend="b1", state="ready", weight=6.0, zone="east", cell=2, kind="std", started=7
+        backend="b1", state="ready", weight=6.0, zone="east", cell=2, kind="std", started_at=7
     )
     row = ["BackendList", "full", 3, [["b1", "ready", 6.0, "east", 2, "std", 7]]]
     assert event_codec.unpack(row).entries == (entry,)
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -55,7 +55,7 @@
             if isinstance(e, face.SliceOwnership):
                 self.charges += 1
                 self.tables.pop(e.slice, None)
-                if e.held:
+                if e.is_owned:
                     self.tables[e.slice] = {}
             elif isinstance(e, face.StoredRoute):
                 self.tables[e.slice][e.backend] = e.weight
--- a/tests/test_logic_exclusive.py
+++ b/tests/test_logic_exclusive.py
@@ -29,7 +29,7 @@
                 del table[order.table]
         elif isinstance(order, face.SetAdmission) and self.honours_levels:
             for method in order.methods or (READS, WRITES):
-                self.closed[order.table, method] = order.level == 0
+                self.closed[order.table, method] = order.admission_ratio == 0
 
     def writes_to(self, slice):
         return None if self.closed.get((slice, WRITES)) else self.lines.get(slice)
@@ -69,7 +69,7 @@
 
     def tell(self, *events):
         orders = self.c.handle(self.now, list(events))
-        self.timers += [o.due for o in orders if isinstance(o, face.SetTimer)]
+        self.timers += [o.due_at for o in orders if isinstance(o, face.SetTimer)]
         sent = [o for o in orders if isinstance(o, (face.SetRoute, face.SetAdmission, face.UpdateMarker))]
         for order in sent:
             if isinstance(order, face.SetRoute) and order.weight:
@@ -100,7 +100,7 @@
                 for order in proxy.inbox.pop(0)[1]:
                     if isinstance(order, face.UpdateMarker):
                         self.acks.append(
-                            (self.now + self.late(), face.UpdateAcknowledged(number, order.mark, 10))
+                            (self.now + self.late(), face.UpdateAcknowledged(number, order.marker, 10))
                         )
                     proxy.apply(order)
             if proxy.here or self.now < proxy.lease:
--- a/tests/test_logic_judging.py
+++ b/tests/test_logic_judging.py
@@ -90,7 +90,7 @@
             o.table % 5
             for _, orders in w.log
             for o in orders
-            if isinstance(o, face.SetAdmission) and o.level < 1
+            if isinstance(o, face.SetAdmission) and o.admission_ratio < 1
         }
 
     w = World()
--- a/tests/test_logic_sending.py
+++ b/tests/test_logic_sending.py
@@ -43,7 +43,7 @@
 def test_further_tries_after_proof_only():
     w = World()
     levels = [o for o in w.start() if isinstance(o, face.SetAdmission)]
-    assert levels and all(o.tries == 1 and o.level == 1.0 for o in levels)
+    assert levels and all(o.retry_level == 1 and o.admission_ratio == 1.0 for o in levels)
 
 
 def test_six_planned_changes_go_out_in_a_turn_and_many_are_staged():
@@ -87,12 +87,12 @@
     struck = [f"b{i}" for i in range(24)]
     orders = w.step(0, changes(*(entry(b, "draining") for b in struck)))
     left = {b for b in struck if any(b in t for t in w.tables.values())}
-    assert left and left <= {o.backend for o in orders if isinstance(o, face.EjectBackend) and o.out}
+    assert left and left <= {o.backend for o in orders if isinstance(o, face.EjectBackend) and o.ejected}
     w.step(0, face.ProxyLeft(0))
     for _ in range(20):
         w.step(SECOND, *w.probes(), *w.acks())
     orders = w.step(0, changes(*(entry(b, started=w.now) for b in struck))) + w.step(5 * SECOND)
-    assert left <= {o.backend for o in orders if isinstance(o, face.EjectBackend) and not o.out}
+    assert left <= {o.backend for o in orders if isinstance(o, face.EjectBackend) and not o.ejected}
     assert [o for o in w.step(0, face.ProxyJoined(0, "east", 5.0, False)) if isinstance(o, face.EjectBackend)]
 
 
@@ -110,7 +110,7 @@
     drains = changes(*(entry(b, "draining") for b in struck))
     orders = w.step(0, face.ProxyJoined(0, "east", 5.0, False), drains)
     left = {b for b in struck if any(b in t for t in w.tables.values())}
-    shut = [o.backend for o in orders if isinstance(o, face.EjectBackend) and o.out]
+    shut = [o.backend for o in orders if isinstance(o, face.EjectBackend) and o.ejected]
     assert left and left <= set(shut) and len(shut) == len(set(shut))
     for _ in range(20):  # World.check: out within the grace
         orders = w.step(SECOND, *w.probes(), *w.acks())
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -69,7 +69,7 @@
     def end(orders):
         found = {n: stored_tables.Table({"b1": 1.0}) for n in range(4)}
         stored_tables.carry_out(found, orders)
-        return found, {o.backend: o.out for o in orders if isinstance(o, face.EjectBackend)}
+        return found, {o.backend: o.ejected for o in orders if isinstance(o, face.EjectBackend)}
 
     assert end(merged) == end(orders)
     assert len(merged) <= 5 * 4 + 5 + 5 + 4 + 2 and merge(merged) == merged
--- a/tests/world.py
+++ b/tests/world.py
@@ -137,7 +137,7 @@
         elif isinstance(e, face.SliceOwnership):
             self.tables.pop(e.slice, None)
             self.given[e.slice] = self.now
-            if e.held:
+            if e.is_owned:
                 self.tables[e.slice] = {}
         elif isinstance(e, face.StoredRoute):
             self.tables[e.slice][e.backend] = e.weight
@@ -148,12 +148,12 @@
 
     def cold(self, b):
         x = self.listed.get(b)
-        return x is not None and x.started and self.now - x.started < self.boot["warm_within"]
+        return x is not None and x.started_at and self.now - x.started_at < self.boot["warm_within"]
 
     def apply(self, o):
         if isinstance(o, face.SetTimer):
-            assert o.due > self.now
-            self.timers.append(o.due)
+            assert o.due_at > self.now
+            self.timers.append(o.due_at)
         elif isinstance(o, face.SetRoute):
             table = self.tables[o.table]  # only slices in charge
             assert o.backend in self.listed or o.backend in self.told or o.backend in table
@@ -166,11 +166,13 @@
             else:
                 del table[o.backend]
         elif isinstance(o, face.EjectBackend):
-            (self.out.add if o.out else self.out.discard)(o.backend)
-            assert not o.out or self.listed[o.backend].state != "ready", "shut out though ready"
+            (self.out.add if o.ejected else self.out.discard)(o.backend)
+            assert not o.ejected or self.listed[o.backend].state != "ready", "shut out though ready"
         elif isinstance(o, face.SetAdmission):
             kinds = [self.boot["methods"][k] for k in o.methods or range(len(self.boot["methods"]))]
-            assert o.level >= 0 and (o.tries < 2 or all(m.repeat == "idempotent" for m in kinds))
+            assert o.admission_ratio >= 0 and (
+                o.retry_level < 2 or all(m.repeat == "idempotent" for m in kinds)
+            )
 
     def check(self, now, lines):
         assert self.timers, "no timer left"
@@ -199,7 +201,7 @@
             self.queue += len(self.proxies) * (lines + self.boot["envelope"])
             self.total += len(self.proxies) * (lines + self.boot["envelope"])
             self.marks.append(
-                (next(o.mark for o in self.log[-1][1] if isinstance(o, face.UpdateMarker)), self.total)
+                (next(o.marker for o in self.log[-1][1] if isinstance(o, face.UpdateMarker)), self.total)
             )
             self.sent.append((now, now))
         elif self.sent:
