--- a/benchmarks/capacitykit/links_cell.py
+++ b/benchmarks/capacitykit/links_cell.py
@@ -45,7 +45,7 @@
         self.log = Log(self.clock, "near", out=-1)  # lines are lost, and counted
         self.links = Transport(self.loop, self.log, KINDS, FLEET, MemberId("near", 1), 1, lambda: 0.5)
         self.heard = 0
-        self.links.on_heard = self.hear
+        self.links.deliver = self.hear
         self.names = [f"far{number}" for number in range(connections)]
 
     def failed(self, bad: BaseException) -> None:
@@ -65,7 +65,7 @@
             text=True,
         )
         far_port = int(far.stdout.readline())
-        self.links.relist({name: (address_of(number), far_port) for number, name in enumerate(self.names)})
+        self.links.set_peers({name: (address_of(number), far_port) for number, name in enumerate(self.names)})
         far.stdin.write("dial\n")
         far.stdin.flush()
         self.beat()
@@ -73,7 +73,7 @@
 
     def beat(self) -> None:
         self.loop.after(BEAT, self.beat)
-        self.links.beat()
+        self.links.tick()
 
     def until(self, true, seconds: float = PATIENCE) -> None:
         end = time.monotonic() + seconds
@@ -84,13 +84,13 @@
 
     def met(self) -> bool:
         open_links = sum(link.phase is Phase.OPEN for link in self.links.peers.values())
-        return open_links == len(self.names) == len(self.links.came)
+        return open_links == len(self.names) == len(self.links.inbound)
 
     def say_to_all(self) -> float:
         """One word to each, encoded and written; processor milliseconds."""
         word = AppendEntries(1, 100, 1, 100, (), 0, 12_345_678)
         began = time.process_time()
-        said = sum(self.links.say_to(name, word) for name in self.names)
+        said = sum(self.links.send_to(name, word) for name in self.names)
         spent = time.process_time() - began
         if said != len(self.names):
             raise RuntimeError(f"{said} of {len(self.names)} words went out")
--- a/indigohitch/fleet/distribution/connections.py
+++ b/indigohitch/fleet/distribution/connections.py
@@ -11,9 +11,9 @@
 from ...net.ring_buffer import BufferPool
 from ..transport import messages as links
 from ..transport.acceptor import Acceptor
-from ..transport.handshake import REMEDIES, refused_subscriber
+from ..transport.handshake import REMEDIES, check_subscriber
 from ..transport.inbound import InboundLink
-from ..transport.outbound import KERNEL
+from ..transport.outbound import SEND_BUFFER_BYTES
 from ..types import MemberId
 from .distributor import Distributor
 from .interfaces import Close, Closing, DistributorOutput, Heard, Joined, Left, Note, Send
@@ -58,40 +58,40 @@
         return self.arrivals.listener is not None
 
     def beat(self, now: int) -> None:
-        self.arrivals.beat(now)
+        self.arrivals.tick(now)
         for number, one in list(self.connections.items()):
-            if now - one.heard_at > SILENT:
+            if now - one.last_received_at > SILENT:
                 self.drop(number, "silent", "see whether it runs; it comes back by itself")
             else:
                 one.connection.outgoing.trim()
 
     def drop(self, number: int, why: str, remedy: str) -> None:
         one = self.connections[number]
-        self.log.warning("subscriber_dropped", subscriber=one.who.name, why=why, remedy=remedy)
+        self.log.warning("subscriber_dropped", subscriber=one.peer.name, why=why, remedy=remedy)
         one.close()
 
     # ---- who comes ---------------------------------------------------------------------------------
 
-    def greeted(self, one: InboundLink, greeting: links.Handshake) -> None:
-        why, kind = refused_subscriber(greeting, self.fleet)
+    def on_handshake(self, one: InboundLink, greeting: links.Handshake) -> None:
+        why, kind = check_subscriber(greeting, self.fleet)
         if why:
             self.log.warning("subscriber_refused", why=why, remedy=REMEDIES[kind])
-            one.answer(links.HandshakeRefused(why))
+            one.send(links.HandshakeRefused(why))
             one.close()
             return
         self.last += 1
-        one.who, one.token = greeting.who, greeting.token
+        one.peer, one.token = greeting.who, greeting.token
         self.connections[self.last], self.numbers[one] = one, self.last
-        one.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
+        one.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         one.connection.outgoing.allow(self.limits.update_bytes + HEAD)
-        one.answer(links.HandshakeAccepted(self.me, self.token))
+        one.send(links.HandshakeAccepted(self.me, self.token))
         self.stepping.step(Joined(self.last, greeting.who.name))
 
-    def heard(self, one: InboundLink, word: Row) -> None:
+    def on_message(self, one: InboundLink, word: Row) -> None:
         if one in self.numbers:
             self.stepping.step(Heard(self.numbers[one], word))
 
-    def gone(self, one: InboundLink) -> None:
+    def on_closed(self, one: InboundLink) -> None:
         number = self.numbers.pop(one, None)
         if number is not None:
             del self.connections[number]
@@ -113,7 +113,7 @@
         if one is None:
             return
         data = KINDS.frame(message)
-        if not one.put(data):
+        if not one.send_frame(data):
             self.drop(number, "it does not read", "see whether it runs; it comes back by itself")
             return
         self.sent += len(data)
--- a/indigohitch/fleet/distribution/subscriber_connection.py
+++ b/indigohitch/fleet/distribution/subscriber_connection.py
@@ -64,7 +64,7 @@
     def carry(self, output: SubscriberOutput) -> None:
         match output:
             case Say(message):
-                if self.link is not None and not self.link.say(message):
+                if self.link is not None and not self.link.send(message):
                     self.link.connection.close("no room")
             case Applied():
                 self.applied(output)
@@ -87,30 +87,30 @@
 
     def dropped(self) -> OutboundLink:
         link, self.link = self.link, None
-        self._received += link.received
-        self._sent += link.sent
+        self._received += link.bytes_received
+        self._sent += link.bytes_sent
         return link
 
     # ---- what the connection tells -----------------------------------------------------------------
 
-    def greeting(self) -> Handshake:
+    def handshake(self) -> Handshake:
         return Handshake(self.fleet, MemberId(self.name, 0), self.token, role=SUBSCRIBER)
 
-    def welcomed(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
+    def on_accepted(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
         why = f"{welcome.who.name} answers" if welcome.who.name != link.name else version_mismatch(welcome)
         if why:
             remedy = "see the address of that distributor in this file"
             self.log.warning("not_who_was_dialled", distributor=link.name, why=why, remedy=remedy)
         return not why
 
-    def up(self, link: OutboundLink) -> None:
+    def on_link_up(self, link: OutboundLink) -> None:
         self.log.event("distributor_reached", distributor=link.name)
         self.stepping.step(Connected(link.name))
 
-    def down(self, link: OutboundLink, why: str) -> None:
+    def on_link_down(self, link: OutboundLink, why: str) -> None:
         self.lost(link, why)
 
-    def unreached(self, link: OutboundLink, why: str) -> None:
+    def on_unreachable(self, link: OutboundLink, why: str) -> None:
         self.lost(link, why)
 
     def lost(self, link: OutboundLink, why: str) -> None:
@@ -119,22 +119,22 @@
             self.log.warning("distributor_lost", distributor=link.name, **error_fields(NoDistributor(why)))
             self.stepping.step(Lost(link.name, why))
 
-    def replied(self, link: OutboundLink, word: Row) -> None:
+    def on_reply(self, link: OutboundLink, word: Row) -> None:
         if link is self.link:
             self.stepping.step(Told(link.name, word))
 
-    def spoilt(self, name: str, broken: BrokenFrameError) -> None:
+    def on_corrupt_frame(self, name: str, broken: BrokenFrameError) -> None:
         log_broken_frame(self.log, name, broken, "distributors")
 
     # ---- told to people ----------------------------------------------------------------------------
 
     @property
-    def received(self) -> int:
-        return self._received + (self.link.received if self.link is not None else 0)
+    def bytes_received(self) -> int:
+        return self._received + (self.link.bytes_received if self.link is not None else 0)
 
     @property
-    def sent(self) -> int:
-        return self._sent + (self.link.sent if self.link is not None else 0)
+    def bytes_sent(self) -> int:
+        return self._sent + (self.link.bytes_sent if self.link is not None else 0)
 
     def figures(self) -> dict:
         now = self.loop.clock.now()
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -109,7 +109,7 @@
     def carry(self, output: Output) -> None:
         match output:
             case SendMessage(to, word):
-                self.links.say(to, word)
+                self.links.send(to, word)
             case WriteEntries():
                 self.disk.write(output)
             case ApplyEntries(entries):
--- a/indigohitch/fleet/node/introductions.py
+++ b/indigohitch/fleet/node/introductions.py
@@ -24,7 +24,7 @@
         """The answer to one that greets."""
         identity = self.disk.identity
         return HandshakeAccepted(
-            self.links.me,
+            self.links.own_id,
             self.links.token,
             self.highest(who.name),
             identity.founders if identity.number else self.listed(),
--- a/indigohitch/fleet/node/join.py
+++ b/indigohitch/fleet/node/join.py
@@ -25,7 +25,7 @@
         if node.phase is Phase.FRESH:
             self.fresh(now)
         elif node.phase is Phase.TAKING_PART and now >= self.ask_due:
-            me, members = node.links.me, node.driver.members
+            me, members = node.links.own_id, node.driver.members
             if not cluster_bootstrap.stands(me, node.votes, members):
                 self.ask(now, me.number)
 
@@ -33,7 +33,7 @@
 
     def fresh(self, now: int) -> None:
         node, voters = self.node, self.node.listed()
-        welcomes = {name: link.welcome for name, link in node.links.peers.items()}
+        welcomes = {name: link.acceptance for name, link in node.links.peers.items()}
         way, why = cluster_bootstrap.bootstrap_mode(node.text.me, node.votes, voters, welcomes)
         if way is cluster_bootstrap.BootstrapMode.FOUND:
             node.log.event("founds", voters=list(voters))
@@ -62,9 +62,9 @@
         self.ask_due = now + ASK
         node = self.node
         for name in node.links.peers:
-            node.links.say_to(name, JoinRequest(node.text.me, node.token, number, node.votes))
+            node.links.send_to(name, JoinRequest(node.text.me, node.token, number, node.votes))
         if node.driver.leads:
-            self.asked(node.links.me, JoinRequest(node.text.me, node.token, number, node.votes))
+            self.asked(node.links.own_id, JoinRequest(node.text.me, node.token, number, node.votes))
 
     def admitted(self, who: MemberId, word: JoinResponse) -> None:
         node = self.node
@@ -96,7 +96,7 @@
             node.driver.step(ChangeMembers(who, votes=listed.votes))
         committed = machine.state.belonging.index <= machine.commit
         if not word.number and committed and who in machine.state.belonging.everyone:
-            node.links.say_to(name, JoinResponse(who, word.token, node.disk.identity.founders))
+            node.links.send_to(name, JoinResponse(who, word.token, node.disk.identity.founders))
 
     def take_out(self, name: str) -> str:
         """Why it can't be.  An operator's word, not the file's: a leader whose file is behind the others'
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -53,7 +53,7 @@
         self.disk = Storage(loop, log, text.folder, text.name, text.me, self.disk_told, files)
         self.links = Transport(loop, log, KINDS, text.name, MemberId(text.me, 0), self.token, chance.random)
         place = Place(loop, log, text, self.voters, self.lease, lambda: chance.getrandbits(62))
-        place.read, place.say = lambda done: self.traffic.read(done), self.links.say_to
+        place.read, place.say = lambda done: self.traffic.read(done), self.links.send_to
         self.assembly = assembled(place)
         self.state_machine = self.assembly.state_machine
         waits: dict[str, int] = text.waits
@@ -98,8 +98,8 @@
             Report: self.assembly.heard_report,
             **dict.fromkeys((RenewLease, LeaseRenewed, LeaseNotRenewed), self.belonging.heard),
         }
-        links.on_heard, links.on_met = self.traffic.heard, self.introductions.met
-        links.facts, links.known = self.introductions.welcome, self.introductions.highest
+        links.deliver, links.record_peer = self.traffic.heard, self.introductions.met
+        links.make_acceptance, links.highest_number = self.introductions.welcome, self.introductions.highest
 
     def disk_told(self, told) -> None:
         self.driver.step(told)
@@ -119,10 +119,10 @@
     def reread(self, text: FleetText) -> None:
         """Addresses and members as the file has them now; its other lines take a start."""
         self.text.members, self.text.edition, self.text.parts = text.members, text.edition, text.parts
-        self.relist()
+        self.set_peers()
 
-    def relist(self) -> None:
-        self.links.relist(
+    def set_peers(self) -> None:
+        self.links.set_peers(
             {name: member.address for name, member in self.text.members.items() if name != self.text.me}
         )
 
@@ -140,7 +140,7 @@
         except OSError:
             self.disk.close()
             raise
-        self.relist()
+        self.set_peers()
         if held is None:
             self.be(Phase.FRESH)
         else:
@@ -157,7 +157,7 @@
             snapshot=held.snap.index,
             entries=len(held.entries),
         )
-        self.links.renumber(me)
+        self.links.set_own_id(me)
         self.be(Phase.TAKING_PART)
         self.driver.begin(me, held)
 
@@ -198,7 +198,7 @@
     def beat(self) -> None:
         self.beating = self.loop.after(BEAT, self.beat)
         now = self.loop.clock.now()
-        self.links.beat()
+        self.links.tick()
         self.admitting.beat(now)
         if self.phase in (Phase.TAKING_PART, Phase.LEAVING):
             self.traffic.reads.beat(now)
--- a/indigohitch/fleet/node/status.py
+++ b/indigohitch/fleet/node/status.py
@@ -20,7 +20,7 @@
     members = driver.members
     found = {
         "name": node.text.name,
-        "me": who(node.links.me),
+        "me": who(node.links.own_id),
         "phase": node.phase.value,
         "role": machine.role.value if machine else "none",
         "term": machine.term if machine else 0,
@@ -37,7 +37,7 @@
         "proposals_waiting": len(node.working.waiting),
         "reads": len(node.traffic.reads.open),
         "disk": node.disk.figures(),
-        "links": node.links.figures(),
+        "links": node.links.status(),
         "works": node.working.figures(),
     }
     if driver.leads:
--- a/indigohitch/fleet/node/traffic.py
+++ b/indigohitch/fleet/node/traffic.py
@@ -45,9 +45,9 @@
     def tell(self, name: str, word: Row) -> None:
         """A member, or this one itself."""
         if name == self.name:
-            self.handlers[type(word)](self.links.me, word)
+            self.handlers[type(word)](self.links.own_id, word)
         else:
-            self.links.say_to(name, word)
+            self.links.send_to(name, word)
 
     # ---- proposals ---------------------------------------------------------------------------------
 
@@ -62,10 +62,10 @@
         if leader is None:
             return
         for one in self.proposals.due(now):
-            if leader == self.links.me:
+            if leader == self.links.own_id:
                 self.proposals.sent(now, one)
                 self.driver.step(Propose(one.proposal))
-            elif self.links.say(leader, Forward(one.proposal)):
+            elif self.links.send(leader, Forward(one.proposal)):
                 self.proposals.sent(now, one)
             else:
                 return  # the next beat tries again
@@ -89,12 +89,12 @@
         number, leader = self.reads.begin(self.clock.now(), done), self.driver.leader
         if self.driver.leads:
             self.driver.step(Ask(number))
-        elif leader is None or not self.links.say(leader, ReadIndexRequest(number)):
+        elif leader is None or not self.links.send(leader, ReadIndexRequest(number)):
             self.reads.answered(number, 0, False, 0)
 
     def on_read_ask(self, who: MemberId, word: ReadIndexRequest) -> None:
         def done(index: int | None) -> None:
-            self.links.say_to(who.name, ReadIndexResponse(word.number, index or 0, index is not None))
+            self.links.send_to(who.name, ReadIndexResponse(word.number, index or 0, index is not None))
 
         if not self.driver.leads:
             done(None)  # no leader's leader is asked in turn
--- a/indigohitch/fleet/transport/__init__.py
+++ b/indigohitch/fleet/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Words between the members, over TCP: one dialled connection a direction (docs/ledger.md)."""
+"""Messages between the members over TCP, one dialled connection for each direction (docs/ledger.md)."""
--- a/indigohitch/fleet/transport/acceptor.py
+++ b/indigohitch/fleet/transport/acceptor.py
@@ -1,4 +1,4 @@
-"""A listener and who has connected to it: a stranger until it has greeted and its host has taken it in."""
+"""A listener and its inbound links, each unidentified until its handshake has been accepted."""
 
 from __future__ import annotations
 
@@ -13,90 +13,118 @@
 from ...net.ring_buffer import BufferPool
 from .inbound import InboundLink
 from .messages import Handshake
-from .outbound import GREET
+from .outbound import HANDSHAKE_TIMEOUT
 
 
-class Hosting(Protocol):
-    """Who owns the listener."""
+class AcceptorOwner(Protocol):
+    """Owner of a listener, who decides which handshakes are accepted."""
 
-    def greeted(self, one: InboundLink, greeting: Handshake) -> None:
-        """Sets `one.who` where it takes it in; else answers why and closes it."""
+    def on_handshake(self, link: InboundLink, handshake: Handshake) -> None:
+        """Sets `link.peer` if it accepts the handshake; else sends the reason and closes the link."""
 
-    def heard(self, one: InboundLink, word: Row) -> None: ...
+    def on_message(self, link: InboundLink, message: Row) -> None:
+        """Takes a message from an accepted link."""
 
-    def gone(self, one: InboundLink) -> None:
-        """One that was taken in has closed."""
+    def on_closed(self, link: InboundLink) -> None:
+        """Forgets an accepted link that has closed."""
 
 
 class Acceptor:
+    """Accepts connections at one address and closes those that do not identify themselves in time."""
+
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
         kinds: MessageTypes,
-        owner: Hosting,
-        whose: str,
-        most: int,
+        owner: AcceptorOwner,
+        port_users: str,
+        max_unidentified: int,
         pool: BufferPool | None = None,
     ) -> None:
-        """`whose`: port it is, for the log; `most` strangers at a time; `pool`: of the buffers."""
-        self.loop, self.log, self.kinds, self.owner = loop, log, kinds, owner
-        self.whose, self.most, self.pool = whose, most, pool
-        self.strangers: set[InboundLink] = set()
+        """Creates an acceptor that does not listen yet.
+
+        Args:
+            loop: event loop of this process.
+            log: log of this process.
+            kinds: message types of the connections.
+            owner: decides about handshakes and takes the messages.
+            port_users: who connects to this port, for the log.
+            max_unidentified: largest number of connections without an accepted handshake.
+            pool: of the connections' buffers; by default that of the loop.
+        """
+        self.loop = loop
+        self.log = log
+        self.kinds = kinds
+        self.owner = owner
+        self.port_users = port_users
+        self.max_unidentified = max_unidentified
+        self.pool = pool
+        self.unidentified: set[InboundLink] = set()
         self.listener: Listener | None = None
 
-    def start(self, at: tuple[str, int]) -> None:
-        """Raises OSError where the address can't be had."""
+    def start(self, address: tuple[str, int]) -> None:
+        """Listens at the address; raises OSError if that fails."""
         self.listener = Listener(
-            self.loop, at, self.knock, lambda why: self.log.warning("accept_failed", why=why)
+            self.loop, address, self.on_connection, lambda why: self.log.warning("accept_failed", why=why)
         )
 
-    def knock(self, sock: socket.socket) -> bool:
-        if len(self.strangers) >= self.most:
-            self.log.warning("strangers_too_many", remedy=f"keep others off the {self.whose}' port")
+    def on_connection(self, sock: socket.socket) -> bool:
+        """Takes an accepted socket; returns False if there are too many unidentified connections."""
+        if len(self.unidentified) >= self.max_unidentified:
+            self.log.warning("strangers_too_many", remedy=f"keep others off the {self.port_users}' port")
             return False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.strangers.add(InboundLink(self, sock, self.pool))
+        self.unidentified.add(InboundLink(self, sock, self.pool))
         return True
 
-    def beat(self, now: int) -> None:
-        for one in [one for one in self.strangers if now - one.since > GREET]:
-            self.stranger("no greeting")
-            one.close()
+    def tick(self, now: int) -> None:
+        """Closes the links whose handshake has timed out."""
+        overdue = [link for link in self.unidentified if now - link.accepted_at > HANDSHAKE_TIMEOUT]
+        for link in overdue:
+            self.on_unidentified("no greeting")
+            link.close()
 
-    # ---- of those who came -------------------------------------------------------------------------
+    # ---- events of the inbound links -----------------------------------------------------------------
 
-    def greeted(self, one: InboundLink, greeting: Handshake) -> None:
-        self.owner.greeted(one, greeting)
-        if one.who is not None:
-            self.strangers.discard(one)
+    def on_handshake(self, link: InboundLink, handshake: Handshake) -> None:
+        """Lets the owner decide; an accepted link counts as unidentified no more."""
+        self.owner.on_handshake(link, handshake)
+        if link.peer is not None:
+            self.unidentified.discard(link)
 
-    def heard(self, one: InboundLink, word: Row) -> None:
-        self.owner.heard(one, word)
+    def on_message(self, link: InboundLink, message: Row) -> None:
+        """Passes a message of an accepted link to the owner."""
+        self.owner.on_message(link, message)
 
-    def gone(self, one: InboundLink) -> None:
-        self.strangers.discard(one)
-        if one.who is not None:
-            self.owner.gone(one)
+    def on_closed(self, link: InboundLink) -> None:
+        """Forgets a closed link; the owner is notified if the link had been accepted."""
+        self.unidentified.discard(link)
+        if link.peer is not None:
+            self.owner.on_closed(link)
 
-    def stranger(self, why: str) -> None:
-        self.log.warning("stranger", why=why, remedy=f"keep others off the {self.whose}' port")
+    def on_unidentified(self, why: str) -> None:
+        """Logs that a connection is closed before its handshake was accepted."""
+        self.log.warning("stranger", why=why, remedy=f"keep others off the {self.port_users}' port")
 
-    def spoilt(self, name: str, broken: BrokenFrameError) -> None:
-        log_broken_frame(self.log, name, broken, self.whose)
+    def on_corrupt_frame(self, name: str, error: BrokenFrameError) -> None:
+        """Logs a corrupt frame from the named peer; the name is empty for an unidentified one."""
+        log_broken_frame(self.log, name, error, self.port_users)
 
     def close(self) -> None:
+        """Stops listening and closes all unidentified links."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
-        for one in list(self.strangers):
-            one.close()
+        for link in list(self.unidentified):
+            link.close()
 
 
-def log_broken_frame(log: Log, name: str, broken: BrokenFrameError, whose: str) -> None:
+def log_broken_frame(log: Log, name: str, error: BrokenFrameError, port_users: str) -> None:
+    """Logs a corrupt frame that arrived at the port of `port_users`."""
     log.warning(
         "frame_spoilt",
         member=name or "unknown",
-        why=broken.what,
-        remedy=f"keep others off the {whose}' port; if it is a member, see the network",
+        why=error.what,
+        remedy=f"keep others off the {port_users}' port; if it is a member, see the network",
     )
--- a/indigohitch/fleet/transport/inbound.py
+++ b/indigohitch/fleet/transport/inbound.py
@@ -1,4 +1,4 @@
-"""The end of a link that is accepted; ends.py has the one that dials."""
+"""The accepting end of a link; `outbound` has the dialling end."""
 
 from __future__ import annotations
 
@@ -10,79 +10,99 @@
 from ...net.connection import Connection
 from ...net.loop import EventLoop
 from ...net.ring_buffer import BufferPool
+from ..types import MemberId
 from .messages import Handshake, Ping, Pong
 
+# Unread bytes beyond one frame of the largest size that a connection may buffer.
+EXTRA_UNREAD_BYTES = 64 << 10
+# The first bytes of a frame by which another protocol is recognized before a whole header is there.
+MAGIC_BYTES = 4
 
-class Host(Protocol):
-    """Who accepts connections."""
+
+class InboundOwner(Protocol):
+    """Owner of accepted connections."""
 
     loop: EventLoop
     kinds: MessageTypes
 
-    def greeted(self, one: InboundLink, greeting: Handshake) -> None: ...
+    def on_handshake(self, link: InboundLink, handshake: Handshake) -> None:
+        """Accepts the link by setting its `peer`, or closes it."""
 
-    def heard(self, one: InboundLink, word: Row) -> None: ...
+    def on_message(self, link: InboundLink, message: Row) -> None:
+        """Takes a message of an accepted link."""
 
-    def gone(self, one: InboundLink) -> None: ...
+    def on_closed(self, link: InboundLink) -> None:
+        """Forgets the link; called at least once for each."""
 
-    def stranger(self, why: str) -> None:
-        """Someone who has not greeted is sent away."""
+    def on_unidentified(self, why: str) -> None:
+        """Reports that a link is closed before its handshake."""
 
-    def spoilt(self, name: str, broken: BrokenFrameError) -> None: ...
+    def on_corrupt_frame(self, name: str, error: BrokenFrameError) -> None:
+        """Reports a corrupt frame of the named peer; the name is empty before the handshake."""
 
 
 class InboundLink:
-    """Another one's words to us; a stranger until it has greeted."""
-
-    def __init__(self, links: Host, sock: socket.socket, pool: BufferPool | None = None) -> None:
-        """`pool`: of its buffers, the loop's own where none is named."""
-        self.links, self.who, self.token = links, None, 0
-        self.since = self.heard_at = links.loop.clock.now()
-        self.frames = FrameDecoder(links.kinds)
+    """A connection that another process dialled; `peer` is None until its handshake is accepted."""
+
+    def __init__(self, owner: InboundOwner, sock: socket.socket, pool: BufferPool | None = None) -> None:
+        """Takes over an accepted socket; `pool` is that of its buffers, by default that of the loop."""
+        self.owner = owner
+        self.peer: MemberId | None = None
+        self.token = 0
+        self.accepted_at = owner.loop.clock.now()
+        self.last_received_at = self.accepted_at
+        self.frames = FrameDecoder(owner.kinds)
         self.connection = Connection.accepted(
-            links.loop, sock, self, links.kinds.most + (64 << 10), pool or links.loop.pool
+            owner.loop, sock, self, owner.kinds.most + EXTRA_UNREAD_BYTES, pool or owner.loop.pool
         )
 
     def heard(self, connection: Connection) -> None:
-        self.heard_at = self.links.loop.clock.now()
+        """Reads what has arrived; a corrupt frame closes the link."""
+        self.last_received_at = self.owner.loop.clock.now()
         try:
-            for word, _ in self.frames.feed(connection.incoming.take()):
-                self.take(word)
+            for message, _ in self.frames.feed(connection.incoming.take()):
+                self._on_frame(message)
                 if not connection.open:
                     return
-            if not self.links.kinds.magic.startswith(self.frames.rest[:4]):
-                raise BrokenFrameError("another protocol")  # less than a head: nobody need wait for the rest
-        except BrokenFrameError as broken:
-            self.links.spoilt(self.who.name if self.who else "", broken)
+            if not self.owner.kinds.magic.startswith(self.frames.rest[:MAGIC_BYTES]):
+                # Less than a header has arrived: there is no need to wait for the rest.
+                raise BrokenFrameError("another protocol")
+        except BrokenFrameError as error:
+            self.owner.on_corrupt_frame(self.peer.name if self.peer else "", error)
+            self.close()
+
+    def _on_frame(self, message: Row) -> None:
+        if self.peer is not None:
+            self._on_peer_message(message)
+        elif isinstance(message, Handshake):
+            self.owner.on_handshake(self, message)
+        else:
+            self.owner.on_unidentified(f"{type(message).__name__} before a greeting")
             self.close()
 
-    def take(self, word: Row) -> None:
-        if self.who is None:
-            if isinstance(word, Handshake):
-                self.links.greeted(self, word)
-            else:
-                self.links.stranger(f"{type(word).__name__} before a greeting")
-                self.close()
-        elif isinstance(word, Ping):
-            self.answer(Pong(word.number))
+    def _on_peer_message(self, message: Row) -> None:
+        if isinstance(message, Ping):
+            self.send(Pong(message.number))
         else:
-            self.links.heard(self, word)
+            self.owner.on_message(self, message)
 
-    def answer(self, word: Row) -> bool:
-        """False where it was dropped."""
-        return self.put(self.links.kinds.frame(word))
+    def send(self, message: Row) -> bool:
+        """Sends a message; returns False if it was dropped."""
+        return self.send_frame(self.owner.kinds.frame(message))
 
-    def put(self, data: bytes) -> bool:
-        """A frame; False where it was dropped."""
+    def send_frame(self, data: bytes) -> bool:
+        """Sends an encoded frame; returns False if the buffer is full or the link closed."""
         if not self.connection.open or self.connection.outgoing.room() < len(data):
             return False
         self.connection.write(data)
         return True
 
     def closed(self, connection: Connection, why: str) -> None:
-        self.links.gone(self)
+        """Reports to the owner that the connection has ended."""
+        self.owner.on_closed(self)
 
     def close(self) -> None:
+        """Closes the connection and reports it to the owner; closing again does no harm."""
         if self.connection.open:
             self.connection.close()
-        self.links.gone(self)
+        self.owner.on_closed(self)
--- a/indigohitch/fleet/transport/links.py
+++ b/indigohitch/fleet/transport/links.py
@@ -1,4 +1,4 @@
-"""All links of a member: its listener, whom it dials, who came."""
+"""All links of a member: its listener, the links that it dials and those that it has accepted."""
 
 from __future__ import annotations
 
@@ -10,19 +10,25 @@
 from ...net.loop import EventLoop
 from ..types import MemberId
 from .acceptor import Acceptor, log_broken_frame
-from .handshake import REMEDIES, refused, version_mismatch
+from .handshake import REMEDIES, check_member, version_mismatch
 from .inbound import InboundLink
 from .messages import Handshake, HandshakeAccepted, HandshakeRefused
 from .outbound import OutboundLink, Phase
 
-# Connections that have not greeted yet: members dial one each, and anyone may knock.
-STRANGERS = 32
+# Connections without an accepted handshake: each member dials one, and anyone else may connect too.
+MAX_UNIDENTIFIED = 32
 
 
 class Transport:
-    """`heard(who, word)`: a member's word.  `met(who) -> why`: a number shows itself; "" once it is kept.
-    `welcome(who) -> Welcome`: what one who greets is told.  `up(name)`, `down(name)`: our words reach it, or
-    don't any more.  `chance`: of a seeded generator, for the spread of diallings."""
+    """Links of this member to all others.
+
+    Callbacks, to be set by the owner:
+        deliver(peer, message): takes a message of a member.
+        record_peer(peer): stores the number of a member; returns why it may not connect, or "".
+        make_acceptance(peer): returns the reply to an accepted handshake.
+        highest_number(name): returns the highest number ever seen of a name, 0 if there is none.
+        on_peer_up(name), on_peer_down(name): messages to that member arrive, or do so no more.
+    """
 
     def __init__(
         self,
@@ -30,75 +36,86 @@
         log: Log,
         kinds: MessageTypes,
         fleet: str,
-        me: MemberId,
+        own_id: MemberId,
         token: int,
         chance: Callable[[], float],
     ) -> None:
-        self.loop, self.log, self.kinds, self.fleet, self.token = loop, log, kinds, fleet, token
-        self.me, self.chance = me, chance
+        """Creates a transport without peers; `chance` returns random numbers for the jitter of dials."""
+        self.loop = loop
+        self.log = log
+        self.kinds = kinds
+        self.fleet = fleet
+        self.token = token
+        self.own_id = own_id
+        self.chance = chance
         self.peers: dict[str, OutboundLink] = {}
-        self.came: dict[str, InboundLink] = {}
-        self.arrivals = Acceptor(loop, log, kinds, self, "members", STRANGERS)
-        self.on_heard: Callable[[MemberId, Row], None] = lambda who, word: None
-        self.on_met: Callable[[MemberId], str] = lambda who: ""
-        self.on_up: Callable[[str], None] = lambda name: None
-        self.on_down: Callable[[str], None] = lambda name: None
-        self.facts: Callable[[MemberId], HandshakeAccepted] = lambda who: HandshakeAccepted(
-            self.me, self.token
+        self.inbound: dict[str, InboundLink] = {}
+        self.acceptor = Acceptor(loop, log, kinds, self, "members", MAX_UNIDENTIFIED)
+        self.deliver: Callable[[MemberId, Row], None] = lambda peer, message: None
+        self.record_peer: Callable[[MemberId], str] = lambda peer: ""
+        self.on_peer_up: Callable[[str], None] = lambda name: None
+        self.on_peer_down: Callable[[str], None] = lambda name: None
+        self.make_acceptance: Callable[[MemberId], HandshakeAccepted] = lambda peer: HandshakeAccepted(
+            self.own_id, self.token
         )
-        self.known: Callable[[str], int] = lambda name: 0  # the highest number met of a name
+        self.highest_number: Callable[[str], int] = lambda name: 0
 
-    def start(self, at: tuple[str, int]) -> None:
-        """Raises OSError where the address can't be had."""
-        self.arrivals.start(at)
+    def start(self, address: tuple[str, int]) -> None:
+        """Listens at the address; raises OSError if that fails."""
+        self.acceptor.start(address)
 
-    def relist(self, peers: Mapping[str, tuple[str, int]]) -> None:
-        """The others, by name, with the addresses at which this one reaches them."""
+    def set_peers(self, addresses: Mapping[str, tuple[str, int]]) -> None:
+        """Sets the other members by name, with the addresses at which this member reaches them."""
         for name, link in list(self.peers.items()):
-            if peers.get(name) != link.to:
+            if addresses.get(name) != link.address:
                 del self.peers[name]
                 link.close()
-        for name in [name for name in self.came if name not in peers]:
-            self.came[name].close()
-        for name, to in peers.items():
+        for name in [name for name in self.inbound if name not in addresses]:
+            self.inbound[name].close()
+        for name, address in addresses.items():
             if name not in self.peers:
-                self.peers[name] = OutboundLink(self, name, to)
+                self.peers[name] = OutboundLink(self, name, address)
 
-    def renumber(self, me: MemberId) -> None:
-        """This member has got its number: the others hear of it by new greetings."""
-        self.me = me
+    def set_own_id(self, own_id: MemberId) -> None:
+        """Sets the number that this member has got; the others learn it by new handshakes."""
+        self.own_id = own_id
         for name, link in list(self.peers.items()):
             link.close()
-            self.peers[name] = OutboundLink(self, name, link.to)
-        for one in list(self.came.values()):  # who dialled us knows the old number: it dials anew
-            one.close()
-        self.beat()
+            self.peers[name] = OutboundLink(self, name, link.address)
+        for link in list(self.inbound.values()):  # these peers know the old number: they dial again
+            link.close()
+        self.tick()
 
-    def beat(self) -> None:
+    def tick(self) -> None:
+        """Lets each link do what is due."""
         now = self.loop.clock.now()
         for link in list(self.peers.values()):
-            link.beat(now)
-        self.arrivals.beat(now)
+            link.tick(now)
+        self.acceptor.tick(now)
 
-    # ---- our words ---------------------------------------------------------------------------------
+    # ---- outbound ----------------------------------------------------------------------------------
 
-    def say(self, to: MemberId, word: Row) -> bool:
-        """To the member of that number, and no other that bears its name; False where it was dropped."""
-        link = self.peers.get(to.name)
-        return link is not None and link.who == to and link.say(word)
+    def send(self, peer: MemberId, message: Row) -> bool:
+        """Sends to the member of that number and no other of its name; returns False if it was dropped."""
+        link = self.peers.get(peer.name)
+        return link is not None and link.peer == peer and link.send(message)
 
-    def say_to(self, name: str, word: Row) -> bool:
-        """Whatever its number."""
+    def send_to(self, name: str, message: Row) -> bool:
+        """Sends to the member of that name, whatever its number; returns False if it was dropped."""
         link = self.peers.get(name)
-        return link is not None and link.say(word)
-
-    def greeting(self) -> Handshake:
-        return Handshake(self.fleet, self.me, self.token)
-
-    def welcomed(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
-        """Whether who answers is who was dialled."""
-        why = f"{welcome.who.name} answers" if welcome.who.name != link.name else version_mismatch(welcome)
-        why = why or self.on_met(welcome.who)
+        return link is not None and link.send(message)
+
+    def handshake(self) -> Handshake:
+        """Returns the first message of a dialled connection."""
+        return Handshake(self.fleet, self.own_id, self.token)
+
+    def on_accepted(self, link: OutboundLink, acceptance: HandshakeAccepted) -> bool:
+        """Returns whether the member that replied is the one that was dialled."""
+        if acceptance.who.name != link.name:
+            why = f"{acceptance.who.name} answers"
+        else:
+            why = version_mismatch(acceptance)
+        why = why or self.record_peer(acceptance.who)
         if why:
             self.log.warning(
                 "not_who_was_dialled",
@@ -108,68 +125,88 @@
             )
         return not why
 
-    def up(self, link: OutboundLink) -> None:
-        self.log.event("member_reached", member=link.name, number=link.welcome.who.number)
-        self.on_up(link.name)
+    def on_link_up(self, link: OutboundLink) -> None:
+        """Logs that a member is reached, and reports it."""
+        self.log.event("member_reached", member=link.name, number=link.acceptance.who.number)
+        self.on_peer_up(link.name)
 
-    def down(self, link: OutboundLink, why: str) -> None:
+    def on_link_down(self, link: OutboundLink, why: str) -> None:
+        """Logs that a member is reached no more, and reports it."""
         self.log.warning("member_lost", member=link.name, why=why)
-        self.on_down(link.name)
+        self.on_peer_down(link.name)
 
-    def unreached(self, link: OutboundLink, why: str) -> None:
-        """It is dialled again, and said only once it was reached."""
+    def on_unreachable(self, link: OutboundLink, why: str) -> None:
+        """Does nothing: the member is dialled again, and only the loss of an open link is logged."""
 
-    def replied(self, link: OutboundLink, word: Row) -> None:
-        """Members say nothing over a connection that the other one dialled."""
+    def on_reply(self, link: OutboundLink, message: Row) -> None:
+        """Does nothing: members send no messages over a connection that the other one dialled."""
 
-    def spoilt(self, name: str, broken: BrokenFrameError) -> None:
-        log_broken_frame(self.log, name, broken, "members")
+    def on_corrupt_frame(self, name: str, error: BrokenFrameError) -> None:
+        """Logs a corrupt frame of a member."""
+        log_broken_frame(self.log, name, error, "members")
 
-    # ---- others' -----------------------------------------------------------------------------------
+    # ---- inbound -----------------------------------------------------------------------------------
 
-    def greeted(self, one: InboundLink, greeting: Handshake) -> None:
-        name = greeting.who.name
-        why, kind = refused(greeting, self.fleet, self.me.name, self.peers, self.known(name))
-        if not why and greeting.who.number and (why := self.on_met(greeting.who)):
-            kind = ""
+    def on_handshake(self, link: InboundLink, handshake: Handshake) -> None:
+        """Accepts a member's link or refuses it."""
+        peer = handshake.who
+        why = self._refusal(handshake)
         if why:
-            self.log.warning("member_refused", why=why, remedy=REMEDIES.get(kind, "it will come again"))
-            one.answer(HandshakeRefused(why))
-            one.close()
+            link.send(HandshakeRefused(why))
+            link.close()
             return
-        if (before := self.came.get(name)) is not None:
-            before.close()  # it has dialled anew: the old one is dead, or will be
-        one.who, one.token = greeting.who, greeting.token
-        self.came[name] = one
-        one.answer(self.facts(greeting.who))
-        self.peers[name].come(greeting.who, greeting.token)
+        previous = self.inbound.get(peer.name)
+        if previous is not None:
+            previous.close()  # the peer has dialled again: the earlier link is dead, or will be
+        link.peer = peer
+        link.token = handshake.token
+        self.inbound[peer.name] = link
+        link.send(self.make_acceptance(peer))
+        self.peers[peer.name].on_peer_identified(peer, handshake.token)
+
+    def _refusal(self, handshake: Handshake) -> str:
+        """Returns why the handshake is refused, and logs it; empty if it is accepted."""
+        peer = handshake.who
+        why, kind = check_member(
+            handshake, self.fleet, self.own_id.name, self.peers, self.highest_number(peer.name)
+        )
+        if not why and peer.number:
+            why = self.record_peer(peer)
+        if why:
+            self.log.warning("member_refused", why=why, remedy=REMEDIES.get(kind, "it will come again"))
+        return why
 
-    def heard(self, one: InboundLink, word: Row) -> None:
-        self.on_heard(one.who, word)
+    def on_message(self, link: InboundLink, message: Row) -> None:
+        """Delivers a message of a member."""
+        self.deliver(link.peer, message)
 
-    def gone(self, one: InboundLink) -> None:
-        if self.came.get(one.who.name) is one:
-            del self.came[one.who.name]
+    def on_closed(self, link: InboundLink) -> None:
+        """Forgets an inbound link."""
+        if self.inbound.get(link.peer.name) is link:
+            del self.inbound[link.peer.name]
 
     # ---- the end -----------------------------------------------------------------------------------
 
     def close(self) -> None:
-        self.arrivals.close()
+        """Stops listening and closes all links."""
+        self.acceptor.close()
         for link in self.peers.values():
             link.close()
-        for one in list(self.came.values()):
-            one.close()
+        for link in list(self.inbound.values()):
+            link.close()
 
-    def figures(self) -> dict:
+    def status(self) -> dict[str, dict[str, object]]:
+        """Returns what `status` shows of the link to each member."""
         now = self.loop.clock.now()
+        return {name: self._link_status(link, now) for name, link in sorted(self.peers.items())}
+
+    def _link_status(self, link: OutboundLink, now: int) -> dict[str, object]:
+        inbound = self.inbound.get(link.name)
         return {
-            name: {
-                "phase": link.phase.value,
-                "number": link.welcome.who.number if link.welcome else 0,
-                "waiting": len(link.connection.outgoing) if link.connection else 0,
-                "dropped": link.dropped,
-                "reached": link.phase is Phase.OPEN,
-                "heard_ms_ago": (now - self.came[name].heard_at) / 10 if name in self.came else None,
-            }
-            for name, link in sorted(self.peers.items())
+            "phase": link.phase.value,
+            "number": link.acceptance.who.number if link.acceptance else 0,
+            "waiting": len(link.connection.outgoing) if link.connection else 0,
+            "dropped": link.dropped,
+            "reached": link.phase is Phase.OPEN,
+            "heard_ms_ago": (now - inbound.last_received_at) / 10 if inbound else None,
         }
--- a/indigohitch/fleet/transport/messages.py
+++ b/indigohitch/fleet/transport/messages.py
@@ -1,21 +1,28 @@
-"""What the two ends of a link say about the link itself.  Rows only; fields are only ever added at the end.
+"""Messages about a link itself.  Rows only; fields are only ever added at the end.
 
-Member A dials B, and what A has to say to B goes over that connection; what B says to A goes over the one
-that B dials.  Back over a member's dialled connection come only answers to these words.  A subscriber is
-dialled by nobody: both directions go over the one connection that it dials (fleet/distribution)."""
+Member A dials B, and A's messages to B go over that connection; B's messages to A go over the one that B
+dials.  Over a member's dialled connection come back only the replies to the messages here.  A subscriber is
+dialled by nobody: both directions go over the one connection that it dials (fleet/distribution).
+"""
 
 from __future__ import annotations
 
 from ...encoding.rows import Row
 from ..types import MemberId
 
-PROTOCOL = 1  # of this program's words; it understands one less and one more
-LOWEST, HIGHEST = max(1, PROTOCOL - 1), PROTOCOL
-MEMBER, SUBSCRIBER = "member", "subscriber"  # roles of who greets
+PROTOCOL = 1  # version of this program's messages; it understands one less and one more
+LOWEST = max(1, PROTOCOL - 1)
+HIGHEST = PROTOCOL
+# Roles of the sender of a handshake.
+MEMBER = "member"
+SUBSCRIBER = "subscriber"
 
 
 class Handshake(Row, frozen=True):
-    """First word of who dials.  `token`: of its start, 62 random bits; `who.number` 0: it has none yet."""
+    """First message on a dialled connection.
+
+    `token` is that of the sender's start, 62 random bits; `who.number` is 0 while the sender has none.
+    """
 
     fleet: str
     who: MemberId
@@ -26,8 +33,11 @@
 
 
 class HandshakeAccepted(Row, frozen=True):
-    """`met`: the highest number that the answering one ever met of the asker's name; `founders`: the voters
-    at its founding, or those its file lists if it has not been founded."""
+    """Reply to a handshake that is accepted.
+
+    `met` is the highest number that the sender has ever seen of the dialling member's name; `founders` are
+    the voters at the sender's bootstrap, or those that its file lists if it has not been bootstrapped.
+    """
 
     who: MemberId
     token: int
@@ -38,18 +48,20 @@
 
 
 class HandshakeRefused(Row, frozen=True):
-    """The connection is closed after it."""
+    """Reply to a handshake that is refused; the connection is closed after it."""
 
     why: str
 
 
 class Ping(Row, frozen=True):
-    """Is there anyone?"""
+    """Heartbeat of the dialling end."""
 
     number: int
 
 
 class Pong(Row, frozen=True):
+    """Reply to the `Ping` of that number."""
+
     number: int
 
 
--- a/indigohitch/fleet/transport/outbound.py
+++ b/indigohitch/fleet/transport/outbound.py
@@ -1,4 +1,4 @@
-"""The end of a link that dials; accepted.py has the other one."""
+"""The dialling end of a link; `inbound` has the accepting end."""
 
 from __future__ import annotations
 
@@ -16,186 +16,239 @@
 from ..types import MemberId
 from .messages import Handshake, HandshakeAccepted, HandshakeRefused, Ping, Pong
 
-# A connect or a greeting that takes longer than this on one site's net comes to nothing.
-GREET = SECOND
-PULSE = SECOND // 2
-# Longer than any pause of a healthy process; a link on which nothing comes back any more is dialled anew, as
+# A connect or a handshake that takes longer than this on one site's network comes to nothing.
+HANDSHAKE_TIMEOUT = SECOND
+PING_INTERVAL = SECOND // 2
+# Longer than any pause of a healthy process; a link on which nothing comes back any more is dialled again, as
 # what waits on it is old by then.
-SILENT = 2 * SECOND
-# Until a link is dialled anew: the first time, and at most; a member that is back hears a leader within the
+SILENCE_TIMEOUT = 2 * SECOND
+# Backoff between dials, at first and at most; a member that is back receives a leader's messages within the
 # time of an election or two.
-REST, LONGEST_REST = SECOND // 20, SECOND // 2
-# Of the kernel's buffer for one link: what waits in it can't be taken back when it has grown old.
-KERNEL = 128 << 10
+MIN_BACKOFF = SECOND // 20
+MAX_BACKOFF = SECOND // 2
+# Of the kernel's send buffer of one link: what waits in it can't be taken back when it has grown old.
+SEND_BUFFER_BYTES = 128 << 10
 
 
 class Phase(enum.Enum):
+    """Phase of a dialled link."""
+
     RESTING = "resting"
     DIALLING = "dialling"
-    GREETING = "greeting"  # connected; the other end has not answered the greeting
+    GREETING = "greeting"  # connected; the other end has not replied to the handshake
     OPEN = "open"
     CLOSED = "closed"
 
 
 class Dialler(Protocol):
-    """Who owns dialled connections.  `chance`: of a seeded generator, for the spread of diallings."""
+    """Owner of dialled links.  `chance` returns random numbers in [0, 1), for the jitter of the backoff."""
 
     loop: EventLoop
     log: Log
     kinds: MessageTypes
     chance: Callable[[], float]
 
-    def greeting(self) -> Handshake: ...
+    def handshake(self) -> Handshake:
+        """Returns the first message of a connection."""
 
-    def welcomed(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
-        """Whether who answers is who was dialled."""
+    def on_accepted(self, link: OutboundLink, acceptance: HandshakeAccepted) -> bool:
+        """Returns whether the process that replied is the one that was dialled."""
 
-    def up(self, link: OutboundLink) -> None: ...
+    def on_link_up(self, link: OutboundLink) -> None:
+        """Reports that the link is open."""
 
-    def down(self, link: OutboundLink, why: str) -> None: ...
+    def on_link_down(self, link: OutboundLink, why: str) -> None:
+        """Reports that an open link is lost."""
 
-    def unreached(self, link: OutboundLink, why: str) -> None:
-        """It could not be dialled, or did not welcome us."""
+    def on_unreachable(self, link: OutboundLink, why: str) -> None:
+        """Reports that the peer could not be dialled, or did not accept the handshake."""
 
-    def replied(self, link: OutboundLink, word: Row) -> None:
-        """A word that is not about the link itself came back over it."""
+    def on_reply(self, link: OutboundLink, message: Row) -> None:
+        """Takes a message that came back over the link and is not about the link itself."""
 
-    def spoilt(self, name: str, broken: BrokenFrameError) -> None: ...
+    def on_corrupt_frame(self, name: str, error: BrokenFrameError) -> None:
+        """Reports a corrupt frame of the named peer."""
 
 
 class OutboundLink:
-    """Our words to one member.  What it can't take is dropped, never kept waiting: the ledger says again what
-    matters."""
+    """Sends messages to one peer, which it dials again whenever the connection is lost.
+
+    A message that does not fit into the buffer is dropped, never queued: Raft sends again what matters.
+    """
 
     def __init__(
-        self, links: Dialler, name: str, to: tuple[str, int], pulse: int = PULSE, silent: int = SILENT
+        self,
+        owner: Dialler,
+        name: str,
+        address: tuple[str, int],
+        ping_interval: int = PING_INTERVAL,
+        silence_timeout: int = SILENCE_TIMEOUT,
     ) -> None:
-        self.links, self.name, self.to = links, name, to
-        self.pulse, self.silent = pulse, silent
-        self.phase, self.since = Phase.RESTING, 0
-        self.due, self.rest = 0, REST  # of the next dialling
+        """Creates a link that dials at its first tick; the intervals are in ticks of the clock."""
+        self.owner = owner
+        self.name = name
+        self.address = address
+        self.ping_interval = ping_interval
+        self.silence_timeout = silence_timeout
+        self.phase = Phase.RESTING
+        self.phase_since = 0
+        self.next_dial_at = 0
+        self.backoff = MIN_BACKOFF
         self.connection: Connection | None = None
-        self.welcome: HandshakeAccepted | None = None  # the last one: facts in it stay true
-        self.alive = self.pulses = self.pulse_due = self.dropped = 0
-        self.received = self.sent = 0  # bytes
+        self.frames = FrameDecoder(owner.kinds)
+        self.acceptance: HandshakeAccepted | None = None  # the last one: its content stays true
+        self.last_received_at = 0
+        self.next_ping_at = 0
+        self.pings = 0
+        self.dropped = 0
+        self.bytes_received = 0
+        self.bytes_sent = 0
 
     @property
-    def who(self) -> MemberId | None:
-        return self.welcome.who if self.phase is Phase.OPEN else None
-
-    def be(self, phase: Phase) -> None:
-        self.phase, self.since = phase, self.links.loop.clock.now()
-
-    def beat(self, now: int) -> None:
-        if self.phase is Phase.RESTING:
-            if now >= self.due:
-                self.dial()
-        elif self.phase in (Phase.DIALLING, Phase.GREETING):
-            if now - self.since > GREET:
-                self.connection.close("no answer")
-        elif now - self.alive > self.silent:
-            self.links.log.warning(
+    def peer(self) -> MemberId | None:
+        """The member at the other end; None while the link is not open."""
+        return self.acceptance.who if self.phase is Phase.OPEN else None
+
+    def _enter(self, phase: Phase) -> None:
+        self.phase = phase
+        self.phase_since = self.owner.loop.clock.now()
+
+    # ---- by time -------------------------------------------------------------------------------------
+
+    def tick(self, now: int) -> None:
+        """Dials, closes or pings, as is due."""
+        match self.phase:
+            case Phase.RESTING:
+                if now >= self.next_dial_at:
+                    self.dial()
+            case Phase.DIALLING | Phase.GREETING:
+                if now - self.phase_since > HANDSHAKE_TIMEOUT:
+                    self.connection.close("no answer")
+            case _:
+                self._check_liveness(now)
+
+    def _check_liveness(self, now: int) -> None:
+        if now - self.last_received_at > self.silence_timeout:
+            self.owner.log.warning(
                 "member_silent",
                 member=self.name,
-                ms=(now - self.alive) / 10,
+                ms=(now - self.last_received_at) / 10,
                 remedy="see whether it runs and whether its address is reached",
             )
             self.connection.close("silent")
-        elif now >= self.pulse_due:
-            self.pulses += 1
-            self.pulse_due = now + self.pulse
-            self.write(Ping(self.pulses))
+        elif now >= self.next_ping_at:
+            self.pings += 1
+            self.next_ping_at = now + self.ping_interval
+            self._write(Ping(self.pings))
 
     def dial(self) -> None:
-        self.links.log.count("links_dialled")
+        """Starts to connect."""
+        self.owner.log.count("links_dialled")
         try:
-            self.connection = Connection.dial(self.links.loop, self.to, self)
-        except OSError as bad:
-            self.lost(str(bad))
+            self.connection = Connection.dial(self.owner.loop, self.address, self)
+        except OSError as error:
+            self._lose(str(error))
             return
-        self.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
-        self.frames = FrameDecoder(self.links.kinds)
-        self.be(Phase.DIALLING)
+        self.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        self.frames = FrameDecoder(self.owner.kinds)
+        self._enter(Phase.DIALLING)
+
+    # ---- events of the connection ----------------------------------------------------------------------
 
     def opened(self, connection: Connection) -> None:
-        self.be(Phase.GREETING)
-        self.write(self.links.greeting())
+        """Sends the handshake over the new connection."""
+        self._enter(Phase.GREETING)
+        self._write(self.owner.handshake())
 
     def heard(self, connection: Connection) -> None:
+        """Reads what has arrived; a corrupt frame closes the connection."""
         data = connection.incoming.take()
-        self.received += len(data)
+        self.bytes_received += len(data)
         try:
-            for word, _ in self.frames.feed(data):
-                self.take(word)
+            for message, _ in self.frames.feed(data):
+                self._on_frame(message)
                 if not connection.open:
                     return
-        except BrokenFrameError as broken:
-            self.links.spoilt(self.name, broken)
+        except BrokenFrameError as error:
+            self.owner.on_corrupt_frame(self.name, error)
             connection.close("spoilt")
 
-    def take(self, word: Row) -> None:
-        now = self.links.loop.clock.now()
-        match word:
+    def _on_frame(self, message: Row) -> None:
+        now = self.owner.loop.clock.now()
+        match message:
             case HandshakeAccepted() if self.phase is Phase.GREETING:
-                if not self.links.welcomed(self, word):
-                    self.connection.close("not who was called")
-                    return
-                self.welcome, self.alive, self.rest = word, now, REST
-                self.pulse_due = now + self.pulse
-                self.be(Phase.OPEN)
-                self.links.up(self)
+                self._on_accepted(now, message)
             case HandshakeRefused(why):
-                self.links.log.warning("refused_by_member", member=self.name, why=why)
-                self.rest = LONGEST_REST
+                self.owner.log.warning("refused_by_member", member=self.name, why=why)
+                self.backoff = MAX_BACKOFF
                 self.connection.close("refused")
             case Pong():
-                self.alive = now
+                self.last_received_at = now
             case _ if self.phase is Phase.OPEN:
-                self.alive = now
-                self.links.replied(self, word)
+                self.last_received_at = now
+                self.owner.on_reply(self, message)
+
+    def _on_accepted(self, now: int, acceptance: HandshakeAccepted) -> None:
+        if not self.owner.on_accepted(self, acceptance):
+            self.connection.close("not who was called")
+            return
+        self.acceptance = acceptance
+        self.last_received_at = now
+        self.backoff = MIN_BACKOFF
+        self.next_ping_at = now + self.ping_interval
+        self._enter(Phase.OPEN)
+        self.owner.on_link_up(self)
 
-    def say(self, word: Row) -> bool:
-        """False where it was dropped."""
+    def closed(self, connection: Connection, why: str) -> None:
+        """Schedules the next dial, unless the link was closed or another connection has taken over."""
+        if connection is self.connection and self.phase is not Phase.CLOSED:
+            self._lose(why)
+
+    def _lose(self, why: str) -> None:
+        """Backs off exponentially, with jitter so that many members do not dial at once."""
+        was_open = self.phase is Phase.OPEN
+        self.connection = None
+        self._enter(Phase.RESTING)
+        self.next_dial_at = self.phase_since + int(self.backoff * (0.5 + self.owner.chance()))
+        self.backoff = min(2 * self.backoff, MAX_BACKOFF)
+        if was_open:
+            self.owner.on_link_down(self, why)
+        else:
+            self.owner.on_unreachable(self, why)
+
+    # ---- by its owner ----------------------------------------------------------------------------------
+
+    def send(self, message: Row) -> bool:
+        """Sends a message; returns False if it was dropped."""
         if self.phase is not Phase.OPEN:
             self.dropped += 1
             return False
-        return self.write(word)
+        return self._write(message)
 
-    def write(self, word: Row) -> bool:
-        data = self.links.kinds.frame(word)
+    def _write(self, message: Row) -> bool:
+        data = self.owner.kinds.frame(message)
         if self.connection.outgoing.room() < len(data):
             self.dropped += 1
-            self.links.log.count("words_dropped")
+            self.owner.log.count("words_dropped")
             return False
         self.connection.write(data)
-        self.sent += len(data)
+        self.bytes_sent += len(data)
         return True
 
-    def closed(self, connection: Connection, why: str) -> None:
-        if connection is self.connection and self.phase is not Phase.CLOSED:
-            self.lost(why)
-
-    def lost(self, why: str) -> None:
-        """Dialled again after a rest that grows, spread so that many do not come at once."""
-        was, self.connection = self.phase, None
-        self.be(Phase.RESTING)
-        self.due = self.since + int(self.rest * (0.5 + self.links.chance()))
-        self.rest = min(2 * self.rest, LONGEST_REST)
-        if was is Phase.OPEN:
-            self.links.down(self, why)
-        else:
-            self.links.unreached(self, why)
+    def on_peer_identified(self, peer: MemberId, token: int) -> None:
+        """Dials at once, as the peer has just dialled this member and is reachable.
 
-    def come(self, who: MemberId, token: int) -> None:
-        """The other end has shown itself: it is worth dialling at once; anew where it is not the one that
-        was met here, but has begun again or got its number."""
-        if self.phase is Phase.OPEN and (self.welcome.who, self.welcome.token) != (who, token):
+        An open link to an earlier start of the peer, or to the peer under an earlier number, is closed.
+        """
+        if self.phase is Phase.OPEN and (self.acceptance.who, self.acceptance.token) != (peer, token):
             self.connection.close("it began anew")
         if self.phase is Phase.RESTING:
-            self.due, self.rest = 0, REST
-            self.beat(self.links.loop.clock.now())
+            self.next_dial_at = 0
+            self.backoff = MIN_BACKOFF
+            self.tick(self.owner.loop.clock.now())
 
     def close(self) -> None:
-        self.be(Phase.CLOSED)
+        """Closes the link for good."""
+        self._enter(Phase.CLOSED)
         if self.connection is not None:
             self.connection.close()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,8 +9,8 @@
 from indigohitch.fleet.node.messages import KINDS
 from indigohitch.fleet.raft.messages import AppendEntries, RequestVoteResponse
 from indigohitch.fleet.transport import outbound
-from indigohitch.fleet.transport.handshake import refused
-from indigohitch.fleet.transport.links import STRANGERS, Transport
+from indigohitch.fleet.transport.handshake import check_member
+from indigohitch.fleet.transport.links import MAX_UNIDENTIFIED, Transport
 from indigohitch.fleet.transport.messages import Handshake, HandshakeAccepted, HandshakeRefused
 from indigohitch.fleet.types import LogEntry, MemberId
 from nodes import Kept, Looped, free
@@ -35,15 +35,15 @@
             token,
             random.Random(1).random,
         )
-        links.on_heard = lambda who, word: self.heard[name].append((who, word))
+        links.deliver = lambda who, word: self.heard[name].append((who, word))
         links.start(self.at[name])
-        links.relist({other: at for other, at in (peers or self.at).items() if other != name})
-        links.beat()
+        links.set_peers({other: at for other, at in (peers or self.at).items() if other != name})
+        links.tick()
         return links
 
     def beat(self):
         for links in self.links.values():
-            links.beat()
+            links.tick()
         self.loop.after(500, self.beat)
 
     def up(self, name, to):
@@ -73,29 +73,29 @@
 def test_words_arrive_in_order_from_who_said_them(pair):
     a, b = both(pair)
     for term in range(500):
-        assert a.say(MemberId("b", 1), RequestVoteResponse(term, True))
+        assert a.send(MemberId("b", 1), RequestVoteResponse(term, True))
     pair.until(lambda: len(pair.heard["b"]) == 500)
     assert pair.heard["b"] == [(MemberId("a", 1), RequestVoteResponse(term, True)) for term in range(500)]
 
 
 def test_nothing_is_said_to_another_number_of_that_name(pair):
     a, b = both(pair)
-    assert not a.say(MemberId("b", 2), RequestVoteResponse(1, True))
-    b.renumber(MemberId("b", 2))
-    pair.until(lambda: a.say(MemberId("b", 2), RequestVoteResponse(2, True)))
+    assert not a.send(MemberId("b", 2), RequestVoteResponse(1, True))
+    b.set_own_id(MemberId("b", 2))
+    pair.until(lambda: a.send(MemberId("b", 2), RequestVoteResponse(2, True)))
     pair.until(lambda: pair.heard["b"])
-    assert not a.say(MemberId("b", 1), RequestVoteResponse(1, True))
+    assert not a.send(MemberId("b", 1), RequestVoteResponse(1, True))
 
 
 def test_a_member_that_comes_back_is_dialled_again(pair):
     a, b = both(pair)
     b.close()
     pair.until(lambda: a.peers["b"].phase is not outbound.Phase.OPEN)
-    assert not a.say(MemberId("b", 1), RequestVoteResponse(1, True))
+    assert not a.send(MemberId("b", 1), RequestVoteResponse(1, True))
     pair.turns(300)
     pair.start("b", token=8)
     pair.up("a", "b")
-    assert a.peers["b"].welcome.token == 8
+    assert a.peers["b"].acceptance.token == 8
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
     ],
 )
 def test_who_may_speak(greeting, kind):
-    assert refused(greeting, "whk", "a", {"b", "c"}, 3)[1] == kind
+    assert check_member(greeting, "whk", "a", {"b", "c"}, 3)[1] == kind
 
 
 def spoken(pair, data):
@@ -158,7 +158,7 @@
     data[at] ^= 1 << chance.randrange(8)
     with socket.create_connection(pair.at["a"], 5) as sock:
         sock.sendall(data)
-        pair.until(lambda: a.came or a.log.counts["frame_spoilt"])
+        pair.until(lambda: a.inbound or a.log.counts["frame_spoilt"])
         pair.turns(30)
     # A length made longer only waits for more, and the number of descriptors says nothing here.
     assert all(word == RequestVoteResponse(1, True) for _, word in pair.heard["a"])
@@ -171,9 +171,9 @@
 
 def test_many_strangers_leave_room_for_members(pair):
     a = pair.start("a")
-    socks = [socket.create_connection(pair.at["a"], 5) for _ in range(STRANGERS + 20)]
+    socks = [socket.create_connection(pair.at["a"], 5) for _ in range(MAX_UNIDENTIFIED + 20)]
     pair.until(lambda: a.log.counts["strangers_too_many"])
-    assert len(a.arrivals.strangers) <= STRANGERS
+    assert len(a.acceptor.unidentified) <= MAX_UNIDENTIFIED
     pair.start("b")
     pair.up("b", "a")  # once those have said nothing for a second
     for sock in socks:
@@ -201,10 +201,10 @@
         found[0].sendall(KINDS.frame(HandshakeAccepted(MemberId("c", 1), 3)))
         pair.up("a", "c")
         word = AppendEntries(1, 0, 0, 0, (LogEntry(1, 1, "notes.add", bytes(40_000)),))
-        said = sum(a.say(MemberId("c", 1), word) for _ in range(200))
+        said = sum(a.send(MemberId("c", 1), word) for _ in range(200))
         assert said < 60 and a.peers["c"].dropped == 200 - said
         assert len(a.peers["c"].connection.outgoing) <= a.peers["c"].connection.BOUND
-        assert a.say(MemberId("b", 1), word)
+        assert a.send(MemberId("b", 1), word)
         pair.until(lambda: pair.heard["b"])
         pair.until(lambda: a.log.said("member_silent"))  # and it is noticed
         found[0].close()
@@ -216,13 +216,13 @@
     pair.start("c")
     a = pair.start("a", peers=pair.at | {"b": pair.at["c"]})
     pair.until(lambda: a.log.said("not_who_was_dialled"))
-    assert a.peers["b"].phase is not outbound.Phase.OPEN and a.peers["c"].who == MemberId("c", 1)
+    assert a.peers["b"].phase is not outbound.Phase.OPEN and a.peers["c"].peer == MemberId("c", 1)
 
 
 def test_files_read_again_move_links(pair):
     a, b = both(pair)
-    a.relist({})
-    assert not a.say(MemberId("b", 1), RequestVoteResponse(1, True)) and not a.came
+    a.set_peers({})
+    assert not a.send(MemberId("b", 1), RequestVoteResponse(1, True)) and not a.inbound
     pair.until(lambda: b.log.said("refused_by_member"))
-    a.relist({"b": pair.at["b"]})
+    a.set_peers({"b": pair.at["b"]})
     pair.up("a", "b"), pair.up("b", "a")
