--- a/indigohitch/fleet/transport/inbound.py
+++ b/indigohitch/fleet/transport/inbound.py
@@ -56,7 +56,7 @@
             owner.loop, sock, self, owner.kinds.most + EXTRA_UNREAD_BYTES, pool or owner.loop.pool
         )
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         """Reads what has arrived; a corrupt frame closes the link."""
         self.last_received_at = self.owner.loop.clock.now()
         try:
@@ -97,7 +97,7 @@
         self.connection.write(data)
         return True
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         """Reports to the owner that the connection has ended."""
         self.owner.on_closed(self)
 
--- a/indigohitch/fleet/transport/outbound.py
+++ b/indigohitch/fleet/transport/outbound.py
@@ -155,12 +155,12 @@
 
     # ---- events of the connection ----------------------------------------------------------------------
 
-    def opened(self, connection: Connection) -> None:
+    def on_connected(self, connection: Connection) -> None:
         """Sends the handshake over the new connection."""
         self._enter(Phase.GREETING)
         self._write(self.owner.handshake())
 
-    def heard(self, connection: Connection) -> None:
+    def on_data(self, connection: Connection) -> None:
         """Reads what has arrived; a corrupt frame closes the connection."""
         data = connection.incoming.take()
         self.bytes_received += len(data)
@@ -199,7 +199,7 @@
         self._enter(Phase.OPEN)
         self.owner.on_link_up(self)
 
-    def closed(self, connection: Connection, why: str) -> None:
+    def on_closed(self, connection: Connection, why: str) -> None:
         """Schedules the next dial, unless the link was closed or another connection has taken over."""
         if connection is self.connection and self.phase is not Phase.CLOSED:
             self._lose(why)
