--- a/benchmarks/capacitykit/links_cell.py
+++ b/benchmarks/capacitykit/links_cell.py
@@ -72,7 +72,7 @@
         return far
 
     def beat(self) -> None:
-        self.loop.after(BEAT, self.beat)
+        self.loop.call_after(BEAT, self.beat)
         self.links.beat()
 
     def until(self, true, seconds: float = PATIENCE) -> None:
--- a/indigohitch/event_batch.py
+++ b/indigohitch/event_batch.py
@@ -23,7 +23,7 @@
 
     def add(self, *events: face.Event, span: int = SPAN) -> None:
         if events and not self.events:
-            self.loop.at(max(self.loop.clock.now() + span, self.last + self.gap), self._due)
+            self.loop.call_at(max(self.loop.clock.now() + span, self.last + self.gap), self._due)
         self.events += events
 
     def add_due(self, event: face.Event) -> None:
--- a/indigohitch/fleet/batches/sending.py
+++ b/indigohitch/fleet/batches/sending.py
@@ -56,7 +56,7 @@
         rpc, place = self.part.rpc(known.rpc), (known.placing.site, known.placing.kind)
         client = self.clients.get(place)
         if rpc is None or client is None:
-            self.loop.after(0, lambda: self.back(piece, step, stamp, "not run", "nobody to send it to"))
+            self.loop.call_after(0, lambda: self.back(piece, step, stamp, "not run", "nobody to send it to"))
             return
         target = rpc.path.replace("{piece}", piece).replace("{step}", str(step))
         data = (
--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -118,7 +118,7 @@
             # In a turn of its own: the entry that completes a read is told to the machine after this.
             self.reading = False
             if index is not None:
-                self.loop.after(0, lambda: self.connections.stepping.step(CaughtUp(now)))
+                self.loop.call_after(0, lambda: self.connections.stepping.step(CaughtUp(now)))
 
         if self.reading:
             return
--- a/indigohitch/fleet/node/companion.py
+++ b/indigohitch/fleet/node/companion.py
@@ -63,7 +63,7 @@
         if isinstance(bad, ValueError):  # what lies there can't be read: it will not be better later
             self.on_ended(self.why)
         else:
-            self.loop.after(AGAIN, self.again)
+            self.loop.call_after(AGAIN, self.again)
 
     def again(self) -> None:
         if self.wanted and self.node is None:
@@ -161,7 +161,7 @@
     def ended(why: str) -> None:
         if alone:
             process.code = 1
-            process.loop.after(0, process.end)
+            process.loop.call_after(0, process.end)
 
     if process.beside is None:
         process.beside = NodeCompanion(process.loop, process.log, text, alone, follows, ended)
--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -32,7 +32,7 @@
         if node.phase is Phase.LEAVING and node.driver.leads:
             if not node.belonging.leaves:
                 node.driver.step(TransferLeadership())
-            node.loop.after(node.text.waits["election"] // 2, self.hand_over)
+            node.loop.call_after(node.text.waits["election"] // 2, self.hand_over)
 
     @property
     def left(self) -> bool:
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -196,7 +196,7 @@
     # ---- the beat ----------------------------------------------------------------------------------
 
     def beat(self) -> None:
-        self.beating = self.loop.after(BEAT, self.beat)
+        self.beating = self.loop.call_after(BEAT, self.beat)
         now = self.loop.clock.now()
         self.links.beat()
         self.admitting.beat(now)
@@ -243,4 +243,4 @@
         self.belonging.became(became)
         if became.leader is not None:
             self.traffic.proposals.hurry(self.loop.clock.now())
-            self.loop.after(0, self.traffic.send)
+            self.loop.call_after(0, self.traffic.send)
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -48,7 +48,7 @@
         self.tell()
 
     def tell(self) -> None:
-        self.telling = self.loop.after(TOLD, self.tell)
+        self.telling = self.loop.call_after(TOLD, self.tell)
         self.log.event("content", **self.following.figures()["distribution"])
 
     def applied(self, output: UpdateApplied) -> None:
--- a/indigohitch/fleet/storage/store.py
+++ b/indigohitch/fleet/storage/store.py
@@ -225,7 +225,7 @@
         )
         if first:
             self.told(StorageFailed(self.why))
-        self.again = self.loop.after(AGAIN, self.mend)
+        self.again = self.loop.call_after(AGAIN, self.mend)
 
     def mend(self) -> None:
         if self.state is not State.FAILED:
--- a/indigohitch/load/replay/drive.py
+++ b/indigohitch/load/replay/drive.py
@@ -77,13 +77,13 @@
             at = self.pace.sent_at(self.next[0])
             if at > now:
                 self.pace.free = at  # this one's place is taken, by itself
-                self.loop.at(self.begin + at, self.tick)
+                self.loop.call_at(self.begin + at, self.tick)
                 break
             batch.append(self.next)
             self.next = next(self.due, None)
         else:
             if self.next is not None and not self.stopped:
-                self.loop.after(0, self.tick)
+                self.loop.call_after(0, self.tick)
         if self.journal is not None:
             self.journal.send([number for _, number, request in batch if request.unsafe])
         for job in batch:
@@ -98,7 +98,7 @@
             return False
         if not again:
             self.figures.went(request.rpc, due, self.loop.clock.now() - self.begin)
-        self.out[number] = wire, self.loop.after(self.SPAN, lambda: wire.stream.close("timeout"))
+        self.out[number] = wire, self.loop.call_after(self.SPAN, lambda: wire.stream.close("timeout"))
         wire.send(
             job, form(request, self.host, self.id(number) if request.unsafe else ""), request.method == "HEAD"
         )
@@ -155,7 +155,7 @@
     def run(self) -> None:
         """Until all have been sent and answered, or `stop`."""
         self.next = next(self.due, None)
-        self.loop.at(max(self.begin, self.loop.clock.now()), self.tick)
+        self.loop.call_at(max(self.begin, self.loop.clock.now()), self.tick)
         self.every_second()
         while (self.next is not None and not self.stopped) or self.out or self.waiting:
             if self.stopped:
@@ -166,7 +166,7 @@
 
     def every_second(self) -> None:
         self.tell()
-        self.loop.after(SECOND, self.every_second)
+        self.loop.call_after(SECOND, self.every_second)
 
     def stop(self) -> None:
         """No more is sent; what is out is waited for."""
--- a/indigohitch/net/connection.py
+++ b/indigohitch/net/connection.py
@@ -92,9 +92,9 @@
         if not self.open:
             return
         if not self.outgoing.push(data):
-            self.loop.after(0, lambda: self.close("flooded"))
+            self.loop.call_after(0, lambda: self.close("flooded"))
         elif not self.connecting and (why := self._flush()):
-            self.loop.after(0, lambda: self.close(why))
+            self.loop.call_after(0, lambda: self.close(why))
 
     def close(self, why: str = "") -> None:
         """Close at once; with a reason, the reader is told."""
--- a/indigohitch/net/due_timer.py
+++ b/indigohitch/net/due_timer.py
@@ -21,7 +21,7 @@
         if when is None or self.deadline is not None and self.deadline.when <= when:
             return
         self.cancel()
-        self.deadline = self.loop.at(when, self.passed)
+        self.deadline = self.loop.call_at(when, self.passed)
 
     def passed(self) -> None:
         self.deadline = None
--- a/indigohitch/net/http_client.py
+++ b/indigohitch/net/http_client.py
@@ -64,7 +64,7 @@
         self.drop_spare()
         connection.reader = self
         self._resting = connection
-        self._deadline = self.loop.after(self.idle_span, self.drop_spare)
+        self._deadline = self.loop.call_after(self.idle_span, self.drop_spare)
 
     def drop_spare(self) -> None:
         connection = self._wake()
--- a/indigohitch/net/http_exchange.py
+++ b/indigohitch/net/http_exchange.py
@@ -96,11 +96,11 @@
             self.connection = Connection.dial(loop, client.to, self)
         except OSError as failed:
             if is_transient_connect_error(failed) and loop.clock.now() < self.began + client.connect_span:
-                self.deadline = loop.after(self.DIAL_AGAIN, self._dial)
+                self.deadline = loop.call_after(self.DIAL_AGAIN, self._dial)
             else:  # told like any refused connect
-                self.deadline = loop.after(0, lambda: self.end("connect_failed"))
+                self.deadline = loop.call_after(0, lambda: self.end("connect_failed"))
             return
-        self.deadline = loop.after(client.connect_span, lambda: self.end("unreached"))
+        self.deadline = loop.call_after(client.connect_span, lambda: self.end("unreached"))
 
     def _send(self, connection: Connection) -> None:
         self._rearm()
@@ -109,7 +109,7 @@
     def _rearm(self) -> None:
         if self.deadline is not None:
             self.deadline.cancel()
-        self.deadline = self.client.loop.after(self.span, self._late)
+        self.deadline = self.client.loop.call_after(self.span, self._late)
 
     def _late(self, until: int = 0) -> None:
         """What came in time counts, also where this process stood still and one turn does not read it all."""
@@ -118,7 +118,7 @@
         if now > until or is_connection_open(self.connection.sock):
             self.end("timeout")
         else:
-            self.deadline = self.client.loop.after(1, lambda: self._late(until))
+            self.deadline = self.client.loop.call_after(1, lambda: self._late(until))
 
     # ---- what the connection tells
 
--- a/indigohitch/net/listener.py
+++ b/indigohitch/net/listener.py
@@ -89,7 +89,7 @@
                     # The waiting connection stays readable: without a pause the loop would spin on it.
                     self.trouble(failed.strerror)
                     self.loop.pause(self.sock)
-                    self._paused = self.loop.after(self.PAUSE, self._resume)
+                    self._paused = self.loop.call_after(self.PAUSE, self._resume)
                     return False
                 continue  # that one broke before it was accepted
             sock.setblocking(False)
--- a/indigohitch/net/loop.py
+++ b/indigohitch/net/loop.py
@@ -47,7 +47,7 @@
         self._crowd: dict[int, int] = {}
         self._turns = 0
 
-    def at(self, when: int, action: Callable[[], None]) -> Deadline:
+    def call_at(self, when: int, action: Callable[[], None]) -> Deadline:
         deadline = Deadline(when, action)
         self._order += 1
         if len(self._due) > self._sweep_at:
@@ -58,8 +58,8 @@
         heappush(self._due, (when, self._order, deadline))
         return deadline
 
-    def after(self, span: int, action: Callable[[], None]) -> Deadline:
-        return self.at(self.clock.now() + span, action)
+    def call_after(self, span: int, action: Callable[[], None]) -> Deadline:
+        return self.call_at(self.clock.now() + span, action)
 
     def watch(self, sock, owner: Watched, events: int) -> int:
         number = self.watched.put(owner)
--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -57,13 +57,13 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self.loop.after(0, self._broken)
+                self.loop.call_after(0, self._broken)
                 return
             if sent == len(data):
                 return
             data = data[sent:]
         if not self.outgoing.push(data):
-            self.loop.after(0, lambda: self.close("flooded"))
+            self.loop.call_after(0, lambda: self.close("flooded"))
         else:
             self.flush_soon()
 
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -156,7 +156,7 @@
         """The one due time; None: nothing is waited for."""
         if self.due is not None:
             self.due.cancel()
-        self.due = None if when is None else self.loop.at(when, then or self._call)
+        self.due = None if when is None else self.loop.call_at(when, then or self._call)
 
     def _gather(self) -> None:
         """All that waits goes as one, also what is in doubt: each call is a message to every proxy."""
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -149,12 +149,12 @@
         self.until_known = until_known
         if self.evidence is None:
             self.to, self.evidence, self.read_in_vain = to, evidence, 0
-            self.due = self.loop.at(max(self.loop.clock.now(), went + self.WITHIN), self._ask)
+            self.due = self.loop.call_at(max(self.loop.clock.now(), went + self.WITHIN), self._ask)
 
     def _ask(self) -> None:
         self.heard = False
         stream = EventStream(self._said, lambda: None)
-        self.due = self.loop.after(self.SPAN, self._again)
+        self.due = self.loop.call_after(self.SPAN, self._again)
         self.exchange = HttpClient(self.loop, self.to, self.CONNECT).request(
             "GET", "/stream", self.SPAN, self._ended, stream=lambda part: self._part(stream, part)
         )
@@ -190,7 +190,7 @@
             self.told(Effect.UNKNOWN, 0)
             return
         self.read_in_vain += self.heard
-        self.due = self.loop.after(self.AGAIN << min(self.read_in_vain, self.DOUBLINGS), self._ask)
+        self.due = self.loop.call_after(self.AGAIN << min(self.read_in_vain, self.DOUBLINGS), self._ask)
 
     def _close(self) -> None:
         self.due.cancel()
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -136,7 +136,7 @@
         self.watch = self._ask(self.client, 0 if whole else hold, whole, self._watched)
 
     def _watch_at(self, when: int) -> None:
-        self.again = self.loop.at(when, self._watch)
+        self.again = self.loop.call_at(when, self._watch)
 
     def _watched(self, client: HttpClient, ask: ListRequest, answer: HttpResponse) -> None:
         if client is not self.client:
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -85,7 +85,7 @@
             self._turned(backend, state)
         if self.leaving and self.grace and not self.checking:
             self.checking = True
-            self.loop.after(self.CHECK, self.check)
+            self.loop.call_after(self.CHECK, self.check)
 
     def _no_more_listed(self, states: dict[str, str]) -> None:
         """A whole list names none that is gone; one that it lacks stays known while a line is left there."""
@@ -144,7 +144,7 @@
         self.given = {number: at for number, at in self.given.items() if at > over}
         if self.leaving:
             self.checking = True
-            self.loop.after(self.CHECK, self.check)
+            self.loop.call_after(self.CHECK, self.check)
 
     def _without_lines(self, backend: str, departure: Departure, now: int) -> None:
         if departure.done is None:
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -175,7 +175,7 @@
         self.coordinator = Coordinator(self.seed, self.boot)
         if not self.anew:
             self.anew = True
-            self.loop.after(self.ANEW, self._tell_all)
+            self.loop.call_after(self.ANEW, self._tell_all)
 
     def _tell_all(self) -> None:
         self.anew = False
@@ -195,7 +195,7 @@
                 ):
                     call.append(order)
                 case face.SetTimer(due, tag):
-                    self.loop.at(due, lambda tag=tag: self.gathering.add_due(face.TimerFired(tag)))
+                    self.loop.call_at(due, lambda tag=tag: self.gathering.add_due(face.TimerFired(tag)))
                 case face.ProbeBackend(backend):
                     self.probes.send(backend, self.addresses.get(backend))
                 case face.WatchBackends(on):
--- a/indigohitch/platform_protocol/inbound_connections.py
+++ b/indigohitch/platform_protocol/inbound_connections.py
@@ -50,7 +50,7 @@
         self.listener = Listener(
             loop, at, self.greet, lambda why: log.warning("accept_failed", why=why), listening
         )
-        self.sweep: Deadline = loop.after(self.SWEEP, self.drop_late)
+        self.sweep: Deadline = loop.call_after(self.SWEEP, self.drop_late)
 
     def greet(self, sock: socket.socket) -> bool:
         while len(self.strangers) + len(self.members) >= self.most:
@@ -136,7 +136,7 @@
                 self.drop(connection, "idle_collector_dropped")
             elif caller.unfinished_since and now - caller.unfinished_since > self.UNFINISHED:
                 self.drop(connection, "line_unfinished")
-        self.sweep = self.loop.after(self.SWEEP, self.drop_late)
+        self.sweep = self.loop.call_after(self.SWEEP, self.drop_late)
 
     def close(self) -> None:
         """Who has connected and what they said by now is heard and answered once more."""
--- a/indigohitch/platform_protocol/relay_watch.py
+++ b/indigohitch/platform_protocol/relay_watch.py
@@ -138,7 +138,7 @@
         else:
             self.coming = None
         if self.coming is None and self.again is None:
-            self.again = self.loop.after(self.AGAIN, self.open)
+            self.again = self.loop.call_after(self.AGAIN, self.open)
 
     def close(self) -> None:
         if self.again is not None:
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -124,7 +124,7 @@
         if self.settling is not None:
             self.settling.cancel()
         span = self.SETTLE if self.opening is None else self.SETTLE_AT_START
-        self.settling = self.loop.after(span, self._settle)
+        self.settling = self.loop.call_after(span, self._settle)
 
     def _unsettled(self) -> tuple[stored_tables.Tables, list[face.Order]]:
         """The slices not told yet, no longer ours to tell, and what was answered meanwhile."""
@@ -212,7 +212,7 @@
         self.lost |= stored_tables.touched(orders)
 
     def tell_lost_soon(self) -> None:
-        self.loop.after(self.RETELL, self._tell_lost)
+        self.loop.call_after(self.RETELL, self._tell_lost)
 
     def _tell_lost(self) -> None:
         lost, self.lost = self.lost, set()
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -64,7 +64,7 @@
         moved.reload(read_configuration(environ, "BALANCER_LISTEN"))
     except UNUSABLE as bad:
         if is_transient(bad) and now < until:
-            process.loop.after(RELOAD_AGAIN, lambda: reload_front(process, environ, front, done, until))
+            process.loop.call_after(RELOAD_AGAIN, lambda: reload_front(process, environ, front, done, until))
         else:
             process.log.warning("reload_failed", **error_fields(bad, REMEDY))
     else:
@@ -132,7 +132,7 @@
                 if held.errno != errno.EADDRINUSE and not is_transient(held) or self.clock.now() >= until:
                     raise
                 self.log.warning("address_in_use", listen=f"{at[0]}:{at[1]}", why=str(held))
-            self.loop.after(self.AGAIN, lambda: None)
+            self.loop.call_after(self.AGAIN, lambda: None)
             self.loop.turn()
         return None
 
@@ -150,7 +150,7 @@
             self.reload()
         else:
             self.become(Phase.ENDING)
-            self.loop.after(self.GRACE, self.end)
+            self.loop.call_after(self.GRACE, self.end)
 
     def end(self) -> None:
         if self.phase is Phase.ENDING:
--- a/indigohitch/sidecar/host.py
+++ b/indigohitch/sidecar/host.py
@@ -64,7 +64,7 @@
         )
 
     def go(self) -> None:
-        self._sweep = self.loop.after(self.SWEEP, self.sweep)
+        self._sweep = self.loop.call_after(self.SWEEP, self.sweep)
 
     def greet(self, sock: socket.socket) -> bool:
         if len(self.clients) >= self.text.limits["clients"]:
@@ -123,7 +123,7 @@
                 client.gone()
         for pool in self.pools.values():
             pool.sweep(now)
-        self._sweep = self.loop.after(self.SWEEP, self.sweep)
+        self._sweep = self.loop.call_after(self.SWEEP, self.sweep)
 
     def in_hand(self) -> int:
         return sum(client.rpc is not None for client in self.clients)
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -115,7 +115,7 @@
             self.host.log.warning("load_report_unreadable", server=server.name, report=report[:80])
 
     def report_soon(self) -> None:
-        self.report_due = self.host.loop.at(self.reported + self.boot["report_every"], self.report)
+        self.report_due = self.host.loop.call_at(self.reported + self.boot["report_every"], self.report)
 
     def sums(self, now: int) -> list[face.Event]:
         """What passed since the last time, as events; it is forgotten here."""
@@ -192,7 +192,7 @@
             for number, table in enumerate(self.tables)
             for server, weight in zip(table.servers, table.weights)
         ]
-        self.host.loop.after(self.ANEW, lambda: self.gathering.add(*self.as_joined(), *lines))
+        self.host.loop.call_after(self.ANEW, lambda: self.gathering.add(*self.as_joined(), *lines))
 
     def carry_out(self, order: face.Order) -> None:
         match order:
@@ -213,7 +213,7 @@
             case face.UpdateMarker(mark, _):
                 self.gathering.add(face.UpdateAcknowledged(PROXY, mark, 0))
             case face.SetTimer(due, tag):
-                self.host.loop.at(due, lambda: self.gathering.add_due(face.TimerFired(tag)))
+                self.host.loop.call_at(due, lambda: self.gathering.add_due(face.TimerFired(tag)))
             case face.ProbeBackend(backend):
                 self.probe(backend)
             case face.LogMessage(text):
--- a/indigohitch/sidecar/rpc.py
+++ b/indigohitch/sidecar/rpc.py
@@ -69,7 +69,7 @@
         if not self.table.lets_in(self.route.rpc.name, pool.uniform):
             self.give_up("pushed_back")
             return
-        self.deadline = pool.host.loop.at(self.due, self.too_late)
+        self.deadline = pool.host.loop.call_at(self.due, self.too_late)
         self.attempt()
 
     def attempt(self) -> None:
@@ -97,9 +97,9 @@
             upstream.stream = Stream.dial(host.loop, server.address, upstream)
         except OSError as failed:
             host.log.warning("dial_failed", why=failed.strerror)
-            host.loop.after(0, lambda: self.try_failed(request.UNSENT, upstream))
+            host.loop.call_after(0, lambda: self.try_failed(request.UNSENT, upstream))
             return
-        self.connect_by = host.loop.after(
+        self.connect_by = host.loop.call_after(
             host.text.waits["connect"], lambda: self.try_failed(request.UNSENT, upstream)
         )
 
--- a/indigohitch/standins/fault_links.py
+++ b/indigohitch/standins/fault_links.py
@@ -94,7 +94,7 @@
         now, allowed = self.loop.clock.now(), HELD
         if lane.fault.trickle and self.queue:
             if now < self.next:
-                self.timer = self.loop.at(self.next, self.pump)
+                self.timer = self.loop.call_at(self.next, self.pump)
                 return
             self.next, allowed = now + DRIP, max(1, lane.fault.trickle * DRIP // SECOND)
         while self.queue and self.queue[0][0] <= now and allowed > 0:
@@ -110,9 +110,9 @@
             sink.write(lane.passed(data))
         if self.queue:
             earliest = self.next if lane.fault.trickle else now
-            self.timer = self.loop.at(max(earliest, self.queue[0][0]), self.pump)
+            self.timer = self.loop.call_at(max(earliest, self.queue[0][0]), self.pump)
         elif source is not None and source.open and len(source.incoming):
-            self.timer = self.loop.at(now, self.pump)  # left while the queue was full
+            self.timer = self.loop.call_at(now, self.pump)  # left while the queue was full
         elif self.ended and not len(sink.outgoing):
             hang_up(sink, self.ended)
 
--- a/indigohitch/standins/load.py
+++ b/indigohitch/standins/load.py
@@ -108,7 +108,7 @@
                 self.begin(due, act(due - begin))
                 sent += 1
             if sent < total:
-                self.loop.at(begin + int(sent * SECOND / rate), tick)
+                self.loop.call_at(begin + int(sent * SECOND / rate), tick)
 
         tick()
         self.turn_until(lambda: sent >= total and not self.out, seconds + 10)
@@ -130,7 +130,7 @@
 
     def turn_until(self, done, most: float) -> None:
         end = self.loop.clock.now() + int(most * SECOND)
-        self.loop.at(end, lambda: None)
+        self.loop.call_at(end, lambda: None)
         while not self.stopped and not done() and self.loop.clock.now() < end:
             self.loop.turn()
 
--- a/indigohitch/standins/peer.py
+++ b/indigohitch/standins/peer.py
@@ -129,7 +129,7 @@
             wait = int(float(act.get("wait", server.service)) * SECOND // 1000)
             answer = (int(act.get("status", 200)), body, act, method)
             if wait:
-                server.loop.after(wait, lambda: self.acted(job, *answer))
+                server.loop.call_after(wait, lambda: self.acted(job, *answer))
             else:
                 self.acted(job, *answer)
 
@@ -169,7 +169,7 @@
             )
         if "reset_head" in act:
             self.stream.write(head + b"\r\n" + body[:1])
-            self.server.loop.after(50, self.reset)
+            self.server.loop.call_after(50, self.reset)
             return
         if "drip" in act:
             self.stream.write(head + b"\r\n")
@@ -183,7 +183,7 @@
         part, self.writing = self.writing[:1024], self.writing[1024:]
         self.stream.write(part)
         if self.writing:
-            self.server.loop.after(gap, lambda: self.drip(gap))
+            self.server.loop.call_after(gap, lambda: self.drip(gap))
         else:
             self.done()
 
--- a/indigohitch/standins/seated.py
+++ b/indigohitch/standins/seated.py
@@ -50,7 +50,7 @@
             f"{shown.stamp.member}"
         )
         self.cuts[job] = cut, shown.until * 100_000
-        self.loop.after(shown.until - now, self.sweep)
+        self.loop.call_after(shown.until - now, self.sweep)
         return job, b""
 
     def end(self, job: int) -> bool:
--- a/indigohitch/upgradable_process.py
+++ b/indigohitch/upgradable_process.py
@@ -224,7 +224,7 @@
         self.become(ProcessPhase.ENDING)
         self.begin_to_end()
         self.state.save(self.side)  # and again at the end, where that is reached
-        self.loop.after(self.waits["drain"], self.end)
+        self.loop.call_after(self.waits["drain"], self.end)
         self.wait_for_last()
 
     def wait_for_last(self) -> None:
@@ -232,7 +232,7 @@
             if self.all_done() and (self.beside is None or self.leaves_beside()):
                 self.end()
             else:
-                self.loop.after(self.POLL, self.wait_for_last)
+                self.loop.call_after(self.POLL, self.wait_for_last)
 
     def leaves_beside(self) -> bool:
         """Only once nothing is in hand that hangs on it."""
--- a/indigohitch/upgrade/channel.py
+++ b/indigohitch/upgrade/channel.py
@@ -62,10 +62,10 @@
             if failed.errno == errno.ETOOMANYREFS:
                 if not self._waiting:
                     self._waiting = True
-                    self.loop.after(self.AGAIN, self._again)
+                    self.loop.call_after(self.AGAIN, self._again)
                 return
             why = f"write: {failed.strerror}"
-            self.loop.after(0, lambda: self._lost(why))
+            self.loop.call_after(0, lambda: self._lost(why))
             return
         self._watch(READ | WRITE if self.out else READ)
 
--- a/indigohitch/upgrade/phase_deadline.py
+++ b/indigohitch/upgrade/phase_deadline.py
@@ -17,4 +17,4 @@
         """In place of the one before; None: the phase has none."""
         if self.deadline is not None:
             self.deadline.cancel()
-        self.deadline = self.loop.after(self.waits[name], self.overdue) if name else None
+        self.deadline = self.loop.call_after(self.waits[name], self.overdue) if name else None
--- a/indigohitch/upgrade/predecessor_driver.py
+++ b/indigohitch/upgrade/predecessor_driver.py
@@ -73,7 +73,7 @@
         if self.reload and machine.phase is Phase.SERVING:
             self.reload = False
             if not machine.ending:
-                self.loop.after(0, self.side.reload)
+                self.loop.call_after(0, self.side.reload)
 
     def reload_later(self) -> None:
         """By whoever is the service afterwards; the word for it may have gone out without it."""
@@ -105,7 +105,7 @@
             self.channel = None
             # A process that ends closes its channel first; how it ended tells more.  If nobody accepts: now.
             span = 0 if self.machine.phase is Phase.COMMITTED else self.ENDING
-            self.loop.after(span, lambda: started is self.started and self.step("eof", why))
+            self.loop.call_after(span, lambda: started is self.started and self.step("eof", why))
 
     def died(self, started: Started, why: str) -> None:
         if started is not self.started:
@@ -146,7 +146,7 @@
             if there():
                 self.step(event)
             else:
-                self.loop.after(self.POLL, lambda: self.poll(phase, there, event))
+                self.loop.call_after(self.POLL, lambda: self.poll(phase, there, event))
 
     def do_give(self) -> None:
         began, started = self.loop.clock.now(), self.started
@@ -187,7 +187,7 @@
         self.side.drain(self.pass_on)
         self.log.event("upgraded", **self.figures.told(self.machine.result, self.loop.clock.now()))
         started = self.started
-        self.loop.after(self.waits["watch"], lambda: started is self.started and self.step("watched"))
+        self.loop.call_after(self.waits["watch"], lambda: started is self.started and self.step("watched"))
         # What was passed to a new one that was told to end has nobody any more.
         self.poll(
             Phase.DRAINING,
--- a/indigohitch/upgrade/successor_driver.py
+++ b/indigohitch/upgrade/successor_driver.py
@@ -47,7 +47,7 @@
             self.watch: Watch | None = Watch(loop, old, self.died)
         except ProcessLookupError:
             self.watch = None
-            loop.after(0, self.died)
+            loop.call_after(0, self.died)
 
     @property
     def over(self) -> bool:
@@ -69,7 +69,7 @@
                 self.deadline.cancel()
                 self.deadline = None
             if machine.wait is not None:
-                self.deadline = self.loop.after(self.ORPHAN, lambda: self.step("deadline"))
+                self.deadline = self.loop.call_after(self.ORPHAN, lambda: self.step("deadline"))
         for act in acts:
             getattr(self, f"do_{act.value}")()
         if machine.phase is Phase.SERVING and was is not Phase.SERVING:
--- a/indigohitch/upgrade/urgent_work.py
+++ b/indigohitch/upgrade/urgent_work.py
@@ -35,4 +35,4 @@
         if self.since and now - self.since >= self.LONGEST:
             self.step("refused", "orders with a time limit waited for it")
         else:
-            self.loop.after(self.LOOK, self.look)
+            self.loop.call_after(self.LOOK, self.look)
--- a/proofs/load.py
+++ b/proofs/load.py
@@ -66,9 +66,9 @@
         while due and due[-1] <= load.loop.clock.now():
             load.begin(due.pop())
         if due:
-            load.loop.at(due[-1], tick)
+            load.loop.call_at(due[-1], tick)
 
-    load.loop.at(begin, tick)
+    load.loop.call_at(begin, tick)
     load.turn_until(lambda: not due and not load.out, SECONDS + 10)
     f.process.terminate()  # its log is written to the end
     f.process.wait()
--- a/proofs/scalekit/hollow.py
+++ b/proofs/scalekit/hollow.py
@@ -96,7 +96,7 @@
             chance = random.Random(f"{seed} {name}")
             one = Hollow(self.loop, self.log, fleet, name, services, at, chance, limits)
             self.subscribers.append(one)
-            self.loop.after(int(chance.random() * spread * 10_000), one.start)
+            self.loop.call_after(int(chance.random() * spread * 10_000), one.start)
         return {"began": len(self.subscribers)}
 
     def state(self, index: int = 0) -> dict:
--- a/proofs/soakkit/cell.py
+++ b/proofs/soakkit/cell.py
@@ -48,7 +48,7 @@
         self.write_config()
         self.write_faults()
         self.coordinator.start()
-        self.loop.after(self.LOOK, self.look_at_process)
+        self.loop.call_after(self.LOOK, self.look_at_process)
 
     def write_config(self) -> None:
         relay, discovery = self.relay.server.address, self.discovery.server.address
@@ -65,7 +65,7 @@
             self.relay.join()
         self.relay.give_back()
         starting = self.starting
-        self.loop.after(
+        self.loop.call_after(
             Truth.READY_LIMITS,
             lambda: self.truth.process_ready(True) if self.is_ready and starting == self.starting else None,
         )
@@ -88,7 +88,7 @@
 
     def look_at_process(self) -> None:
         if self.coordinator.runs():
-            self.loop.after(self.LOOK, self.look_at_process)
+            self.loop.call_after(self.LOOK, self.look_at_process)
         elif not self.coordinator.meant_to_end:
             self.is_ready = False  # a crash, and counted as one: started again
             self.truth.process_ready(False)
--- a/proofs/soakkit/channel.py
+++ b/proofs/soakkit/channel.py
@@ -45,7 +45,7 @@
         way = int(self.chance.uniform(0.08, settings.WAY) * SECOND)
         self.last_arrives = max(leaves + way, self.last_arrives)
         epoch = self.epoch
-        self.loop.at(self.last_arrives, lambda: self._arrive(orders, epoch))
+        self.loop.call_at(self.last_arrives, lambda: self._arrive(orders, epoch))
 
     def _count(self, now: int) -> None:
         window = int(settings.WINDOW * SECOND)
--- a/proofs/soakkit/collector.py
+++ b/proofs/soakkit/collector.py
@@ -35,7 +35,7 @@
         self.usual = [self.chance.lognormvariate(0.8, 0.8) for _ in range(settings.SLICES)]
         self.hot: list[int] = []
         self.reports = 0
-        cell.loop.after(self.EVERY, self.report)
+        cell.loop.call_after(self.EVERY, self.report)
 
     def on_connected(self, connection: Connection) -> None: ...
 
@@ -47,7 +47,7 @@
             self.connection = None
 
     def report(self) -> None:
-        self.cell.loop.after(self.EVERY, self.report)
+        self.cell.loop.call_after(self.EVERY, self.report)
         if not self.cell.is_ready:
             return
         if self.connection is None:
--- a/proofs/soakkit/discovery.py
+++ b/proofs/soakkit/discovery.py
@@ -79,7 +79,7 @@
             peer.answer(json.dumps(self.whole()))
             self.told()
             return
-        over = self.loop.after(int(words["hold_ms"]) * SECOND // 1000, lambda: self.answer_watch(peer))
+        over = self.loop.call_after(int(words["hold_ms"]) * SECOND // 1000, lambda: self.answer_watch(peer))
         self.watches[peer] = Watch(int(words["from"]), over)
         if self.version > int(words["from"]):
             self.answer_watch(peer)
--- a/proofs/soakkit/faults.py
+++ b/proofs/soakkit/faults.py
@@ -41,8 +41,8 @@
         }
 
     def begin(self) -> None:
-        self.loop.after(self.some(self.BETWEEN), self.next_fault)
-        self.loop.after(self.some(self.DRAINS), self.next_change)
+        self.loop.call_after(self.some(self.BETWEEN), self.next_fault)
+        self.loop.call_after(self.some(self.DRAINS), self.next_change)
 
     def some(self, span: tuple[float, float]) -> int:
         return int(self.chance.uniform(*span) * SECOND)
@@ -56,8 +56,8 @@
         if name not in self.busy and (end := lasting()) is not None:
             self.counts[name] += 1
             self.busy.add(name)
-            self.loop.after(self.some(span), lambda: self.over(name, end))
-        self.loop.after(self.some(self.BETWEEN), self.next_fault)
+            self.loop.call_after(self.some(span), lambda: self.over(name, end))
+        self.loop.call_after(self.some(self.BETWEEN), self.next_fault)
 
     def over(self, name: str, end: Callable[[], None]) -> None:
         self.busy.discard(name)
@@ -74,13 +74,13 @@
             some = self.chance.sample(ready, self.chance.randint(1, 3))
             self.counts["drains"] += len(some)
             self.cell.discovery.change(dict.fromkeys(some, "draining"))
-            self.loop.after(self.some((4.0, 9.0)), lambda: self.gone(some))
-        self.loop.after(self.some(self.DRAINS), self.next_change)
+            self.loop.call_after(self.some((4.0, 9.0)), lambda: self.gone(some))
+        self.loop.call_after(self.some(self.DRAINS), self.next_change)
 
     def gone(self, some: list[str]) -> None:
         if self.chance.random() < 0.5:
             self.cell.discovery.change(dict.fromkeys(some, "gone"))
-        self.loop.after(self.some((0.5, 2.0)), lambda: self.back(some))
+        self.loop.call_after(self.some((0.5, 2.0)), lambda: self.back(some))
 
     def back(self, some: list[str]) -> None:
         self.cell.discovery.change(dict.fromkeys(some, "ready"), started_now=True)
--- a/proofs/soakkit/process.py
+++ b/proofs/soakkit/process.py
@@ -79,12 +79,12 @@
 
     def ask(self) -> None:
         """Whether it answers `hb`."""
-        self.asking = self.loop.after(self.HEARTBEAT, self.ask)
+        self.asking = self.loop.call_after(self.HEARTBEAT, self.ask)
         try:
             connection = Connection.dial(self.loop, parse_address(self.listen), _Heartbeat(self))
         except OSError:
             return
-        self.loop.after(self.HEARTBEAT, connection.close)
+        self.loop.call_after(self.HEARTBEAT, connection.close)
 
     def ready(self) -> None:
         if self.asking is None:
@@ -117,7 +117,7 @@
         self.signal(number)
         if number == signal.SIGTERM and self.process is not None:
             process = self.process
-            self.loop.after(self.LAST, lambda: process.kill() if process.poll() is None else None)
+            self.loop.call_after(self.LAST, lambda: process.kill() if process.poll() is None else None)
 
     def log(self) -> list[dict]:
         found = []
--- a/proofs/soakkit/relay.py
+++ b/proofs/soakkit/relay.py
@@ -39,7 +39,7 @@
         self.throttled = False
         self.mute = False  # the news say nothing
         self.calls = self.broken = 0
-        loop.after(self.LIFE, self.show_life)
+        loop.call_after(self.LIFE, self.show_life)
 
     # ---- calls and streams -------------------------------------------------------------------------
 
@@ -137,7 +137,7 @@
     def show_life(self) -> None:
         for peer in list(self.streams):
             self.say(peer, ":\n")
-        self.loop.after(self.LIFE, self.show_life)
+        self.loop.call_after(self.LIFE, self.show_life)
 
     def break_news(self, how: str) -> None:
         if self.cut or not self.streams:
@@ -180,7 +180,7 @@
         self.silent, self.streams = [], {}
         self.join()
         if taken_over:
-            self.loop.after(SECOND * 15 // 100, self.give_back)
+            self.loop.call_after(SECOND * 15 // 100, self.give_back)
 
     def take_away(self) -> None:
         """Another coordinator has the slices, and moves what stands at backends that leave."""
--- a/proofs/soakkit/truth.py
+++ b/proofs/soakkit/truth.py
@@ -46,7 +46,7 @@
         self.drains: list[float] = []  # s from told until no proxy had a line there
         self.open_drains: dict[str, int] = {}
         self.joined_now = self.charged = self.serving = False
-        loop.after(self.LOOK, self.look_again)
+        loop.call_after(self.LOOK, self.look_again)
 
     # ---- what happens ------------------------------------------------------------------------------
 
@@ -85,7 +85,7 @@
         for backend in self.leaving:
             self.leaving[backend] = None
             self.turns[backend] = turn = self.turns[backend] + 1
-            self.loop.after(self.TOLD_AT_LATEST, lambda b=backend, t=turn: self.told(b, t))
+            self.loop.call_after(self.TOLD_AT_LATEST, lambda b=backend, t=turn: self.told(b, t))
 
     def process_ready(self, yes: bool) -> None:
         self.serving = yes
@@ -112,7 +112,7 @@
                 self.warm_since[backend] = now + int(settings.SETTINGS["rules"]["warm-within"] * 10)
         elif backend not in self.leaving:
             self.leaving[backend] = None
-            self.loop.after(self.TOLD_AT_LATEST, lambda: self.told(backend, turn))
+            self.loop.call_after(self.TOLD_AT_LATEST, lambda: self.told(backend, turn))
 
     def told(self, backend: str, turn: int = 0) -> None:
         """The coordinator was told what the list has of it; with a turn: it counts as told of that change."""
@@ -130,7 +130,7 @@
 
     def look_again(self) -> None:
         self.look()
-        self.loop.after(self.LOOK, self.look_again)
+        self.loop.call_after(self.LOOK, self.look_again)
 
     def look(self) -> None:
         if not self.watching:
--- a/proofs/soakkit/worker.py
+++ b/proofs/soakkit/worker.py
@@ -75,11 +75,11 @@
 
     def turn_until(self, holds, within: int) -> bool:
         end = self.loop.clock.now() + within
-        self.loop.at(end, lambda: None)
+        self.loop.call_at(end, lambda: None)
         while self.loop.clock.now() < end:
             if holds():
                 return True
-            self.loop.after(SECOND // 50, lambda: None)
+            self.loop.call_after(SECOND // 50, lambda: None)
             self.loop.turn()
         return bool(holds())
 
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -58,7 +58,7 @@
         end = time.monotonic() + 30
         while not holds():
             assert time.monotonic() < end, (self.told, self.failed)
-            self.loop.after(100, lambda: None)
+            self.loop.call_after(100, lambda: None)
             self.loop.turn()
 
     def wrote(self, write):
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -74,7 +74,7 @@
     def on_accept(self):
         begin(self)
         if point == "drain":
-            self.loop.after(1500, lambda: struck(how))
+            self.loop.call_after(1500, lambda: struck(how))
 
     SuccessorDriver.heard, SuccessorDriver.say, SuccessorDriver.do_accept = on_heard, on_say, on_accept
     if point == "start":
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -32,7 +32,7 @@
     try:
         sock = hall.call(given.encode("latin-1"))
         for _ in range(8):
-            hall.loop.after(5, lambda: None)
+            hall.loop.call_after(5, lambda: None)
             hall.loop.turn()
         try:
             said = sock.recv(4096)
--- a/tests/golden_told.py
+++ b/tests/golden_told.py
@@ -29,7 +29,7 @@
     try:
         hall.call(given.encode("latin-1"))
         for _ in range(8):
-            hall.loop.after(5, lambda: None)
+            hall.loop.call_after(5, lambda: None)
             hall.loop.turn()
         data = os.pread(hall.log.out, 1 << 20, 0)
     finally:
--- a/tests/listroom.py
+++ b/tests/listroom.py
@@ -123,7 +123,7 @@
 
     def turns(self, count=5):
         for _ in range(count):
-            end = self.loop.after(5, lambda: None)  # a turn ends though nothing comes
+            end = self.loop.call_after(5, lambda: None)  # a turn ends though nothing comes
             self.loop.turn()
             end.cancel()
 
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -43,7 +43,7 @@
         end = time.monotonic() + seconds
         while not (found := holds()):
             assert time.monotonic() < end, "it did not come"
-            self.loop.after(50, lambda: None)  # a turn at least each 5 ms
+            self.loop.call_after(50, lambda: None)  # a turn at least each 5 ms
             self.loop.turn()
         return found
 
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -39,7 +39,7 @@
         entry = "event: entry\ndata: range={}&target={}&rps={}\n\n"
         stands = [entry.format(n, b, w) for n, t in self.room.store.items() for b, w in t.lines.items()]
         if not self.room.mute:
-            self.room.loop.after(0, lambda: stream("".join(stands).encode()))
+            self.room.loop.call_after(0, lambda: stream("".join(stands).encode()))
         return SimpleNamespace(drop=lambda: None)
 
 
@@ -103,7 +103,7 @@
 
     def go(self, span=0):
         self.clock.by += span
-        self.loop.after(0, lambda: None)
+        self.loop.call_after(0, lambda: None)
         self.loop.turn()
 
 
--- a/tests/seam.py
+++ b/tests/seam.py
@@ -57,7 +57,7 @@
         for _ in range(2000):
             if until():
                 return
-            self.loop.after(10, lambda: None)  # a turn never waits for long
+            self.loop.call_after(10, lambda: None)  # a turn never waits for long
             self.loop.turn()
         raise AssertionError("never came true")
 
@@ -108,7 +108,7 @@
         self.socks = []
 
     def turn(self):
-        self.loop.after(10, lambda: None)  # never waits for long
+        self.loop.call_after(10, lambda: None)  # never waits for long
         self.loop.turn()
         self.host.turn()
 
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -84,7 +84,7 @@
         taken = parse_qs(body.decode())["orders"][0].count(";") + 1
         said = b"<R><results><item><ok_count>%d</ok_count></item></results></R>" % taken
         answer = HttpResponse("answered", 200, said) if how > self.faults else HttpResponse("reset")
-        self.loop.after(5, lambda: done(answer))
+        self.loop.call_after(5, lambda: done(answer))
         return SimpleNamespace(drop=lambda: None)
 
     def carry_out(self, orders):
@@ -95,7 +95,7 @@
 
     def step(self):
         self.clock.by += STEP
-        self.loop.after(0, lambda: None)
+        self.loop.call_after(0, lambda: None)
         self.loop.turn()
         self.front.gathering.turn()
         now = self.clock.now()
--- a/tests/test_crossing_floods.py
+++ b/tests/test_crossing_floods.py
@@ -52,7 +52,7 @@
     sent = REPORT * 500
     collector.send(sent)
     due = []
-    hall.loop.after(0, lambda: due.append(True))
+    hall.loop.call_after(0, lambda: due.append(True))
     hall.turn()  # in one turn: half of a period's sums would look like a jump
     assert len(hall.heard) == sent.count(b"\n") and due
     hall.call(b"telemetry site=west\r\n" + REPORT)
--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_crossing_lists_program.py
@@ -77,7 +77,7 @@
         end = loop.clock.now() + 20 * SECOND
         while not holds():
             assert loop.clock.now() < end, "never came true"
-            loop.after(50, lambda: None)
+            loop.call_after(50, lambda: None)
             loop.turn()
             for front in fronts:
                 front.gathering.turn()
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -74,7 +74,7 @@
 
     def turn_until(self, there):
         while not there():
-            self.loop.after(100, lambda: None)
+            self.loop.call_after(100, lambda: None)
             self.loop.turn()
 
     def come(self, exchange):
--- a/tests/test_crossing_relay.py
+++ b/tests/test_crossing_relay.py
@@ -175,7 +175,7 @@
         for _ in range(20_000):
             if holds():
                 return
-            loop.after(10, lambda: None)
+            loop.call_after(10, lambda: None)
             loop.turn()
             front.gathering.turn()
         raise AssertionError("never came true")
--- a/tests/test_drain_watch.py
+++ b/tests/test_drain_watch.py
@@ -34,7 +34,7 @@
 
     def go(self, span):
         self.clock.by += span
-        self.loop.after(0, lambda: None)
+        self.loop.call_after(0, lambda: None)
         self.loop.turn()
 
     def said(self, event):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -44,7 +44,7 @@
     def beat(self):
         for links in self.links.values():
             links.beat()
-        self.loop.after(500, self.beat)
+        self.loop.call_after(500, self.beat)
 
     def up(self, name, to):
         self.until(lambda: self.links[name].peers[to].phase is outbound.Phase.OPEN)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -85,11 +85,11 @@
     said, broken = [], []
     loop = EventLoop(Clock(), broken.append)
     now = loop.clock.now()
-    loop.at(now + 30, lambda: said.append("late"))
-    loop.at(now + 20, lambda: said.append(1 / 0))
+    loop.call_at(now + 30, lambda: said.append("late"))
+    loop.call_at(now + 20, lambda: said.append(1 / 0))
     for name in ("first", "second"):
-        loop.at(now + 10, lambda name=name: said.append(name))
-    loop.at(now + 5, lambda: said.append("cancelled")).cancel()
+        loop.call_at(now + 10, lambda name=name: said.append(name))
+    loop.call_at(now + 5, lambda: said.append("cancelled")).cancel()
     while len(said) < 3:
         loop.turn()
     assert said == ["first", "second", "late"] and isinstance(broken[0], ZeroDivisionError)
--- a/tests/test_planned_end.py
+++ b/tests/test_planned_end.py
@@ -203,7 +203,7 @@
 def test_the_end_while_no_descriptor_was_left_to_accept(seam):
     """The listener rests then, unknown to the selector: the end goes its way."""
     seam.loop.pause(seam.host.listener.sock)
-    seam.host.listener._paused = seam.loop.after(100_000, seam.host.listener._resume)
+    seam.host.listener._paused = seam.loop.call_after(100_000, seam.host.listener._resume)
     waits = socket.create_connection(seam.at, 10)
     seam.socks.append(waits)
     seam.host.accept_last()
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -21,7 +21,7 @@
     broken.handle = lambda now, events: 1 / 0
     end = loop.clock.now() + 3 * SECOND
     while loop.clock.now() < end and not (pool.coordinator is not broken and pool.coordinator.slices):
-        loop.after(100, lambda: None)
+        loop.call_after(100, lambda: None)
         loop.turn()
         host.turn()
     assert isinstance(failures[0], ZeroDivisionError) and host.log.counts["decision_module_restarted"] == 1
--- a/tests/test_upgrade_channel.py
+++ b/tests/test_upgrade_channel.py
@@ -32,7 +32,7 @@
 
     def turn(self, count=3):
         for _ in range(count):
-            self.loop.after(10, lambda: None)
+            self.loop.call_after(10, lambda: None)
             self.loop.turn()
 
 
@@ -108,7 +108,7 @@
         ends.ours.close()
         ends.channel.say(messages.Piece(b"x" * 1000))
 
-    ends.loop.after(0, meanwhile)
+    ends.loop.call_after(0, meanwhile)
     ends.loop.turn()
     assert [word for word, _ in ends.heard] == [messages.Refuse("no room")]
     assert len(ends.ended) == 1 and not ends.ended[0][1]
--- a/tests/test_upgrade_signals.py
+++ b/tests/test_upgrade_signals.py
@@ -106,7 +106,7 @@
     monkeypatch.setattr(predecessor_driver, "Channel", mock.MagicMock())
     loop, side, due = mock.MagicMock(), mock.MagicMock(), []
     loop.clock.now.return_value = 1000
-    loop.after = lambda span, action: due.append((span, action)) or mock.MagicMock()
+    loop.call_after = lambda span, action: due.append((span, action)) or mock.MagicMock()
     side.settled.return_value = side.drained.return_value = False
     side.listeners.return_value, side.idle.return_value, side.rest.return_value = {}, [], b""
     given = predecessor_driver.PredecessorDriver(
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -61,7 +61,7 @@
     def pass_time(self, span):
         self.clock.by += span
         for _ in range(3):
-            self.loop.after(0, lambda: None)
+            self.loop.call_after(0, lambda: None)
             self.loop.turn()
             self.front.gathering.turn()
 
