--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -50,7 +50,7 @@
             self.tell(told.news, told.addresses)
 
     def warning(self, event: str, trouble: DirectorError) -> None:
-        self.log.warning(event, **trouble.fields())
+        self.log.warning(event, **trouble.log_fields())
 
     # ---- a BackendSource ---------------------------------------------------------------------------
 
--- a/indigohitch/config/lines.py
+++ b/indigohitch/config/lines.py
@@ -25,7 +25,7 @@
         super().__init__("\n".join(f"{source}:{line}: {why}" for line, why in self.found), source)
 
     def text(self) -> str:
-        return self.what  # each line of it says where
+        return self.problem  # each line of it says where
 
 
 class Follows(ValueError):
--- a/indigohitch/errors.py
+++ b/indigohitch/errors.py
@@ -1,54 +1,61 @@
-"""The one family of errors: each says what happened, where, and what an operator can do."""
+"""The family of errors: each states the problem, its location, and what an operator can do about it."""
 
 from __future__ import annotations
 
 import errno
 
+from .net.clock import SECOND
+
 
 class DirectorError(Exception):
-    """`what` happened, `where` (file and line, peer, entry; may be empty), `remedy` (what an operator can do;
-    empty only where nothing can be).  The log and the command line show all three."""
+    """Root of the errors that are shown to operators; the log and the command line show all three attributes.
+
+    Attributes:
+        problem: What happened.
+        location: File and line, peer or entry; may be empty.
+        remedy: What an operator can do; empty only where nothing can be done.
+    """
 
-    remedy = ""  # of the kind; one instance may know better
+    remedy = ""  # of the class; an instance may bring a better one
 
-    def __init__(self, what: str, where: str = "", remedy: str = "") -> None:
-        self.what, self.where = what, where
+    def __init__(self, problem: str, location: str = "", remedy: str = "") -> None:
+        self.problem = problem
+        self.location = location
         self.remedy = remedy or self.remedy
-        super().__init__(what)
+        super().__init__(problem)
 
     def text(self) -> str:
-        """All but the remedy."""
-        return f"{self.where}: {self.what}" if self.where else self.what
+        """Returns the location and the problem, without the remedy."""
+        return f"{self.location}: {self.problem}" if self.location else self.problem
 
     def __str__(self) -> str:
         return f"{self.text()} ({self.remedy})" if self.remedy else self.text()
 
-    def fields(self) -> dict[str, str]:
-        """For a log line."""
-        return {
-            key: value
-            for key, value in (("why", self.what), ("where", self.where), ("remedy", self.remedy))
-            if value
-        }
+    def log_fields(self) -> dict[str, str]:
+        """Returns the fields of a log line; empty ones are left out."""
+        fields = {"why": self.problem, "where": self.location, "remedy": self.remedy}
+        return {key: value for key, value in fields.items() if value}
 
 
 class InvalidDataError(DirectorError, ValueError):
-    """What came, or what lies on the disk, is not what it should be."""
+    """Received or stored data is malformed."""
 
 
 class InvalidRequestError(DirectorError, ValueError):
-    """What is asked can't be: it changes nothing."""
+    """The request can't be carried out; it changes nothing."""
 
 
 class UnavailableError(DirectorError):
-    """Not at this time; `again` tells in how many tenths of a ms to return."""
+    """The request can't be carried out now; `retry_after_ticks` is when to retry it."""
 
-    def __init__(self, what: str, where: str = "", remedy: str = "", again: int = 10_000) -> None:
-        self.again = again
-        super().__init__(what, where, remedy)
+    def __init__(
+        self, problem: str, location: str = "", remedy: str = "", retry_after_ticks: int = SECOND
+    ) -> None:
+        self.retry_after_ticks = retry_after_ticks
+        super().__init__(problem, location, remedy)
 
 
-# What an operator can do where the system refuses.
+# What an operator can do where the system refuses a call.
 REMEDIES = {
     errno.EADDRINUSE: "free the address, or name another one",
     errno.EADDRNOTAVAIL: "name an address of this machine",
@@ -62,9 +69,9 @@
 }
 
 
-def error_fields(bad: BaseException, remedy: str = "") -> dict[str, str]:
-    """Any exception for a log line; `remedy`: where it has none of its own."""
-    if isinstance(bad, DirectorError):
-        return bad.fields()
-    remedy = REMEDIES.get(getattr(bad, "errno", None), remedy)
-    return {"why": f"{type(bad).__name__}: {bad}"} | ({"remedy": remedy} if remedy else {})
+def error_fields(error: BaseException, remedy: str = "") -> dict[str, str]:
+    """Returns any exception as fields of a log line; `remedy` is used where the exception has none."""
+    if isinstance(error, DirectorError):
+        return error.log_fields()
+    remedy = REMEDIES.get(getattr(error, "errno", None), remedy)
+    return {"why": f"{type(error).__name__}: {error}"} | ({"remedy": remedy} if remedy else {})
--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -201,7 +201,7 @@
                 KINDS.body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
             )
         except BrokenFrameError as bad:
-            return found, at, bad.what
+            return found, at, bad.problem
         at += HEADER_BYTES + length
     return found, at, "a length that can't be" if followed(data, at) else ""
 
--- a/indigohitch/fleet/batches/admin_requests.py
+++ b/indigohitch/fleet/batches/admin_requests.py
@@ -77,7 +77,7 @@
         what = (
             f"{bad.args[0]} is missing"
             if isinstance(bad, KeyError)
-            else (bad.what if isinstance(bad, InvalidRequestError) else str(bad))
+            else (bad.problem if isinstance(bad, InvalidRequestError) else str(bad))
         )
         raise InvalidRequestError(f"piece {number}: {what}", remedy=f"a batch looks like {FORM}") from None
 
--- a/indigohitch/fleet/batches/prices.py
+++ b/indigohitch/fleet/batches/prices.py
@@ -85,7 +85,7 @@
         try:
             time = moment(start)
         except InvalidRequestError as unfit:
-            raise bad(at, unfit.what, unfit.remedy) from None
+            raise bad(at, unfit.problem, unfit.remedy) from None
         if time % each:
             raise bad(
                 at,
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -141,7 +141,7 @@
             self.alone = True
             trouble = NoDistributorError("no distributor answers", self.name)
             fields = {"version": self.version.text(), "age": self.age(self.now)}
-            self.out.append(Note("no_distributor", trouble.fields() | fields))
+            self.out.append(Note("no_distributor", trouble.log_fields() | fields))
 
     def connected(self, input: ConnectionEstablished) -> None:
         if self.connecting.connected(self.now, input.distributor):
@@ -219,9 +219,9 @@
         refused: OlderVersionError | UnknownBaseError | DigestMismatchError | InvalidDataError,
     ) -> None:
         reason = REJECT_REASONS[type(refused)]
-        self.out.append(SendToDistributor(Reject(update.number, reason, self.version, refused.what)))
+        self.out.append(SendToDistributor(Reject(update.number, reason, self.version, refused.problem)))
         fields = {"distributor": self.connecting.distributor, "reason": reason.name}
-        self.out.append(Note("update_rejected", refused.fields() | fields))
+        self.out.append(Note("update_rejected", refused.log_fields() | fields))
         if reason is RejectReason.OLDER:
             self.leave("it tells an older version", again=self.limits.backoff)
 
--- a/indigohitch/fleet/distribution/subscription_server.py
+++ b/indigohitch/fleet/distribution/subscription_server.py
@@ -70,10 +70,10 @@
     def refuse(self, connection: int, cause: SubscriptionRefusedError | ScopeTooLargeError) -> None:
         word = Refused(cause.reason, self.catalogue.version, self.limits.again, str(cause))
         self.out.append(SendToSubscriber(connection, word))
-        self.close(connection, cause.what)
+        self.close(connection, cause.problem)
 
     def note(self, event: str, trouble: DirectorError) -> None:
-        self.out.append(Note(event, trouble.fields()))
+        self.out.append(Note(event, trouble.log_fields()))
 
     # ---- what subscribers say ----------------------------------------------------------------------
 
--- a/indigohitch/fleet/node/admin_requests.py
+++ b/indigohitch/fleet/node/admin_requests.py
@@ -58,7 +58,7 @@
         try:
             action(rest, line)
         except UnavailableError as late:
-            self.answer({"error": late.what, "again_ms": late.again / 10})
+            self.answer({"error": late.problem, "again_ms": late.retry_after_ticks / 10})
         except InvalidRequestError as unfit:
             self.answer({"error": str(unfit)})
         return True
--- a/indigohitch/fleet/node/proposals.py
+++ b/indigohitch/fleet/node/proposals.py
@@ -47,7 +47,7 @@
             raise UnavailableError(
                 f"{len(self.open)} proposals are out",
                 remedy="come back once some are known",
-                again=self.again,
+                retry_after_ticks=self.again,
             )
         self.number += 1
         proposal = Proposal(self.proposer, self.incarnation, self.number, kind, body)
--- a/indigohitch/fleet/node/reads.py
+++ b/indigohitch/fleet/node/reads.py
@@ -24,7 +24,7 @@
     def begin(self, now: int, done: Done) -> int:
         """Raises NotNow."""
         if len(self.open) + len(self.behind) >= MOST:
-            raise UnavailableError(f"{MOST} reads are out", again=SECOND // 10)
+            raise UnavailableError(f"{MOST} reads are out", retry_after_ticks=SECOND // 10)
         self.number += 1
         self.open[self.number] = (now + WAIT, done)
         return self.number
--- a/indigohitch/fleet/state_machine.py
+++ b/indigohitch/fleet/state_machine.py
@@ -89,7 +89,7 @@
                 body,
             )
         except InvalidRequestError as unfit:
-            return Outcome(entry.index, unfit.what)
+            return Outcome(entry.index, unfit.problem)
         return Outcome(entry.index, "", msgspec.msgpack.encode(told))
 
     # ---- as a whole --------------------------------------------------------------------------------
--- a/indigohitch/fleet/storage/records.py
+++ b/indigohitch/fleet/storage/records.py
@@ -62,7 +62,7 @@
         except BrokenFrameError as broken:
             if not (last and is_torn_write(data, at)):
                 raise CorruptStorageError(
-                    f"a record can't be read: {broken.what}", f"{where}, byte {at}"
+                    f"a record can't be read: {broken.problem}", f"{where}, byte {at}"
                 ) from None
             break
         found.append((at, row))
--- a/indigohitch/fleet/transport/acceptor.py
+++ b/indigohitch/fleet/transport/acceptor.py
@@ -125,6 +125,6 @@
     log.warning(
         "frame_spoilt",
         member=name or "unknown",
-        why=error.what,
+        why=error.problem,
         remedy=f"keep others off the {port_users}' port; if it is a member, see the network",
     )
--- a/indigohitch/load/sources/logs.py
+++ b/indigohitch/load/sources/logs.py
@@ -139,6 +139,6 @@
                 try:
                     yield form.entry(line, number)
                 except Unread as bad:
-                    unread(number, bad.what)
+                    unread(number, bad.problem)
     except Truncated as bad:
         unread(abs(number) + 1, str(bad))
--- a/indigohitch/platform_protocol/inbound_connection.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -98,11 +98,11 @@
                 hub.hear(parse_report(kind, words, hub.known))
                 hub.log.count(f"lines_{kind}")
         except GarbledConnectionError as bad:
-            hub.drop(connection, "connection_garbled", **bad.fields(), line=line[:80])
+            hub.drop(connection, "connection_garbled", **bad.log_fields(), line=line[:80])
             return
         except InvalidLineError as bad:
             self.spoilt += 1
-            hub.log.warning("line_invalid", **bad.fields(), line=line[:80], zone=self.zone)
+            hub.log.warning("line_invalid", **bad.log_fields(), line=line[:80], zone=self.zone)
             if not self.zone or self.spoilt >= self.SPOILT:
                 hub.drop(connection, "connection_sent_only_invalid_lines")
             return
--- a/indigohitch/versions/rollout.py
+++ b/indigohitch/versions/rollout.py
@@ -61,7 +61,7 @@
                 "nothing to go back to, or a pin stands", "", "push without stages, or unpin first"
             )
         if now < self.backoff.until:
-            raise UnavailableError("a push was halted just now", again=self.backoff.until - now)
+            raise UnavailableError("a push was halted just now", retry_after_ticks=self.backoff.until - now)
         if self.analysis is None:
             self.baseline = publisher.current
         publisher.store.pin(self.baseline.number, STAGED_BY, now)
--- a/indigohitch/versions/store_records.py
+++ b/indigohitch/versions/store_records.py
@@ -104,7 +104,7 @@
             found = record(data, at)
         except BrokenFrameError as broken:
             if record_follows(data, at):
-                raise Harmed(broken.what, f"{where}, byte {at}") from None
+                raise Harmed(broken.problem, f"{where}, byte {at}") from None
             break
         rows.append(found.row)
         at = found.end
--- a/tests/golden_files_versions_said.py
+++ b/tests/golden_files_versions_said.py
@@ -47,7 +47,7 @@
     try:
         return answer(publisher, 50, words.split(), "operator")
     except InvalidRequestError as bad:
-        return ["unfit", bad.what, bad.where, bad.remedy]
+        return ["unfit", bad.problem, bad.location, bad.remedy]
 
 
 def commands() -> bytes:
--- a/tests/test_audit_files.py
+++ b/tests/test_audit_files.py
@@ -37,7 +37,7 @@
     data[len(data) // 2] ^= 1
     path.write_bytes(data)
     records, troubles = read(acting.store.folder)
-    assert troubles and path.name in troubles[0].where and troubles[0].remedy
+    assert troubles and path.name in troubles[0].location and troubles[0].remedy
     assert any(f.kind == "missing" for f in found(acting, {1: records[1]}))
 
 
--- a/tests/test_batches_contract.py
+++ b/tests/test_batches_contract.py
@@ -123,7 +123,7 @@
 def test_a_spoilt_list_is_refused_with_its_line(change, line):
     with pytest.raises(InvalidDataError) as told:
         prices.read(LIST.replace(*change), "prices.txt", EACH)
-    assert told.value.where == f"prices.txt:{line}" and "last good prices stand" in told.value.remedy
+    assert told.value.location == f"prices.txt:{line}" and "last good prices stand" in told.value.remedy
 
 
 def test_the_night_with_25_hours_needs_no_doubled_line():
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -37,7 +37,8 @@
     bad = DirectorError("it broke", "a.log:3", "mend it")
     assert str(bad) == "a.log:3: it broke (mend it)"
     assert error_fields(bad) == {"why": "it broke", "where": "a.log:3", "remedy": "mend it"}
-    assert str(UnavailableError("no", again=7)) == "no" and UnavailableError("no", again=7).again == 7
+    full = UnavailableError("no", retry_after_ticks=7)
+    assert str(full) == "no" and full.retry_after_ticks == 7
     assert error_fields(OSError(errno.EADDRINUSE, "in use"))["remedy"].startswith("free the address")
     assert error_fields(KeyError("listen"), "mend it") == {"why": "KeyError: 'listen'", "remedy": "mend it"}
 
--- a/tests/test_disk_recovery.py
+++ b/tests/test_disk_recovery.py
@@ -82,6 +82,6 @@
         open(path, "wb").write(harmed)
         with pytest.raises(CorruptStorageError) as refused:
             held(tmp_path)
-        assert refused.value.remedy and "log-000000000001" in refused.value.where
+        assert refused.value.remedy and "log-000000000001" in refused.value.location
     open(path, "wb").write(data)
     assert held(tmp_path) is not None
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -126,7 +126,7 @@
     with pytest.raises(UnavailableError) as full:
         for _ in range(1000):
             world.nodes[leader].traffic.propose("notes.add", b"\x91\xa1x", told.append)
-    assert full.value.again > 0 and len(world.nodes[leader].traffic.proposals.open) < 200
+    assert full.value.retry_after_ticks > 0 and len(world.nodes[leader].traffic.proposals.open) < 200
     world.start(*[n for n in world.members if n != leader])
     world.until(lambda: len(told) >= 100)
     assert all(outcome.index for outcome in told)
