--- a/indigohitch/fleet/node/companion.py
+++ b/indigohitch/fleet/node/companion.py
@@ -135,19 +135,19 @@
         else:
             self.inside.stay()
 
-    def settled(self) -> bool:
-        return self.side.settled() and self.inside.left
+    def is_settled(self) -> bool:
+        return self.side.is_settled() and self.inside.left
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         if not on:
             self.inside.close()
-        self.side.accept(on)
+        self.side.set_accepting(on)
         if on and self.inside.node is None:  # taken back: the new process is dead
             self.inside.follows = True
             self.inside.open()
 
-    def begin(self, restored: bool) -> None:
-        self.side.begin(restored)
+    def start_serving(self, restored: bool) -> None:
+        self.side.start_serving(restored)
         self.inside.open()
 
 
--- a/indigohitch/fleet/node/headless_handover.py
+++ b/indigohitch/fleet/node/headless_handover.py
@@ -29,10 +29,10 @@
 
     def settle(self, on: bool) -> None: ...
 
-    def urgent_waits(self) -> bool:
+    def has_urgent_work(self) -> bool:
         return False
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         return True
 
     def snapshot(self) -> shots.Snapshot:
@@ -43,14 +43,14 @@
 
     def thaw(self) -> None: ...
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         if control := self.controls():
             control.accept(on)
 
-    def rest(self) -> bytes:
+    def late_events(self) -> bytes:
         return b""
 
-    def idle(self) -> list:
+    def take_idle_connections(self) -> list:
         return []
 
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
@@ -58,7 +58,7 @@
 
     def drain(self, pass_on: Callable) -> None: ...
 
-    def drained(self) -> bool:
+    def is_drained(self) -> bool:
         return True
 
     def rehearse(self, at: int) -> bytes:
@@ -71,17 +71,17 @@
             raise ValueError(f"the state of a {state.kind}")
         self.state, self.given = state, listeners
 
-    def again(self) -> shots.Snapshot:
+    def snapshot_again(self) -> shots.Snapshot:
         return self.state
 
     def rehearse_copy(self, state: shots.Snapshot, at: int) -> bytes:
         return b""
 
-    def take_rest(self, rest: bytes) -> None: ...
+    def take_late_events(self, rest: bytes) -> None: ...
 
-    def fresh(self, listeners: dict[str, socket.socket]) -> None:
+    def start_empty(self, listeners: dict[str, socket.socket]) -> None:
         self.given = listeners
 
-    def begin(self, restored: bool) -> None:
+    def start_serving(self, restored: bool) -> None:
         if "control" in self.given:
             self.control_taken(self.given["control"])
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -110,15 +110,15 @@
     def __getattr__(self, name: str):
         return getattr(self.side, name)
 
-    def accept(self, on: bool) -> None:
-        self.side.accept(on)
+    def set_accepting(self, on: bool) -> None:
+        self.side.set_accepting(on)
         if on:
             self.subscription.open()
         else:
             self.subscription.close()
 
-    def begin(self, restored: bool) -> None:
-        self.side.begin(restored)
+    def start_serving(self, restored: bool) -> None:
+        self.side.start_serving(restored)
         self.subscription.open()
 
 
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -58,10 +58,10 @@
     def settle(self, on: bool) -> None:
         self.front.relay.hold(on)
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         return not self.front.relay.out
 
-    def urgent_waits(self) -> bool:
+    def has_urgent_work(self) -> bool:
         """Orders that a drain needs, or a list that tells of one and that the module has not heard."""
         return self.front.relay.outbox.any_urgent_waits() or any(
             isinstance(event, face.BackendList)
@@ -99,18 +99,18 @@
         if due := self.front.coordinator.timer:
             self.front._carry([face.SetTimer(due, "beat")])
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         self.front.collectors.listener.accept(on)
         control = self.controls()
         if control:
             control.accept(on)
 
-    def rest(self) -> bytes:
+    def late_events(self) -> bytes:
         taken = self.front.gathering.take()
         self.kept += taken
         return msgspec.msgpack.encode(event_codec.pack_all(e for e in taken if isinstance(e, HANDED_ON)))
 
-    def idle(self) -> list[PassedConnection]:
+    def take_idle_connections(self) -> list[PassedConnection]:
         hub = self.front.collectors
         return [self.take_out(c) for c in [*hub.strangers, *hub.members] if not len(c.outgoing)]
 
@@ -128,9 +128,9 @@
     def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
         self.pass_on, self.passing = pass_on, True
 
-    def drained(self) -> bool:
+    def is_drained(self) -> bool:
         """Callers that had something to be written when the rest went over follow as soon as it is."""
-        for connection in self.idle() if self.passing else ():
+        for connection in self.take_idle_connections() if self.passing else ():
             if not self.pass_on(connection):
                 connection[1].close()
         hub = self.front.collectors
@@ -144,11 +144,11 @@
     def restore(self, state: shots.Snapshot, listeners: dict[str, socket.socket]) -> None:
         if state.coordinator is None:
             raise shots.UnusableSnapshotError(f"the state of a {state.kind}")
-        self.fresh(listeners)
+        self.start_empty(listeners)
         self.state, self.taken = state.coordinator, state.taken
         restore_front(self.front, self.state)
 
-    def again(self) -> shots.Snapshot:
+    def snapshot_again(self) -> shots.Snapshot:
         again = self.snapshot()
         again.taken = self.taken
         again.coordinator.watching = self.state.watching
@@ -157,15 +157,15 @@
     def rehearse_copy(self, state: shots.Snapshot, at: int) -> bytes:
         return event_codec.rehearsal_digest([thaw(state.coordinator.module, self.front.boot)], at)
 
-    def take_rest(self, rest: bytes) -> None:
+    def take_late_events(self, rest: bytes) -> None:
         self.front.hear(*event_codec.unpack_all(msgspec.msgpack.decode(rest)))
 
-    def fresh(self, listeners: dict[str, socket.socket]) -> None:
+    def start_empty(self, listeners: dict[str, socket.socket]) -> None:
         self.given = listeners
         self.front = self.make(listeners.get("callers"))
         self.front.collectors.listener.accept(False)
 
-    def begin(self, restored: bool) -> None:
+    def start_serving(self, restored: bool) -> None:
         front = self.front
         if "control" in self.given:
             self.control_taken(self.given["control"])
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -104,15 +104,15 @@
         for pool in self.host.pools.values():
             pool.gathering.held = on
 
-    def urgent_waits(self) -> bool:
+    def has_urgent_work(self) -> bool:
         """Nothing: its requests go on, and its tables are its own."""
         return False
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         return not any(pool.deciding for pool in self.host.pools.values())
 
     def snapshot(self) -> shots.Snapshot:
-        if not self.settled():
+        if not self.is_settled():
             self.host.worker.settle()  # a turn of the module, at most
         return self.rows_now()
 
@@ -135,7 +135,7 @@
             pool.gathering.give_back(self.kept.pop(pool.name, []))
             pool.timer_again()
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         host = self.host
         host.listener.accept(on)
         control = self.controls()
@@ -147,7 +147,7 @@
             for client in list(host.clients):
                 client.next()
 
-    def rest(self) -> bytes:
+    def late_events(self) -> bytes:
         now = self.host.loop.clock.now()
         rows = {}
         for pool in self.host.pools.values():
@@ -160,7 +160,7 @@
             rows[pool.name] = (event_codec.pack_all(e for e in taken if type(e) is not face.ProbeResult), now)
         return msgspec.msgpack.encode(rows)
 
-    def idle(self) -> list[PassedConnection]:
+    def take_idle_connections(self) -> list[PassedConnection]:
         return [self.take_out(client) for client in list(self.host.clients) if client.idle]
 
     def take_out(self, client: Client) -> PassedConnection:
@@ -184,7 +184,7 @@
             if client.idle:
                 passed(client)
 
-    def drained(self) -> bool:
+    def is_drained(self) -> bool:
         return not len(self.host.clients)
 
     def rehearse(self, at: int) -> bytes:
@@ -204,7 +204,7 @@
             else:
                 self.cold.append(name)
 
-    def again(self) -> shots.Snapshot:
+    def snapshot_again(self) -> shots.Snapshot:
         """What of the state is not used here, or of a pool cut otherwise, is given back as it came."""
         again = self.snapshot()
         kept = {row.name: row for row in again.sidecar.pools if row.name not in self.cold}
@@ -218,17 +218,17 @@
             (thaw(row.module, boots[row.name]) for row in state.sidecar.pools if row.name in boots), at
         )
 
-    def take_rest(self, rest: bytes) -> None:
+    def take_late_events(self, rest: bytes) -> None:
         for name, (rows, until) in msgspec.msgpack.decode(rest).items():
             pool = self.host.pools.get(name)
             if pool is not None and name not in self.cold:
                 pool.reported = max(pool.reported, until)
                 pool.gathering.add(*event_codec.unpack_all(rows))
 
-    def fresh(self, listeners: dict[str, socket.socket]) -> None:
+    def start_empty(self, listeners: dict[str, socket.socket]) -> None:
         self.given, self.cold = listeners, list(self.host.pools)
 
-    def begin(self, restored: bool) -> None:
+    def start_serving(self, restored: bool) -> None:
         host = self.host
         host.start(self.given.get("clients"))
         if "control" in self.given:
--- a/indigohitch/upgradable_process.py
+++ b/indigohitch/upgradable_process.py
@@ -100,8 +100,8 @@
         try:
             restored = self.restore()
             if not restored:
-                self.side.fresh({})
-            self.side.begin(restored)
+                self.side.start_empty({})
+            self.side.start_serving(restored)
             self.open_control()
         except (DirectorError, OSError, ValueError, KeyError, TypeError, AttributeError) as bad:
             self.log.event(
--- a/indigohitch/upgrade/predecessor_driver.py
+++ b/indigohitch/upgrade/predecessor_driver.py
@@ -43,7 +43,7 @@
         self.deadline = PhaseDeadline(loop, self.waits, self.overdue)
         self.ended, self.reported = ended, reported
         self.machine = Predecessor()
-        self.urgency = Urgency(loop, self.urgent_waits, self.step)
+        self.urgency = Urgency(loop, self.has_urgent_work, self.step)
         self.started: Started | None = None
         self.channel: Channel | None = None
         self.passing = ConnectionTransfer(self.say)
@@ -52,9 +52,9 @@
         self.state, self.theirs = b"", b""
         self.figures = UpgradeReport(loop.clock.now())
 
-    def urgent_waits(self) -> bool | None:
+    def has_urgent_work(self) -> bool | None:
         """Whether something with a time limit does, while this process stands still; None: it does not."""
-        return self.side.urgent_waits() if self.machine.phase in STANDING_STILL else None
+        return self.side.has_urgent_work() if self.machine.phase in STANDING_STILL else None
 
     @property
     def under_way(self) -> bool:
@@ -137,7 +137,7 @@
 
     def do_settle(self) -> None:
         self.side.settle(True)
-        self.poll(Phase.SETTLING, self.side.settled, "settled")
+        self.poll(Phase.SETTLING, self.side.is_settled, "settled")
         self.urgency.begin()
 
     def poll(self, phase: Phase, there: Callable[[], bool], event: str) -> None:
@@ -169,12 +169,12 @@
 
     def do_commit(self) -> None:
         self.figures.stopped = self.loop.clock.now()
-        self.side.accept(False)
+        self.side.set_accepting(False)
         try:
-            self.passing.own(self.side.idle())
+            self.passing.own(self.side.take_idle_connections())
             self.figures.add(passed=len(self.passing.out))
             self.passing.all()
-            self.say(messages.Commit(self.side.rest(), self.reload))
+            self.say(messages.Commit(self.side.late_events(), self.reload))
         except OSError as bad:  # whatever this process lacks now, it can take back
             self.step("refused", f"nothing could be passed: {bad}")
 
@@ -191,7 +191,7 @@
         # What was passed to a new one that was told to end has nobody any more.
         self.poll(
             Phase.DRAINING,
-            lambda: self.side.drained() and (self.machine.left or not self.passing.out),
+            lambda: self.side.is_drained() and (self.machine.left or not self.passing.out),
             "drained",
         )
 
@@ -207,7 +207,7 @@
         passed = self.passing.back()
         self.log.warning("upgrade_taken_back", why=self.machine.result, connections=len(passed))
         self.side.settle(False)
-        self.side.accept(True)
+        self.side.set_accepting(True)
         for connection in passed:
             self.side.adopt(*connection)
         self.close()
@@ -240,7 +240,7 @@
     def do_done(self) -> None:
         # Our module has retired: its next step shows whether the new one's is the same.
         self.log.event("state_compared", equal=self.side.rehearse(self.rehearse_at) == self.theirs)
-        self.say(messages.Rest(self.side.rest()))
+        self.say(messages.Rest(self.side.late_events()))
         self.say(messages.Done(), last=True)
 
     def do_end(self) -> None:
--- a/indigohitch/upgrade/successor_driver.py
+++ b/indigohitch/upgrade/successor_driver.py
@@ -109,7 +109,7 @@
                 self.reload |= reload
                 self.step("commit")
             case messages.Rest(rest):
-                self.side.take_rest(rest)
+                self.side.take_late_events(rest)
             case messages.Done():
                 self.step("done")
             case messages.CallOff(why):
@@ -146,7 +146,7 @@
             data, self.parts = bytes(self.parts), bytearray()
             self.shot = shots.decode(data)
             self.side.restore(self.shot, self.listeners)
-            built = shots.encode(self.side.again())
+            built = shots.encode(self.side.snapshot_again())
         except Exception as bad:  # whatever is wrong with it: the old one carries on
             self.step("failed", f"restore: {type(bad).__name__}: {bad}")
             return
@@ -168,8 +168,8 @@
     def do_accept(self) -> None:
         passed, self.passed = self.passed, []
         try:
-            self.side.take_rest(self.rest)
-            self.side.begin(True)
+            self.side.take_late_events(self.rest)
+            self.side.start_serving(True)
         except Exception as bad:  # dead it makes room for the old one, which has everything yet
             self.log.event("cannot_start", **error_fields(bad))
             self.do_end()
@@ -191,8 +191,8 @@
         )
         try:
             if not self.machine.state:
-                self.side.fresh(self.listeners)
-            self.side.begin(self.machine.state)
+                self.side.start_empty(self.listeners)
+            self.side.start_serving(self.machine.state)
         except OSError as bad:
             self.log.event("cannot_start", **error_fields(bad))
             self.ended(1)
--- a/tests/golden_files_running.py
+++ b/tests/golden_files_running.py
@@ -62,7 +62,7 @@
             )
         )
         process = Coordinating({"BALANCER_CONFIG": str(file)}, operator_file.read("control /x\n"), False)
-        process.side.fresh({})
+        process.side.start_empty({})
         try:
             return as_json({"status": status(process)})
         finally:
--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_crossing_lists_program.py
@@ -91,8 +91,8 @@
     assert front.coordinator.backends["b1"].state == "draining"  # it hears what waits, at the latest now
     new = CoordinatorHandover(None, made, lambda: None, None, None)
     new.restore(shots.decode(states[0]), {})
-    new.take_rest(old.rest())
-    new.begin(True)
+    new.take_late_events(old.late_events())
+    new.start_serving(True)
     until(
         lambda: new.front.discovery.watch and new.front.coordinator.backends["b1"].state == "draining",
         new.front,
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -57,7 +57,7 @@
             "known": {"generation": 1, "reset": True, "instances": entries},
         }
         self.old, self.new = self.side(), self.side()
-        self.old.fresh({})
+        self.old.start_empty({})
         self.front = self.old.front
         self.front.relay.hold(True)  # nothing here answers
         self.front.holdings.news_asked()
@@ -95,7 +95,7 @@
         assert taken[0][1] is None, taken
         state = shots.decode(taken[0][0])
         self.new.restore(state, {})
-        assert shots.encode(self.new.again()) == taken[0][0]
+        assert shots.encode(self.new.snapshot_again()) == taken[0][0]
         return self.new.front
 
 
@@ -184,7 +184,7 @@
             bench.over()
     if broken != "at every turn":
         bench.over()
-    bench.new.begin(True)
+    bench.new.start_serving(True)
     front = bench.front = bench.new.front
     bench.handed()
     module = front.coordinator
--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -113,7 +113,7 @@
     assert shots.encode(state) == data
     side.restore(state, {})
     try:
-        assert shots.encode(side.again()) == data
+        assert shots.encode(side.snapshot_again()) == data
         module = plain("coordinator")[3][0]
         orders = side.rehearse_copy(state, module[1] + REHEARSED_AFTER)
         assert orders == ordered_next(data)
@@ -131,8 +131,8 @@
     side = sidecar(loop, log)
     host = side.host
     side.restore(state, {})
-    assert side.cold == [] and shots.encode(side.again()) == data
-    side.take_rest(msgspec.msgpack.encode(SIDECAR_REST))
+    assert side.cold == [] and shots.encode(side.snapshot_again()) == data
+    side.take_late_events(msgspec.msgpack.encode(SIDECAR_REST))
     told = {name: event_codec.pack_all(pool.gathering.take()) for name, pool in host.pools.items()}
     assert {name: [list(row) for row in rows] for name, rows in told.items()} == {
         name: rows for name, (rows, _) in SIDECAR_REST.items()
--- a/tests/test_node_inside.py
+++ b/tests/test_node_inside.py
@@ -41,10 +41,10 @@
     world.valid()
     asked(world, "v1", "note before")
     old.settle(True)
-    world.until(old.settled)
+    world.until(old.is_settled)
     assert not inside.node.lease(world.clock.now())
     asked(world, "v2", "note while it settles")
-    old.accept(False)  # the word goes out
+    old.set_accepting(False)  # the word goes out
     assert inside.node is None and not inside.asked("status", {}, None)
     del world.nodes["v1"]
     new, newer = handed(world, "v1", follows=True)
@@ -52,7 +52,7 @@
     world.valid()
     assert asked(world, "v1", "book notes")["texts"] == ["before", "while it settles"]
     newer.close()  # the new one dies, the old one takes it back
-    old.accept(True)
+    old.set_accepting(True)
     world.nodes["v1"] = inside.node
     world.valid()
     asked(world, "v1", "note after")
@@ -65,7 +65,7 @@
     world.valid()
     before = inside.node.assembly.membership.incarnation
     side.settle(True)
-    world.until(side.settled)
+    world.until(side.is_settled)
     side.settle(False)
     world.valid()
     assert inside.node.assembly.membership.incarnation > before
@@ -78,7 +78,7 @@
     world.kill("v2"), world.kill("v3")
     began = world.clock.now()
     side.settle(True)
-    world.until(side.settled)
+    world.until(side.is_settled)
     assert world.clock.now() - began < 2 * within.LEAVING
 
 
--- a/tests/test_upgrade_signals.py
+++ b/tests/test_upgrade_signals.py
@@ -107,8 +107,8 @@
     loop, side, due = mock.MagicMock(), mock.MagicMock(), []
     loop.clock.now.return_value = 1000
     loop.after = lambda span, action: due.append((span, action)) or mock.MagicMock()
-    side.settled.return_value = side.drained.return_value = False
-    side.listeners.return_value, side.idle.return_value, side.rest.return_value = {}, [], b""
+    side.is_settled.return_value = side.is_drained.return_value = False
+    side.listeners.return_value, side.take_idle_connections.return_value, side.late_events.return_value = {}, [], b""
     given = predecessor_driver.PredecessorDriver(
         loop, mock.MagicMock(), side, [], {"watch": 7}, lambda: None, lambda told: None
     )
@@ -154,7 +154,7 @@
 def test_a_new_process_that_can_not_begin_makes_room():
     """After the word: it says nothing of what was passed, and is dead soon, so the old one has all of it."""
     side, ended, began = mock.MagicMock(), [], []
-    side.begin.side_effect = RuntimeError("no")
+    side.start_serving.side_effect = RuntimeError("no")
     pair = socket.socketpair()
     loop = mock.MagicMock()
     taking = SuccessorDriver(
