--- a/indigohitch/platform_protocol/backend_start_times.py
+++ b/indigohitch/platform_protocol/backend_start_times.py
@@ -15,40 +15,40 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Start:
+class BackendStart:
     told: int  # by the wall clock
     at: int  # by ours
 
 
-class Starts:
+class BackendStartTimes:
     # A list may tell of a start so much later: discovery counts as having told after 6 s, a call may wait.
     LATE = 10 * SECOND
     KEPT = 256  # of backends that are gone, as many as the module keeps
 
     def __init__(self) -> None:
-        self.known: dict[str, Start] = {}
+        self.known: dict[str, BackendStart] = {}
         self.heard = 0  # when a list of discovery's came last, 0: none has
 
     def carried_over(self, news: face.BackendList, now: int, wall: int) -> face.BackendList:
         """The same list with starts by our clock; `now` by it, `wall` by the wall's, as the list comes."""
         if news.scope == "failed":
             return news
-        entries = tuple(replace(entry, started=self._start(entry, now, wall)) for entry in news.entries)
+        entries = tuple(replace(entry, started_at=self._start(entry, now, wall)) for entry in news.entries)
         if news.scope != "remembered":
             self.heard = now
         self._forget_some(news)
         return replace(news, entries=entries)
 
     def _start(self, entry: face.BackendEntry, now: int, wall: int) -> int:
-        if not entry.started:
+        if not entry.started_at:
             return 0  # long ago
         known = self.known.pop(entry.backend, None)
-        if known is None or known.told != entry.started:
-            known = Start(entry.started, self._placed(entry.started, known, now, wall))
+        if known is None or known.told != entry.started_at:
+            known = BackendStart(entry.started_at, self._placed(entry.started_at, known, now, wall))
         self.known[entry.backend] = known  # the last that was heard of
         return known.at
 
-    def _placed(self, told: int, before: Start | None, now: int, wall: int) -> int:
+    def _placed(self, told: int, before: BackendStart | None, now: int, wall: int) -> int:
         at = now - (wall - told)
         earliest = self.heard - self.LATE if self.heard else 0
         if before is not None:
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -19,18 +19,18 @@
 from ..settings import parse_settings
 from .backend_list_log import log_list
 from .backend_source import BackendSource, ListCallback
-from .backend_start_times import Starts
+from .backend_start_times import BackendStartTimes
 from .call_codec import NO_CALL
-from .channel_backlog import Backlog
+from .channel_backlog import ChannelBacklog
 from .discovery import Discovery, parse_backend_list
-from .drain_monitor import DrainWatch
-from .inbound_connections import Collectors
-from .messages import Known
-from .probes import Probes
+from .drain_monitor import DrainMonitor
+from .inbound_connections import InboundConnections
+from .messages import KnownNames
+from .probes import HealthProbes
 from .relay import Relay
-from .relay_watch import News
-from .resource_limits import Limits
-from .store_mirror import Holdings
+from .relay_watch import RelayWatch
+from .resource_limits import ResourceLimits
+from .store_mirror import StoreMirror
 
 
 class Front:
@@ -51,7 +51,7 @@
         self.found = found
         self.seed, limits, self.boot, columns, known, self.addresses, store, discovery = self._read(found)
         loop.pool = BufferPool(limits.calls_pool)
-        self.starts = Starts()
+        self.starts = BackendStartTimes()
         known = self.starts.carried_over(known, loop.clock.now(), loop.clock.wall())
         self.listed = {entry.backend: entry for entry in known.entries}
         self.heard_of = dict.fromkeys(self.listed)  # oldest first: reports on those gone come late
@@ -64,7 +64,7 @@
             if source is not None
             else Discovery(loop, log, discovery, known.version, self.hear_list)
         )
-        self.probes = Probes(loop, log, bool(columns), limits.probes, self.hear)
+        self.probes = HealthProbes(loop, log, bool(columns), limits.probes, self.hear)
         self.relay = Relay(
             loop,
             log,
@@ -72,39 +72,44 @@
             [method.name for method in self.boot["methods"]],
             self.boot.get("messages_most", 0),
             self.boot.get("counted_over", 0),
-            Backlog(
+            ChannelBacklog(
                 self._figure("queue_cap") * MAX_PENDING_SHARE,
                 self._figure("lines_per_s") * UNACKNOWLEDGED_DRAIN_SHARE,
                 self._figure("envelope"),
-                lambda: self.holdings.proxies,
+                lambda: self.store_mirror.proxies,
             ),
         )
-        self.holdings = Holdings(loop, log, self.hear_news, self.relay.pending, self._order_more)
-        self.relay.stands, self.relay.dropped = self._stand, self.holdings.dropped
-        self.drains = DrainWatch(
+        self.store_mirror = StoreMirror(loop, log, self.hear_news, self.relay.pending, self._order_more)
+        self.relay.stands, self.relay.dropped = self._stand, self.store_mirror.dropped
+        self.drain_monitor = DrainMonitor(
             loop,
             log,
             self._figure("drain_grace"),
-            lambda: self.holdings.stood,
+            lambda: self.store_mirror.stood,
             lambda: len(self.relay.waiting),
             not self.boot.get("dropped_stay_open"),
         )
-        self.holdings.given, self.holdings.broken_off = self.drains.slice_given, self.drains.news_lost
-        self.relay.failing = self.drains.relay_failed
-        self.relay.guard.begun = lambda: self.holdings.begun or bool(self.holdings.stood)
-        self.relay.guard.too_late = self.drains.grace_over
-        self.news = News(loop, log, store, self.holdings)
-        self.relay.first.stood = lambda: self.holdings.stood
-        self.relay.outbox.urgent = lambda orders: urgent_tables(self.coordinator, orders, self.holdings.stood)
+        self.store_mirror.given, self.store_mirror.broken_off = (
+            self.drain_monitor.slice_given,
+            self.drain_monitor.news_lost,
+        )
+        self.relay.failing = self.drain_monitor.relay_failed
+        self.relay.guard.begun = lambda: self.store_mirror.begun or bool(self.store_mirror.stood)
+        self.relay.guard.too_late = self.drain_monitor.grace_over
+        self.news = RelayWatch(loop, log, store, self.store_mirror)
+        self.relay.first.stood = lambda: self.store_mirror.stood
+        self.relay.outbox.urgent = lambda orders: urgent_tables(
+            self.coordinator, orders, self.store_mirror.stood
+        )
         self.relay.doubted = self.news.anew
         zones, slices = self.boot.get("zones"), self.boot.get("slices")
-        self.known = Known(
+        self.known = KnownNames(
             frozenset(zones if zones is not None else (e.zone for e in known.entries)),
             frozenset(method.name for method in self.boot["methods"]),
             slices if slices else face.ALL_TABLES,
             self.heard_of,
         )
-        self.collectors = Collectors(
+        self.collectors = InboundConnections(
             loop, log, self.hear, parse_address(found["listen"]), limits, self.known, listening
         )
 
@@ -116,7 +121,7 @@
         known, addresses = parse_backend_list(found["known"], remembered=True)
         return (
             int(str(found["seed"]), 16),
-            Limits.of(found["limits"]),
+            ResourceLimits.of(found["limits"]),
             boot,
             columns,
             known,
@@ -180,7 +185,7 @@
     def _tell_all(self) -> None:
         self.anew = False
         self.hear(face.BackendList("remembered", self.discovery.version, tuple(self.listed.values())))
-        self.holdings.tell_all()
+        self.store_mirror.tell_all()
 
     def _carry(self, orders: list[face.Order]) -> None:
         call = []
@@ -217,8 +222,8 @@
         self.relay.order(orders, joins=True)
 
     def _stand(self, orders: list[face.Order]) -> None:
-        self.holdings.stands(orders)
-        self.drains.stands(orders)
+        self.store_mirror.stands(orders)
+        self.drain_monitor.stands(orders)
 
     # ---- news --------------------------------------------------------------------------------------
 
@@ -248,7 +253,7 @@
                 del self.listed[entry.backend], self.addresses[entry.backend]
         for id in [id for id in self.heard_of if id not in self.listed][: -self.GONE]:
             del self.heard_of[id]
-        self.drains.listed(news)
+        self.drain_monitor.listed(news)
         self.hear(news)
 
     def close(self) -> None:
