--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -82,7 +82,7 @@
             "proxies": len(front.store_mirror.proxies),
             "slices": len(front.store_mirror.stood),
             "calls_waiting": len(front.relay.waiting),
-            "relay_watch_started": front.store_mirror.begun,
+            "news_begun": front.store_mirror.begun,
         }
 
     def file_now(self) -> Text:
--- a/tests/test_node_inside.py
+++ b/tests/test_node_inside.py
@@ -7,7 +7,7 @@
 from indigohitch.fleet.node import companion as within
 from indigohitch.fleet.node.admin_requests import AdminRequests
 from indigohitch.fleet.node.companion import Handed, NodeCompanion
-from indigohitch.fleet.node.headless_member import Bare
+from indigohitch.fleet.node.headless_handover import HeadlessHandover
 from nodes import Kept, World, free
 
 
@@ -22,7 +22,7 @@
     """That member as a process has it."""
     log = Kept(world.clock, name)
     inside = NodeCompanion(world.loop, log, world.text(name), True, follows, world.ended.append)
-    side = Handed(Bare(world.clock, lambda: None, lambda sock: None, lambda: None), inside)
+    side = Handed(HeadlessHandover(world.clock, lambda: None, lambda sock: None, lambda: None), inside)
     inside.open()
     world.nodes[name] = inside.node
     return side, inside
