--- a/tests/test_upgrade_signals.py
+++ b/tests/test_upgrade_signals.py
@@ -106,9 +106,11 @@
     monkeypatch.setattr(predecessor_driver, "Channel", mock.MagicMock())
     loop, side, due = mock.MagicMock(), mock.MagicMock(), []
     loop.clock.now.return_value = 1000
-    loop.after = lambda span, action: due.append((span, action)) or mock.MagicMock()
+    loop.call_after = lambda span, action: due.append((span, action)) or mock.MagicMock()
     side.is_settled.return_value = side.is_drained.return_value = False
-    side.listeners.return_value, side.take_idle_connections.return_value, side.late_events.return_value = {}, [], b""
+    side.listeners.return_value = {}
+    side.take_idle_connections.return_value = []
+    side.late_events.return_value = b""
     given = predecessor_driver.PredecessorDriver(
         loop, mock.MagicMock(), side, [], {"watch": 7}, lambda: None, lambda told: None
     )
