--- a/indigohitch/benchlink/__main__.py
+++ b/indigohitch/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""python -m indigohitch.benchlink: standard input and output are the wire's alone."""
+"""The bench's front, `python -m indigohitch.benchlink`: on standard input and output."""
 
 import sys
 
@@ -7,5 +7,5 @@
 
 try:
     serve(sys.stdin.buffer, sys.stdout.buffer)
-except WireError as bad:
-    sys.exit(f"benchlink: {bad}")
+except WireError as error:
+    sys.exit(f"benchlink: {error}")
--- a/indigohitch/benchlink/host.py
+++ b/indigohitch/benchlink/host.py
@@ -1,29 +1,36 @@
-"""Hosts the coordinators of one process: reads batches, hands each instance its own events, writes
-the orders.  Instances share nothing but the pipe."""
+"""Hosts the coordinators of one process: reads batches, gives each instance its events, writes the orders.
+
+Instances share nothing but the pipe.
+"""
 
 from __future__ import annotations
 
-from typing import BinaryIO
+from collections.abc import Callable, Iterable
+from typing import Any, BinaryIO, TypeVar
 
 from ..logic import Coordinator
 from ..settings import parse_settings, ticks_from_ms
 from . import incoming, outgoing
 
+Converted = TypeVar("Converted")
+
 
 class Host:
+    """The coordinators of one process by their numbers, and the lines that are to be written."""
+
     def __init__(self) -> None:
         self.instances: dict[int, Coordinator] = {}
         self.columns: dict[int, list[str]] = {}
         self.lists: dict[int, tuple] = {}  # numbers are reused, so each is resolved as it comes
-        self.out: list[bytes] = []
+        self.output: list[bytes] = []
 
-    def _born(self, message: incoming.Configure) -> None:
+    def _start(self, message: incoming.Configure) -> None:
         number = message.coordinator
         try:
-            boot, self.columns[number] = parse_settings(message.params)
-        except ValueError as bad:
-            raise incoming.WireError(f"bad Configure for coordinator {number}: {bad}") from None
-        self.instances[number] = Coordinator(message.rng_seed, boot)
+            settings, self.columns[number] = parse_settings(message.params)
+        except ValueError as error:
+            raise incoming.WireError(f"bad Configure for coordinator {number}: {error}") from None
+        self.instances[number] = Coordinator(message.rng_seed, settings)
 
     def _run(self, now: int, waiting: dict[int, list], number: int) -> None:
         events = waiting.pop(number, None)
@@ -31,46 +38,54 @@
             return
         try:
             for order in self.instances[number].handle(now, events):
-                self.out.append(outgoing.encode(number, order))
-        except Exception as broken:  # the wire's own way to say that the module failed
-            self.out.append(outgoing.give_in(number, f"{type(broken).__name__}: {broken}"))
+                self.output.append(outgoing.encode(number, order))
+        except Exception as error:  # the wire's own way to say that the module failed
+            self.output.append(outgoing.give_in(number, f"{type(error).__name__}: {error}"))
+
+    def batch(self, now: int, messages: Iterable[tuple[str, Any]]) -> None:
+        """Handles the messages of one moment, `now` in ticks; the orders are appended to `output`.
 
-    def batch(self, now: int, messages) -> None:
+        Raises WireError for settings, values or list numbers that are not on the wire page.
+        """
         waiting: dict[int, list] = {}
         for kind, message in messages:
             if kind == "List":
-                self.lists[message.buffer] = self._typed(kind, message.entries)
+                self.lists[message.buffer] = self._convert(kind, message.entries)
             elif kind == "PowerOff":
                 waiting.pop(message.coordinator, None)
                 self.instances.pop(message.coordinator, None)
             elif kind == "Configure":
-                self._born(message)
+                self._start(message)
                 waiting[message.coordinator] = []
             elif message.coordinator in self.instances:
-                typed = self._typed(kind, message.typed, self.columns[message.coordinator], self.lists)
-                waiting.setdefault(message.coordinator, []).append(typed)
+                event = self._convert(kind, message.to_event, self.columns[message.coordinator], self.lists)
+                waiting.setdefault(message.coordinator, []).append(event)
         for number in list(waiting):
             self._run(now, waiting, number)
 
     @staticmethod
-    def _typed(kind, build, *args):
+    def _convert(kind: str, build: Callable[..., Converted], *args: object) -> Converted:
         try:
             return build(*args)
-        except KeyError as bad:
-            raise incoming.WireError(f"{kind}: unknown value or list number {bad}") from None
+        except KeyError as error:
+            raise incoming.WireError(f"{kind}: unknown value or list number {error}") from None
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    host, now, messages = Host(), 0, []
+    """Serves the wire until its source ends. Raises WireError for lines that can't be read."""
+    host = Host()
+    now = 0
+    messages: list[tuple[str, Any]] = []
     for line in source:
         kind, message = incoming.decode(line)
         if kind == "Mark":
-            now, messages = ticks_from_ms(message.at_time), []
+            now = ticks_from_ms(message.at_time)
+            messages = []
         elif kind == "Flush":
             host.batch(now, messages)
-            host.out.append(outgoing.OK)
-            sink.write(b"".join(host.out))
+            host.output.append(outgoing.OK)
+            sink.write(b"".join(host.output))
             sink.flush()
-            host.out.clear()
+            host.output.clear()
         elif message is not None:
             messages.append((kind, message))
--- a/tests/golden_bench.py
+++ b/tests/golden_bench.py
@@ -38,7 +38,7 @@
             case "List":
                 reads = {"list": message.buffer, "entries": entries(message.entries())}
             case _:
-                event = plain(message.typed(COLUMNS, lists))
+                event = plain(message.to_event(COLUMNS, lists))
                 reads = {"coordinator": message.coordinator} | event
         return {"type": kind, "reads": reads}
     except (incoming.WireError, KeyError):
--- a/tests/test_crossing_wire.py
+++ b/tests/test_crossing_wire.py
@@ -13,13 +13,13 @@
 import apart
 from apart import ALL, short, shuffled, splits
 from indigohitch import interface as face
-from indigohitch.benchlink import incoming
+from indigohitch.benchlink import backend_lists, incoming, wire_messages
 from indigohitch.benchlink.host import Host
 from indigohitch.settings import _LOAD_NAMES
 
 STATE, SCOPE, OUTCOME = (
     {ours: wire for wire, ours in table.items()}
-    for table in (incoming._STATE, incoming._SCOPE, incoming._OUTCOME)
+    for table in (backend_lists._STATE, wire_messages._SCOPE, wire_messages._OUTCOME)
 )
 
 
@@ -31,7 +31,7 @@
 @pytest.fixture(autouse=True)
 def nothing_is_kept_at_module_or_class_level():
     before = apart.kept()
-    assert len(before) > 10 and "indigohitch.benchlink.incoming._STATE" in before
+    assert len(before) > 10 and "indigohitch.benchlink.backend_lists._STATE" in before
     yield
     assert apart.kept() == before
 
@@ -146,10 +146,10 @@
 def said(host):
     """By instance, what it heard and the lines that it wrote, since the last time."""
     found, host.heard = host.heard, {}
-    for line in host.out:
+    for line in host.output:
         assert b"GiveIn" not in line, line
         found[msgspec.json.decode(line)["coordinator"]].append(line)
-    host.out.clear()
+    host.output.clear()
     return found
 
 
