--- a/indigohitch/control.py
+++ b/indigohitch/control.py
@@ -36,7 +36,7 @@
             self.answer({"error": "one line of JSON with `ask` is wanted"})
             return
         mark = {"mark": asked["mark"]} if "mark" in asked else {}  # for who asks several things at once
-        self.control.asked(what, asked, lambda told: self.answer(told | mark))
+        self.control.on_command(what, asked, lambda told: self.answer(told | mark))
 
     def answer(self, told: dict) -> None:
         """At any time later, once."""
@@ -44,7 +44,7 @@
             self.connection.write(orjson.dumps(told, default=str) + b"\n")
 
     def on_closed(self, connection: Connection, why: str) -> None:
-        self.control.askers.discard(self)
+        self.control.clients.discard(self)
 
 
 class ControlSocket:
@@ -59,8 +59,8 @@
     ) -> None:
         """`asked(what, line, answer)`.  Raises OSError.  A path that a dead program left behind is taken; one
         that answers is not."""
-        self.loop, self.path, self.asked = loop, path, asked
-        self.askers: set[Asker] = set()
+        self.loop, self.path, self.on_command = loop, path, asked
+        self.clients: set[Asker] = set()
         self.listener = Listener(loop, None, self.greet, lambda why: None, listening or self.opened(path))
 
     @staticmethod
@@ -84,15 +84,15 @@
         return sock
 
     def greet(self, sock: socket.socket) -> bool:
-        if len(self.askers) >= self.MOST:
+        if len(self.clients) >= self.MOST:
             return False
         asker = Asker(self)
         asker.connection = Connection.accepted(self.loop, sock, asker, 2 * Asker.LINE, self.loop.pool)
-        self.askers.add(asker)
+        self.clients.add(asker)
         return True
 
     def close(self, unlink: bool) -> None:
-        for asker in list(self.askers):
+        for asker in list(self.clients):
             if asker.connection is not None:
                 asker.connection.close()
         if unlink:
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -26,8 +26,10 @@
         self.decided = False  # while it ends: on all that was told before
         super().__init__(environ.get("BALANCER_NAME", ""), text.single, text.waits)
 
-    def make_side(self) -> HandoverParticipant:
-        side = CoordinatorHandover(None, self.make, self.controls, self.control_taken, self.reload)
+    def make_participant(self) -> HandoverParticipant:
+        side = CoordinatorHandover(
+            None, self.make, self.control_listener, self.take_over_control, self.reload
+        )
         if self.fleet is None:
             return side
         if self.fleet.services:
@@ -39,15 +41,15 @@
     def subscriber_side(self, side: HandoverParticipant) -> HandoverParticipant:
         from .fleet.node.subscriber_process import SubscriberSide, Subscription
 
-        if self.beside is None:
-            self.beside = Subscription(self.loop, self.log, self.fleet)
-        return SubscriberSide(side, self.beside)
+        if self.companion is None:
+            self.companion = Subscription(self.loop, self.log, self.fleet)
+        return SubscriberSide(side, self.companion)
 
     def subscribed_backends(self, tell: ListCallback) -> BackendSource:
         from .backend_subscription.source import SubscribedBackends
 
-        source = SubscribedBackends(self.log, self.beside.resources, tell)
-        self.beside.heard = source.applied
+        source = SubscribedBackends(self.log, self.companion.resources, tell)
+        self.companion.heard = source.applied
         return source
 
     def make(self, listening: socket.socket | None) -> Front:
@@ -62,7 +64,7 @@
         if self.fleet is not None and not subscribes:
             from .fleet.audit.orders import stamped
 
-            front.relay.allowed = stamped(self.clock, lambda: self.beside.node)
+            front.relay.allowed = stamped(self.clock, lambda: self.companion.node)
         return front
 
     def turn(self) -> None:
@@ -74,9 +76,9 @@
     def without_state(self) -> None:
         if self.side.front is not None:
             self.side.front.close()
-        self.side = self.giving.side = self.make_side()
+        self.side = self.predecessor_driver.side = self.make_participant()
 
-    def more_figures(self) -> dict:
+    def extra_status(self) -> dict:
         front = self.side.front
         return {
             "proxies": len(front.store_mirror.proxies),
@@ -85,14 +87,14 @@
             "news_begun": front.store_mirror.begun,
         }
 
-    def file_now(self) -> Text:
+    def read_operator_file(self) -> Text:
         return operator_file.load(self.source)
 
     def reload(self) -> None:
         reload_front(self, self.environ, lambda: self.side.front, self.file_is_newer)
-        if self.beside is not None:
+        if self.companion is not None:
             try:
-                self.beside.reread(self.file_now().fleet)
+                self.companion.reread(self.read_operator_file().fleet)
             except (OSError, ValueError) as bad:
                 self.log.warning("reload_failed", **error_fields(bad))
 
@@ -100,7 +102,7 @@
         """Than what the variable said at the start, also for who follows."""
         self.environ.pop("BALANCER_DISCOVERY", None)
 
-    def all_done(self) -> bool:
+    def is_done(self) -> bool:
         return self.decided and self.side.front.relay.idle
 
     def close(self) -> None:
--- a/indigohitch/fleet/node/companion.py
+++ b/indigohitch/fleet/node/companion.py
@@ -103,7 +103,7 @@
         if self.node is not None:
             self.node.assembly.felt(now, rpc, latency)
 
-    def asked(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
+    def on_command(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
         return AdminRequests(self.node, answer).word(what, line)
 
     def work(self, name: str) -> Work | None:
@@ -111,7 +111,7 @@
         works = self.node.assembly.works if self.node is not None else ()
         return next((work for work in works if work.name == name), None)
 
-    def figures(self) -> dict:
+    def status(self) -> dict:
         if self.node is None:
             return {"fleet": {"name": self.text.name, "phase": "closed", "why": self.why}}
         return {"fleet": figures(self.node) | ({"why": self.why} if self.why else {})}
@@ -163,6 +163,6 @@
             process.code = 1
             process.loop.call_after(0, process.end)
 
-    if process.beside is None:
-        process.beside = NodeCompanion(process.loop, process.log, text, alone, follows, ended)
-    return Handed(side, process.beside)
+    if process.companion is None:
+        process.companion = NodeCompanion(process.loop, process.log, text, alone, follows, ended)
+    return Handed(side, process.companion)
--- a/indigohitch/fleet/node/headless.py
+++ b/indigohitch/fleet/node/headless.py
@@ -12,13 +12,13 @@
         self.text = text
         super().__init__(text.single["name"], text.single, text.waits)
 
-    def file_now(self) -> Text:
+    def read_operator_file(self) -> Text:
         return operator_file.load(self.text.source)
 
     def reload(self) -> None:
         """What of the file may change while it runs; a file with a mistake changes nothing."""
         try:
-            self.beside.reread(self.file_now().fleet)
+            self.companion.reread(self.read_operator_file().fleet)
         except (OSError, ValueError) as bad:
             self.log.warning("reload_failed", why=str(bad))
             return
--- a/indigohitch/fleet/node/headless_member.py
+++ b/indigohitch/fleet/node/headless_member.py
@@ -17,8 +17,8 @@
         self.follows = follows
         super().__init__(text)
 
-    def make_side(self) -> HandoverParticipant:
-        side = HeadlessHandover(self.clock, self.controls, self.control_taken, self.reload)
+    def make_participant(self) -> HandoverParticipant:
+        side = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
         return node_companion(self, side, self.text.fleet, True, self.follows)
 
 
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -79,10 +79,10 @@
         if self.following is not None:
             self.following.rescope(text.services)
 
-    def figures(self) -> dict:
+    def status(self) -> dict:
         return self.following.figures() if self.following is not None else {}
 
-    def asked(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
+    def on_command(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
         """`resources SERVICE`: what is held of it."""
         word, _, service = what.partition(" ")
         if word != "resources" or self.following is None:
@@ -123,11 +123,11 @@
 
 
 class SubscriberProcess(HeadlessProcess):
-    def make_side(self) -> HandoverParticipant:
-        if self.beside is None:
-            self.beside = Subscription(self.loop, self.log, self.text.fleet)
-        bare = HeadlessHandover(self.clock, self.controls, self.control_taken, self.reload)
-        return SubscriberSide(bare, self.beside)
+    def make_participant(self) -> HandoverParticipant:
+        if self.companion is None:
+            self.companion = Subscription(self.loop, self.log, self.text.fleet)
+        bare = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
+        return SubscriberSide(bare, self.companion)
 
 
 def main(text: Text) -> int:
--- a/indigohitch/process.py
+++ b/indigohitch/process.py
@@ -49,7 +49,7 @@
     def ready(self, readable: bool, writable: bool) -> None:
         # Each once; which of two came first the kernel does not tell: by number, a reload before the end.
         for number in sorted(set(self._wake.recv(256))):
-            self.loop.guarded(self.signalled, number)  # the end is heard though a reload fails
+            self.loop.guarded(self.on_signal, number)  # the end is heard though a reload fails
 
-    def signalled(self, number: int) -> None:
+    def on_signal(self, number: int) -> None:
         raise NotImplementedError
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -136,7 +136,7 @@
             self.loop.turn()
         return None
 
-    def signalled(self, number: int) -> None:
+    def on_signal(self, number: int) -> None:
         if number == signal.SIGUSR1:
             self.log.counters()
         elif self.phase is Phase.STARTING:
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -20,15 +20,15 @@
         self.source, self.text, self.follows = source, text, follows
         super().__init__(text.single["name"], text.single, text.waits)
 
-    def make_side(self) -> HandoverParticipant:
+    def make_participant(self) -> HandoverParticipant:
         self.host = Host(self.loop, self.log, self.text)
-        side = SidecarHandover(self.host, self.controls, self.control_taken, self.reload)
+        side = SidecarHandover(self.host, self.control_listener, self.take_over_control, self.reload)
         if self.text.fleet is None:
             return side
         from ..fleet.node.companion import node_companion
 
         side = node_companion(self, side, self.text.fleet, False, self.follows)
-        self.host.felt = self.beside.felt
+        self.host.felt = self.companion.felt
         if self.text.seats:
             from .seating import Seating
 
@@ -37,28 +37,28 @@
 
     def seat_allocator(self):
         """That seats are asked of; None while this member takes no part."""
-        work = self.beside.work("seats")
+        work = self.companion.work("seats")
         return work.allocator if work is not None else None
 
     def turn(self) -> None:
         self.host.turn()
 
-    def more_figures(self) -> dict:
+    def extra_status(self) -> dict:
         return self.host.figures()
 
     def without_state(self) -> None:
         self.host.close()
-        self.text = self.file_now()
-        self.side = self.giving.side = self.make_side()
+        self.text = self.read_operator_file()
+        self.side = self.predecessor_driver.side = self.make_participant()
 
-    def file_now(self) -> Text:
+    def read_operator_file(self) -> Text:
         return sidecar_file.load(self.source)
 
     def reload(self) -> None:
         """Servers as the file names them now; all else in it waits for an upgrade.  A file with a mistake
         changes nothing."""
         try:
-            text = self.file_now()
+            text = self.read_operator_file()
             if text.pools.keys() != self.text.pools.keys():
                 raise InvalidRequestError(
                     "other pools", self.source, "`indigohitch upgrade` puts them in force"
@@ -69,8 +69,8 @@
         self.log.count("reloads")
         if self.host.access is not None:
             self.host.access.reopen()
-        if self.beside is not None:
-            self.beside.reread(text.fleet)
+        if self.companion is not None:
+            self.companion.reread(text.fleet)
         for name, pool in self.host.pools.items():
             self.log.event("reloaded", pool=name, **pool.relist(text.pools[name].servers))
 
@@ -78,7 +78,7 @@
         self.host.accept_last()
         self.host.stop_listening()
 
-    def all_done(self) -> bool:
+    def is_done(self) -> bool:
         return self.host.finish()
 
     def close(self) -> None:
--- a/indigohitch/upgradable_process.py
+++ b/indigohitch/upgradable_process.py
@@ -34,34 +34,40 @@
         super().__init__(ProcessPhase.STARTING, name)
         self.lines, self.waits, self.code = lines, waits, 0
         self.control: ControlSocket | None = None
-        self.beside: Companion | None = None
+        self.companion: Companion | None = None
         self.state = StateFile(lines["state"], self.clock, self.log)
         self.pidfile = PidFile(lines["pidfile"], self.log)
-        self.side: HandoverParticipant = self.make_side()
-        self.askers: list[Callable[[dict], None]] = []
-        self.giving = PredecessorDriver(
-            self.loop, self.log, self.side, lines["program"], waits, self.handed_over, self.reported
+        self.side: HandoverParticipant = self.make_participant()
+        self.pending_upgrade_replies: list[Callable[[dict], None]] = []
+        self.predecessor_driver = PredecessorDriver(
+            self.loop,
+            self.log,
+            self.side,
+            lines["program"],
+            waits,
+            self.on_upgrade_finished,
+            self.on_upgrade_result,
         )
-        self.giving.taken_back = self.pidfile.write
-        self.taking: SuccessorDriver | None = None
+        self.predecessor_driver.taken_back = self.pidfile.write
+        self.successor_driver: SuccessorDriver | None = None
 
     # ---- what a program adds -----------------------------------------------------------------------
 
-    def make_side(self) -> HandoverParticipant:
+    def make_participant(self) -> HandoverParticipant:
         raise NotImplementedError
 
     def turn(self) -> None:
         """At the end of each turn of the loop."""
 
-    def more_figures(self) -> dict:
+    def extra_status(self) -> dict:
         return {}
 
-    def file_now(self) -> Text: ...  # the operator's file, read again; raises Mistakes, OSError
+    def read_operator_file(self) -> Text: ...  # the operator's file, read again; raises Mistakes, OSError
 
-    def program_now(self) -> list[str]:
+    def current_program(self) -> list[str]:
         """The line `program` as it is now; of a file with mistakes, which the new one tells, as it was."""
         try:
-            return self.file_now().single["program"]
+            return self.read_operator_file().single["program"]
         except (OSError, ValueError):
             return self.lines["program"]
 
@@ -70,7 +76,7 @@
     def begin_to_end(self) -> None:
         """Accept nobody any more."""
 
-    def all_done(self) -> bool:
+    def is_done(self) -> bool:
         """While it ends: nothing is in hand."""
         return True
 
@@ -86,8 +92,10 @@
         self.log.event("starts", pid=os.getpid(), follows=channel[1] if channel else None)
         if channel is not None:
             self.become(ProcessPhase.TAKING_OVER)
-            self.taking = SuccessorDriver(self.loop, self.log, self.side, *channel, self.begun, self.end_with)
-            self.taking.start()
+            self.successor_driver = SuccessorDriver(
+                self.loop, self.log, self.side, *channel, self.on_serving, self.exit_with
+            )
+            self.successor_driver.start()
         elif not self.start():
             return 1
         while self.phase is not ProcessPhase.ENDED:
@@ -109,7 +117,7 @@
             )
             self.become(ProcessPhase.ENDED)
             return False
-        self.begun()
+        self.on_serving()
         return True
 
     def restore(self) -> bool:
@@ -120,79 +128,79 @@
 
     def open_control(self) -> None:
         if self.control is None and self.lines["control"]:
-            self.control = ControlSocket(self.loop, self.lines["control"], self.asked)
+            self.control = ControlSocket(self.loop, self.lines["control"], self.on_command)
 
-    def controls(self) -> Listener | None:
+    def control_listener(self) -> Listener | None:
         return self.control and self.control.listener
 
-    def control_taken(self, sock: socket.socket) -> None:
+    def take_over_control(self, sock: socket.socket) -> None:
         if sock.getsockname() == self.lines["control"]:
-            self.control = ControlSocket(self.loop, self.lines["control"], self.asked, sock)
+            self.control = ControlSocket(self.loop, self.lines["control"], self.on_command, sock)
         else:
             sock.close()  # the file names another path by now
 
-    def begun(self) -> None:
-        if self.taking is not None:
+    def on_serving(self) -> None:
+        if self.successor_driver is not None:
             try:
                 self.open_control()
             except OSError as bad:
                 self.log.warning("no_control", **error_fields(bad))
         self.pidfile.write()
         self.become(ProcessPhase.SERVING)
-        if self.taking is not None and self.taking.reload:
+        if self.successor_driver is not None and self.successor_driver.reload:
             self.reload()
 
-    def end_with(self, code: int) -> None:
+    def exit_with(self, code: int) -> None:
         self.code = code
         self.become(ProcessPhase.ENDED)
 
     # ---- signals and people ------------------------------------------------------------------------
 
-    def signalled(self, number: int) -> None:
+    def on_signal(self, number: int) -> None:
         if number == signal.SIGUSR1:
             self.log.counters()
         elif number == signal.SIGUSR2:
             self.upgrade(lambda told: None)
         elif number == signal.SIGHUP:
-            if self.giving.under_way:
-                self.giving.reload_later()
+            if self.predecessor_driver.under_way:
+                self.predecessor_driver.reload_later()
             elif self.phase is ProcessPhase.TAKING_OVER:
-                self.taking.reload = True
+                self.successor_driver.reload = True
             elif self.phase is ProcessPhase.SERVING:
                 self.reload()
         else:
-            if self.taking is not None:  # once it serves it only tells the one that stands by
-                self.taking.step("told_to_end", "SIGTERM")
+            if self.successor_driver is not None:  # once it serves it only tells the one that stands by
+                self.successor_driver.step("told_to_end", "SIGTERM")
             if self.phase is ProcessPhase.SERVING:
-                self.giving.step("told_to_end", "SIGTERM")
+                self.predecessor_driver.step("told_to_end", "SIGTERM")
 
-    def asked(self, what: str, line: dict, answer: Callable[[dict], None]) -> None:
+    def on_command(self, what: str, line: dict, answer: Callable[[dict], None]) -> None:
         if what == "status":
-            answer(self.figures())
+            answer(self.status())
         elif what == "upgrade":
             self.upgrade(answer)
         elif what == "snapshot":
             answer(self.state.save(self.side))
-        elif self.beside is None or not self.beside.asked(what, line, answer):
+        elif self.companion is None or not self.companion.on_command(what, line, answer):
             answer({"error": f"no such word: {what[:40]}"})
 
-    def figures(self) -> dict:
+    def status(self) -> dict:
         return {
             "name": self.log.name,
             "pid": os.getpid(),
             "phase": self.phase.value,
-            "upgrade": self.giving.machine.phase.value,
+            "upgrade": self.predecessor_driver.machine.phase.value,
             "counters": dict(sorted(self.log.counts.items())),
-            **(self.beside.figures() if self.beside is not None else {}),
-            **self.more_figures(),
+            **(self.companion.status() if self.companion is not None else {}),
+            **self.extra_status(),
         }
 
     def upgrade(self, answer: Callable[[dict], None]) -> None:
-        follows = self.taking is not None and not self.taking.over
-        if self.phase is not ProcessPhase.SERVING or self.giving.under_way or follows:
+        follows = self.successor_driver is not None and not self.successor_driver.over
+        if self.phase is not ProcessPhase.SERVING or self.predecessor_driver.under_way or follows:
             why = (
                 "an upgrade is under way"
-                if self.giving.under_way
+                if self.predecessor_driver.under_way
                 else "the process before this one still drains"
                 if follows
                 else f"the program is {self.phase.value}"
@@ -200,25 +208,25 @@
             self.log.count("upgrades_not_now")
             answer({"result": "not now", "error": why})
             return
-        self.askers.append(answer)
-        self.giving.program = self.program_now()
-        self.giving.step("asked")
+        self.pending_upgrade_replies.append(answer)
+        self.predecessor_driver.program = self.current_program()
+        self.predecessor_driver.step("asked")
 
-    def reported(self, told: dict) -> None:
-        askers, self.askers = self.askers, []
+    def on_upgrade_result(self, told: dict) -> None:
+        askers, self.pending_upgrade_replies = self.pending_upgrade_replies, []
         for answer in askers:
             answer(told if told["result"] == "upgraded" else told | {"error": told["result"]})
 
     # ---- the end -----------------------------------------------------------------------------------
 
     @property
-    def handed(self) -> bool:
+    def is_handed_over(self) -> bool:
         """Another process is the service."""
-        return self.giving.machine.phase is Handing.ENDED
+        return self.predecessor_driver.machine.phase is Handing.ENDED
 
-    def handed_over(self) -> None:
+    def on_upgrade_finished(self) -> None:
         """The upgrade's machine has no more to do here: a new one is the service, or this was told to end."""
-        if self.handed or self.phase is not ProcessPhase.SERVING:
+        if self.is_handed_over or self.phase is not ProcessPhase.SERVING:
             self.end()
             return
         self.become(ProcessPhase.ENDING)
@@ -229,23 +237,23 @@
 
     def wait_for_last(self) -> None:
         if self.phase is ProcessPhase.ENDING:
-            if self.all_done() and (self.beside is None or self.leaves_beside()):
+            if self.is_done() and (self.companion is None or self.has_companion_left()):
                 self.end()
             else:
                 self.loop.call_after(self.POLL, self.wait_for_last)
 
-    def leaves_beside(self) -> bool:
+    def has_companion_left(self) -> bool:
         """Only once nothing is in hand that hangs on it."""
-        self.beside.leave(True)
-        return self.beside.left
+        self.companion.leave(True)
+        return self.companion.left
 
     def end(self) -> None:
         if self.phase is not ProcessPhase.ENDED:
             if self.phase is ProcessPhase.ENDING:  # with what was still sent, and counts, since
                 self.state.save(self.side)
-            if self.beside is not None:
-                self.beside.close()
+            if self.companion is not None:
+                self.companion.close()
             self.close()
             if self.control is not None:
-                self.control.close(unlink=not self.handed)
+                self.control.close(unlink=not self.is_handed_over)
             self.become(ProcessPhase.ENDED)
--- a/tests/golden_files_control.py
+++ b/tests/golden_files_control.py
@@ -108,7 +108,7 @@
 
 def told(process: UpgradableProcess, what: str) -> dict:
     found: list[dict] = []
-    process.asked(what, {"ask": what}, found.append)
+    process.on_command(what, {"ask": what}, found.append)
     return orjson.loads(orjson.dumps(found[0], default=str))
 
 
--- a/tests/golden_files_running.py
+++ b/tests/golden_files_running.py
@@ -28,7 +28,7 @@
 
 def status(process: UpgradableProcess) -> object:
     found: list[dict] = []
-    process.asked("status", {"ask": "status"}, found.append)
+    process.on_command("status", {"ask": "status"}, found.append)
     return tree(orjson.loads(orjson.dumps(found[0], default=str)))
 
 
@@ -72,11 +72,11 @@
 def subscriber() -> bytes:
     with signals_kept():
         process = SubscriberProcess(operator_file.read(SUBSCRIBER))
-        process.beside.open()
+        process.companion.open()
         try:
             return as_json({"status": status(process)})
         finally:
-            process.beside.close()
+            process.companion.close()
 
 
 RUNNING: dict[str, Callable[[], bytes]] = {
--- a/tests/test_crossing_reload.py
+++ b/tests/test_crossing_reload.py
@@ -72,7 +72,7 @@
 class Phase(enum.Enum):
     SERVING, ENDED = "serving", "ended"
 class Failing(Process):
-    def signalled(self, number):
+    def on_signal(self, number):
         if number == signal.SIGHUP:
             raise RecursionError("a defect")
         self.become(Phase.ENDED)
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -193,7 +193,7 @@
     class Hearing(Process):
         heard = []
 
-        def signalled(self, number):
+        def on_signal(self, number):
             self.heard.append(number)
 
     process = Hearing(Phase.STARTING, "n0")
--- a/tests/test_node_inside.py
+++ b/tests/test_node_inside.py
@@ -45,7 +45,7 @@
     assert not inside.node.lease(world.clock.now())
     asked(world, "v2", "note while it settles")
     old.set_accepting(False)  # the word goes out
-    assert inside.node is None and not inside.asked("status", {}, None)
+    assert inside.node is None and not inside.on_command("status", {}, None)
     del world.nodes["v1"]
     new, newer = handed(world, "v1", follows=True)
     assert newer.node is not None
