--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -96,7 +96,7 @@
         self.timer_again()
 
     def timer_again(self) -> None:
-        if due := self.front.coordinator.timer:
+        if due := self.front.coordinator.timer_due_at:
             self.front._carry([face.SetTimer(due, "beat")])
 
     def set_accepting(self, on: bool) -> None:
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -221,7 +221,7 @@
 
     def timer_again(self) -> None:
         """The module's timer, after its state came from elsewhere."""
-        if due := self.coordinator.timer:
+        if due := self.coordinator.timer_due_at:
             self.carry_out(face.SetTimer(due, "beat"))
 
     def probe(self, backend: str) -> None:
--- a/tests/test_crossing_reload.py
+++ b/tests/test_crossing_reload.py
@@ -153,7 +153,7 @@
         for part in (
             front.boot,
             front.coordinator,
-            front.coordinator.boot,
+            front.coordinator.settings,
             front.loop.pool,
             hub.pool,
             known,
