--- a/benchmarks/capacitykit/leases_cell.py
+++ b/benchmarks/capacitykit/leases_cell.py
@@ -47,7 +47,7 @@
         self.names = [f"coordinator{number}" for number in range(members)]
         roster = self.state_machine.parts["members"]
         self.membership = Membership("leader", True, roster, SPAN, DRIFT, lambda: 1)
-        self.membership.became(self.now, "leader", 1)
+        self.membership.on_role_changed(self.now, "leader", 1)
 
     def askings(self) -> list[bytes]:
         self.number += 1
@@ -61,12 +61,12 @@
         out = []
         for name, frame in zip(self.names, frames):
             for word, _ in FrameDecoder(KINDS).feed(frame):
-                out += self.membership.heard(self.now, name, word)
+                out += self.membership.on_message(self.now, name, word)
         answers = []
         while out:
             reads = [one.number for one in out if isinstance(one, ReadFirst)]
             answers += [KINDS.frame(one.word) for one in out if isinstance(one, Answer)]
-            out = [more for number in reads for more in self.membership.readable(self.now, number, True)]
+            out = [more for number in reads for more in self.membership.on_read_confirmed(self.now, number, True)]
         if len(answers) != len(self.names):
             raise RuntimeError(f"{len(answers)} of {len(self.names)} renewals were answered")
         return answers
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -59,7 +59,7 @@
         self.open_request = False  # the last Subscribe is not answered yet
         self.connecting = DistributorConnector(name, distributors, limits, chance, now)
         self.holder = LeaseHolder(limits.lease, limits.drift)
-        self.holder.begin(LEASE_INCARNATION)
+        self.holder.start(LEASE_INCARNATION)
         self.lease_here = 0  # until when answers over this connection alone let the content count as current
         self.alone = False  # no distributor answers; logged once
         self.now, self.out = now, []
@@ -85,7 +85,7 @@
     def due(self) -> int:
         """When `Due` is to come at the latest."""
         connecting = self.connecting
-        return min(connecting.due, self.holder.due) if connecting.is_connected else connecting.due
+        return min(connecting.due, self.holder.renewal_due_at) if connecting.is_connected else connecting.due
 
     @property
     def version(self) -> Version:
@@ -104,11 +104,11 @@
 
     def acting_until(self, now: int) -> int:
         """The content counts as current before this (own clock); it stands after that, but is stale."""
-        return self.holder.until
+        return self.holder.valid_until
 
     def age(self, now: int) -> int | None:
         """The content has all that was committed so long ago; None: never confirmed."""
-        return now - (self.holder.until - self.holder.length) if self.holder.until else None
+        return now - (self.holder.valid_until - self.holder.duration) if self.holder.valid_until else None
 
     def figures(self, now: int) -> dict:
         """For `status`, as plain JSON."""
@@ -127,7 +127,7 @@
             if self.now >= self.connecting.dial_at:
                 self.dial()
             return
-        left = self.connecting.leave_impatiently(self.now, self.holder.until)
+        left = self.connecting.leave_impatiently(self.now, self.holder.valid_until)
         if left is not None:
             self.out.append(left)
         elif self.connecting.is_connected:
@@ -200,7 +200,7 @@
             self.holder.drop()  # it was given for what never was
         elif added:
             # Another distributor that was ahead of this one knew nothing of what has been added.
-            self.holder.until = min(self.holder.until, self.lease_here)
+            self.holder.valid_until = min(self.holder.valid_until, self.lease_here)
         self.out.append(SendToDistributor(Acknowledge(update.number, update.version, update.digest)))
         self.out.append(UpdateApplied(update.version, changed))
         if answers:
@@ -233,18 +233,18 @@
     # ---- the lease ---------------------------------------------------------------------------------
 
     def renew_at_once(self) -> None:
-        self.holder.due = self.now
+        self.holder.renewal_due_at = self.now
         self.renew()
 
     def renew(self) -> None:
-        number = self.holder.ask(self.now)
+        number = self.holder.next_renewal(self.now)
         if number is not None:
             self.out.append(SendToDistributor(Renew(number)))
 
     def current(self, word: Current) -> None:
         if word.age is None:
             return
-        until = self.holder.heard(LeaseRenewed(word.number, LEASE_INCARNATION), word.age)
+        until = self.holder.on_renewed(LeaseRenewed(word.number, LEASE_INCARNATION), word.age)
         self.lease_here = max(self.lease_here, until)
-        if self.now < self.holder.until:
-            self.connecting.patience.current(self.holder.until)
+        if self.now < self.holder.valid_until:
+            self.connecting.patience.current(self.holder.valid_until)
--- a/indigohitch/fleet/membership/__init__.py
+++ b/indigohitch/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who belongs to the fleet and may act: incarnations, leases, the judge over versions (docs/audit.md)."""
+"""Group membership: incarnations, leases, failure detection, comparison of states (docs/audit.md)."""
--- a/indigohitch/fleet/membership/entries.py
+++ b/indigohitch/fleet/membership/entries.py
@@ -1,4 +1,4 @@
-"""The entries of the part `members`, and what the state keeps of a member and a change.  Shapes only."""
+"""Entries of the state machine part `members`, and the rows of its state.  Shapes only."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Join(Row):
-    """By `name?token`: a process that has just started, or one that was shut out and begins anew."""
+    """Proposed as `name?token` by a process that has just started, or that was evicted and joins again."""
 
     name: str
     token: int
@@ -16,21 +16,25 @@
 
 
 class Leave(Row):
-    """By the member itself, at an orderly end, after its last act."""
+    """Proposed by the member itself at an orderly shutdown, after its last action."""
 
     name: str
     incarnation: int
 
 
 class Evicted(Row):
+    """Proposed by the leader: the lease of that incarnation is renewed no more."""
+
     name: str
     incarnation: int
     why: str
 
 
 class LeaseExpired(Row):
-    """By the leader, once the lease has surely run out by its reckoning; `when` that was in fleet time,
-    0: not known."""
+    """Proposed by the leader once an evicted member's lease has expired by the leader's clock.
+
+    `when` is the fleet time of the expiry; 0 if it is not known.
+    """
 
     name: str
     incarnation: int
@@ -38,18 +42,18 @@
 
 
 class Compare(Row):
-    """A point at which every member takes the digest of its state machine."""
+    """Index at which every member takes the digest of its state machine."""
 
 
 class Agreed(Row):
-    """What most members had there: who has another shuts itself out."""
+    """Digest of the majority at that index; a member with another one stops acting."""
 
     index: int
     digest: bytes
 
 
 class Readmitted(Row):
-    """Compared and found equal at point `index`: it may act."""
+    """The member's digest at `index` is that of the majority: it may act."""
 
     name: str
     incarnation: int
@@ -57,8 +61,10 @@
 
 
 class Announce(Row):
-    """Something that members go by has changed, and no part of the state holds it (their files' classes and
-    servers): this entry is its version.  `hard` and `allowed` as in `Change`."""
+    """A change of the members' files (classes and servers), which no part of the state holds.
+
+    The index of this entry is its version; `hard` and `allowed` are those of `Change`.
+    """
 
     what: str
     hard: bool
@@ -66,35 +72,43 @@
 
 
 class InForce(Row):
-    """Every member that may act has taken all changes up to `version`.  `taken`: name, incarnation, and how
-    many acts it had stamped when it said that it goes by `version` or later; the audit holds it to that."""
+    """Every member that may act has applied all changes up to `version`.
+
+    `taken` has the name and incarnation of each, and the number of its actions stamped when it reported
+    `version` or later; the audit checks its actions against that.
+    """
 
     version: int
     taken: tuple[tuple[str, int, int], ...] = ()
 
 
 class MemberState(enum.StrEnum):
+    """State of one incarnation; it only moves forward in this order."""
+
     COMPARED = "being compared"
     VALID = "valid"
-    SHUT_OUT = "shut out"
-    GONE = "gone"
+    EVICTED = "shut out"
+    LEASE_EXPIRED = "gone"
 
 
 class Member(Row):
-    """One incarnation of a name."""
+    """One incarnation of a member."""
 
     name: str
     incarnation: int
     votes: bool
-    joined: int  # the entry
+    joined: int  # index of its entry `join`
     life: MemberState = MemberState.COMPARED
-    since: int = 0  # the entry that made it so
+    since: int = 0  # index of the entry that brought it into this state
     why: str = ""
 
 
 class Change(Row):
-    """What members must take.  `hard`: nobody may act by what was before once it is in force; else they may
-    for `allowed` longer."""
+    """A change that members must apply.
+
+    After a hard one is in force nobody may act on what was before; after another one members may for
+    `allowed` ticks longer.
+    """
 
     index: int
     what: str
@@ -102,10 +116,12 @@
     allowed: int = 0
 
 
-FORM = 1  # of the roster's snapshot
+FORM = 1  # version of the roster's snapshot
 
 
 class RosterRow(Row):
+    """Snapshot of the roster."""
+
     members: list[Member]
     highest: dict[str, int]
     tokens: dict[str, list[tuple[int, int]]]
--- a/indigohitch/fleet/membership/member_work.py
+++ b/indigohitch/fleet/membership/member_work.py
@@ -1,13 +1,13 @@
-"""One member's part in the roster: it joins, holds its lease, compares its state, and judges where it leads.
-No I/O.
+"""One member's part in the roster: it joins, holds its lease, compares its state, and leads.
 
-The process that drives it (node/): proposes under `proposer()`; sends what `renew` returns to the leader, the
-leader's own too; hands words to `heard`, roles to `became`, confirmed reads to `readable`, and carries out
-what they return at once.  It acts only under `lease(now)`, asked right before the act."""
+No I/O.  The process that drives it (node/) proposes under `proposer()`, sends what `renew` returns to the
+leader, the leader's own too, hands messages to `on_message`, roles to `on_role_changed`, confirmed reads to
+`on_read_confirmed`, and carries out what they return at once.  It acts only under `lease(now)`, read right
+before the action.
+"""
 
 from __future__ import annotations
 
-import enum
 from collections.abc import Callable, Mapping
 
 import msgspec
@@ -15,222 +15,230 @@
 from ...encoding.rows import Row
 from ..interfaces import ProposalRequest
 from ..types import Lease, LogEntry, Outcome
-from .entries import Agreed, Compare, Evicted, InForce, Join, LeaseExpired, Leave, MemberState, Readmitted
-from .failure_detector import FailureDetector
+from .entries import Join, Leave, Member, MemberState
+from .failure_detector import FailureDetector, entry_word
+from .incarnations import REPLACED_REASON
 from .leases import Answer, LeaseGrantor, LeaseHolder, ReadFirst
 from .messages import LeaseNotRenewed, LeaseRenewed, RenewLease
-from .roster import LATER, Roster
-
-
-class Phase(enum.StrEnum):
-    JOINING = "joining"  # has no incarnation
-    COMPARED = "being compared"
-    VALID = "valid"  # may act while its lease lasts
-    DIFFERS = "differs"  # its state isn't the others': it acts no more, and keeps the evidence
-    REPLACED = "replaced"  # another process of this name has joined later
-    LEFT = "left"
+from .phases import Phase
+from .roster import Roster
 
 
 class Membership:
+    """The work of the part `members` in this process."""
+
     name = "members"
 
     def __init__(
-        self, me: str, votes: bool, roster: Roster, span: int, drift: float, token: Callable[[], int]
+        self,
+        member_name: str,
+        votes: bool,
+        roster: Roster,
+        span: int,
+        drift: float,
+        make_token: Callable[[], int],
     ) -> None:
-        """`span` of a lease, `drift` as in leases.py; `token()`: 62 bits of chance, another at each call."""
-        self.me, self.votes, self.roster, self.draw = me, votes, roster, token
-        self.phase, self.incarnation, self.token = Phase.JOINING, 0, token()
+        """Creates a member that has not joined.
+
+        `span` is the duration of a lease and `drift` that of clocks, as in leases.py; `make_token()` returns
+        62 random bits, others at each call.
+        """
+        self.member_name = member_name
+        self.votes = votes
+        self.roster = roster
+        self.make_token = make_token
+        self.phase = Phase.JOINING
+        self.incarnation = 0
+        self.token = make_token()
         self.holder = LeaseHolder(span, drift)
-        self.giver = LeaseGrantor(span, drift, self.unfit)
-        self.judge = FailureDetector(roster, span, self.giver.over)
-        self.reports: dict[str, tuple[int, Mapping[str, bytes]]] = {}  # at the leader: when, by work
-        self.out: set[str] = set()  # tags of proposals whose outcome isn't known
-        self.evidence: tuple[int, bytes, bytes] | None = None  # point, own digest, that of the others
-        self.refusal = ""  # why there is no lease, as last told
+        self.grantor = LeaseGrantor(span, drift, self._ineligibility)
+        self.detector = FailureDetector(roster, span, self.grantor.has_expired)
+        self.reports: dict[str, tuple[int, Mapping[str, bytes]]] = {}  # at the leader: time, by work
+        self.pending_tags: set[str] = set()  # of proposals whose outcome isn't known
+        self.evidence: tuple[int, bytes, bytes] | None = None  # index, own digest, that of the others
+        self.refusal = ""  # why the last request got no lease
 
     def proposer(self) -> tuple[str, int]:
-        """Under which name and incarnation this process proposes."""
+        """Returns the name and incarnation under which this process proposes."""
         if self.incarnation:
-            return self.me, self.incarnation
-        return f"{self.me}?{self.token}", self.token
+            return self.member_name, self.incarnation
+        return f"{self.member_name}?{self.token}", self.token
 
     def lease(self, now: int) -> Lease | None:
-        """The right to act at this moment: by the clock, by the entries applied here, and by this state."""
-        if self.phase is not Phase.VALID or self.roster.unfit(self.me, self.incarnation):
+        """Returns the right to act now: by the clock, by the entries applied here, and by the phase."""
+        if self.phase is not Phase.VALID or self.roster.ineligibility(self.member_name, self.incarnation):
             return None
         return self.holder.lease(now)
 
-    def unfit(self, name: str, incarnation: int) -> str:
-        """Why the leader gives it no lease."""
-        return self.roster.unfit(name, incarnation) or (
-            "about to be shut out" if (name, incarnation) in self.judge.condemned else ""
+    def _ineligibility(self, name: str, incarnation: int) -> str:
+        """Returns why this leader gives that incarnation no lease, "" if it does."""
+        return self.roster.ineligibility(name, incarnation) or (
+            "about to be shut out" if (name, incarnation) in self.detector.eviction_reasons else ""
         )
 
-    # ---- words -------------------------------------------------------------------------------------
+    # ---- messages ----------------------------------------------------------------------------------
 
     def renew(self, now: int, wall: int, acts: int, reports: Mapping[str, bytes]) -> RenewLease | None:
-        """Asked each beat, with `now` read before: what goes to the leader now, if anything is due.  Compared
-        members ask too: that is how their digest comes to the leader."""
+        """Returns the request to send to the leader, None while none is due; `now` is read before.
+
+        Members that are being compared send it too: their digest comes to the leader with it.
+        """
         if self.phase not in (Phase.COMPARED, Phase.VALID):
             return None
-        if (number := self.holder.ask(now)) is None:
+        number = self.holder.next_renewal(now)
+        if number is None:
             return None
-        point = self.roster.compared
-        own = self.roster.digests.get(point, b"")
-        return RenewLease(
-            number,
-            self.incarnation,
-            self.roster.state_machine.index,
-            point if own else 0,
-            own,
-            wall,
-            acts,
-            reports,
-        )
-
-    def heard(self, now: int, sender: str, word: Row) -> list[ReadFirst | Answer]:
-        """`now` read after the word came."""
-        match word:
+        compared = self.roster.compared
+        own = self.roster.digests.get(compared, b"")
+        applied = self.roster.state_machine.index
+        return RenewLease(number, self.incarnation, applied, compared if own else 0, own, wall, acts, reports)
+
+    def on_message(self, now: int, sender: str, message: Row) -> list[ReadFirst | Answer]:
+        """Takes a message and returns what is to be done; `now` is read after it came."""
+        match message:
             case LeaseRenewed():
-                self.holder.heard(word)
+                self.holder.on_renewed(message)
                 self.refusal = ""
-            case LeaseNotRenewed() if word.incarnation == self.incarnation:
-                self.refusal = word.why
+            case LeaseNotRenewed() if message.incarnation == self.incarnation:
+                self.refusal = message.why
             case RenewLease():
-                if self.giver.term:
-                    self.judge.heard(now, sender, word)
-                    self.reports[sender] = now, word.reports
-                return self.giver.came(now, sender, word)
+                if self.grantor.term:
+                    self.detector.on_renewal(now, sender, message)
+                    self.reports[sender] = (now, message.reports)
+                return self.grantor.on_renewal(now, sender, message)
         return []
 
-    def became(self, now: int, role: str, term: int) -> None:
-        """`now` read after the votes came."""
+    def on_role_changed(self, now: int, role: str, term: int) -> None:
+        """Starts or stops leading; `now` is read after the votes came."""
         if role != "leader":
-            self.giver.deposed()
+            self.grantor.on_deposed()
             self.reports.clear()
-        elif self.giver.term != term:
-            self.giver.elected(now, term)
-            self.judge.begin(now)
+        elif self.grantor.term != term:
+            self.grantor.on_elected(now, term)
+            self.detector.start(now)
 
-    def readable(self, now: int, number: int, ok: bool) -> list[ReadFirst | Answer]:
-        """The read that `ReadFirst` asked for; the state machine has been applied up to its index."""
-        return self.giver.confirmed(now, number, ok)
+    def on_read_confirmed(self, now: int, number: int, ok: bool) -> list[ReadFirst | Answer]:
+        """Takes the result of the read that `ReadFirst` ordered; the state machine is applied up to it."""
+        return self.grantor.on_read_confirmed(now, number, ok)
 
-    def told(self, now: int, work: str) -> dict[str, bytes]:
-        """For that work's `lead`: the last report of each member heard of within a lease."""
+    def reports_for(self, now: int, work: str) -> dict[str, bytes]:
+        """Returns the last report to that work of each member that sent one within a lease."""
         return {
             name: reports[work]
-            for name, (at, reports) in self.reports.items()
-            if work in reports and now < at + self.holder.span
+            for name, (received_at, reports) in self.reports.items()
+            if work in reports and now < received_at + self.holder.span
         }
 
     # ---- as a work -----------------------------------------------------------------------------------
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
-        return self.look(now) if entry.kind.startswith("members.") else []
+        """Follows the roster after one of its entries."""
+        return self._follow_roster() if entry.kind.startswith("members.") else []
 
     def restored(self, now: int) -> list[ProposalRequest]:
-        return self.look(now)
+        """Follows the roster after a snapshot."""
+        return self._follow_roster()
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
-        return self.look(now)
-
-    def look(self, now: int) -> list[ProposalRequest]:
-        """What the state machine says of this incarnation, against what this process takes itself for."""
-        roster, agreed = self.roster, self.roster.agreed
-        own = roster.digests.get(agreed.index)
-        if own is not None and own != agreed.digest and self.phase not in (Phase.DIFFERS, Phase.LEFT):
-            self.phase, self.evidence = Phase.DIFFERS, (agreed.index, own, agreed.digest)
-            self.holder.drop()
-        if self.phase in (Phase.COMPARED, Phase.VALID) and (why := roster.unfit(self.me, self.incarnation)):
-            member = roster.members.get((self.me, self.incarnation))
-            if member is None or member.why == LATER:
-                self.phase = Phase.REPLACED
-                self.holder.drop()
-            elif member.life in (MemberState.SHUT_OUT, MemberState.GONE):
-                self.refusal = f"{why}: {member.why}"
-                self.anew()
-        elif self.phase is Phase.COMPARED:
-            self.phase = Phase.VALID
-        if self.phase is Phase.JOINING and "join" not in self.out:
-            self.out.add("join")
-            return [ProposalRequest("members.join", Join(self.me, self.token, self.votes), "join")]
+        """Follows the roster regularly."""
+        return self._follow_roster()
+
+    def _follow_roster(self) -> list[ProposalRequest]:
+        """Brings the phase of this process in line with the state of its incarnation."""
+        self._check_digest()
+        if self.phase in (Phase.COMPARED, Phase.VALID):
+            self._check_eligibility()
+        if self.phase is Phase.JOINING and "join" not in self.pending_tags:
+            self.pending_tags.add("join")
+            join = Join(self.member_name, self.token, self.votes)
+            return [ProposalRequest("members.join", join, "join")]
         return []
 
-    def anew(self) -> None:
-        """Shut out: it comes back under another incarnation, holding nothing."""
+    def _check_digest(self) -> None:
+        agreed = self.roster.agreed
+        own = self.roster.digests.get(agreed.index)
+        if own is None or own == agreed.digest or self.phase in (Phase.DIFFERS, Phase.LEFT):
+            return
+        self.phase = Phase.DIFFERS
+        self.evidence = (agreed.index, own, agreed.digest)
         self.holder.drop()
-        self.phase, self.incarnation, self.token = Phase.JOINING, 0, self.draw()
+
+    def _check_eligibility(self) -> None:
+        why = self.roster.ineligibility(self.member_name, self.incarnation)
+        if not why:
+            self.phase = Phase.VALID
+            return
+        member = self.roster.members.get((self.member_name, self.incarnation))
+        if member is None or member.why == REPLACED_REASON:
+            self.phase = Phase.REPLACED
+            self.holder.drop()
+        elif member.life in (MemberState.EVICTED, MemberState.LEASE_EXPIRED):
+            self.refusal = f"{why}: {member.why}"
+            self.rejoin()
+
+    def rejoin(self) -> None:
+        """Joins again under another incarnation without a lease."""
+        self.holder.drop()
+        self.phase = Phase.JOINING
+        self.incarnation = 0
+        self.token = self.make_token()
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
-        self.out.discard(tag)
+        """Takes the outcome of a proposal; that of `join` has the incarnation."""
+        self.pending_tags.discard(tag)
         if tag != "join" or self.phase is not Phase.JOINING or outcome is None or outcome.refused:
             return []
-        self.phase, self.incarnation = Phase.COMPARED, msgspec.msgpack.decode(outcome.told, type=int)
-        self.holder.begin(self.incarnation)
-        return self.look(now)
+        self.phase = Phase.COMPARED
+        self.incarnation = msgspec.msgpack.decode(outcome.told, type=int)
+        self.holder.start(self.incarnation)
+        return self._follow_roster()
 
     def leave(self) -> list[ProposalRequest]:
-        """At an orderly end, after the last act: what it holds is free with this entry."""
+        """Leaves in order after the last action: what it holds is free with this entry."""
         if self.phase not in (Phase.COMPARED, Phase.VALID):
             return []
         self.holder.drop()
         self.phase = Phase.LEFT
-        return [ProposalRequest("members.leave", Leave(self.me, self.incarnation), "leave")]
+        return [ProposalRequest("members.leave", Leave(self.member_name, self.incarnation), "leave")]
 
     def report(self, now: int) -> bytes:
+        """Returns nothing: the renewal itself has what the leader needs."""
         return b""
 
     def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
-        """One whose state differs proposes nothing by it: the process gives up leading (`Phase.DIFFERS`)."""
-        if not self.giver.term or self.phase is Phase.DIFFERS:
+        """Returns the detector's proposals; a leader whose state differs proposes none and resigns."""
+        if not self.grantor.term or self.phase is Phase.DIFFERS:
             return []
-        wanted = []
-        for row in self.judge.proposals(now):
-            word, about = word_of(row)
+        requests = []
+        for row in self.detector.proposals(now):
+            word, about = entry_word(row)
             tag = f"{word} {about}"
-            if tag not in self.out:
-                self.out.add(tag)
-                wanted.append(ProposalRequest(f"members.{word}", row, tag))
-        return wanted
+            if tag not in self.pending_tags:
+                self.pending_tags.add(tag)
+                requests.append(ProposalRequest(f"members.{word}", row, tag))
+        return requests
 
-    def figures(self) -> dict:
-        now_leads = bool(self.giver.term)
+    def figures(self) -> dict[str, object]:
+        """Returns what `status` shows."""
         return {
             "phase": self.phase.value,
             "incarnation": self.incarnation,
             "refusal": self.refusal,
-            "leads": now_leads,
+            "leads": bool(self.grantor.term),
             "in_force": self.roster.in_force,
             "agreed": self.roster.agreed.index,
-            "members": [
-                {
-                    "name": member.name,
-                    "incarnation": member.incarnation,
-                    "votes": member.votes,
-                    "life": member.life.value,
-                    "since": member.since,
-                    "why": member.why,
-                    **({"standing": self.judge.standing(self.judge.now, member).value} if now_leads else {}),
-                }
-                for member in self.roster.members.values()
-            ],
+            "members": [self._member_status(member) for member in self.roster.members.values()],
         }
 
-
-def word_of(row: Row) -> tuple[str, str]:
-    """The word of the judge's entry (`members.word`), and whom it is about, "" where it is about all."""
-    match row:
-        case Evicted():
-            return "shut_out", f"{row.name} {row.incarnation}"
-        case LeaseExpired():
-            return "gone", f"{row.name} {row.incarnation}"
-        case Readmitted():
-            return "back", f"{row.name} {row.incarnation}"
-        case Compare():
-            return "compare", ""
-        case Agreed():
-            return "agreed", ""
-        case InForce():
-            return "in_force", ""
-    raise TypeError(f"no entry of the judge: {row}")
+    def _member_status(self, member: Member) -> dict[str, object]:
+        status: dict[str, object] = {
+            "name": member.name,
+            "incarnation": member.incarnation,
+            "votes": member.votes,
+            "life": member.life.value,
+            "since": member.since,
+            "why": member.why,
+        }
+        if self.grantor.term:
+            status["standing"] = self.detector.standing(self.detector.last_run_at, member).value
+        return status
--- a/indigohitch/fleet/membership/messages.py
+++ b/indigohitch/fleet/membership/messages.py
@@ -1,4 +1,4 @@
-"""What a member and the leader say about leases.  Shapes only; no I/O."""
+"""Messages between a member and the leader about leases.  Shapes only; no I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class RenewLease(Row, frozen=True):
-    """A member to the leader, each quarter of a lease.  `number` counts the askings of this process."""
+    """Sent by a member to the leader each quarter of a lease; `number` counts those of this process."""
 
     number: int
     incarnation: int
-    applied: int  # the last entry that it goes by
-    digest_at: int = 0  # the last point of comparing (`members.compare`) that it passed; 0: none
+    applied: int  # index of the last entry that the member has applied
+    digest_at: int = 0  # index of the last `members.compare` that it has applied; 0: none
     digest: bytes = b""  # of its state machine there
-    wall: int = 0  # its wall clock, Unix time in tenths of a ms: hours/ takes the median
-    acts: int = 0  # how many acts it has stamped so far: the next goes by `applied` or later
+    wall: int = 0  # its wall clock, Unix time in ticks: the fleet clock takes the median
+    acts: int = 0  # number of actions that it has stamped: the next goes by `applied` or later
     reports: Mapping[str, bytes] = {}  # of its works, by name
 
 
 class LeaseRenewed(Row, frozen=True):
-    """The leader's answer, after a read confirmed by a majority that began after the asking came."""
+    """Reply of the leader, after a read confirmed by a majority that started after the request came."""
 
     number: int
     incarnation: int
@@ -29,13 +29,16 @@
 
 
 class LeaseNotRenewed(Row, frozen=True):
-    """No lease: `why`; `over`: this incarnation never gets one again.  `again`: when to ask again."""
+    """Reply that grants no lease.
+
+    With `over` this incarnation never gets one again; else the member may retry after `retry_after` ticks.
+    """
 
     number: int
     incarnation: int
     why: str
     over: bool = False
-    again: int = 1_000
+    retry_after: int = 1_000
 
 
 MESSAGE_TYPES = (RenewLease, LeaseRenewed, LeaseNotRenewed)
--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -49,4 +49,4 @@
         if node.phase is Phase.LEAVING:
             node.be(Phase.TAKING_PART)
             if node.assembly.membership.phase is Member.LEFT:
-                node.assembly.membership.anew()
+                node.assembly.membership.rejoin()
--- a/indigohitch/fleet/node/membership.py
+++ b/indigohitch/fleet/node/membership.py
@@ -46,8 +46,8 @@
     def leaves(self) -> bool:
         """It has said that it leaves, and the state machine does not say so yet."""
         membership = self.membership
-        return membership.phase is Phase.LEFT and not membership.roster.unfit(
-            membership.me, membership.incarnation
+        return membership.phase is Phase.LEFT and not membership.roster.ineligibility(
+            membership.member_name, membership.incarnation
         )
 
     def look(self) -> None:
@@ -79,16 +79,16 @@
 
     def renew(self, now: int, leader: str, reports: Callable[[int], dict[str, bytes]]) -> None:
         """To the leader, if one is due."""
-        if leader and now >= self.membership.holder.due:
+        if leader and now >= self.membership.holder.renewal_due_at:
             word = self.membership.renew(now, Clock.wall(), self.acts(), reports(now))
             if word is not None:
                 self.tell(leader, word)
 
     def heard(self, sender: MemberId, word: Row) -> None:
-        self.carry(self.membership.heard(self.clock.now(), sender.name, word))
+        self.carry(self.membership.on_message(self.clock.now(), sender.name, word))
 
     def became(self, became: RoleChanged) -> None:
-        self.membership.became(self.clock.now(), became.role, became.term)
+        self.membership.on_role_changed(self.clock.now(), became.role, became.term)
 
     def carry(self, out: list[ReadFirst | Answer]) -> None:
         for one in out:
@@ -96,7 +96,9 @@
                 case ReadFirst(number):
 
                     def done(index: int | None, number: int = number) -> None:
-                        self.carry(self.membership.readable(self.clock.now(), number, index is not None))
+                        self.carry(
+                            self.membership.on_read_confirmed(self.clock.now(), number, index is not None)
+                        )
 
                     try:
                         self.read(done)
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -212,7 +212,7 @@
         self.belonging.look()
 
     def lead(self, now: int) -> None:
-        self.working.lead(now, self.assembly.membership.told)
+        self.working.lead(now, self.assembly.membership.reports_for)
         if self.assembly.membership.phase is Member.DIFFERS:
             self.driver.step(TransferLeadership())  # nobody is to go by a state that is not the others'
 
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -86,7 +86,7 @@
         place.token,
     )
     hours = FleetClockWork(state_machine.parts["hours"], text.me, Clock.wall, place.voters)
-    membership.judge.when = hours.time
+    membership.detector.fleet_time = hours.time
 
     def trouble(bad: DirectorError) -> None:
         place.log.warning("audit", **error_fields(bad))
--- a/indigohitch/fleet/node/status.py
+++ b/indigohitch/fleet/node/status.py
@@ -41,7 +41,7 @@
         "works": node.working.figures(),
     }
     if driver.leads:
-        until = node.assembly.membership.giver.until
+        until = node.assembly.membership.grantor.granted_until
         found["leases"] = {
             f"{name} {incarnation}": max(0, end - now) / 10
             for (name, incarnation), end in sorted(until.items())
--- a/indigohitch/fleet/transport/outbound.py
+++ b/indigohitch/fleet/transport/outbound.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import enum
 import socket
 from collections.abc import Callable
 from typing import Protocol
@@ -15,6 +14,7 @@
 from ...net.loop import EventLoop
 from ..types import MemberId
 from .messages import Handshake, HandshakeAccepted, HandshakeRefused, Ping, Pong
+from .phases import Phase
 
 # A connect or a handshake that takes longer than this on one site's network comes to nothing.
 HANDSHAKE_TIMEOUT = SECOND
@@ -30,16 +30,6 @@
 SEND_BUFFER_BYTES = 128 << 10
 
 
-class Phase(enum.Enum):
-    """Phase of a dialled link."""
-
-    RESTING = "resting"
-    DIALLING = "dialling"
-    GREETING = "greeting"  # connected; the other end has not replied to the handshake
-    OPEN = "open"
-    CLOSED = "closed"
-
-
 class Dialler(Protocol):
     """Owner of dialled links.  `chance` returns random numbers in [0, 1), for the jitter of the backoff."""
 
--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -54,7 +54,7 @@
         self.words = [word for word in self.words if word[0] > self.time]
         for _, sender, to, word in due:
             if self.hears(to, sender) or to is sender and to.stopped <= self.time:
-                self.carry(to, to.membership.heard(to.now(self.time), sender.name, word))
+                self.carry(to, to.membership.on_message(to.now(self.time), sender.name, word))
 
     def elect(self):
         fit = [m for m in self.members.values() if self.leading(m)]
@@ -64,7 +64,7 @@
         self.term += 1
         self.log.append(LogEntry(len(self.log) + 1, self.term, "", b""))
         self.leader.leads, self.lost = self.term, self.time
-        self.leader.membership.became(self.leader.now(self.time), "leader", self.term)
+        self.leader.membership.on_role_changed(self.leader.now(self.time), "leader", self.term)
 
     def take(self, member):
         """What the leader tells it: entries, and that it leads no more."""
@@ -72,7 +72,7 @@
             return
         if member.leads and member is not self.leader:
             member.leads = 0
-            member.membership.became(member.now(self.time), "follower", self.term)
+            member.membership.on_role_changed(member.now(self.time), "follower", self.term)
         room = len(self.log) if member is self.leader else member.state_machine.index + member.slow
         for entry in self.log[member.state_machine.index : room]:
             outcome = member.state_machine.apply(entry)
@@ -93,7 +93,7 @@
         member.wants += own.turn(now, own.lease(now)) + member.auditing.turn(now, own.lease(now))
         if member.leads:
             member.wants += own.lead(now, {})
-            self.standings |= {own.judge.standing(now, m) for m in own.roster.members.values()}
+            self.standings |= {own.detector.standing(now, m) for m in own.roster.members.values()}
         wants, member.wants = member.wants, []
         for wanted in wants:
             self.propose(member, wanted.kind, wanted.body, wanted.tag)
@@ -133,7 +133,7 @@
                     self.send(member, self.members[to], word)
                 case ReadFirst(number) if member is self.leader and self.leading(member):
                     if member.state_machine.index == len(self.log):
-                        self.carry(member, member.membership.readable(member.now(self.time), number, True))
+                        self.carry(member, member.membership.on_read_confirmed(member.now(self.time), number, True))
 
     def act(self, member, now):
         things = member.state_machine.parts["things"].held
--- a/tests/golden/fleet/write_frames.py
+++ b/tests/golden/fleet/write_frames.py
@@ -71,7 +71,7 @@
     members.LeaseRenewed(number=40, incarnation=4),
     members.LeaseRenewed(number=40, incarnation=4, term=3),
     members.LeaseNotRenewed(number=40, incarnation=4, why="shut out"),
-    members.LeaseNotRenewed(number=40, incarnation=4, why="shut out", over=True, again=2_000),
+    members.LeaseNotRenewed(number=40, incarnation=4, why="shut out", over=True, retry_after=2_000),
     node.Forward(proposal=PROPOSAL),
     node.ProposalRejected(proposer="b", incarnation=4, number=70_000, again=500),
     node.ReadIndexRequest(number=17),
--- a/tests/golden/fleet/write_rows.py
+++ b/tests/golden/fleet/write_rows.py
@@ -109,8 +109,8 @@
         wishes.Readmitted,
         wishes.InForce,
     )
-    membership.giver.term = 1
-    membership.judge.proposals = lambda now: [Filler().row(cls) for cls in rows]
+    membership.grantor.term = 1
+    membership.detector.proposals = lambda now: [Filler().row(cls) for cls in rows]
     return [wanted.kind for wanted in membership.lead(0, {})]
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -81,12 +81,12 @@
 def test_a_guard_taken_away_is_found_by_the_rules(guard, monkeypatch):
     match guard:
         case "over":  # given on as soon as it is shut out
-            monkeypatch.setattr(LeaseGrantor, "over", lambda *_: True)
+            monkeypatch.setattr(LeaseGrantor, "has_expired", lambda *_: True)
         case "lease":  # a member acts until it hears that it is shut out
             monkeypatch.setattr("indigohitch.fleet.membership.leases.holder_span", lambda *_: 10**9)
         case "in_force":  # in force without asking who has taken it
             monkeypatch.setattr(
-                "indigohitch.fleet.membership.failure_detector.FailureDetector.took", lambda *_: True
+                "indigohitch.fleet.membership.failure_detector.FailureDetector.has_taken", lambda *_: True
             )
     with pytest.raises(AssertionError, match="acts on|acts by"):
         stalled(cut=guard == "lease")
@@ -110,7 +110,7 @@
 def test_a_holder_that_hears_nothing_is_shut_out(cut):
     world, one = stalled(cut)
     roster = world.leader.state_machine.parts["members"]
-    assert one.membership.lease(one.now(world.time)) is None and roster.unfit(one.name, 1) == "gone"
+    assert one.membership.lease(one.now(world.time)) is None and roster.ineligibility(one.name, 1) == "gone"
     assert roster.in_force and not roster.changes
 
 
@@ -147,7 +147,7 @@
     world.run(8)
     assert one.membership.lease(one.now(world.time)) is None
     roster = world.leader.state_machine.parts["members"]
-    assert not roster.changes and roster.in_force and roster.unfit(one.name, 1)
+    assert not roster.changes and roster.in_force and roster.ineligibility(one.name, 1)
     assert {MemberStanding.BEHIND, MemberStanding.STRAGGLER, MemberStanding.EVICTED} <= world.standings
     one.slow = 200
     world.run(4)
@@ -163,7 +163,7 @@
     assert one.membership.phase is Phase.DIFFERS and one.store.evidence
     assert one.membership.lease(one.now(world.time)) is None
     assert "acts no more" in str(one.troubles[0]) and one.troubles[0].remedy
-    assert world.leader.state_machine.parts["members"].unfit(one.name, 1)
+    assert world.leader.state_machine.parts["members"].ineligibility(one.name, 1)
     assert sum(m.membership.phase is Phase.VALID for m in world.members.values()) == 4
 
 
@@ -190,7 +190,7 @@
         world.step()
     held = world.leader.state_machine.parts["things"].held
     assert not any(by == (one.name, 1) for by in held.values())
-    assert world.leader.state_machine.parts["members"].unfit(one.name, 1) == "gone"
+    assert world.leader.state_machine.parts["members"].ineligibility(one.name, 1) == "gone"
 
 
 def test_a_roster_restored_is_the_same():
@@ -209,4 +209,4 @@
         world.propose(world.leader, "things.take", Take("x"))
         world.run(1)
     roster = world.leader.state_machine.parts["members"]
-    assert roster.unfit(one.name, 1) == "gone" and "takes no entry" in roster.members[one.name, 1].why
+    assert roster.ineligibility(one.name, 1) == "gone" and "takes no entry" in roster.members[one.name, 1].why
--- a/tests/test_members_leases.py
+++ b/tests/test_members_leases.py
@@ -23,8 +23,8 @@
         self.rates, self.time = rates, 0
         self.holder, self.first = LeaseHolder(SPAN, DRIFT), LeaseGrantor(SPAN, DRIFT, lambda *_: "")
         self.second = LeaseGrantor(SPAN, DRIFT, lambda *_: "")
-        self.holder.begin(1)
-        self.first.elected(0, 1)
+        self.holder.start(1)
+        self.first.on_elected(0, 1)
         self.asked, self.told, self.read, self.confirmed, self.out = [], [], 0, 0, False
 
     def clock(self, n):
@@ -34,7 +34,7 @@
         """What may happen next, by name."""
         if self.time < END:
             yield "wait"
-        if self.holder.number < ASKINGS and self.clock(0) >= self.holder.due:
+        if self.holder.number < ASKINGS and self.clock(0) >= self.holder.renewal_due_at:
             yield "ask"
         yield from (["come"] if self.asked else []) + (["hear"] if self.told else [])
         if self.read and not self.confirmed and not self.second.term:
@@ -61,10 +61,10 @@
         self.time += 1
 
     def ask(self):
-        self.asked = self.asked + [RenewLease(self.holder.ask(self.clock(0)), 1, 0)]
+        self.asked = self.asked + [RenewLease(self.holder.next_renewal(self.clock(0)), 1, 0)]
 
     def come(self):
-        self.carry(self.first.came(self.clock(1), "m", self.asked[0]))
+        self.carry(self.first.on_renewal(self.clock(1), "m", self.asked[0]))
         self.asked = self.asked[1:]
 
     def confirm(self):
@@ -72,13 +72,13 @@
 
     def answer(self):
         number, self.confirmed, self.read = self.confirmed, 0, 0
-        self.carry(self.first.confirmed(self.clock(1), number))
+        self.carry(self.first.on_read_confirmed(self.clock(1), number))
 
     def elect(self):
-        self.second.elected(self.clock(2), 2)
+        self.second.on_elected(self.clock(2), 2)
 
     def hear(self):
-        self.holder.heard(self.told[0])
+        self.holder.on_renewed(self.told[0])
         self.told = self.told[1:]
 
     def carry(self, outs):
@@ -92,22 +92,22 @@
     def broken(self):
         """Someone would give on what the member still holds."""
         return self.holder.lease(self.clock(0)) is not None and (
-            self.second.over(self.clock(2), "m", 1)
+            self.second.has_expired(self.clock(2), "m", 1)
             or not self.second.term
-            and self.first.over(self.clock(1), "m", 1)
+            and self.first.has_expired(self.clock(1), "m", 1)
         )
 
     def key(self):
         first, second = self.first, self.second
         return (
             self.time,
-            self.holder.until,
+            self.holder.valid_until,
             tuple(self.holder.sent.items()),
-            first.assumed,
-            tuple(first.until.items()),
+            first.assumed_until,
+            tuple(first.granted_until.items()),
             len(first.waiting),
             first.round and first.round.number,
-            second.assumed,
+            second.assumed_until,
             len(self.asked),
             len(self.told),
             self.told[0].number if self.told else 0,
@@ -136,7 +136,7 @@
 
 
 def unread(self, now, name, word):
-    return [Answer(name, self.answer(now, name, word, True))]
+    return [Answer(name, self._reply(now, name, word, True))]
 
 
 @pytest.mark.parametrize("guard", ["from_hearing", "holder_drift", "giver_drift", "election", "read"])
@@ -145,25 +145,25 @@
         case "from_hearing":  # the holder counts from when the answer came
             monkeypatch.setattr(
                 LeaseHolder,
-                "heard",
+                "on_renewed",
                 lambda self, word: (
-                    setattr(self, "until", SPAN + max(self.sent.values()))
+                    setattr(self, "valid_until", SPAN + max(self.sent.values()))
                     if word.number in self.sent
                     else None
                 ),
             )
         case "holder_drift":
-            monkeypatch.setattr(leases, "held", lambda span, drift: span)
+            monkeypatch.setattr(leases, "holder_span", lambda span, drift: span)
         case "giver_drift":
-            monkeypatch.setattr(leases, "given", lambda span, drift: span)
+            monkeypatch.setattr(leases, "grantor_span", lambda span, drift: span)
         case "election":  # what another leader gave is not thought of
             monkeypatch.setattr(
                 LeaseGrantor,
-                "over",
-                lambda self, now, *one: bool(self.term) and now >= (self.until.get(one, 0)),
+                "has_expired",
+                lambda self, now, *one: bool(self.term) and now >= (self.granted_until.get(one, 0)),
             )
         case "read":  # the leader answers without asking whether it still leads
-            monkeypatch.setattr(LeaseGrantor, "came", unread)
+            monkeypatch.setattr(LeaseGrantor, "on_renewal", unread)
     assert any(walked(rates)[1] for rates in itertools.product(RATES, repeat=3))
 
 
@@ -184,14 +184,14 @@
 def test_a_round_of_answers_looks_through_all_leases_once():
     """Found by make bench-capacity: it was once for each answer, 3.9 s a round for 6,500 members."""
     giver, members = LeaseGrantor(SPAN, DRIFT, lambda *_: ""), [f"m{number}" for number in range(300)]
-    giver.elected(0, 1)
-    until = giver.until = Counting({(name, 1): 40 for name in members} | {("ended", 1): 30})
+    giver.on_elected(0, 1)
+    until = giver.granted_until = Counting({(name, 1): 40 for name in members} | {("ended", 1): 30})
     for name in members:
-        giver.came(30, name, RenewLease(1, 1, 0, 0, b"", 0, 0, {}))
+        giver.on_renewal(30, name, RenewLease(1, 1, 0, 0, b"", 0, 0, {}))
     answers = []
     while giver.round is not None:
-        answers += [one for one in giver.confirmed(30, giver.reads) if isinstance(one, Answer)]
+        answers += [one for one in giver.on_read_confirmed(30, giver.reads) if isinstance(one, Answer)]
     assert len(answers) == 300 and all(isinstance(one.word, LeaseRenewed) for one in answers)
     assert until.looks == 1
-    assert giver.until == {(name, 1): 30 + giver.length for name in members}
-    assert giver.over(30, "ended", 1) and not giver.over(30, "m0", 1)
+    assert giver.granted_until == {(name, 1): 30 + giver.duration for name in members}
+    assert giver.has_expired(30, "ended", 1) and not giver.has_expired(30, "m0", 1)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -141,7 +141,7 @@
     world.until(lambda: node.leaving.left)
     assert world.until(lambda: world.leader(but=leader)) in others
     assert not node.lease(world.clock.now())
-    assert node.state_machine.parts["members"].unfit(leader, incarnation)
+    assert node.state_machine.parts["members"].ineligibility(leader, incarnation)
     node.leaving.stay()  # the upgrade was called off
     world.valid()
     assert node.assembly.membership.incarnation > incarnation
