--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -85,7 +85,7 @@
             self._turned(backend, state)
         if self.leaving and self.grace and not self.checking:
             self.checking = True
-            self.loop.after(self.CHECK, self.check)
+            self.loop.call_after(self.CHECK, self.check)
 
     def _no_more_listed(self, states: dict[str, str]) -> None:
         """A whole list names none that is gone; one that it lacks stays known while a line is left there."""
@@ -127,7 +127,7 @@
         """Orders that stand, of which those that shut a backend out are read here."""
         for order in orders:
             if isinstance(order, face.EjectBackend):
-                (self.withdrawn.add if order.out else self.withdrawn.discard)(order.backend)
+                (self.withdrawn.add if order.ejected else self.withdrawn.discard)(order.backend)
 
     def check(self) -> None:
         """Look for lines that stand too long; again while any backend leaves."""
@@ -144,7 +144,7 @@
         self.given = {number: at for number, at in self.given.items() if at > over}
         if self.leaving:
             self.checking = True
-            self.loop.after(self.CHECK, self.check)
+            self.loop.call_after(self.CHECK, self.check)
 
     def _without_lines(self, backend: str, departure: DrainingBackend, now: int) -> None:
         if departure.done is None:
