--- a/benchmarks/capacitykit/module_cell.py
+++ b/benchmarks/capacitykit/module_cell.py
@@ -60,7 +60,7 @@
             if isinstance(order, face.SetRoute):
                 self.set_line(order)
             elif isinstance(order, face.UpdateMarker):
-                mark = order.mark
+                mark = order.marker
         if mark is not None and self.proxies:
             answers = [face.UpdateAcknowledged(proxy, mark, 3000) for proxy in range(self.proxies)]
             self.turn(answers, SECOND // 10)
@@ -102,7 +102,7 @@
 
     def asked(self) -> list[str]:
         """The backends with a probe out."""
-        return [backend.id for backend in self.module.backends.values() if backend.probe_out]
+        return [backend.id for backend in self.module.backends.values() if backend.probe_sent_at]
 
 
 def measure(backends: int, slices: int, proxies: int, coordinators: int) -> dict[str, float]:
--- a/indigohitch/fleet/audit/heads.py
+++ b/indigohitch/fleet/audit/heads.py
@@ -107,7 +107,7 @@
     def on_member_evicted(self, at: EntryContext, name: str, incarnation: int) -> None:
         self.of(name, incarnation).shut_out = at.index
 
-    def on_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
+    def on_member_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
         kept = self.of(name, incarnation)
         kept.gone, kept.gone_at = at.index, when
 
--- a/indigohitch/fleet/interfaces.py
+++ b/indigohitch/fleet/interfaces.py
@@ -70,13 +70,13 @@
 
 @runtime_checkable
 class LeaseEndedListener(Protocol):
-    def on_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
-        """As `member_gone`, which follows; `when`: fleet time at which its lease had run out, or 0."""
+    def on_member_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
+        """Called before `on_member_lease_expired`; `when`: fleet time when the lease had run out, or 0."""
 
 
 @runtime_checkable
 class LeaseExpiredListener(Protocol):
-    def on_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_member_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
         """That incarnation holds nothing any more: its lease has surely run out, or it left by itself."""
 
 
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -129,7 +129,9 @@
             self.first.inquire(self.client.to, self.waiting[0])
             self._wait_until(self.first.repeat_at(in_reach=False), self._repeat)
             return
-        if len(self.waiting) > 1 and (self.bounds.pace.most or self.guard.late_lines(self.waiting[0])):
+        if len(self.waiting) > 1 and (
+            self.bounds.pace.max_messages or self.guard.late_lines(self.waiting[0])
+        ):
             self._gather()
         if not self._without_late_lines() or self._must_wait():
             return
@@ -156,7 +158,7 @@
         """The one due time; None: nothing is waited for."""
         if self.due is not None:
             self.due.cancel()
-        self.due = None if when is None else self.loop.at(when, then or self._call)
+        self.due = None if when is None else self.loop.call_at(when, then or self._call)
 
     def _gather(self) -> None:
         """All that waits goes as one, also what is in doubt: each call is a message to every proxy."""
--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -35,13 +35,15 @@
 
     def apply(self, at, word, body):
         if word == "alter":
-            self.state_machine.parts["members"].changed(at, "contract", body.hard, SECOND)
-        elif body.what in self.held or self.state_machine.parts["members"].unfit(at.proposer, at.incarnation):
+            self.state_machine.parts["members"].add_change(at, "contract", body.hard, SECOND)
+        elif body.what in self.held or self.state_machine.parts["members"].ineligibility(
+            at.proposer, at.incarnation
+        ):
             raise InvalidRequestError("held")
         else:
             self.held[body.what] = (at.proposer, at.incarnation)
 
-    def on_lease_expired(self, at, name, incarnation):
+    def on_member_lease_expired(self, at, name, incarnation):
         self.held = {what: by for what, by in self.held.items() if by != (name, incarnation)}
 
     def row(self):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -97,7 +97,7 @@
     assert heads.of("m", 1).digest == acting.acts.chain.head
     with pytest.raises(InvalidRequestError):
         heads.apply(EntryContext(61, 1, 0, "n", 1), "head", Head("m", 1, 50, b""))
-    heads.on_lease_ended(EntryContext(62, 1, 0, "l", 1), "m", 1, 0)
+    heads.on_member_lease_ended(EntryContext(62, 1, 0, "l", 1), "m", 1, 0)
     with pytest.raises(InvalidRequestError):
         heads.apply(at, "head", Head("m", 1, 50, b""))
     other = Heads()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -178,10 +178,10 @@
         "LeaseNotRenewed",
         "Forward",
         "ProposalRejected",
-        "ReadAsk",
-        "ReadAt",
-        "Admit",
-        "Admitted",
+        "ReadIndexRequest",
+        "ReadIndexResponse",
+        "JoinRequest",
+        "JoinResponse",
     ]
 
 
