--- a/benchmarks/distribution_cost.py
+++ b/benchmarks/distribution_cost.py
@@ -47,7 +47,7 @@
         self.bytes = {"update": 0, "other": 0}
         self.updates = 0
         self.part = DistributionPart()
-        self.machine = Distributor("d0", self.part.catalogue, Limits(), self.now)
+        self.machine = Distributor("d0", self.part.store, Limits(), self.now)
         self.services = [f"service-{number:04}.internal" for number in range(SERVICES)]
         self.keys = [
             (self.services[n % SERVICES], f"10.{n >> 8 & 255}.{n & 255}.1:8080") for n in range(RESOURCES)
@@ -159,11 +159,11 @@
         self.distributor(interfaces.Tick())
 
     def right(self) -> bool:
-        catalogue = self.part.catalogue
+        catalogue = self.part.store
         return all(
             machine.resources(service) == catalogue.resources(service)
             for machine in self.subscribers.values()
-            for service in machine.wanted
+            for service in machine.services
         )
 
 
--- a/indigohitch/fleet/distribution/admin_requests.py
+++ b/indigohitch/fleet/distribution/admin_requests.py
@@ -17,21 +17,21 @@
 COMMANDS = {"set": SetResources, "replace": ReplaceResources, "remove": RemoveResources}
 
 
-def parse_entry(word: str, services: object) -> Row:
+def parse_entry(command: str, services: object) -> Row:
     """Raises Unfit."""
-    kind = COMMANDS.get(word)
-    if kind is None:
+    row_type = COMMANDS.get(command)
+    if row_type is None:
         raise InvalidRequestError(
-            f"no such word: distribute {word[:40]}", "", f"one of {', '.join(COMMANDS)}, as {FORM}"
+            f"no such word: distribute {command[:40]}", "", f"one of {', '.join(COMMANDS)}, as {FORM}"
         )
     if not isinstance(services, Mapping) or not services:
         raise InvalidRequestError("no services are named", "", f"as {FORM}")
-    if kind is RemoveResources:
+    if row_type is RemoveResources:
         return RemoveResources(
             tuple(ServiceKeys(name, parse_keys(name, keys)) for name, keys in services.items())
         )
     found = (ServiceResources(name, parse_resources(name, given)) for name, given in services.items())
-    return kind(tuple(found))
+    return row_type(tuple(found))
 
 
 def parse_keys(service: str, keys: object) -> tuple[str, ...]:
--- a/indigohitch/fleet/distribution/connection_deadlines.py
+++ b/indigohitch/fleet/distribution/connection_deadlines.py
@@ -16,51 +16,53 @@
 
 
 class ConnectionDeadlines:
-    def __init__(self, limits: SubscriberLimits, chance: random.Random, now: int) -> None:
-        self.limits, self.chance = limits, chance
-        self.heard_at = now  # a word of any distributor; at first the start
+    def __init__(self, limits: SubscriberLimits, random_source: random.Random, now: int) -> None:
+        self.limits, self.random_source = limits, random_source
+        self.last_message_at = now  # a word of any distributor; at first the start
         self.silent_at = self.stale_at = self.home_at = NEVER
-        self.silent_times = self.stale_times = self.home_times = 0  # left for that reason in a row
+        self.silent_count = self.stale_count = self.home_count = 0  # left for that reason in a row
 
     @property
     def due(self) -> int:
         return min(self.silent_at, self.stale_at, self.home_at)
 
-    def await_word(self, now: int) -> None:
+    def await_message(self, now: int) -> None:
         """Twice the patience after each that was silent: whoever asks the next one too early only adds to the
         load that made the first one late."""
         doublings = (
-            0 if now - self.heard_at > PARTITION_TIMEOUT else min(self.silent_times, MAX_SILENT_DOUBLINGS)
+            0
+            if now - self.last_message_at > PARTITION_TIMEOUT
+            else min(self.silent_count, MAX_SILENT_DOUBLINGS)
         )
-        self.silent_at = now + (self.limits.answer << doublings)
+        self.silent_at = now + (self.limits.response_timeout << doublings)
 
-    def heard(self, now: int) -> None:
-        self.heard_at = now
-        self.await_word(now)
+    def on_message(self, now: int) -> None:
+        self.last_message_at = now
+        self.await_message(now)
 
-    def connected(self, now: int, first_choice: bool) -> None:
-        self.heard(now)
+    def on_connected(self, now: int, is_preferred: bool) -> None:
+        self.on_message(now)
         self.await_current(now)
-        if first_choice:
-            self.home_at, self.home_times = NEVER, 0
+        if is_preferred:
+            self.home_at, self.home_count = NEVER, 0
         else:
-            span = self.limits.home << min(self.home_times, MAX_DOUBLINGS)
-            self.home_at = now + span + self.chance.randrange(span + 1)
+            away = self.limits.home_retry << min(self.home_count, MAX_DOUBLINGS)
+            self.home_at = now + away + self.random_source.randrange(away + 1)
 
     def await_current(self, now: int) -> None:
         """It has a lease, doubled each time that all were left in vain, to bring the content up to date."""
-        self.stale_at = now + (self.limits.lease << min(self.stale_times, MAX_DOUBLINGS))
+        self.stale_at = now + (self.limits.lease << min(self.stale_count, MAX_DOUBLINGS))
 
-    def current(self, until: int) -> None:
+    def on_current(self, lease_until: int) -> None:
         """Once it was brought up to date, it is left as soon as the lease runs out."""
-        self.silent_times = self.stale_times = 0
-        self.stale_at = until
+        self.silent_count = self.stale_count = 0
+        self.stale_at = lease_until
 
-    def left_silent(self) -> None:
-        self.silent_times += 1
+    def on_left_silent(self) -> None:
+        self.silent_count += 1
 
-    def left_stale(self) -> None:
-        self.stale_times += 1
+    def on_left_stale(self) -> None:
+        self.stale_count += 1
 
-    def left_for_home(self) -> None:
-        self.home_times += 1
+    def on_left_for_home(self) -> None:
+        self.home_count += 1
--- a/indigohitch/fleet/distribution/content.py
+++ b/indigohitch/fleet/distribution/content.py
@@ -30,8 +30,8 @@
     def digest(self) -> bytes:
         """Made when it is first asked for: a burst of changes costs one."""
         if not self._digest:
-            said = msgspec.msgpack.encode([self.service, sorted(self.bodies.items())])
-            self._digest = digest(said, SERVICE_SALT)
+            encoded = msgspec.msgpack.encode([self.service, sorted(self.bodies.items())])
+            self._digest = digest(encoded, SERVICE_SALT)
         return self._digest
 
     def with_changes(self, changed: Iterable[Resource], removed: Iterable[str]) -> ServiceContent:
--- a/indigohitch/fleet/distribution/convergence.py
+++ b/indigohitch/fleet/distribution/convergence.py
@@ -61,23 +61,23 @@
         self.departed: dict[SubscriberName, DepartedSubscriber] = {}
         self.number = 0
 
-    def arrives(self, name: SubscriberName) -> None:
+    def on_connected(self, name: SubscriberName) -> None:
         self.departed.pop(name, None)
 
-    def departs(self, now: int, subscription: Subscription) -> None:
+    def on_disconnected(self, now: int, subscription: Subscription) -> None:
         self.departed[subscription.subscriber] = DepartedSubscriber(
-            subscription.acknowledged, subscription.acting_until, now + self.limits.remembered
+            subscription.acknowledged, subscription.acting_until, now + self.limits.departed_retention
         )
 
-    def seen_elsewhere(self, report: Report) -> None:
+    def forget_connected_elsewhere(self, report: Report) -> None:
         """Those lost here that are connected there."""
         if self.departed and report.connected:
-            there = split_marks(report.connected)
+            connected = split_marks(report.connected)
             self.departed = {
-                name: one for name, one in self.departed.items() if subscriber_mark(name) not in there
+                name: one for name, one in self.departed.items() if subscriber_mark(name) not in connected
             }
 
-    def sweep(self, now: int) -> None:
+    def forget_expired(self, now: int) -> None:
         for name in [name for name, one in self.departed.items() if now >= one.forget_at]:
             del self.departed[name]
 
@@ -85,7 +85,7 @@
         self,
         now: int,
         version: Version,
-        catalogue: ResourceStore,
+        store: ResourceStore,
         subscriptions: Collection[Subscription],
         ledger_age: int | None,
     ) -> Report:
@@ -94,7 +94,7 @@
             (each for each in subscriptions if each.missing is not None),
             key=lambda each: each.missing.version,
         )
-        joining = [each for each in subscriptions if each.missing is None and not each.confirmed]
+        joining = [each for each in subscriptions if each.missing is None and not each.is_confirmed]
         behind = tuple(behind_row(now, each, version) for each in (lacking + joining)[:MAX_NAMED])
         lost = tuple(
             Unreachable(name, one.acknowledged, max(0, one.acting_until - now))
@@ -105,8 +105,8 @@
             self.name,
             self.number,
             version,
-            version_in_force(version, catalogue, lacking),
-            max((now - each.missing.since for each in lacking), default=0),
+            version_in_force(version, store, lacking),
+            max((now - each.missing.applied_at for each in lacking), default=0),
             ledger_age,
             len(subscriptions),
             len(lacking) + len(joining),
@@ -123,39 +123,41 @@
         subscription.subscriber,
         subscription.acknowledged,
         missing.version if missing is not None else version,
-        now - missing.since if missing is not None else 0,
+        now - missing.applied_at if missing is not None else 0,
     )
 
 
-def version_in_force(version: Version, catalogue: ResourceStore, lacking: list[Subscription]) -> Version:
+def version_in_force(version: Version, store: ResourceStore, lacking: list[Subscription]) -> Version:
     """The last version before the oldest change that one of them lacks."""
     if not lacking:
         return version
-    before = catalogue.before(lacking[0].missing.version)
+    before = store.before(lacking[0].missing.version)
     return before if before is not None else min(each.acknowledged for each in lacking)
 
 
 class FleetConvergence:
     """Of all distributors, at one of them."""
 
-    def __init__(self, name: DistributorName, others: Collection[DistributorName], limits: Limits) -> None:
+    def __init__(self, name: DistributorName, expected: Collection[DistributorName], limits: Limits) -> None:
         self.name, self.limits = name, limits
-        self.others = frozenset(others) - {name}
+        self.expected = frozenset(expected) - {name}
         self.reports: dict[DistributorName, tuple[Report, int]] = {}  # with when it came
 
-    def heard(self, now: int, report: Report) -> None:
+    def on_report(self, now: int, report: Report) -> None:
         known = self.reports.get(report.distributor)
         fresh = known is None or report.number > known[0].number or now - known[1] > REPORT_TIMEOUT
         if report.distributor != self.name and fresh:
             self.reports[report.distributor] = report, now
-        for name in [name for name, one in self.reports.items() if now - one[1] > self.limits.remembered]:
+        for name in [
+            name for name, one in self.reports.items() if now - one[1] > self.limits.departed_retention
+        ]:
             del self.reports[name]
 
-    def in_force(self, now: int, own: Report) -> ConvergenceReport:
+    def in_force(self, now: int, own_report: Report) -> ConvergenceReport:
         """`own`: of this distributor, made now."""
-        heard = {name: one for name, one in self.reports.items() if now - one[1] <= REPORT_TIMEOUT}
-        reports = [(own, 0), *((report, now - at) for report, at in heard.values())]
-        silent = (self.others | self.reports.keys()) - heard.keys()
+        recent = {name: one for name, one in self.reports.items() if now - one[1] <= REPORT_TIMEOUT}
+        reports = [(own_report, 0), *((report, now - at) for report, at in recent.values())]
+        silent = (self.expected | self.reports.keys()) - recent.keys()
         newest = max(report.version for report, _ in reports)
         serving = [(report, age) for report, age in reports if report.subscribers]
         connected = set().union(*(split_marks(report.connected) for report, _ in reports))
@@ -176,11 +178,11 @@
             ],
             len(lost),
             named[:MAX_NAMED],
-            self.acting(named, len(lost)),
+            self.longest_acting(named, len(lost)),
             tuple(sorted(silent)),
         )
 
-    def acting(self, named: Collection[Unreachable], lost: int) -> int:
+    def longest_acting(self, named: Collection[Unreachable], lost: int) -> int:
         """Of those that are not named it is known only that they hold no more than a whole lease."""
         if lost > len(named):
             return grantor_span(self.limits.lease, self.limits.drift)
--- a/indigohitch/fleet/distribution/distributor.py
+++ b/indigohitch/fleet/distribution/distributor.py
@@ -39,117 +39,117 @@
     def __init__(
         self,
         name: DistributorName,
-        catalogue: ResourceStore,
+        store: ResourceStore,
         limits: Limits,
         now: int,
         others: Collection[DistributorName] = (),
     ) -> None:
-        self.name, self.catalogue, self.limits = name, catalogue, limits
-        self.tally = ConvergenceTracker(name, limits)
-        self.fleet = FleetConvergence(name, others, limits)
-        self.serving = SubscriptionServer(catalogue, limits, self.tally, now)
-        self.announced = catalogue.version  # the subscriptions were told of all changes up to it
+        self.name, self.store, self.limits = name, store, limits
+        self.tracker = ConvergenceTracker(name, limits)
+        self.fleet_convergence = FleetConvergence(name, others, limits)
+        self.server = SubscriptionServer(store, limits, self.tracker, now)
+        self.announced_version = store.version  # the subscriptions were told of all changes up to it
         self.sweep_at = now + SWEEP_INTERVAL
-        self.steps = {
-            SubscriberConnected: self.joined,
-            MessageReceived: self.heard,
-            SubscriberDisconnected: self.left,
-            ResourcesChanged: self.changed,
-            ResourcesReplaced: self.replaced,
-            CaughtUp: self.level_reached,
-            ReportReceived: self.heard_report,
-            ShutdownStarted: self.close_all,
-            Tick: self.sweep,
+        self.handlers = {
+            SubscriberConnected: self.on_subscriber_connected,
+            MessageReceived: self.on_message,
+            SubscriberDisconnected: self.on_subscriber_disconnected,
+            ResourcesChanged: self.on_resources_changed,
+            ResourcesReplaced: self.on_resources_replaced,
+            CaughtUp: self.on_caught_up,
+            ReportReceived: self.on_report,
+            ShutdownStarted: self.on_shutdown,
+            Tick: self.on_tick,
         }
 
     # ---- from outside ------------------------------------------------------------------------------
 
-    def step(self, now: int, input: DistributorInput) -> list[DistributorOutput]:
+    def step(self, now: int, event: DistributorInput) -> list[DistributorOutput]:
         """What to do, in order."""
-        self.serving.now = now
-        self.steps[type(input)](input)
-        return self.serving.take()
+        self.server.now = now
+        self.handlers[type(event)](event)
+        return self.server.take_outputs()
 
     @property
     def due(self) -> int:
         """When `Due` is to come at the latest."""
-        next_update = self.serving.admission.due(self.serving.now)
+        next_update = self.server.admission.next_due(self.server.now)
         return self.sweep_at if next_update is None else min(self.sweep_at, next_update)
 
     def report(self, now: int) -> Report:
         """For the other distributors, once a second or so."""
-        level, served = self.serving.level, self.serving.subscribers.served()
-        ledger_age = now - level if level else None
-        return self.tally.report(now, self.announced, self.catalogue, served, ledger_age)
+        caught_up_at, served = self.server.caught_up_at, self.server.subscribers.subscribed()
+        ledger_age = now - caught_up_at if caught_up_at else None
+        return self.tracker.report(now, self.announced_version, self.store, served, ledger_age)
 
     def in_force(self, now: int) -> ConvergenceReport:
         """Fleet-wide, from the own subscribers and the reports heard."""
-        return self.fleet.in_force(now, self.report(now))
+        return self.fleet_convergence.in_force(now, self.report(now))
 
-    def figures(self, now: int) -> dict:
+    def status(self, now: int) -> dict:
         """For `status`, as plain JSON."""
-        report, admission = self.report(now), self.serving.admission
+        report, admission = self.report(now), self.server.admission
         return {
-            "version": self.catalogue.version.text(),
+            "version": self.store.version.text(),
             "ledger_age": report.ledger_age,
             "subscribers": report.subscribers,
             "in_force": report.in_force.text(),
             "in_force_age": report.in_force_age,
             "behind": report.behind_count,
-            "lost": len(self.tally.departed),
+            "lost": len(self.tracker.departed),
             "large_bytes": admission.large_bytes,
-            "large_waiting": len(admission.large),
+            "large_waiting": len(admission.waiting_large),
         }
 
     # ---- inputs ------------------------------------------------------------------------------------
 
-    def joined(self, input: SubscriberConnected) -> None:
-        self.serving.subscribers.join(input.connection, input.subscriber)
+    def on_subscriber_connected(self, event: SubscriberConnected) -> None:
+        self.server.subscribers.add(event.connection, event.subscriber)
 
-    def heard(self, input: MessageReceived) -> None:
-        self.serving.heard(input)
+    def on_message(self, event: MessageReceived) -> None:
+        self.server.on_message(event)
 
-    def left(self, input: SubscriberDisconnected) -> None:
-        self.serving.forget(input.connection)
+    def on_subscriber_disconnected(self, event: SubscriberDisconnected) -> None:
+        self.server.forget(event.connection)
 
-    def close_all(self, input: ShutdownStarted) -> None:
-        self.serving.closing = True
-        for connection in list(self.serving.subscribers.names):
-            self.serving.refuse(connection, DistributorClosingError("this distributor is about to end"))
+    def on_shutdown(self, event: ShutdownStarted) -> None:
+        self.server.is_shutting_down = True
+        for connection in list(self.server.subscribers.names):
+            self.server.refuse(connection, DistributorClosingError("this distributor is about to end"))
 
-    def changed(self, input: ResourcesChanged) -> None:
+    def on_resources_changed(self, event: ResourcesChanged) -> None:
         missing = self.announce()
-        subscribers = self.serving.subscribers
-        for service in input.services:
+        subscribers = self.server.subscribers
+        for service in event.services:
             for connection in subscribers.by_service.get(service, ()):
-                subscribers.subscriptions[connection].changed(service, missing)
-                self.serving.admission.want(connection)
+                subscribers.subscriptions[connection].on_service_changed(service, missing)
+                self.server.admission.enqueue(connection)
 
-    def replaced(self, input: ResourcesReplaced) -> None:
+    def on_resources_replaced(self, event: ResourcesReplaced) -> None:
         missing = self.announce()
-        for connection, subscription in self.serving.subscribers.subscriptions.items():
-            subscription.catalogue_replaced(missing)
-            self.serving.admission.want(connection)
+        for connection, subscription in self.server.subscribers.subscriptions.items():
+            subscription.on_store_replaced(missing)
+            self.server.admission.enqueue(connection)
 
     def announce(self) -> MissingChange:
         """The oldest change since the last that the subscriptions were told of."""
-        oldest = self.catalogue.after(self.announced)
-        self.announced = self.catalogue.version
-        return MissingChange(oldest, self.serving.now, self.serving.level)
-
-    def level_reached(self, input: CaughtUp) -> None:
-        if not self.serving.level:
-            fields = {"version": self.catalogue.version.text()}
-            self.serving.out.append(Note("distributor_level", fields))
-        self.serving.level_reached(input.asked)
-
-    def heard_report(self, input: ReportReceived) -> None:
-        self.fleet.heard(self.serving.now, input.report)
-        self.tally.seen_elsewhere(input.report)
-
-    def sweep(self, input: Tick) -> None:
-        now = self.serving.now
+        oldest = self.store.after(self.announced_version)
+        self.announced_version = self.store.version
+        return MissingChange(oldest, self.server.now, self.server.caught_up_at)
+
+    def on_caught_up(self, event: CaughtUp) -> None:
+        if not self.server.caught_up_at:
+            fields = {"version": self.store.version.text()}
+            self.server.outputs.append(Note("distributor_level", fields))
+        self.server.on_caught_up(event.confirmed_at)
+
+    def on_report(self, event: ReportReceived) -> None:
+        self.fleet_convergence.on_report(self.server.now, event.report)
+        self.tracker.forget_connected_elsewhere(event.report)
+
+    def on_tick(self, event: Tick) -> None:
+        now = self.server.now
         if now >= self.sweep_at:
             self.sweep_at = now + SWEEP_INTERVAL
-            self.serving.sweep()
-            self.tally.sweep(now)
+            self.server.close_overdue()
+            self.tracker.forget_expired(now)
--- a/indigohitch/fleet/distribution/distributor_choice.py
+++ b/indigohitch/fleet/distribution/distributor_choice.py
@@ -39,42 +39,42 @@
         subscriber: SubscriberName,
         distributors: Mapping[DistributorName, float],
         limits: SubscriberLimits,
-        chance: random.Random,
+        random_source: random.Random,
     ) -> None:
         self.order = rendezvous_order(subscriber, distributors)
-        self.limits, self.chance = limits, chance
+        self.limits, self.random_source = limits, random_source
         self.not_before = dict.fromkeys(self.order, 0)
         self.failures = dict.fromkeys(self.order, 0)  # in a row
 
     @property
-    def first(self) -> DistributorName:
+    def preferred(self) -> DistributorName:
         return self.order[0]
 
-    def next(self, now: int) -> DistributorName | None:
+    def next_available(self, now: int) -> DistributorName | None:
         """The most preferred that may be asked now."""
         return next((name for name in self.order if self.not_before[name] <= now), None)
 
-    def next_at(self) -> int:
+    def next_attempt_at(self) -> int:
         """When one may be asked."""
         return min(self.not_before.values())
 
-    def failed(self, now: int, name: DistributorName) -> None:
+    def on_failed(self, now: int, name: DistributorName) -> None:
         """It did not answer, or its connection ended: exponential backoff with jitter."""
         doublings = min(self.failures[name], MAX_DOUBLINGS)
         self.failures[name] += 1
-        backoff = min(self.limits.backoff << doublings, self.limits.most_backoff)
-        self.wait(now, name, backoff)
+        backoff = min(self.limits.backoff << doublings, self.limits.max_backoff)
+        self.delay(now, name, backoff)
 
-    def refused(self, now: int, name: DistributorName, again: int) -> None:
-        self.wait(now, name, again)
+    def on_refused(self, now: int, name: DistributorName, retry_after: int) -> None:
+        self.delay(now, name, retry_after)
 
-    def served(self, name: DistributorName) -> None:
+    def on_served(self, name: DistributorName) -> None:
         self.failures[name] = 0
 
-    def wait(self, now: int, name: DistributorName, span: int) -> None:
+    def delay(self, now: int, name: DistributorName, duration: int) -> None:
         """Between one and two spans."""
-        self.not_before[name] = now + span + self.chance.randrange(span + 1)
+        self.not_before[name] = now + duration + self.random_source.randrange(duration + 1)
 
-    def none_answers(self) -> bool:
+    def have_all_failed(self) -> bool:
         """Each has failed since it was last of use."""
         return all(self.failures.values())
--- a/indigohitch/fleet/distribution/distributor_connector.py
+++ b/indigohitch/fleet/distribution/distributor_connector.py
@@ -26,12 +26,12 @@
         name: SubscriberName,
         distributors: Mapping[DistributorName, float],
         limits: SubscriberLimits,
-        chance: random.Random,
+        random_source: random.Random,
         now: int,
     ) -> None:
-        self.limits, self.chance = limits, chance
-        self.choice = DistributorChoice(name, distributors, limits, chance)
-        self.patience = ConnectionDeadlines(limits, chance, now)
+        self.limits, self.random_source = limits, random_source
+        self.choice = DistributorChoice(name, distributors, limits, random_source)
+        self.deadlines = ConnectionDeadlines(limits, random_source, now)
         self.phase = ConnectionPhase.WAITING
         self.distributor: DistributorName = ""
         self.dial_at = now
@@ -44,62 +44,62 @@
     def due(self) -> int:
         if self.phase is ConnectionPhase.WAITING:
             return self.dial_at
-        return self.patience.silent_at if self.phase is ConnectionPhase.DIALLING else self.patience.due
+        return self.deadlines.silent_at if self.phase is ConnectionPhase.DIALLING else self.deadlines.due
 
     def dial(self, now: int) -> Dial | None:
         """None: all have failed or refused a moment ago; `dial_at` says when one may be asked."""
-        chosen = self.choice.next(now)
+        chosen = self.choice.next_available(now)
         if chosen is None:
-            self.dial_at = max(self.choice.next_at(), now + 1)
+            self.dial_at = max(self.choice.next_attempt_at(), now + 1)
             return None
         self.phase, self.distributor = ConnectionPhase.DIALLING, chosen
-        self.patience.await_word(now)
+        self.deadlines.await_message(now)
         return Dial(chosen)
 
-    def connected(self, now: int, distributor: DistributorName) -> bool:
+    def on_connected(self, now: int, distributor: DistributorName) -> bool:
         """False: it is not the one that was dialled last."""
         if self.phase is not ConnectionPhase.DIALLING or distributor != self.distributor:
             return False
         self.phase = ConnectionPhase.SUBSCRIBING
-        self.patience.connected(now, distributor == self.choice.first)
+        self.deadlines.on_connected(now, distributor == self.choice.preferred)
         return True
 
-    def served(self) -> None:
+    def on_served(self) -> None:
         self.phase = ConnectionPhase.SERVED
-        self.choice.served(self.distributor)
+        self.choice.on_served(self.distributor)
 
-    def lost(self, now: int, distributor: DistributorName) -> None:
+    def on_lost(self, now: int, distributor: DistributorName) -> None:
         if self.phase is not ConnectionPhase.WAITING and distributor == self.distributor:
-            self.choice.failed(now, distributor)
-            self.wait(now)
+            self.choice.on_failed(now, distributor)
+            self.schedule_dial(now)
 
-    def leave_impatiently(self, now: int, lease_until: int) -> Disconnect | None:
+    def leave_if_overdue(self, now: int, lease_until: int) -> Disconnect | None:
         """None: there is no cause to leave."""
-        patience = self.patience
-        if now >= patience.silent_at:
-            patience.left_silent()
+        deadlines = self.deadlines
+        if now >= deadlines.silent_at:
+            deadlines.on_left_silent()
             return self.leave(now, "no answer", failed=True)
         if self.phase is ConnectionPhase.DIALLING:
             return None
-        if now >= max(patience.stale_at, lease_until):
-            patience.left_stale()
-            return self.leave(now, "lags behind the ledger", again=self.limits.lease)
-        if now >= patience.home_at:
-            patience.left_for_home()
+        if now >= max(deadlines.stale_at, lease_until):
+            deadlines.on_left_stale()
+            return self.leave(now, "lags behind the ledger", retry_after=self.limits.lease)
+        if now >= deadlines.home_at:
+            deadlines.on_left_for_home()
             return self.leave(now, "the first choice is tried again")
         return None
 
-    def leave(self, now: int, why: str, failed: bool = False, again: int = 0) -> Disconnect:
+    def leave(self, now: int, reason: str, failed: bool = False, retry_after: int = 0) -> Disconnect:
         """`again`: not there before so long."""
-        left = self.distributor
+        distributor = self.distributor
         if failed:
-            self.choice.failed(now, left)
-        elif again:
-            self.choice.refused(now, left, again)
-        self.wait(now)
-        return Disconnect(left, why)
+            self.choice.on_failed(now, distributor)
+        elif retry_after:
+            self.choice.on_refused(now, distributor, retry_after)
+        self.schedule_dial(now)
+        return Disconnect(distributor, reason)
 
-    def wait(self, now: int) -> None:
+    def schedule_dial(self, now: int) -> None:
         """Subscribers that lose one distributor together don't come to the next one together."""
         self.phase, self.distributor = ConnectionPhase.WAITING, ""
-        self.dial_at = now + self.chance.randrange(self.limits.first_delay + 1)
+        self.dial_at = now + self.random_source.randrange(self.limits.first_delay + 1)
--- a/indigohitch/fleet/distribution/distributor_listener.py
+++ b/indigohitch/fleet/distribution/distributor_listener.py
@@ -44,73 +44,73 @@
         loop: EventLoop,
         log: Log,
         fleet: str,
-        me: MemberId,
+        member: MemberId,
         token: int,
         machine: Distributor,
         limits: Limits,
     ) -> None:
-        self.loop, self.log, self.fleet, self.me, self.token = loop, log, fleet, me, token
+        self.loop, self.log, self.fleet, self.member, self.token = loop, log, fleet, member, token
         self.limits = limits
-        self.arrivals = Acceptor(
+        self.acceptor = Acceptor(
             loop, log, MESSAGE_TYPES, self, "subscribers", MAX_UNIDENTIFIED, BufferPool(BUFFER_POOL_BYTES)
         )
         self.connections: dict[int, InboundLink] = {}
         self.numbers: dict[InboundLink, int] = {}
-        self.last = self.sent = 0  # number of the last connection; bytes
-        self.stepping = MachineDriver(loop, machine, self.carry)
+        self.last_number = self.bytes_sent = 0  # number of the last connection; bytes
+        self.driver = MachineDriver(loop, machine, self.execute)
 
-    def start(self, at: tuple[str, int]) -> None:
+    def start(self, address: tuple[str, int]) -> None:
         """Raises OSError where the address can't be had."""
-        self.arrivals.start(at)
-        self.log.event("distributes", address=f"{at[0]}:{at[1]}")
+        self.acceptor.start(address)
+        self.log.event("distributes", address=f"{address[0]}:{address[1]}")
 
     @property
-    def open(self) -> bool:
-        return self.arrivals.listener is not None
+    def is_listening(self) -> bool:
+        return self.acceptor.listener is not None
 
     def beat(self, now: int) -> None:
-        self.arrivals.beat(now)
-        for number, one in list(self.connections.items()):
-            if now - one.heard_at > SUBSCRIBER_TIMEOUT:
+        self.acceptor.beat(now)
+        for number, link in list(self.connections.items()):
+            if now - link.heard_at > SUBSCRIBER_TIMEOUT:
                 self.drop(number, "silent", "see whether it runs; it comes back by itself")
             else:
-                one.connection.outgoing.trim()
+                link.connection.outgoing.trim()
 
-    def drop(self, number: int, why: str, remedy: str) -> None:
-        one = self.connections[number]
-        self.log.warning("subscriber_dropped", subscriber=one.who.name, why=why, remedy=remedy)
-        one.close()
+    def drop(self, number: int, reason: str, remedy: str) -> None:
+        link = self.connections[number]
+        self.log.warning("subscriber_dropped", subscriber=link.who.name, why=reason, remedy=remedy)
+        link.close()
 
     # ---- who comes ---------------------------------------------------------------------------------
 
-    def greeted(self, one: InboundLink, greeting: links.Handshake) -> None:
-        why, kind = refused_subscriber(greeting, self.fleet)
-        if why:
-            self.log.warning("subscriber_refused", why=why, remedy=REMEDIES[kind])
-            one.answer(links.HandshakeRefused(why))
-            one.close()
+    def greeted(self, link: InboundLink, greeting: links.Handshake) -> None:
+        reason, kind = refused_subscriber(greeting, self.fleet)
+        if reason:
+            self.log.warning("subscriber_refused", why=reason, remedy=REMEDIES[kind])
+            link.answer(links.HandshakeRefused(reason))
+            link.close()
             return
-        self.last += 1
-        one.who, one.token = greeting.who, greeting.token
-        self.connections[self.last], self.numbers[one] = one, self.last
-        one.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
-        one.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
-        one.answer(links.HandshakeAccepted(self.me, self.token))
-        self.stepping.step(SubscriberConnected(self.last, greeting.who.name))
-
-    def heard(self, one: InboundLink, word: Row) -> None:
-        if one in self.numbers:
-            self.stepping.step(MessageReceived(self.numbers[one], word))
-
-    def gone(self, one: InboundLink) -> None:
-        number = self.numbers.pop(one, None)
+        self.last_number += 1
+        link.who, link.token = greeting.who, greeting.token
+        self.connections[self.last_number], self.numbers[link] = link, self.last_number
+        link.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
+        link.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
+        link.answer(links.HandshakeAccepted(self.member, self.token))
+        self.driver.step(SubscriberConnected(self.last_number, greeting.who.name))
+
+    def heard(self, link: InboundLink, message: Row) -> None:
+        if link in self.numbers:
+            self.driver.step(MessageReceived(self.numbers[link], message))
+
+    def gone(self, link: InboundLink) -> None:
+        number = self.numbers.pop(link, None)
         if number is not None:
             del self.connections[number]
-            self.stepping.step(SubscriberDisconnected(number))
+            self.driver.step(SubscriberDisconnected(number))
 
     # ---- what the machine wants --------------------------------------------------------------------
 
-    def carry(self, output: DistributorOutput) -> None:
+    def execute(self, output: DistributorOutput) -> None:
         match output:
             case SendToSubscriber(number, message):
                 self.send(number, message)
@@ -120,31 +120,35 @@
                 self.log.event(event, **fields)
 
     def send(self, number: int, message: Row) -> None:
-        one = self.connections.get(number)
-        if one is None:
+        link = self.connections.get(number)
+        if link is None:
             return
         data = MESSAGE_TYPES.frame(message)
-        if not one.put(data):
+        if not link.put(data):
             self.drop(number, "it does not read", "see whether it runs; it comes back by itself")
             return
-        self.sent += len(data)
-        one.connection.outgoing.trim()
+        self.bytes_sent += len(data)
+        link.connection.outgoing.trim()
 
     def close_one(self, number: int) -> None:
         """The machine knows."""
-        one = self.connections.pop(number, None)
-        if one is not None:
-            del self.numbers[one]
-            one.close()
+        link = self.connections.pop(number, None)
+        if link is not None:
+            del self.numbers[link]
+            link.close()
 
     # ---- the end -----------------------------------------------------------------------------------
 
     def close(self) -> None:
-        self.arrivals.close()
-        self.stepping.step(ShutdownStarted())
-        self.stepping.end()
+        self.acceptor.close()
+        self.driver.step(ShutdownStarted())
+        self.driver.stop()
         for number in list(self.connections):
             self.close_one(number)
 
-    def figures(self) -> dict:
-        return {"listens": self.open, "connections": len(self.connections), "bytes_sent": self.sent}
+    def status(self) -> dict:
+        return {
+            "listens": self.is_listening,
+            "connections": len(self.connections),
+            "bytes_sent": self.bytes_sent,
+        }
--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -52,17 +52,17 @@
         read: ConfirmedRead,
         say: Callable[[str, Row], bool],
     ) -> None:
-        self.loop, self.log, self.me, self.addresses = loop, log, me, addresses
-        self.part, self.read, self.say = part, read, say
-        self.machine = Distributor(me, part.catalogue, LIMITS, loop.clock.now(), self.others)
-        self.connections = DistributorListener(loop, log, fleet, MemberId(me, 0), token, self.machine, LIMITS)
+        self.loop, self.log, self.member_name, self.addresses = loop, log, me, addresses
+        self.replicated_part, self.confirmed_read, self.send = part, read, say
+        self.machine = Distributor(me, part.store, LIMITS, loop.clock.now(), self.others)
+        self.listener = DistributorListener(loop, log, fleet, MemberId(me, 0), token, self.machine, LIMITS)
         self.listen_due = self.confirm_due = self.report_due = 0
-        self.reading = False
-        self.closed = False
+        self.is_reading = False
+        self.is_closed = False
 
     @property
     def others(self) -> Collection[str]:
-        return [name for name in self.addresses if name != self.me]
+        return [name for name in self.addresses if name != self.member_name]
 
     # ---- from the ledger ---------------------------------------------------------------------------
 
@@ -70,11 +70,11 @@
         if entry.kind.startswith("distribution.") and not outcome.refused and not outcome.doubled:
             services = msgspec.msgpack.decode(outcome.told, type=tuple[str, ...])
             if services:
-                self.connections.stepping.step(ResourcesChanged(services))
+                self.listener.driver.step(ResourcesChanged(services))
         return []
 
     def restored(self, now: int) -> list[ProposalRequest]:
-        self.connections.stepping.step(ResourcesReplaced())
+        self.listener.driver.step(ResourcesReplaced())
         return []
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
@@ -89,95 +89,95 @@
     # ---- the beat ----------------------------------------------------------------------------------
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
-        if self.closed:
+        if self.is_closed:
             return []
-        if not self.connections.open and now >= self.listen_due:
+        if not self.listener.is_listening and now >= self.listen_due:
             self.listen(now)
         if now >= self.confirm_due:
             self.confirm_due = now + CONFIRM_INTERVAL
-            self.confirm(now)
+            self.confirm_read(now)
         if now >= self.report_due:
             self.report_due = now + REPORT_INTERVAL
-            self.connections.beat(now)
-            self.tell(now)
+            self.listener.beat(now)
+            self.send_reports(now)
         return []
 
     def listen(self, now: int) -> None:
-        wanted = LIMITS.subscribers + RESERVED_DESCRIPTORS
-        if (allowed := raise_file_limit(wanted)) < wanted:
-            remedy = f"raise the limit on descriptors to {wanted}"
-            self.log.warning("descriptors_few", allowed=allowed, wanted=wanted, remedy=remedy)
+        needed = LIMITS.subscribers + RESERVED_DESCRIPTORS
+        if (allowed := raise_file_limit(needed)) < needed:
+            remedy = f"raise the limit on descriptors to {needed}"
+            self.log.warning("descriptors_few", allowed=allowed, wanted=needed, remedy=remedy)
         try:
-            self.connections.start(self.addresses[self.me])
-        except OSError as bad:
+            self.listener.start(self.addresses[self.member_name])
+        except OSError as error:
             self.listen_due = now + LISTEN_RETRY_DELAY
-            self.log.warning("distributor_cannot_listen", **error_fields(bad, "free the address"))
+            self.log.warning("distributor_cannot_listen", **error_fields(error, "free the address"))
 
-    def confirm(self, now: int) -> None:
-        def done(index: int | None) -> None:
+    def confirm_read(self, now: int) -> None:
+        def on_confirmed(index: int | None) -> None:
             # In a turn of its own: the entry that completes a read is told to the machine after this.
-            self.reading = False
+            self.is_reading = False
             if index is not None:
-                self.loop.after(0, lambda: self.connections.stepping.step(CaughtUp(now)))
+                self.loop.after(0, lambda: self.listener.driver.step(CaughtUp(now)))
 
-        if self.reading:
+        if self.is_reading:
             return
-        self.reading = True
+        self.is_reading = True
         try:
-            self.read(done)
+            self.confirmed_read(on_confirmed)
         except UnavailableError:
-            self.reading = False
+            self.is_reading = False
 
-    def tell(self, now: int) -> None:
+    def send_reports(self, now: int) -> None:
         report = self.machine.report(now)
         for name in self.others:
-            self.say(name, report)
+            self.send(name, report)
 
-    def heard_report(self, who: MemberId, word: Report) -> None:
-        if not self.closed and who.name == word.distributor:
-            self.connections.stepping.step(ReportReceived(word))
+    def on_report(self, sender: MemberId, report: Report) -> None:
+        if not self.is_closed and sender.name == report.distributor:
+            self.listener.driver.step(ReportReceived(report))
 
     # ---- the end, and people -----------------------------------------------------------------------
 
     def close(self) -> None:
         """Its port may be another process' from here on."""
-        self.closed = True
-        self.connections.close()
+        self.is_closed = True
+        self.listener.close()
 
     def figures(self) -> dict:
         now = self.loop.clock.now()
         in_force = convergence_status(self.machine.in_force(now))
-        return self.connections.figures() | self.machine.figures(now) | {"in_force": in_force}
+        return self.listener.status() | self.machine.status(now) | {"in_force": in_force}
 
 
-def convergence_status(found: ConvergenceReport) -> dict:
+def convergence_status(report: ConvergenceReport) -> dict:
     """As `status` names it; times in tenths of a millisecond."""
     return {
-        "version": found.version.text(),
-        "newest": found.newest.text(),
-        "age": found.age,
-        "subscribers": found.subscribers,
-        "behind_count": found.behind_count,
-        "behind": [behind_status(one) for one in found.behind],
-        "unreachable_count": found.unreachable_count,
-        "unreachable": [unreachable_status(one) for one in found.unreachable],
-        "acting": found.acting,
-        "silent": list(found.silent),
+        "version": report.version.text(),
+        "newest": report.newest.text(),
+        "age": report.age,
+        "subscribers": report.subscribers,
+        "behind_count": report.behind_count,
+        "behind": [behind_status(row) for row in report.behind],
+        "unreachable_count": report.unreachable_count,
+        "unreachable": [unreachable_status(row) for row in report.unreachable],
+        "acting": report.acting,
+        "silent": list(report.silent),
     }
 
 
-def behind_status(one: Behind) -> dict:
+def behind_status(row: Behind) -> dict:
     return {
-        "subscriber": one.subscriber,
-        "acknowledged": one.acknowledged.text(),
-        "missing": one.missing.text(),
-        "age": one.age,
+        "subscriber": row.subscriber,
+        "acknowledged": row.acknowledged.text(),
+        "missing": row.missing.text(),
+        "age": row.age,
     }
 
 
-def unreachable_status(one: Unreachable) -> dict:
+def unreachable_status(row: Unreachable) -> dict:
     return {
-        "subscriber": one.subscriber,
-        "acknowledged": one.acknowledged.text(),
-        "acting": one.acting,
+        "subscriber": row.subscriber,
+        "acknowledged": row.acknowledged.text(),
+        "acting": row.acting,
     }
--- a/indigohitch/fleet/distribution/interfaces.py
+++ b/indigohitch/fleet/distribution/interfaces.py
@@ -58,7 +58,7 @@
 class CaughtUp:
     """All that was committed at `asked` (own clock, before the confirmed read went out) is applied here."""
 
-    asked: int
+    confirmed_at: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -100,7 +100,7 @@
     """The dialled distributor did not answer, or its connection has ended."""
 
     distributor: DistributorName
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -136,7 +136,7 @@
     """Of a distributor: once what was sent is out."""
 
     connection: int
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -151,7 +151,7 @@
     """Of a subscriber: close the connection, no `Lost` follows."""
 
     distributor: DistributorName
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
--- a/indigohitch/fleet/distribution/limits.py
+++ b/indigohitch/fleet/distribution/limits.py
@@ -17,15 +17,17 @@
     update_bytes: int = 1 << 20  # of one update
     small_bytes: int = 4 << 10  # an update up to this is sent at once, a larger one when there is room
     large_bytes: int = 4 << 20  # of all updates larger than that which are out unacknowledged
-    pace: int = SECOND // 2  # between two updates to one subscriber: changes between them become one update
-    sends: int = 64  # updates in one step, so that a burst leaves the loop to others
-    acknowledge: int = 5 * SECOND  # an update that is not answered by then ends the connection
+    update_interval: int = (
+        SECOND // 2
+    )  # between two updates to one subscriber: changes between them become one update
+    max_sends_per_step: int = 64  # updates in one step, so that a burst leaves the loop to others
+    acknowledge_timeout: int = 5 * SECOND  # an update that is not answered by then ends the connection
     # How long content counts as current without being confirmed: who lags is left in time for 6 s.
     lease: int = 4 * SECOND
     drift: float = 0.01  # clocks differ by at most this part
-    remembered: int = 600 * SECOND  # how long a lost subscriber is reported as unreachable
-    again: int = 2 * SECOND  # when a refused subscriber may return
-    rejections: int = 3  # updates in a row that one subscriber may reject
+    departed_retention: int = 600 * SECOND  # how long a lost subscriber is reported as unreachable
+    retry_after: int = 2 * SECOND  # when a refused subscriber may return
+    max_rejections: int = 3  # updates in a row that one subscriber may reject
     resume: bool = True
     guard_versions: bool = True
 
@@ -38,7 +40,11 @@
     drift: float = 0.01
     first_delay: int = SECOND // 2  # a lost connection: the next is dialled within this, at random
     backoff: int = SECOND // 2  # after a failure, doubled with each in a row
-    most_backoff: int = 2 * SECOND  # what is reachable again is in force within 6 s
-    answer: int = 5 * SECOND // 2  # a distributor that is silent for so long is left: it is asked each second
-    home: int = 60 * SECOND  # away from the first choice: between one and two of this until it is tried again
+    max_backoff: int = 2 * SECOND  # what is reachable again is in force within 6 s
+    response_timeout: int = (
+        5 * SECOND // 2
+    )  # a distributor that is silent for so long is left: it is asked each second
+    home_retry: int = (
+        60 * SECOND
+    )  # away from the first choice: between one and two of this until it is tried again
     guard_versions: bool = True
--- a/indigohitch/fleet/distribution/machine_driver.py
+++ b/indigohitch/fleet/distribution/machine_driver.py
@@ -19,28 +19,28 @@
 
 
 class MachineDriver:
-    def __init__(self, loop: EventLoop, machine: Machine, carry: Callable[[object], None]) -> None:
-        self.loop, self.machine, self.carry = loop, machine, carry
-        self.waiting: deque = deque()
-        self.busy = self.ended = False
+    def __init__(self, loop: EventLoop, machine: Machine, execute: Callable[[object], None]) -> None:
+        self.loop, self.machine, self.execute = loop, machine, execute
+        self.pending: deque = deque()
+        self.busy = self.stopped = False
         self.timer = DueTimer(loop, lambda: self.machine.due, lambda: self.step(Tick()))
 
     def step(self, input) -> None:
-        if self.ended:
+        if self.stopped:
             return
-        self.waiting.append(input)
+        self.pending.append(input)
         if self.busy:
             return
         self.busy = True
         try:
-            while self.waiting:
-                for output in self.machine.step(self.loop.clock.now(), self.waiting.popleft()):
-                    self.carry(output)
+            while self.pending:
+                for output in self.machine.step(self.loop.clock.now(), self.pending.popleft()):
+                    self.execute(output)
         finally:
             self.busy = False
         self.timer.arm()
 
-    def end(self) -> None:
-        self.ended = True
-        self.waiting.clear()
+    def stop(self) -> None:
+        self.stopped = True
+        self.pending.clear()
         self.timer.cancel()
--- a/indigohitch/fleet/distribution/replicated_part.py
+++ b/indigohitch/fleet/distribution/replicated_part.py
@@ -54,38 +54,38 @@
     state_machine: StateMachine
 
     def __init__(self) -> None:
-        self.catalogue = ResourceStore()
+        self.store = ResourceStore()
 
     def apply(
-        self, at: EntryContext, word: str, body: SetResources | RemoveResources | ReplaceResources
+        self, context: EntryContext, word: str, body: SetResources | RemoveResources | ReplaceResources
     ) -> tuple[ServiceName, ...]:
-        version = Version(at.term, at.index)
+        version = Version(context.term, context.index)
         if len({each.service for each in body.services}) < len(body.services):
             raise InvalidRequestError(
                 "a service is named twice", remedy="name all of its resources in one place"
             )
         if isinstance(body, RemoveResources):
-            return self.catalogue.apply(version, {}, {each.service: each.keys for each in body.services})
-        self.check(body.services, keeps=isinstance(body, SetResources))
+            return self.store.apply(version, {}, {each.service: each.keys for each in body.services})
+        self.check(body.services, keeps_others=isinstance(body, SetResources))
         changed = {each.service: each.resources for each in body.services}
         removed = {}
         if isinstance(body, ReplaceResources):
-            removed = {name: self.absent(name, resources) for name, resources in changed.items()}
-        return self.catalogue.apply(version, changed, removed)
+            removed = {name: self.keys_to_remove(name, resources) for name, resources in changed.items()}
+        return self.store.apply(version, changed, removed)
 
-    def absent(self, service: ServiceName, resources: Iterable[Resource]) -> list[str]:
+    def keys_to_remove(self, service: ServiceName, resources: Iterable[Resource]) -> list[str]:
         """Keys that stand and are not among these."""
         given = {resource.key for resource in resources}
-        return [key for key in self.catalogue.resources(service) if key not in given]
+        return [key for key in self.store.resources(service) if key not in given]
 
-    def check(self, services: Iterable[ServiceResources], keeps: bool) -> None:
+    def check(self, services: Iterable[ServiceResources], keeps_others: bool) -> None:
         """Raises Unfit.  `keeps`: what stands stays beside what is given."""
         for each in services:
-            stands = dict(self.catalogue.resources(each.service)) if keeps else {}
+            bodies = dict(self.store.resources(each.service)) if keeps_others else {}
             for resource in each.resources:
                 check_resource(each.service, resource)
-                stands[resource.key] = resource.body
-            size = sum(len(key) + len(body) for key, body in stands.items())
+                bodies[resource.key] = resource.body
+            size = sum(len(key) + len(body) for key, body in bodies.items())
             if size > MAX_SERVICE_BYTES:
                 raise InvalidRequestError(
                     f"{size} bytes of resources",
@@ -94,14 +94,14 @@
                 )
 
     def row(self) -> ResourceStoreRow:
-        return self.catalogue.row()
+        return self.store.row()
 
     def restore(self, row: bytes) -> None:
         try:
             found = msgspec.msgpack.decode(row, type=ResourceStoreRow)
-        except msgspec.MsgspecError as bad:
-            raise InvalidDataError(f"not the services of a state machine: {bad}") from None
-        self.catalogue.restore(found)
+        except msgspec.MsgspecError as error:
+            raise InvalidDataError(f"not the services of a state machine: {error}") from None
+        self.store.restore(found)
 
 
 def check_resource(service: ServiceName, resource: Resource) -> None:
--- a/indigohitch/fleet/distribution/resource_store.py
+++ b/indigohitch/fleet/distribution/resource_store.py
@@ -88,8 +88,8 @@
         whole = since is None or since < self.floor or since == NO_VERSION
         changed, removed = ([], []) if whole else self.since(since)
         whole = whole or len(changed) + len(removed) > len(bodies)
-        known = (-1, -1) if whole else (len(changed), len(removed))
-        if known not in self.encoded:
+        cache_key = (-1, -1) if whole else (len(changed), len(removed))
+        if cache_key not in self.encoded:
             keys = sorted(bodies) if whole else changed
             row = ServiceChange(
                 self.content.service,
@@ -98,8 +98,8 @@
                 () if whole else tuple(removed),
                 self.content.digest,
             )
-            self.encoded[known] = msgspec.Raw(msgspec.msgpack.encode(row))
-        return self.encoded[known]
+            self.encoded[cache_key] = msgspec.Raw(msgspec.msgpack.encode(row))
+        return self.encoded[cache_key]
 
 
 def keys_changed_after(versions: Mapping[str, Version], than: Version) -> list[str]:
@@ -112,7 +112,7 @@
         self.version = NO_VERSION  # of the last entry that changed anything
         self.floor = NO_VERSION  # what became of services that are not known is forgotten up to here
         self.services: dict[ServiceName, StoredService] = {}
-        self.empty: dict[ServiceName, None] = {}  # in the order in which they became so
+        self.empty_services: dict[ServiceName, None] = {}  # in the order in which they became so
         self.history: list[Version] = []  # recent versions, ascending; not part of the replicated state
 
     def apply(
@@ -124,7 +124,9 @@
         """Returns the services whose content is another now."""
         names = list(dict.fromkeys([*changed, *removed]))
         touched = [
-            name for name in names if self.touch(name, version, changed.get(name, ()), removed.get(name, ()))
+            name
+            for name in names
+            if self.apply_to_service(name, version, changed.get(name, ()), removed.get(name, ()))
         ]
         if touched:
             self.version = version
@@ -133,7 +135,7 @@
                 del self.history[:MAX_VERSION_HISTORY]
         return tuple(touched)
 
-    def touch(
+    def apply_to_service(
         self, name: ServiceName, version: Version, resources: Iterable[Resource], keys: Iterable[str]
     ) -> bool:
         service = self.services.get(name)
@@ -142,16 +144,16 @@
         if not service.apply(version, resources, keys):
             return False
         self.services[name] = service
-        self.empty.pop(name, None)
+        self.empty_services.pop(name, None)
         if not service.content.bodies:
-            self.empty[name] = None
+            self.empty_services[name] = None
             self.forget()
         return True
 
     def forget(self) -> None:
-        while len(self.empty) > MAX_EMPTY_SERVICES:
-            oldest = next(iter(self.empty))
-            del self.empty[oldest]
+        while len(self.empty_services) > MAX_EMPTY_SERVICES:
+            oldest = next(iter(self.empty_services))
+            del self.empty_services[oldest]
             self.floor = max(self.floor, self.services.pop(oldest).version)
 
     # ---- what subscriptions ask --------------------------------------------------------------------
@@ -178,14 +180,14 @@
 
     def before(self, version: Version) -> Version | None:
         """The last version before that one; None: it is not remembered."""
-        place = bisect_left(self.history, version)
-        return self.history[place - 1] if place else None
+        position = bisect_left(self.history, version)
+        return self.history[position - 1] if position else None
 
     def after(self, version: Version) -> Version:
         """The first remembered version after that one, or the least that there could be."""
-        place = bisect_right(self.history, version)
-        if place < len(self.history):
-            return self.history[place]
+        position = bisect_right(self.history, version)
+        if position < len(self.history):
+            return self.history[position]
         return Version(version.term, version.index + 1)
 
     # ---- as a whole --------------------------------------------------------------------------------
@@ -194,7 +196,10 @@
         services = [
             ServiceRow(
                 name,
-                [(key, service.content.bodies[key], at) for key, at in service.changed.items()],
+                [
+                    (key, service.content.bodies[key], changed_at)
+                    for key, changed_at in service.changed.items()
+                ],
                 list(service.removed.items()),
                 service.floor,
             )
@@ -204,12 +209,12 @@
 
     def restore(self, row: ResourceStoreRow) -> None:
         self.version, self.floor = row.version, row.floor
-        self.services, self.empty, self.history = {}, {}, [row.version]
+        self.services, self.empty_services, self.history = {}, {}, [row.version]
         for each in row.services:
             service = self.services[each.service] = StoredService(each.service, each.floor)
             service.content = ServiceContent(each.service, {key: body for key, body, _ in each.resources})
-            service.changed = {key: at for key, _, at in each.resources}
+            service.changed = {key: changed_at for key, _, changed_at in each.resources}
             service.removed = dict(each.removed)
             service.version = max([*service.changed.values(), *service.removed.values()])
             if not service.changed:
-                self.empty[each.service] = None
+                self.empty_services[each.service] = None
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -48,203 +48,209 @@
         services: Collection[ServiceName],
         distributors: Mapping[DistributorName, float],
         limits: SubscriberLimits,
-        chance: random.Random,
+        random_source: random.Random,
         now: int,
     ) -> None:
         self.name, self.limits = name, limits
-        self.held = SubscriberScope(limits.guard_versions)
-        self.wanted = frozenset(services)
-        self.asked: frozenset[ServiceName] = frozenset()  # the scope of the last Subscribe
-        self.request = 0
-        self.open_request = False  # the last Subscribe is not answered yet
-        self.connecting = DistributorConnector(name, distributors, limits, chance, now)
-        self.holder = LeaseHolder(limits.lease, limits.drift)
-        self.holder.begin(LEASE_INCARNATION)
-        self.lease_here = 0  # until when answers over this connection alone let the content count as current
-        self.alone = False  # no distributor answers; logged once
-        self.now, self.out = now, []
-        self.steps = {
-            ConnectionEstablished: self.connected,
-            ConnectionLost: self.lost,
-            DistributorMessageReceived: self.told,
-            ScopeChanged: self.rescope,
-            Tick: self.timed,
+        self.scope = SubscriberScope(limits.guard_versions)
+        self.services = frozenset(services)
+        self.requested_services: frozenset[ServiceName] = frozenset()  # the scope of the last Subscribe
+        self.request_number = 0
+        self.has_open_request = False  # the last Subscribe is not answered yet
+        self.connector = DistributorConnector(name, distributors, limits, random_source, now)
+        self.lease = LeaseHolder(limits.lease, limits.drift)
+        self.lease.begin(LEASE_INCARNATION)
+        self.connection_lease_until = (
+            0  # until when answers over this connection alone let the content count as current
+        )
+        self.no_distributor_logged = False  # no distributor answers; logged once
+        self.now, self.outputs = now, []
+        self.handlers = {
+            ConnectionEstablished: self.on_connected,
+            ConnectionLost: self.on_connection_lost,
+            DistributorMessageReceived: self.on_message,
+            ScopeChanged: self.on_scope_changed,
+            Tick: self.on_tick,
         }
-        self.words = {Update: self.update, Current: self.current, Refused: self.refused}
+        self.message_handlers = {Update: self.on_update, Current: self.on_current, Refused: self.on_refused}
 
     # ---- from outside ------------------------------------------------------------------------------
 
-    def step(self, now: int, input: SubscriberInput) -> list[SubscriberOutput]:
+    def step(self, now: int, event: SubscriberInput) -> list[SubscriberOutput]:
         """What to do, in order."""
-        self.now, self.out = now, []
-        self.steps[type(input)](input)
-        out, self.out = self.out, []
-        return out
+        self.now, self.outputs = now, []
+        self.handlers[type(event)](event)
+        outputs, self.outputs = self.outputs, []
+        return outputs
 
     @property
     def due(self) -> int:
         """When `Due` is to come at the latest."""
-        connecting = self.connecting
-        return min(connecting.due, self.holder.due) if connecting.is_connected else connecting.due
+        connector = self.connector
+        return min(connector.due, self.lease.due) if connector.is_connected else connector.due
 
     @property
     def version(self) -> Version:
         """That it holds; NO_VERSION before the first update."""
-        return self.held.version
+        return self.scope.version
 
     @property
     def digest(self) -> bytes:
         """Of the whole scope, as held."""
-        return self.held.digest
+        return self.scope.digest
 
     def resources(self, service: ServiceName) -> Mapping[str, bytes]:
         """Bodies by key, as held; empty for a service that is not held."""
-        content = self.held.services.get(service)
+        content = self.scope.services.get(service)
         return content.bodies if content is not None else {}
 
     def acting_until(self, now: int) -> int:
         """The content counts as current before this (own clock); it stands after that, but is stale."""
-        return self.holder.until
+        return self.lease.until
 
     def age(self, now: int) -> int | None:
         """The content has all that was committed so long ago; None: never confirmed."""
-        return now - (self.holder.until - self.holder.length) if self.holder.until else None
+        return now - (self.lease.until - self.lease.length) if self.lease.until else None
 
-    def figures(self, now: int) -> dict:
+    def status(self, now: int) -> dict:
         """For `status`, as plain JSON."""
         return {
-            "phase": self.connecting.phase.value,
-            "distributor": self.connecting.distributor,
+            "phase": self.connector.phase.value,
+            "distributor": self.connector.distributor,
             "version": self.version.text(),
             "age": self.age(now),
             "current": now < self.acting_until(now),
-            "services": len(self.held.services),
-            "resources": sum(len(content.bodies) for content in self.held.services.values()),
+            "services": len(self.scope.services),
+            "resources": sum(len(content.bodies) for content in self.scope.services.values()),
         }
 
-    def timed(self, input: Tick) -> None:
-        if self.connecting.phase is ConnectionPhase.WAITING:
-            if self.now >= self.connecting.dial_at:
+    def on_tick(self, event: Tick) -> None:
+        if self.connector.phase is ConnectionPhase.WAITING:
+            if self.now >= self.connector.dial_at:
                 self.dial()
             return
-        left = self.connecting.leave_impatiently(self.now, self.holder.until)
-        if left is not None:
-            self.out.append(left)
-        elif self.connecting.is_connected:
+        disconnect = self.connector.leave_if_overdue(self.now, self.lease.until)
+        if disconnect is not None:
+            self.outputs.append(disconnect)
+        elif self.connector.is_connected:
             self.renew()
 
     def dial(self) -> None:
-        dial = self.connecting.dial(self.now)
+        dial = self.connector.dial(self.now)
         if dial is not None:
-            self.out.append(dial)
-        elif not self.alone and self.connecting.choice.none_answers():
-            self.alone = True
-            trouble = NoDistributorError("no distributor answers", self.name)
+            self.outputs.append(dial)
+        elif not self.no_distributor_logged and self.connector.choice.have_all_failed():
+            self.no_distributor_logged = True
+            error = NoDistributorError("no distributor answers", self.name)
             fields = {"version": self.version.text(), "age": self.age(self.now)}
-            self.out.append(Note("no_distributor", trouble.fields() | fields))
+            self.outputs.append(Note("no_distributor", error.fields() | fields))
 
-    def connected(self, input: ConnectionEstablished) -> None:
-        if self.connecting.connected(self.now, input.distributor):
-            self.lease_here = 0
+    def on_connected(self, event: ConnectionEstablished) -> None:
+        if self.connector.on_connected(self.now, event.distributor):
+            self.connection_lease_until = 0
             self.subscribe()
-            self.renew_at_once()
+            self.renew_now()
 
-    def lost(self, input: ConnectionLost) -> None:
-        self.connecting.lost(self.now, input.distributor)
+    def on_connection_lost(self, event: ConnectionLost) -> None:
+        self.connector.on_lost(self.now, event.distributor)
 
-    def leave(self, why: str, failed: bool = False, again: int = 0) -> None:
+    def leave_distributor(self, why: str, failed: bool = False, retry_after: int = 0) -> None:
         """`again`: not there before so long."""
-        self.out.append(self.connecting.leave(self.now, why, failed, again))
+        self.outputs.append(self.connector.leave(self.now, why, failed, retry_after))
 
     # ---- the subscription --------------------------------------------------------------------------
 
-    def rescope(self, input: ScopeChanged) -> None:
+    def on_scope_changed(self, event: ScopeChanged) -> None:
         """What is held stays until the first update for the new scope."""
-        self.wanted = input.services
-        if self.connecting.phase is ConnectionPhase.SERVED:
-            self.subscribe_anew()
+        self.services = event.services
+        if self.connector.phase is ConnectionPhase.SERVED:
+            self.change_subscription()
 
     def subscribe(self) -> None:
-        self.request += 1
-        self.asked, self.open_request = self.wanted, True
-        claim = self.held.claim(self.asked)
-        self.out.append(SendToDistributor(Subscribe(self.request, self.version, claim)))
+        self.request_number += 1
+        self.requested_services, self.has_open_request = self.services, True
+        claim = self.scope.claim(self.requested_services)
+        self.outputs.append(SendToDistributor(Subscribe(self.request_number, self.version, claim)))
 
-    def subscribe_anew(self) -> None:
+    def change_subscription(self) -> None:
         """One subscription is out at a time."""
-        if not self.open_request and self.wanted != self.asked:
+        if not self.has_open_request and self.services != self.requested_services:
             self.subscribe()
 
-    def told(self, input: DistributorMessageReceived) -> None:
-        connecting = self.connecting
-        if not connecting.is_connected or input.distributor != connecting.distributor:
+    def on_message(self, event: DistributorMessageReceived) -> None:
+        connector = self.connector
+        if not connector.is_connected or event.distributor != connector.distributor:
             return  # of a connection that is over
-        connecting.patience.heard(self.now)
-        handle = self.words.get(type(input.message))
-        if handle is None:
-            self.leave(f"a distributor doesn't say {type(input.message).__name__}", failed=True)
+        connector.deadlines.on_message(self.now)
+        handler = self.message_handlers.get(type(event.message))
+        if handler is None:
+            self.leave_distributor(f"a distributor doesn't say {type(event.message).__name__}", failed=True)
         else:
-            handle(input.message)
+            handler(event.message)
 
-    def update(self, update: Update) -> None:
-        answers = update.request == self.request and self.open_request
-        scope = self.asked if answers else frozenset(self.held.services)
-        added = scope - self.held.services.keys()
-        back = update.version < self.version
+    def on_update(self, update: Update) -> None:
+        is_for_request = update.request == self.request_number and self.has_open_request
+        scope = self.requested_services if is_for_request else frozenset(self.scope.services)
+        added = scope - self.scope.services.keys()
+        is_rollback = update.version < self.version
         try:
-            changed = self.held.apply(update, scope)
-        except (OlderVersionError, UnknownBaseError, DigestMismatchError, InvalidDataError) as refused:
-            self.reject(update, refused)
+            changed = self.scope.apply(update, scope)
+        except (OlderVersionError, UnknownBaseError, DigestMismatchError, InvalidDataError) as error:
+            self.reject(update, error)
             return
-        if back:
-            self.holder.drop()  # it was given for what never was
+        if is_rollback:
+            self.lease.drop()  # it was given for what never was
         elif added:
             # Another distributor that was ahead of this one knew nothing of what has been added.
-            self.holder.until = min(self.holder.until, self.lease_here)
-        self.out.append(SendToDistributor(Acknowledge(update.number, update.version, update.digest)))
-        self.out.append(UpdateApplied(update.version, changed))
-        if answers:
-            self.answered()
-
-    def answered(self) -> None:
-        self.open_request, self.alone = False, False
-        if self.connecting.phase is ConnectionPhase.SUBSCRIBING:
-            self.connecting.served()
-        self.renew_at_once()
-        self.subscribe_anew()
+            self.lease.until = min(self.lease.until, self.connection_lease_until)
+        self.outputs.append(SendToDistributor(Acknowledge(update.number, update.version, update.digest)))
+        self.outputs.append(UpdateApplied(update.version, changed))
+        if is_for_request:
+            self.on_request_answered()
+
+    def on_request_answered(self) -> None:
+        self.has_open_request, self.no_distributor_logged = False, False
+        if self.connector.phase is ConnectionPhase.SUBSCRIBING:
+            self.connector.on_served()
+        self.renew_now()
+        self.change_subscription()
 
     def reject(
         self,
         update: Update,
-        refused: OlderVersionError | UnknownBaseError | DigestMismatchError | InvalidDataError,
+        error: OlderVersionError | UnknownBaseError | DigestMismatchError | InvalidDataError,
     ) -> None:
-        reason = REJECT_REASONS[type(refused)]
-        self.out.append(SendToDistributor(Reject(update.number, reason, self.version, refused.what)))
-        fields = {"distributor": self.connecting.distributor, "reason": reason.name}
-        self.out.append(Note("update_rejected", refused.fields() | fields))
+        reason = REJECT_REASONS[type(error)]
+        self.outputs.append(SendToDistributor(Reject(update.number, reason, self.version, error.what)))
+        fields = {"distributor": self.connector.distributor, "reason": reason.name}
+        self.outputs.append(Note("update_rejected", error.fields() | fields))
         if reason is RejectReason.OLDER:
-            self.leave("it tells an older version", again=self.limits.backoff)
+            self.leave_distributor("it tells an older version", retry_after=self.limits.backoff)
 
-    def refused(self, word: Refused) -> None:
-        fields = {"distributor": self.connecting.distributor, "reason": word.reason.name, "why": word.why}
-        self.out.append(Note("subscription_refused", fields))
-        self.leave(word.why, again=max(word.again, 1))
+    def on_refused(self, message: Refused) -> None:
+        fields = {
+            "distributor": self.connector.distributor,
+            "reason": message.reason.name,
+            "why": message.why,
+        }
+        self.outputs.append(Note("subscription_refused", fields))
+        self.leave_distributor(message.why, retry_after=max(message.again, 1))
 
     # ---- the lease ---------------------------------------------------------------------------------
 
-    def renew_at_once(self) -> None:
-        self.holder.due = self.now
+    def renew_now(self) -> None:
+        self.lease.due = self.now
         self.renew()
 
     def renew(self) -> None:
-        number = self.holder.ask(self.now)
+        number = self.lease.ask(self.now)
         if number is not None:
-            self.out.append(SendToDistributor(Renew(number)))
+            self.outputs.append(SendToDistributor(Renew(number)))
 
-    def current(self, word: Current) -> None:
-        if word.age is None:
+    def on_current(self, message: Current) -> None:
+        if message.age is None:
             return
-        until = self.holder.heard(LeaseRenewed(word.number, LEASE_INCARNATION), word.age)
-        self.lease_here = max(self.lease_here, until)
-        if self.now < self.holder.until:
-            self.connecting.patience.current(self.holder.until)
+        until = self.lease.heard(LeaseRenewed(message.number, LEASE_INCARNATION), message.age)
+        self.connection_lease_until = max(self.connection_lease_until, until)
+        if self.now < self.lease.until:
+            self.connector.deadlines.on_current(self.lease.until)
--- a/indigohitch/fleet/distribution/subscriber_connection.py
+++ b/indigohitch/fleet/distribution/subscriber_connection.py
@@ -49,40 +49,40 @@
         name: SubscriberName,
         services: Collection[ServiceName],
         distributors: Mapping[DistributorName, tuple[str, int]],
-        chance: random.Random,
+        random_source: random.Random,
         limits: SubscriberLimits | None = None,
-        applied: Callable[[UpdateApplied], None] = lambda output: None,
+        on_applied: Callable[[UpdateApplied], None] = lambda output: None,
     ) -> None:
         self.loop, self.log, self.fleet, self.name = loop, log, fleet, name
-        self.kinds, self.chance, self.applied = MESSAGE_TYPES, chance.random, applied
+        self.kinds, self.chance, self.on_applied = MESSAGE_TYPES, random_source.random, on_applied
         self.distributors = dict(distributors)
-        self.token = chance.getrandbits(62)
+        self.token = random_source.getrandbits(62)
         self.link: OutboundLink | None = None
         self._received = self._sent = 0  # bytes over connections that are closed
         weights = dict.fromkeys(distributors, 1.0)
         limits = limits or SubscriberLimits()
-        self.machine = Subscriber(name, services, weights, limits, chance, loop.clock.now())
-        self.stepping = MachineDriver(loop, self.machine, self.carry)
+        self.machine = Subscriber(name, services, weights, limits, random_source, loop.clock.now())
+        self.driver = MachineDriver(loop, self.machine, self.execute)
 
     def start(self) -> None:
-        self.stepping.timer.arm()
+        self.driver.timer.arm()
 
     def rescope(self, services: Collection[ServiceName]) -> None:
-        self.stepping.step(ScopeChanged(frozenset(services)))
+        self.driver.step(ScopeChanged(frozenset(services)))
 
     # ---- what the machine wants --------------------------------------------------------------------
 
-    def carry(self, output: SubscriberOutput) -> None:
+    def execute(self, output: SubscriberOutput) -> None:
         match output:
             case SendToDistributor(message):
                 if self.link is not None and not self.link.say(message):
                     self.link.connection.close("no room")
             case UpdateApplied():
-                self.applied(output)
+                self.on_applied(output)
             case Dial(distributor):
                 self.dial(distributor)
-            case Disconnect(_, why):
-                self.hang_up(why)
+            case Disconnect(_, reason):
+                self.hang_up(reason)
             case Note(event, fields):
                 self.log.event(event, **fields)
 
@@ -90,9 +90,9 @@
         self.link = OutboundLink(self, distributor, self.distributors[distributor], NEVER, NEVER)
         self.link.dial()
 
-    def hang_up(self, why: str) -> None:
+    def hang_up(self, reason: str) -> None:
         if self.link is not None:
-            self.log.event("distributor_left", distributor=self.link.name, why=why)
+            self.log.event("distributor_left", distributor=self.link.name, why=reason)
             link = self.dropped()
             link.close()
 
@@ -108,33 +108,33 @@
         return Handshake(self.fleet, MemberId(self.name, 0), self.token, role=SUBSCRIBER)
 
     def welcomed(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
-        why = f"{welcome.who.name} answers" if welcome.who.name != link.name else version_mismatch(welcome)
-        if why:
+        reason = f"{welcome.who.name} answers" if welcome.who.name != link.name else version_mismatch(welcome)
+        if reason:
             remedy = "see the address of that distributor in this file"
-            self.log.warning("not_who_was_dialled", distributor=link.name, why=why, remedy=remedy)
-        return not why
+            self.log.warning("not_who_was_dialled", distributor=link.name, why=reason, remedy=remedy)
+        return not reason
 
     def up(self, link: OutboundLink) -> None:
         self.log.event("distributor_reached", distributor=link.name)
-        self.stepping.step(ConnectionEstablished(link.name))
+        self.driver.step(ConnectionEstablished(link.name))
 
-    def down(self, link: OutboundLink, why: str) -> None:
-        self.lost(link, why)
+    def down(self, link: OutboundLink, reason: str) -> None:
+        self.lost(link, reason)
 
-    def unreached(self, link: OutboundLink, why: str) -> None:
-        self.lost(link, why)
+    def unreached(self, link: OutboundLink, reason: str) -> None:
+        self.lost(link, reason)
 
-    def lost(self, link: OutboundLink, why: str) -> None:
+    def lost(self, link: OutboundLink, reason: str) -> None:
         if link is self.link:
             self.dropped()
             self.log.warning(
-                "distributor_lost", distributor=link.name, **error_fields(NoDistributorError(why))
+                "distributor_lost", distributor=link.name, **error_fields(NoDistributorError(reason))
             )
-            self.stepping.step(ConnectionLost(link.name, why))
+            self.driver.step(ConnectionLost(link.name, reason))
 
     def replied(self, link: OutboundLink, word: Row) -> None:
         if link is self.link:
-            self.stepping.step(DistributorMessageReceived(link.name, word))
+            self.driver.step(DistributorMessageReceived(link.name, word))
 
     def spoilt(self, name: str, broken: BrokenFrameError) -> None:
         log_broken_frame(self.log, name, broken, "distributors")
@@ -149,11 +149,11 @@
     def sent(self) -> int:
         return self._sent + (self.link.sent if self.link is not None else 0)
 
-    def figures(self) -> dict:
+    def status(self) -> dict:
         now = self.loop.clock.now()
         age = self.machine.age(now)
         return {
-            "distribution": self.machine.figures(now)
+            "distribution": self.machine.status(now)
             | {
                 "version": self.machine.version.text(),
                 "age_ms": None if age is None else age / 10,
@@ -165,6 +165,6 @@
         }
 
     def close(self) -> None:
-        self.stepping.end()
+        self.driver.stop()
         if self.link is not None:
             self.dropped().close()
--- a/indigohitch/fleet/distribution/subscriber_registry.py
+++ b/indigohitch/fleet/distribution/subscriber_registry.py
@@ -14,8 +14,8 @@
 class PendingClaim:
     """Of a newer version than the distributor has: either it lags, or that version never was."""
 
-    word: Subscribe
-    since: int
+    message: Subscribe
+    claimed_at: int
 
 
 class SubscriberRegistry:
@@ -27,22 +27,22 @@
         self.by_service: dict[ServiceName, dict[int, None]] = {}
         self.indexed: dict[int, tuple[ServiceName, ...]] = {}
 
-    def count_besides(self, connection: int) -> int:
+    def other_count(self, connection: int) -> int:
         """Connections that are served or in doubt, but for this one and the one that it replaces."""
         replaced = self.names[connection] in self.by_name
         return len(self.subscriptions) + len(self.claims) - replaced - (connection in self.claims)
 
-    def served(self) -> Collection[Subscription]:
+    def subscribed(self) -> Collection[Subscription]:
         return self.subscriptions.values()
 
     def connection_of(self, name: SubscriberName) -> int | None:
         """The connection over which it is served."""
         return self.by_name.get(name)
 
-    def join(self, connection: int, name: SubscriberName) -> None:
+    def add(self, connection: int, name: SubscriberName) -> None:
         self.names[connection] = name
 
-    def leave(self, connection: int) -> Subscription | None:
+    def remove(self, connection: int) -> Subscription | None:
         self.claims.pop(connection, None)
         subscription = self.subscriptions.pop(connection, None)
         name = self.names.pop(connection, "")
@@ -51,22 +51,22 @@
         self.reindex(connection, ())
         return subscription
 
-    def doubt(self, connection: int, claim: PendingClaim) -> None:
+    def hold_claim(self, connection: int, claim: PendingClaim) -> None:
         self.claims[connection] = claim
 
-    def decided(self, connection: int) -> None:
+    def resolve_claim(self, connection: int) -> None:
         """Its claim, if there was one, is in doubt no more."""
         self.claims.pop(connection, None)
 
-    def doubts_before(self, time: int) -> list[int]:
-        return [connection for connection, claim in self.claims.items() if claim.since <= time]
+    def claims_before(self, time: int) -> list[int]:
+        return [connection for connection, claim in self.claims.items() if claim.claimed_at <= time]
 
-    def serve(self, connection: int, subscription: Subscription) -> None:
+    def subscribe(self, connection: int, subscription: Subscription) -> None:
         self.subscriptions[connection] = subscription
         self.by_name[subscription.subscriber] = connection
-        self.index(connection)
+        self.update_index(connection)
 
-    def index(self, connection: int) -> None:
+    def update_index(self, connection: int) -> None:
         """Its scope may be another one."""
         scope = self.subscriptions[connection].scope
         if self.indexed.get(connection) is not scope:
@@ -74,19 +74,19 @@
 
     def reindex(self, connection: int, scope: tuple[ServiceName, ...]) -> None:
         for service in self.indexed.pop(connection, ()):
-            those = self.by_service[service]
-            del those[connection]
-            if not those:
+            connections = self.by_service[service]
+            del connections[connection]
+            if not connections:
                 del self.by_service[service]
         for service in scope:
             self.by_service.setdefault(service, {})[connection] = None
         if scope:
             self.indexed[connection] = scope
 
-    def unanswered(self, since: int) -> list[int]:
+    def unacknowledged(self, sent_before: int) -> list[int]:
         """Those to whom an update went before that time and is out still."""
         return [
             connection
             for connection, subscription in self.subscriptions.items()
-            if subscription.flight is not None and subscription.flight.sent <= since
+            if subscription.in_flight is not None and subscription.in_flight.sent_at <= sent_before
         ]
--- a/indigohitch/fleet/distribution/subscriber_scope.py
+++ b/indigohitch/fleet/distribution/subscriber_scope.py
@@ -57,7 +57,7 @@
         self.check_version(update)
         if not update.whole and update.base != self.version:
             raise UnknownBaseError(f"an update of {update.base.text()}, held is {self.version.text()}")
-        services = self.after(update, scope)
+        services = self.services_after(update, scope)
         if scope_digest(services.values()) != update.digest:
             raise DigestMismatchError(f"version {update.version.text()} has another content than told")
         changed = {
@@ -68,9 +68,11 @@
         self.services, self.version = services, update.version
         return tuple(sorted(changed))
 
-    def after(self, update: Update, scope: Collection[ServiceName]) -> dict[ServiceName, ServiceContent]:
-        held = {} if update.whole else self.services
-        services = {name: held.get(name) or ServiceContent(name) for name in scope}
+    def services_after(
+        self, update: Update, scope: Collection[ServiceName]
+    ) -> dict[ServiceName, ServiceContent]:
+        current = {} if update.whole else self.services
+        services = {name: current.get(name) or ServiceContent(name) for name in scope}
         for raw in update.changes:
             change = decode_change(raw)
             if change.service not in services:
@@ -84,5 +86,5 @@
     """Raises Unreadable."""
     try:
         return msgspec.msgpack.decode(raw, type=ServiceChange)
-    except msgspec.MsgspecError as bad:
-        raise InvalidDataError(f"not a change of a service: {bad}") from None
+    except msgspec.MsgspecError as error:
+        raise InvalidDataError(f"not a change of a service: {error}") from None
--- a/indigohitch/fleet/distribution/subscription.py
+++ b/indigohitch/fleet/distribution/subscription.py
@@ -26,8 +26,8 @@
     distributor was last level with the ledger before that (0: never)."""
 
     version: Version
-    since: int
-    level: int
+    applied_at: int
+    caught_up_at: int
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,29 +39,31 @@
     version: Version
     digest: bytes
     size: int
-    sent: int
+    sent_at: int
     unknown: frozenset[ServiceName]  # whole in it
     missing: MissingChange | None  # the oldest change in it
 
 
 class Subscription:
     def __init__(
-        self, connection: int, subscriber: SubscriberName, catalogue: ResourceStore, limits: Limits
+        self, connection: int, subscriber: SubscriberName, store: ResourceStore, limits: Limits
     ) -> None:
         self.connection, self.subscriber = connection, subscriber
         self.mark = subscriber_mark(subscriber)
-        self.catalogue, self.limits = catalogue, limits
-        self.request = 0
+        self.store, self.limits = store, limits
+        self.request_number = 0
         self.scope: tuple[ServiceName, ...] = ()
         self.acknowledged = NO_VERSION
-        self.void = NO_VERSION  # claimed, and never was
-        self.dirty: dict[ServiceName, MissingChange] = {}  # changed since what was acknowledged or is out
+        self.void_version = NO_VERSION  # claimed, and never was
+        self.changed_services: dict[
+            ServiceName, MissingChange
+        ] = {}  # changed since what was acknowledged or is out
         # To be sent whole; None: nothing is held of it, so nothing older is acted on.
-        self.unknown: dict[ServiceName, MissingChange | None] = {}
-        self.flight: InFlightUpdate | None = None
-        self.rescope: Subscribe | None = None  # came while an update was out
-        self.answered = False  # an update for this request has been acknowledged
-        self.number = 0
+        self.full_resend: dict[ServiceName, MissingChange | None] = {}
+        self.in_flight: InFlightUpdate | None = None
+        self.pending_scope: Subscribe | None = None  # came while an update was out
+        self.has_response = False  # an update for this request has been acknowledged
+        self.update_number = 0
         self.rejections = 0
         self.not_before = 0  # the pace
         self.acting_until = 0  # by the clock here, what it was told last lets it count as current until then
@@ -71,173 +73,175 @@
     def resume(self, now: int, claim: Subscribe) -> None:
         """Begins from what the subscriber holds: by digest what is the same, by version what differs.  Raises
         ScopeTooLarge."""
-        self.begin(claim)
+        self.start_request(claim)
         self.acknowledged = claim.held
         if claim.held != NO_VERSION:  # another distributor may have renewed its lease a moment ago
             self.acting_until = now + grantor_span(self.limits.lease, self.limits.drift)
         lacking = MissingChange(Version(claim.held.term, claim.held.index + 1), now, 0)
-        for held in claim.services:
-            known = bool(held.digest) and self.limits.resume
-            if known and held.digest == self.catalogue.digest(held.service):
+        for claimed in claim.services:
+            known = bool(claimed.digest) and self.limits.resume
+            if known and claimed.digest == self.store.digest(claimed.service):
                 continue
-            if known and self.catalogue.changed_at(held.service) > claim.held:
-                self.dirty[held.service] = lacking
+            if known and self.store.changed_at(claimed.service) > claim.held:
+                self.changed_services[claimed.service] = lacking
             else:
-                self.unknown[held.service] = lacking if held.digest else None
+                self.full_resend[claimed.service] = lacking if claimed.digest else None
 
-    def subscribe_anew(self, claim: Subscribe) -> None:
+    def change_subscription(self, claim: Subscribe) -> None:
         """While an update is out, the new scope begins with the answer to it.  Raises ScopeTooLarge."""
         self.check_scope(claim)
-        if self.flight is not None:
-            self.rescope = claim
+        if self.in_flight is not None:
+            self.pending_scope = claim
         else:
             self.change_scope(claim)
 
     def change_scope(self, claim: Subscribe) -> None:
         """What was in the scope before goes on; the rest is sent whole."""
-        before, unknown, dirty = set(self.scope), self.unknown, self.dirty
-        self.begin(claim)
+        before, unknown, dirty = set(self.scope), self.full_resend, self.changed_services
+        self.start_request(claim)
         added = [name for name in self.scope if name not in before]
-        self.unknown = {name: unknown[name] for name in self.scope if name in unknown}
-        self.unknown.update(dict.fromkeys(added))
-        self.dirty = {name: dirty[name] for name in self.scope if name in dirty}
+        self.full_resend = {name: unknown[name] for name in self.scope if name in unknown}
+        self.full_resend.update(dict.fromkeys(added))
+        self.changed_services = {name: dirty[name] for name in self.scope if name in dirty}
 
     def check_scope(self, claim: Subscribe) -> None:
         if len(claim.services) > self.limits.services:
             raise ScopeTooLargeError(f"{len(claim.services)} services", self.subscriber)
 
-    def begin(self, claim: Subscribe) -> None:
+    def start_request(self, claim: Subscribe) -> None:
         self.check_scope(claim)
-        self.request, self.answered = claim.request, False
-        self.scope = tuple(sorted({held.service for held in claim.services}))
+        self.request_number, self.has_response = claim.request, False
+        self.scope = tuple(sorted({claimed.service for claimed in claim.services}))
 
-    def forget_claim(self, now: int, void: Version) -> None:
+    def reject_claimed_version(self, now: int, void: Version) -> None:
         """The version that the subscriber holds never was: all is sent whole, and until then it lacks all."""
-        self.void, self.acknowledged = void, NO_VERSION
-        self.dirty.clear()
-        self.unknown = dict.fromkeys(self.scope, MissingChange(Version(0, 1), now, 0))
+        self.void_version, self.acknowledged = void, NO_VERSION
+        self.changed_services.clear()
+        self.full_resend = dict.fromkeys(self.scope, MissingChange(Version(0, 1), now, 0))
 
-    def send_whole(self, missing: MissingChange | None = None) -> None:
+    def resend_all(self, missing: MissingChange | None = None) -> None:
         """`missing`: the oldest change that was in an update which came to nothing."""
-        oldest = self.oldest([missing, self.missing])
-        self.unknown = dict.fromkeys(self.scope, oldest)
-        self.dirty.clear()
+        oldest = self.oldest_missing([missing, self.missing])
+        self.full_resend = dict.fromkeys(self.scope, oldest)
+        self.changed_services.clear()
 
     # ---- what happens ------------------------------------------------------------------------------
 
-    def changed(self, service: ServiceName, missing: MissingChange) -> None:
+    def on_service_changed(self, service: ServiceName, missing: MissingChange) -> None:
         """Changes of one service that wait become one: the oldest counts for how long."""
-        out = self.flight.version if self.flight is not None else self.acknowledged
-        if service not in self.unknown and self.catalogue.changed_at(service) > out:
-            self.dirty.setdefault(service, missing)
+        sent_version = self.in_flight.version if self.in_flight is not None else self.acknowledged
+        if service not in self.full_resend and self.store.changed_at(service) > sent_version:
+            self.changed_services.setdefault(service, missing)
 
-    def catalogue_replaced(self, missing: MissingChange) -> None:
+    def on_store_replaced(self, missing: MissingChange) -> None:
         """Any service may have changed; removals may have been forgotten."""
         for service in self.scope:
-            self.changed(service, missing)
+            self.on_service_changed(service, missing)
 
-    def acknowledge(self, word: Acknowledge) -> InFlightUpdate | None:
+    def acknowledge(self, message: Acknowledge) -> InFlightUpdate | None:
         """The update that it answers; None for one that is not out.  Raises DigestMismatch for a subscriber
         that claims to hold something else than it was sent."""
-        flight = self.flight
-        if flight is None or word.number != flight.number:
+        in_flight = self.in_flight
+        if in_flight is None or message.number != in_flight.number:
             return None
-        if word.version != flight.version or word.digest != flight.digest:
+        if message.version != in_flight.version or message.digest != in_flight.digest:
             raise DigestMismatchError("an acknowledgement of something else than was sent", self.subscriber)
-        self.flight, self.rejections, self.void = None, 0, NO_VERSION
-        self.acknowledged = flight.version
-        self.answered = self.answered or flight.request == self.request
-        self.start_rescope()
-        return flight
+        self.in_flight, self.rejections, self.void_version = None, 0, NO_VERSION
+        self.acknowledged = in_flight.version
+        self.has_response = self.has_response or in_flight.request == self.request_number
+        self.apply_pending_scope()
+        return in_flight
 
-    def reject(self, word: Reject) -> InFlightUpdate | None:
+    def reject(self, message: Reject) -> InFlightUpdate | None:
         """The update that it answers changed nothing; what it held stands.  Raises DigestMismatch where it
         takes nothing that it is sent."""
-        flight = self.flight
-        if flight is None or word.number != flight.number:
+        in_flight = self.in_flight
+        if in_flight is None or message.number != in_flight.number:
             return None
-        self.flight = None
+        self.in_flight = None
         self.rejections += 1
-        if self.rejections >= self.limits.rejections:
+        if self.rejections >= self.limits.max_rejections:
             raise DigestMismatchError(
-                f"{self.rejections} updates rejected in a row: {word.why}", self.subscriber
+                f"{self.rejections} updates rejected in a row: {message.why}", self.subscriber
             )
-        if word.reason is RejectReason.BASE and self.rejections == 1:
-            missing = flight.missing or MissingChange(flight.version, flight.sent, 0)
-            self.acknowledged = word.held
-            self.unknown.update(dict.fromkeys(flight.unknown, missing))
-            self.catalogue_replaced(missing)
+        if message.reason is RejectReason.BASE and self.rejections == 1:
+            missing = in_flight.missing or MissingChange(in_flight.version, in_flight.sent_at, 0)
+            self.acknowledged = message.held
+            self.full_resend.update(dict.fromkeys(in_flight.unknown, missing))
+            self.on_store_replaced(missing)
         else:
-            self.send_whole(flight.missing)
-        self.start_rescope()
-        return flight
+            self.resend_all(in_flight.missing)
+        self.apply_pending_scope()
+        return in_flight
 
-    def start_rescope(self) -> None:
-        if self.rescope is not None:
-            claim, self.rescope = self.rescope, None
+    def apply_pending_scope(self) -> None:
+        if self.pending_scope is not None:
+            claim, self.pending_scope = self.pending_scope, None
             self.change_scope(claim)
 
     # ---- what goes out -----------------------------------------------------------------------------
 
     @property
-    def waiting(self) -> bool:
+    def has_pending_update(self) -> bool:
         """An update is to go once it may."""
-        return self.flight is None and (not self.answered or bool(self.dirty) or bool(self.unknown))
+        return self.in_flight is None and (
+            not self.has_response or bool(self.changed_services) or bool(self.full_resend)
+        )
 
     def compose(self) -> Update:
         """All that it lacks, as one update.  Raises ScopeTooLarge."""
-        catalogue = self.catalogue
-        whole = len(self.unknown) == len(self.scope)
-        changes = [catalogue.change(name, None) for name in sorted(self.unknown)]
-        changes += [catalogue.change(name, self.acknowledged) for name in sorted(self.dirty)]
+        store = self.store
+        whole = len(self.full_resend) == len(self.scope)
+        changes = [store.change(name, None) for name in sorted(self.full_resend)]
+        changes += [store.change(name, self.acknowledged) for name in sorted(self.changed_services)]
         size = encoded_size(changes)
         if size > self.limits.update_bytes:
             raise ScopeTooLargeError(f"an update of {size} bytes", self.subscriber)
         return Update(
-            self.request,
-            self.number + 1,
+            self.request_number,
+            self.update_number + 1,
             self.acknowledged,
-            catalogue.version,
-            scope_digest([catalogue.content(name) for name in self.scope]),
+            store.version,
+            scope_digest([store.content(name) for name in self.scope]),
             tuple(changes),
             whole,
-            self.void,
+            self.void_version,
         )
 
-    def sent(self, now: int, update: Update) -> None:
-        self.number = update.number
-        self.flight = InFlightUpdate(
+    def on_sent(self, now: int, update: Update) -> None:
+        self.update_number = update.number
+        self.in_flight = InFlightUpdate(
             update.number,
             update.request,
             update.version,
             update.digest,
             encoded_size(update.changes),
             now,
-            frozenset(self.unknown),
+            frozenset(self.full_resend),
             self.missing,
         )
-        self.dirty.clear()
-        self.unknown.clear()
-        self.not_before = now + self.limits.pace
+        self.changed_services.clear()
+        self.full_resend.clear()
+        self.not_before = now + self.limits.update_interval
 
     # ---- what it lacks -----------------------------------------------------------------------------
 
     @property
     def missing(self) -> MissingChange | None:
         """The oldest change that it has not acknowledged, None where it has all that are known here."""
-        if self.flight is not None and self.flight.missing is not None:
-            return self.flight.missing
-        return self.oldest([*self.dirty.values(), *self.unknown.values()])
+        if self.in_flight is not None and self.in_flight.missing is not None:
+            return self.in_flight.missing
+        return self.oldest_missing([*self.changed_services.values(), *self.full_resend.values()])
 
     @staticmethod
-    def oldest(missing: Iterable[MissingChange | None]) -> MissingChange | None:
-        some = [each for each in missing if each is not None]
-        return min(some, key=lambda each: (each.version, each.since), default=None)
+    def oldest_missing(missing: Iterable[MissingChange | None]) -> MissingChange | None:
+        known = [each for each in missing if each is not None]
+        return min(known, key=lambda each: (each.version, each.applied_at), default=None)
 
     @property
-    def confirmed(self) -> bool:
+    def is_confirmed(self) -> bool:
         """It has acknowledged the whole of its scope, as it stood at some version of this distributor."""
-        return self.answered and not self.unknown
+        return self.has_response and not self.full_resend
 
 
 def encoded_size(changes: Iterable[msgspec.Raw]) -> int:
--- a/indigohitch/fleet/distribution/subscription_server.py
+++ b/indigohitch/fleet/distribution/subscription_server.py
@@ -35,185 +35,187 @@
 
 
 class SubscriptionServer:
-    def __init__(self, catalogue: ResourceStore, limits: Limits, tally: ConvergenceTracker, now: int) -> None:
-        self.catalogue, self.limits, self.tally = catalogue, limits, tally
+    def __init__(self, store: ResourceStore, limits: Limits, tracker: ConvergenceTracker, now: int) -> None:
+        self.store, self.limits, self.tracker = store, limits, tracker
         self.subscribers = SubscriberRegistry()
         self.admission = Admission(limits)
-        self.level = 0  # when the distributor was last surely level with the ledger; 0: not since it started
-        self.closing = False
+        self.caught_up_at = (
+            0  # when the distributor was last surely level with the ledger; 0: not since it started
+        )
+        self.is_shutting_down = False
         self.now = now
-        self.out: list[DistributorOutput] = []
-        self.words = {
+        self.outputs: list[DistributorOutput] = []
+        self.handlers = {
             Subscribe: self.subscribe,
             Acknowledge: self.acknowledge,
             Reject: self.reject,
             Renew: self.renew,
         }
 
-    def take(self) -> list[DistributorOutput]:
+    def take_outputs(self) -> list[DistributorOutput]:
         """What is to be done after all that waits and may go has gone."""
-        self.admission.turn(self.now, self.serve)
-        out, self.out = self.out, []
+        self.admission.serve_ready(self.now, self.serve)
+        out, self.outputs = self.outputs, []
         return out
 
     def forget(self, connection: int) -> None:
-        self.admission.left(connection)
-        subscription = self.subscribers.leave(connection)
+        self.admission.remove(connection)
+        subscription = self.subscribers.remove(connection)
         if subscription is not None:
-            self.tally.departs(self.now, subscription)
+            self.tracker.on_disconnected(self.now, subscription)
 
-    def close(self, connection: int, why: str) -> None:
+    def close(self, connection: int, reason: str) -> None:
         if connection in self.subscribers.names:
             self.forget(connection)
-            self.out.append(CloseConnection(connection, why))
+            self.outputs.append(CloseConnection(connection, reason))
 
     def refuse(self, connection: int, cause: SubscriptionRefusedError | ScopeTooLargeError) -> None:
-        word = Refused(cause.reason, self.catalogue.version, self.limits.again, str(cause))
-        self.out.append(SendToSubscriber(connection, word))
+        message = Refused(cause.reason, self.store.version, self.limits.retry_after, str(cause))
+        self.outputs.append(SendToSubscriber(connection, message))
         self.close(connection, cause.what)
 
-    def note(self, event: str, trouble: DirectorError) -> None:
-        self.out.append(Note(event, trouble.fields()))
+    def note(self, event: str, error: DirectorError) -> None:
+        self.outputs.append(Note(event, error.fields()))
 
     # ---- what subscribers say ----------------------------------------------------------------------
 
-    def heard(self, input: MessageReceived) -> None:
-        if input.connection not in self.subscribers.names:
+    def on_message(self, event: MessageReceived) -> None:
+        if event.connection not in self.subscribers.names:
             return  # closed here meanwhile
-        handle = self.words.get(type(input.message))
-        if handle is None:
-            self.close(input.connection, f"a subscriber doesn't say {type(input.message).__name__}")
+        handler = self.handlers.get(type(event.message))
+        if handler is None:
+            self.close(event.connection, f"a subscriber doesn't say {type(event.message).__name__}")
             return
         try:
-            handle(input.connection, input.message)
+            handler(event.connection, event.message)
         except (SubscriptionRefusedError, ScopeTooLargeError) as cause:
-            self.refuse(input.connection, cause)
-        except DirectorError as trouble:
-            self.note("subscriber_closed", trouble)
-            self.close(input.connection, str(trouble))
+            self.refuse(event.connection, cause)
+        except DirectorError as error:
+            self.note("subscriber_closed", error)
+            self.close(event.connection, str(error))
 
     def subscribe(self, connection: int, claim: Subscribe) -> None:
         if connection in self.subscribers.subscriptions:
-            self.subscribers.subscriptions[connection].subscribe_anew(claim)
-            self.subscribers.index(connection)
-            self.admission.want(connection)
-        elif self.closing:
+            self.subscribers.subscriptions[connection].change_subscription(claim)
+            self.subscribers.update_index(connection)
+            self.admission.enqueue(connection)
+        elif self.is_shutting_down:
             raise DistributorClosingError("this distributor is about to end")
-        elif not self.level:
+        elif not self.caught_up_at:
             raise DistributorStartingError("not level with the ledger since it started")
-        elif self.subscribers.count_besides(connection) >= self.limits.subscribers:
+        elif self.subscribers.other_count(connection) >= self.limits.subscribers:
             raise DistributorFullError(f"serves {self.limits.subscribers} subscribers")
-        elif self.limits.guard_versions and claim.held > self.catalogue.version:
-            self.subscribers.doubt(connection, PendingClaim(claim, self.now))
+        elif self.limits.guard_versions and claim.held > self.store.version:
+            self.subscribers.hold_claim(connection, PendingClaim(claim, self.now))
         else:
             self.accept(connection, claim)
 
     def accept(self, connection: int, claim: Subscribe, void: Version = NO_VERSION) -> None:
         name = self.subscribers.names[connection]
-        subscription = Subscription(connection, name, self.catalogue, self.limits)
+        subscription = Subscription(connection, name, self.store, self.limits)
         subscription.resume(self.now, claim)
-        self.subscribers.decided(connection)
+        self.subscribers.resolve_claim(connection)
         if void != NO_VERSION:
-            subscription.forget_claim(self.now, void)
+            subscription.reject_claimed_version(self.now, void)
             self.note("version_void", UnknownVersionError(f"version {void.text()} is claimed", name))
         earlier = self.subscribers.connection_of(name)
         if earlier is not None:
             replaced = SubscriberReplacedError("connected again", name)
             self.note("subscriber_replaced", replaced)
             self.close(earlier, replaced.text())
-        self.subscribers.serve(connection, subscription)
-        self.tally.arrives(name)
-        self.admission.want(connection)
+        self.subscribers.subscribe(connection, subscription)
+        self.tracker.on_connected(name)
+        self.admission.enqueue(connection)
 
-    def acknowledge(self, connection: int, word: Acknowledge) -> None:
+    def acknowledge(self, connection: int, message: Acknowledge) -> None:
         subscription = self.subscribers.subscriptions.get(connection)
-        if subscription is not None and subscription.acknowledge(word) is not None:
-            self.update_answered(connection)
+        if subscription is not None and subscription.acknowledge(message) is not None:
+            self.on_update_completed(connection)
 
-    def reject(self, connection: int, word: Reject) -> None:
+    def reject(self, connection: int, message: Reject) -> None:
         subscription = self.subscribers.subscriptions.get(connection)
         if subscription is None:
             return
-        self.out.append(
+        self.outputs.append(
             Note(
                 "update_rejected",
-                {"subscriber": subscription.subscriber, "reason": word.reason.name, "why": word.why},
+                {"subscriber": subscription.subscriber, "reason": message.reason.name, "why": message.why},
             )
         )
-        older = word.reason is RejectReason.OLDER or word.held > self.catalogue.version
+        older = message.reason is RejectReason.OLDER or message.held > self.store.version
         if older and self.limits.guard_versions:
-            raise DistributorBehindError(f"the subscriber holds {word.held.text()}")
-        elif subscription.reject(word) is not None:
-            self.update_answered(connection)
+            raise DistributorBehindError(f"the subscriber holds {message.held.text()}")
+        elif subscription.reject(message) is not None:
+            self.on_update_completed(connection)
 
-    def update_answered(self, connection: int) -> None:
+    def on_update_completed(self, connection: int) -> None:
         """A scope that came while the update was out begins now."""
-        self.admission.answered(connection)
-        self.subscribers.index(connection)
-        if self.subscribers.subscriptions[connection].waiting:
-            self.admission.want(connection)
+        self.admission.on_acknowledged(connection)
+        self.subscribers.update_index(connection)
+        if self.subscribers.subscriptions[connection].has_pending_update:
+            self.admission.enqueue(connection)
 
-    def renew(self, connection: int, word: Renew) -> None:
+    def renew(self, connection: int, message: Renew) -> None:
         subscription = self.subscribers.subscriptions.get(connection)
-        age = self.age(subscription) if subscription is not None else None
+        age = self.confirmed_age(subscription) if subscription is not None else None
         if age is not None:
-            until = self.now - age + grantor_span(self.limits.lease, self.limits.drift)
-            subscription.acting_until = max(subscription.acting_until, until)
-        self.out.append(SendToSubscriber(connection, Current(word.number, self.catalogue.version, age)))
+            acting_until = self.now - age + grantor_span(self.limits.lease, self.limits.drift)
+            subscription.acting_until = max(subscription.acting_until, acting_until)
+        self.outputs.append(SendToSubscriber(connection, Current(message.number, self.store.version, age)))
 
-    def age(self, subscription: Subscription) -> int | None:
+    def confirmed_age(self, subscription: Subscription) -> int | None:
         """All that was committed so long ago is in what the subscriber has acknowledged."""
         missing = subscription.missing
-        level = self.level if missing is None else missing.level
-        return self.now - level if subscription.confirmed and level else None
+        caught_up_at = self.caught_up_at if missing is None else missing.caught_up_at
+        return self.now - caught_up_at if subscription.is_confirmed and caught_up_at else None
 
     # ---- what goes out -----------------------------------------------------------------------------
 
     def serve(self, connection: int) -> bool:
         """Sends what that subscriber lacks, if it may go now."""
         subscription = self.subscribers.subscriptions.get(connection)
-        if subscription is None or not subscription.waiting:
-            self.admission.large.pop(connection, None)
+        if subscription is None or not subscription.has_pending_update:
+            self.admission.waiting_large.pop(connection, None)
             return False
         if self.now < subscription.not_before:
-            self.admission.pace(connection, subscription.not_before)
+            self.admission.delay(connection, subscription.not_before)
             return False
         try:
             update = subscription.compose()
         except ScopeTooLargeError as too_large:
             self.refuse(connection, too_large)
             return False
-        if not self.admission.fits(connection, encoded_size(update.changes)):
+        if not self.admission.may_send(connection, encoded_size(update.changes)):
             return False
-        subscription.sent(self.now, update)
-        self.admission.sent(connection, subscription.flight.size)
-        self.out.append(SendToSubscriber(connection, update))
+        subscription.on_sent(self.now, update)
+        self.admission.on_sent(connection, subscription.in_flight.size)
+        self.outputs.append(SendToSubscriber(connection, update))
         return True
 
     # ---- once in a while ---------------------------------------------------------------------------
 
-    def level_reached(self, asked: int) -> None:
+    def on_caught_up(self, confirmed_at: int) -> None:
         """All that was committed at `asked` is in the catalogue: claims in doubt can be judged."""
-        self.level = max(self.level, asked)
+        self.caught_up_at = max(self.caught_up_at, confirmed_at)
         for connection, claim in list(self.subscribers.claims.items()):
-            if claim.word.held <= self.catalogue.version:
-                self.accept_claim(connection, claim.word)
-            elif asked >= claim.since:
+            if claim.message.held <= self.store.version:
+                self.accept_claim(connection, claim.message)
+            elif confirmed_at >= claim.claimed_at:
                 # Had it ever been committed, it would stand here by now.
-                self.accept_claim(connection, claim.word, claim.word.held)
+                self.accept_claim(connection, claim.message, claim.message.held)
 
-    def accept_claim(self, connection: int, word: Subscribe, void: Version = NO_VERSION) -> None:
+    def accept_claim(self, connection: int, message: Subscribe, void: Version = NO_VERSION) -> None:
         try:
-            self.accept(connection, word, void)
+            self.accept(connection, message, void)
         except ScopeTooLargeError as too_large:
             self.refuse(connection, too_large)
 
-    def sweep(self) -> None:
+    def close_overdue(self) -> None:
         """Ends with those that don't answer, and sends away those whose claim could not be judged."""
-        for connection in self.subscribers.unanswered(self.now - self.limits.acknowledge):
+        for connection in self.subscribers.unacknowledged(self.now - self.limits.acknowledge_timeout):
             name = self.subscribers.names[connection]
             silent = SubscriberTimeoutError("an update was not answered in time", name)
             self.note("subscriber_silent", silent)
             self.close(connection, silent.text())
-        for connection in self.subscribers.doubts_before(self.now - self.limits.again):
+        for connection in self.subscribers.claims_before(self.now - self.limits.retry_after):
             self.refuse(connection, DistributorBehindError("the subscriber holds a newer version"))
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -56,9 +56,9 @@
     felt: Callable[[int, str, int], None] = lambda now, rpc, latency: None  # an RPC was answered here
     distributing: DistributorRole | None = None
 
-    def heard_report(self, who: MemberId, report: Report) -> None:
+    def on_report(self, who: MemberId, report: Report) -> None:
         if self.distributing is not None:
-            self.distributing.heard_report(who, report)
+            self.distributing.on_report(who, report)
 
     def stop_distributing(self) -> None:
         """Subscribers go elsewhere; this member may go on with the rest, or end."""
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -42,14 +42,14 @@
         text, seed = self.text, random.Random(secrets.randbits(64))
         addresses = {one.name: one.address for one in text.distributors.values()}
         self.following = SubscriberConnection(
-            self.loop, self.log, text.name, text.me, text.services, addresses, seed, applied=self.applied
+            self.loop, self.log, text.name, text.me, text.services, addresses, seed, on_applied=self.applied
         )
         self.following.start()
         self.tell()
 
     def tell(self) -> None:
         self.telling = self.loop.after(TOLD, self.tell)
-        self.log.event("content", **self.following.figures()["distribution"])
+        self.log.event("content", **self.following.status()["distribution"])
 
     def applied(self, output: UpdateApplied) -> None:
         age = self.following.machine.age(self.loop.clock.now())
@@ -59,7 +59,7 @@
             services=len(output.services),
             age_ms=None if age is None else age / 10,
         )
-        self.heard(output.version.index, self.following.machine.held.services.keys())
+        self.heard(output.version.index, self.following.machine.scope.services.keys())
 
     def resources(self, service: str) -> Mapping[str, bytes]:
         return self.following.machine.resources(service) if self.following is not None else {}
@@ -80,7 +80,7 @@
             self.following.rescope(text.services)
 
     def figures(self) -> dict:
-        return self.following.figures() if self.following is not None else {}
+        return self.following.status() if self.following is not None else {}
 
     def asked(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
         """`resources SERVICE`: what is held of it."""
--- a/proofs/scalekit/hollow.py
+++ b/proofs/scalekit/hollow.py
@@ -35,13 +35,13 @@
     def __init__(self, *rest, **words) -> None:
         super().__init__(*rest, **words)
         self.record = Record()
-        self.applied = lambda output: self.record.applied(clock(), output.version.index)
-        self.step, self.stepping.step = self.stepping.step, self.watched
+        self.on_applied = lambda output: self.record.applied(clock(), output.version.index)
+        self.step, self.driver.step = self.driver.step, self.watched
         self.muted = False
 
     @property
     def served(self) -> bool:
-        return self.machine.connecting.phase is ConnectionPhase.SERVED
+        return self.machine.connector.phase is ConnectionPhase.SERVED
 
     def watched(self, input) -> None:
         if self.muted:
@@ -104,7 +104,7 @@
         served = [one.served for one in self.subscribers]
         at: dict[str, int] = {}
         for one in self.subscribers:
-            distributor = one.machine.connecting.distributor
+            distributor = one.machine.connector.distributor
             at[distributor] = at.get(distributor, 0) + 1
         received = sum(one.received + one.sent for one in self.subscribers)
         return {"served": sum(served), "least": min(held), "at": at, "bytes": received, "broken": self.broken}
@@ -118,10 +118,10 @@
         """One resource that it holds is another than it was told: its next digest differs."""
         one = self.subscribers[number]
         one.record.tampered = True
-        name = sorted(one.machine.held.services)[0]
-        content = one.machine.held.services[name]
+        name = sorted(one.machine.scope.services)[0]
+        content = one.machine.scope.services[name]
         altered = Resource(min(content.bodies), b"altered by the proof")
-        one.machine.held.services[name] = content.with_changes([altered], ())
+        one.machine.scope.services[name] = content.with_changes([altered], ())
         if reconnects:
             self.reconnect(one)
         return {"service": name}
@@ -129,7 +129,7 @@
     def claim(self, number: int) -> dict:
         """It claims a version that never was."""
         one = self.subscribers[number]
-        held, record = one.machine.held, one.record
+        held, record = one.machine.scope, one.record
         held.version = Version(held.version.term + 1_000, held.version.index + 1_000_000)
         record.tampered, record.claims = True, held.version.index
         record.applied(clock(), held.version.index)
--- a/proofs/scalekit/judging.py
+++ b/proofs/scalekit/judging.py
@@ -42,7 +42,7 @@
             by_service.setdefault(service, []).append((index, asked))
     for one in subscribers:
         away = facts.away.get(one.name, [])
-        mine = {change for service in one.machine.wanted for change in by_service.get(service, ())}
+        mine = {change for service in one.machine.services for change in by_service.get(service, ())}
         judge_changes(found, one, sorted(mine), away)
         judge_outages(found, one, sorted(mine), away)
         found.older += one.record.older
@@ -89,10 +89,10 @@
 
 def differs(one, intended: Services) -> str:
     """What it holds against what is intended, value by value."""
-    for service in sorted(one.machine.wanted):
+    for service in sorted(one.machine.services):
         held = {key: body.decode() for key, body in one.machine.resources(service).items()}
         if held != intended[service]:
             keys = {key for key, _ in held.items() ^ intended[service].items()}
             return f"{service}: {len(keys)} differ, as {min(keys)}"
-    extra = set(one.machine.held.services) - set(one.machine.wanted)
+    extra = set(one.machine.scope.services) - set(one.machine.services)
     return f"it holds {min(extra)}, which it does not reach" if extra else ""
--- a/tests/distribution_truth.py
+++ b/tests/distribution_truth.py
@@ -61,20 +61,20 @@
 
     def check_applied(self, machine, before, update):
         assert machine.version >= before or update.void == before, "an older version was applied"
-        for service in machine.held.services:
+        for service in machine.scope.services:
             assert machine.resources(service) == self.bodies_at(service, machine.version), "not that version"
 
     def check_server(self, server):
-        serving = server.machine.serving
+        serving = server.machine.server
         assert serving.admission.large_bytes <= self.limits.large_bytes
-        for each in serving.subscribers.served():
-            assert len(each.dirty) + len(each.unknown) <= len(each.scope)
-            assert each.flight is None or each.flight.size <= self.limits.update_bytes
+        for each in serving.subscribers.subscribed():
+            assert len(each.changed_services) + len(each.full_resend) <= len(each.scope)
+            assert each.in_flight is None or each.in_flight.size <= self.limits.update_bytes
         in_force = server.machine.report(self.now).in_force
-        for each in serving.subscribers.served():
+        for each in serving.subscribers.subscribed():
             holder = self.subscribers[each.subscriber]
             if each.acknowledged != NO_VERSION and each.connection in self.links:
-                for service in holder.held.services.keys() & set(each.scope):
+                for service in holder.scope.services.keys() & set(each.scope):
                     held = self.bodies_at(service, holder.version)
                     assert holder.version >= in_force or held in self.since(service, in_force)
 
@@ -83,7 +83,7 @@
         bound = self.now - grantor_span(self.limits.lease, self.limits.drift)
         for name, machine in self.subscribers.items():
             if self.now < machine.acting_until(self.now) and name not in self.stopped | self.spoilt:
-                for service in machine.held.services:
+                for service in machine.scope.services:
                     assert machine.resources(service) in self.since(service, self.last(service, bound))
 
     def last(self, service, time):
--- a/tests/distribution_world.py
+++ b/tests/distribution_world.py
@@ -76,7 +76,7 @@
 
     def start(self, name):
         part = DistributionPart()
-        machine = Distributor(name, part.catalogue, self.limits, self.now, self.names)
+        machine = Distributor(name, part.store, self.limits, self.now, self.names)
         self.servers[name] = server = Server(name, part, machine)
         self.at(self.now, self.follow, server)
         self.wake(server)
--- a/tests/test_distribution_catalogue.py
+++ b/tests/test_distribution_catalogue.py
@@ -86,12 +86,10 @@
     other = DistributionPart()
     other.restore(row)
     assert msgspec.msgpack.encode(other.row()) == row
-    for service in part.catalogue.services:
-        assert other.catalogue.digest(service) == part.catalogue.digest(service)
+    for service in part.store.services:
+        assert other.store.digest(service) == part.store.digest(service)
         for since in (None, Version(1, 100), Version(1, 390)):
-            assert bytes(other.catalogue.change(service, since)) == bytes(
-                part.catalogue.change(service, since)
-            )
+            assert bytes(other.store.change(service, since)) == bytes(part.store.change(service, since))
     with pytest.raises(InvalidDataError):
         other.restore(b"\xc1")
 
@@ -101,13 +99,13 @@
     two = (Resource("a", b"1"), Resource("b", b"1"))
     assert part.apply(at(1), "set", SetResources((ServiceResources("s", two),))) == ("s",)
     assert part.apply(at(2), "set", SetResources((ServiceResources("s", two[:1]),))) == ()  # as it was
-    assert part.catalogue.version == Version(1, 1)
+    assert part.store.version == Version(1, 1)
     assert part.apply(
         at(3), "replace", ReplaceResources((ServiceResources("s", (Resource("b", b"2"),)),))
     ) == ("s",)
-    assert part.catalogue.resources("s") == {"b": b"2"}
+    assert part.store.resources("s") == {"b": b"2"}
     assert part.apply(at(4), "replace", ReplaceResources((ServiceResources("s", ()),))) == ("s",)
-    assert part.catalogue.resources("s") == {}
+    assert part.store.resources("s") == {}
 
 
 @pytest.mark.parametrize(
@@ -124,4 +122,4 @@
     part = DistributionPart()
     with pytest.raises(InvalidRequestError):
         part.apply(at(1), "set", SetResources(services))
-    assert not part.catalogue.services
+    assert not part.store.services
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -11,12 +11,12 @@
 
 
 def loads(world):
-    return [len(server.machine.serving.subscribers.served()) for server in world.servers.values()]
+    return [len(server.machine.server.subscribers.subscribed()) for server in world.servers.values()]
 
 
 def test_a_distributor_is_killed_with_its_subscribers():
     world = settled(World(1, subscribers=120))
-    first = world.subscribers["s0000"].connecting.choice.first
+    first = world.subscribers["s0000"].connector.choice.preferred
     world.kill(first)
     at = world.now
     world.drain(20)
@@ -117,7 +117,7 @@
     waited = 0
     for _ in range(60):
         world.run(0.01)
-        waited = max(waited, *(len(s.machine.serving.admission.large) for s in world.servers.values()))
+        waited = max(waited, *(len(s.machine.server.admission.waiting_large) for s in world.servers.values()))
     assert waited
     settled(world, 6)
 
--- a/tests/test_distribution_found.py
+++ b/tests/test_distribution_found.py
@@ -19,7 +19,7 @@
     part.apply(
         EntryContext(1, 1, 0, "", 0), "set", SetResources((ServiceResources("s", (Resource("a", b""),)),))
     )
-    machine = Distributor("d", part.catalogue, limits, NOW)
+    machine = Distributor("d", part.store, limits, NOW)
     machine.step(NOW, interfaces.CaughtUp(NOW))
     machine.step(NOW, interfaces.SubscriberConnected(1, "one"))
     return machine
@@ -36,7 +36,7 @@
         machine.step(NOW, interfaces.MessageReceived(1, Subscribe(2, NO_VERSION, (HeldService("s"),))))
     )
     assert machine.step(NOW + 1, interfaces.CaughtUp(NOW + 1)) == []
-    subscribers = machine.serving.subscribers
+    subscribers = machine.server.subscribers
     assert list(subscribers.subscriptions) == list(subscribers.names) == [1] and not subscribers.claims
 
 
@@ -46,9 +46,9 @@
         NOW, interfaces.MessageReceived(1, Subscribe(0, NO_VERSION, (HeldService("s"), HeldService("t"))))
     )
     machine.step(NOW, interfaces.MessageReceived(1, Subscribe(0, NO_VERSION, (HeldService("u"),))))
-    subscription = machine.serving.subscribers.subscriptions[1]
-    assert subscription.flight is not None and subscription.scope == ("s", "t")
-    assert subscription.rescope is not None and not subscription.unknown
+    subscription = machine.server.subscribers.subscriptions[1]
+    assert subscription.in_flight is not None and subscription.scope == ("s", "t")
+    assert subscription.pending_scope is not None and not subscription.full_resend
 
 
 def test_who_is_lost_at_once_may_act_under_the_lease_of_the_distributor_before():
--- a/tests/test_distribution_in_force.py
+++ b/tests/test_distribution_in_force.py
@@ -55,7 +55,7 @@
 def test_a_silent_distributor_is_counted_apart_with_those_that_nobody_else_serves():
     limits = Limits()
     fleet = FleetConvergence("d0", ["d0", "d1", "d2"], limits)
-    fleet.heard(0, report("d1", 9, 9, ["a", "b", "c"]))
+    fleet.on_report(0, report("d1", 9, 9, ["a", "b", "c"]))
     own = report("d0", 9, 9, ["d"])
     at_first = fleet.in_force(0, own)
     assert at_first.silent == ("d2",) and not at_first.unreachable_count and at_first.subscribers == 4
@@ -67,8 +67,8 @@
 
 def test_the_distributor_that_is_furthest_behind_holds_the_version_back():
     fleet = FleetConvergence("d0", ["d0", "d1", "d2"], Limits())
-    fleet.heard(0, report("d1", 5, 4, ["a"], age=30))
-    fleet.heard(0, report("d2", 9, 9))  # serves nobody
+    fleet.on_report(0, report("d1", 5, 4, ["a"], age=30))
+    fleet.on_report(0, report("d2", 9, 9))  # serves nobody
     assert fleet.in_force(10, report("d0", 9, 9, ["b"])).version == Version(1, 4)
     assert fleet.in_force(10, report("d0", 9, 9, ["b"])).age == 40
 
--- a/tests/test_distribution_patience.py
+++ b/tests/test_distribution_patience.py
@@ -17,21 +17,21 @@
 def test_patience_with_silence_doubles_until_one_brings_the_content_up_to_date():
     patience, spans = ConnectionDeadlines(LIMITS, random.Random(1), 0), []
     for _ in range(5):
-        patience.heard(1_000)
-        spans.append((patience.silent_at - 1_000) // LIMITS.answer)
-        patience.left_silent()
+        patience.on_message(1_000)
+        spans.append((patience.silent_at - 1_000) // LIMITS.response_timeout)
+        patience.on_left_silent()
     assert spans == [1, 2, 4, 4, 4]
-    patience.current(2_000)
-    patience.heard(1_000)
-    assert patience.silent_at == 1_000 + LIMITS.answer
+    patience.on_current(2_000)
+    patience.on_message(1_000)
+    assert patience.silent_at == 1_000 + LIMITS.response_timeout
 
 
 def test_one_that_was_current_is_left_as_soon_as_its_lease_is_over():
     """Who is cut off from the ledger is left in time for the next one to tell a change within 6 s."""
     patience = ConnectionDeadlines(LIMITS, random.Random(1), 0)
-    patience.connected(0, True)
+    patience.on_connected(0, True)
     assert patience.stale_at == LIMITS.lease
-    patience.current(LIMITS.lease + 7)
+    patience.on_current(LIMITS.lease + 7)
     assert patience.stale_at == LIMITS.lease + 7
     assert LIMITS.lease + LIMITS.first_delay < 5 * 10_000
 
@@ -56,6 +56,6 @@
 def test_after_a_cut_of_minutes_a_distributor_is_dialled_soon(cut):
     """Seen in proof-scale: 9.2 s after a region was back, as patience had doubled to 10 s."""
     waited = [dials_after(cut * SECOND + seed * SECOND // 7, seed) for seed in range(40)]
-    longest = LIMITS.answer << 2 if cut < 30 else LIMITS.answer
+    longest = LIMITS.response_timeout << 2 if cut < 30 else LIMITS.response_timeout
     assert max(waited) <= longest + LIMITS.first_delay
     assert cut < 30 or max(waited) + 2 * SECOND < IN_FORCE
--- a/tests/test_distribution_role.py
+++ b/tests/test_distribution_role.py
@@ -31,9 +31,9 @@
     role = DistributorRole(
         looped.loop, log, "whk", "d1", 1, {"d1": free()}, part, reads.append, lambda name, word: True
     )
-    step = role.connections.stepping.step
-    role.connections.stepping.step = lambda input: (heard.append(type(input)), step(input))
-    role.confirm(looped.clock.now())
+    step = role.listener.driver.step
+    role.listener.driver.step = lambda input: (heard.append(type(input)), step(input))
+    role.confirm_read(looped.clock.now())
     body = msgspec.msgpack.encode(SetResources((ServiceResources("maps", (Resource("m1", b"serving"),)),)))
     entry = LogEntry(1, 1, "distribution.set", body, "n1", 1, 1)
     outcome = state.apply(entry)
@@ -66,10 +66,10 @@
         lambda name, word: True,
     )
     role.turn(looped.clock.now(), None)
-    assert role.connections.open
+    assert role.listener.is_listening
     for _ in range(2):  # the member stops, and the process closes it later
         role.close()
         role.turn(looped.clock.now() + 100_000, None)
-        assert not role.connections.open
+        assert not role.listener.is_listening
     with socket.create_server(address):
         pass
--- a/tests/test_distribution_subscribers.py
+++ b/tests/test_distribution_subscribers.py
@@ -54,7 +54,7 @@
 def spoil(world, name):
     """One service of the subscriber has a content that never was; returns it and another one in its scope."""
     spoilt, other = sorted(world.scopes[name])[:2]
-    world.subscribers[name].held.services[spoilt] = ServiceContent(spoilt, {"never": b"there"})
+    world.subscribers[name].scope.services[spoilt] = ServiceContent(spoilt, {"never": b"there"})
     world.spoilt.add(name)
     return spoilt, other
 
@@ -68,7 +68,7 @@
     assert any(note.event == "subscriber_silent" for _, note in world.notes)
     in_force = world.servers["d0"].machine.in_force(world.now)
     assert in_force.unreachable_count == 1 and in_force.subscribers == 19 and in_force.age < SECOND
-    assert all(not s.machine.serving.admission.large_bytes for s in world.servers.values())
+    assert all(not s.machine.server.admission.large_bytes for s in world.servers.values())
 
 
 def test_a_scope_changes_without_a_gap_while_a_delta_is_out():
@@ -78,13 +78,13 @@
     world.run(1)
     world.set(sorted(before)[0], {"new": b"up"})
     link = world.link_of(name)
-    subscription = world.servers[link.server].machine.serving.subscribers.subscriptions[link.number]
-    while subscription.flight is None:
+    subscription = world.servers[link.server].machine.server.subscribers.subscriptions[link.number]
+    while subscription.in_flight is None:
         world.run(0.001)
     world.rescope(name, after)
     world.rescope(name, after | {world.services[0]})
-    while subscriber.held.services.keys() != after | {world.services[0]}:
-        assert before <= subscriber.held.services.keys() or after <= subscriber.held.services.keys()
+    while subscriber.scope.services.keys() != after | {world.services[0]}:
+        assert before <= subscriber.scope.services.keys() or after <= subscriber.scope.services.keys()
         world.run(0.001)
     settled(world)
 
@@ -104,7 +104,7 @@
     world = settled(World(13, servers=2))
     subscriber = world.subscribers["s0004"]
     world.majority = False
-    subscriber.held.version = Version(9, 1_000_000)
+    subscriber.scope.version = Version(9, 1_000_000)
     spoil(world, "s0004")
     world.cut(world.link_of("s0004"))
     world.run(20)
@@ -134,7 +134,7 @@
     """Found by the random faults: the lease of one that was ahead was taken for the added service too."""
     world = settled(World(15, servers=2, subscribers=1, reach=2))
     subscriber, added = world.subscribers["s0000"], world.services[-1]
-    ahead, behind = subscriber.connecting.choice.order
+    ahead, behind = subscriber.connector.choice.order
     world.scopes["s0000"] -= {added}
     world.rescope("s0000", world.scopes["s0000"])
     world.run(1)
@@ -146,5 +146,5 @@
     assert world.now < subscriber.acting_until(world.now)
     world.rescope("s0000", world.scopes["s0000"] | {added})
     world.run(1)
-    assert added in subscriber.held.services
+    assert added in subscriber.scope.services
     world.run(9)  # the world's check of leases fails here without the mend
