--- a/indigohitch/fleet/audit/acts.py
+++ b/indigohitch/fleet/audit/acts.py
@@ -31,8 +31,13 @@
     ) -> None:
         """`lease(now)`: work.Membership.lease; `when(now)`: fleet time as this member reckons it; `trouble`
         is told what an operator should know."""
-        self.me, self.lease, self.state_machine, self.store = me, lease, state_machine, store
-        self.trouble, self.firm, self.when = trouble, firm, when
+        self.me = me
+        self.lease = lease
+        self.state_machine = state_machine
+        self.store = store
+        self.trouble = trouble
+        self.firm = firm
+        self.when = when
         self.chain: Chain | None = None
         self.safe: tuple[int, int, bytes] | None = None  # the head of what is on the disk
         self.counts: Counter[str] = Counter()  # by kind; `refused`, `unwritten`
@@ -73,7 +78,8 @@
         self.chain.take(record)
         self.counts[kind] += 1
         span = self.spans.setdefault(self.state_machine.parts["members"].version, [0, record.at, 0])
-        span[0], span[2] = span[0] + 1, record.at
+        span[0] = span[0] + 1
+        span[2] = record.at
         if len(self.spans) > SPANS:
             del self.spans[min(self.spans)]
         return record.stamp
--- a/indigohitch/fleet/audit/chain.py
+++ b/indigohitch/fleet/audit/chain.py
@@ -34,8 +34,10 @@
     """That of one incarnation."""
 
     def __init__(self, member: str, incarnation: int) -> None:
-        self.member, self.incarnation = member, incarnation
-        self.number, self.head = 0, root(member, incarnation)
+        self.member = member
+        self.incarnation = incarnation
+        self.number = 0
+        self.head = root(member, incarnation)
 
     def next(self, term: int, version: int, kind: str, about: bytes, at: int, left: int) -> Record:
         """The record of an act to come; it belongs to the chain once it is written: `take`."""
@@ -49,4 +51,5 @@
         )
 
     def take(self, record: Record) -> None:
-        self.number, self.head = record.stamp.number, record.digest()
+        self.number = record.stamp.number
+        self.head = record.digest()
--- a/indigohitch/fleet/audit/check.py
+++ b/indigohitch/fleet/audit/check.py
@@ -86,7 +86,9 @@
     """One chain, record after record."""
 
     def __init__(self, member: str, incarnation: int, kept: Kept | None) -> None:
-        self.member, self.incarnation, self.kept = member, incarnation, kept
+        self.member = member
+        self.incarnation = incarnation
+        self.kept = kept
         self.last: Record | None = None
 
     def finding(self, kind: str, number: int, what: str) -> Finding:
@@ -95,7 +97,9 @@
     def next(self, record: Record) -> Iterator[Finding]:
         """In itself: numbers without a gap, digests that meet, nothing that goes back; and as the ledger
         knows it."""
-        stamp, last, self.last = record.stamp, self.last, record
+        stamp = record.stamp
+        last = self.last
+        self.last = record
         if (stamp.member, stamp.incarnation) != (self.member, self.incarnation):
             yield self.finding("changed", stamp.number, f"stamped {stamp.member} {stamp.incarnation}")
         before = last.stamp.number if last is not None else 0
--- a/indigohitch/fleet/audit/folders.py
+++ b/indigohitch/fleet/audit/folders.py
@@ -33,7 +33,8 @@
 
 def gathered(folders: Mapping[str, str | os.PathLike]) -> tuple[Records, list[tuple[str, InvalidDataError]]]:
     """`folders`: by member, where its chains lie (`audit` in its ledger's folder).  Raises OSError."""
-    records, unread = {}, []
+    records = {}
+    unread = []
     for member, folder in sorted(folders.items()):
         records[member], troubles = files.read(folder)
         unread += [(member, trouble) for trouble in troubles]
--- a/indigohitch/fleet/audit/heads.py
+++ b/indigohitch/fleet/audit/heads.py
@@ -88,7 +88,9 @@
         if kept.gone:
             raise InvalidRequestError(f"{head.member} {head.incarnation} is gone")
         if head.number > kept.number:
-            kept.number, kept.digest, kept.first = head.number, head.digest, max(kept.first, head.first)
+            kept.number = head.number
+            kept.digest = head.digest
+            kept.first = max(kept.first, head.first)
             self.facts.kept[head.member] = [
                 one for one in self.facts.kept[head.member] if one.incarnation >= head.oldest
             ]
@@ -109,7 +111,8 @@
 
     def member_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
         kept = self.of(name, incarnation)
-        kept.gone, kept.gone_at = at.index, when
+        kept.gone = at.index
+        kept.gone_at = when
 
     def change_in_force(
         self, at: EntryContext, version: int, taken: tuple[tuple[str, int, int], ...]
--- a/indigohitch/fleet/audit/scrub.py
+++ b/indigohitch/fleet/audit/scrub.py
@@ -19,12 +19,16 @@
 
 class Scrub:
     def __init__(self, member: str, store: Store, facts: Callable[[], Facts]) -> None:
-        self.member, self.store, self.facts = member, store, facts
-        self.rounds = self.records = 0  # whole rounds, and what the one under way has read
+        self.member = member
+        self.store = store
+        self.facts = facts
+        self.rounds = 0
+        self.records = 0  # whole rounds, and what the one under way has read
         self.found: list[Finding] = []
         self.files: list[tuple[tuple[int, int], Path]] = []  # still to be read in this round
         self.links: Links | None = None
-        self.at = self.due = 0  # in the first of them; when the next round begins
+        self.at = 0
+        self.due = 0  # in the first of them; when the next round begins
 
     def step(self, now: int) -> list[Finding]:
         """The next piece; what is new that is wrong.  Raises OSError."""
@@ -45,7 +49,8 @@
                 data = file.read(PIECE)
         except FileNotFoundError:  # given up meanwhile, and the ledger knows from where on
             self.files.pop(0)
-            self.links, self.at = None, 0
+            self.links = None
+            self.at = 0
             return []
         found: list[Finding] = []
         if self.links is None or self.links.incarnation != incarnation:
@@ -58,7 +63,8 @@
         records, end, spoilt = frames(data)
         for record in records:
             found += self.links.next(record)
-        self.records, self.at = self.records + len(records), self.at + end
+        self.records = self.records + len(records)
+        self.at = self.at + end
         if spoilt:
             found.append(
                 Finding("spoilt", self.member, incarnation, first, f"{path.name}, byte {self.at}: {spoilt}")
@@ -74,7 +80,8 @@
     def ended(self) -> list[Finding]:
         """The chain just read is over.  That which is written goes on: its head may be ahead of what was
         read."""
-        links, self.links = self.links, None
+        links = self.links
+        self.links = None
         return [] if links is None or links.incarnation == self.store.incarnation else list(links.end())
 
     def again(self) -> list[Finding]:
--- a/indigohitch/fleet/audit/work.py
+++ b/indigohitch/fleet/audit/work.py
@@ -57,7 +57,10 @@
         membership: Membership,
         trouble: Callable[[DirectorError], None],
     ) -> None:
-        self.acts, self.heads, self.membership, self.trouble = acts, heads, membership, trouble
+        self.acts = acts
+        self.heads = heads
+        self.membership = membership
+        self.trouble = trouble
         self.kept = False  # the evidence of a state that differs
         self.out: Head | None = None  # proposed, its outcome not known
         self.told = 0, 0  # incarnation and number of the last head taken
@@ -112,13 +115,15 @@
         return self.head(now) if self.acts.sync() else []
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
-        head, self.out = self.out, None
+        head = self.out
+        self.out = None
         if head is None or outcome is None:
             return []
         if outcome.refused:  # gone: the ledger takes no more of this incarnation
             self.told = max(self.told, (head.incarnation, head.number))
         elif why := msgspec.msgpack.decode(outcome.told):
-            self.wrong, self.told = why, (head.incarnation, head.number)
+            self.wrong = why
+            self.told = (head.incarnation, head.number)
             self.trouble(
                 DirectorError(
                     f"the chain of acts {why}",
@@ -176,7 +181,8 @@
         return told
 
     def figures(self) -> dict:
-        facts, chain = self.heads.facts, self.acts.chain
+        facts = self.heads.facts
+        chain = self.acts.chain
         return {
             "own": shown(msgspec.msgpack.decode(self.report(0), type=Report)),
             "members": self.members(),
--- a/indigohitch/fleet/distribution/connection_deadlines.py
+++ b/indigohitch/fleet/distribution/connection_deadlines.py
@@ -17,10 +17,15 @@
 
 class ConnectionDeadlines:
     def __init__(self, limits: SubscriberLimits, random_source: random.Random, now: int) -> None:
-        self.limits, self.random_source = limits, random_source
+        self.limits = limits
+        self.random_source = random_source
         self.last_message_at = now  # a word of any distributor; at first the start
-        self.silent_at = self.stale_at = self.home_at = NEVER
-        self.silent_count = self.stale_count = self.home_count = 0  # left for that reason in a row
+        self.silent_at = NEVER
+        self.stale_at = NEVER
+        self.home_at = NEVER
+        self.silent_count = 0
+        self.stale_count = 0
+        self.home_count = 0  # left for that reason in a row
 
     @property
     def due(self) -> int:
@@ -44,7 +49,8 @@
         self.on_message(now)
         self.await_current(now)
         if is_preferred:
-            self.home_at, self.home_count = NEVER, 0
+            self.home_at = NEVER
+            self.home_count = 0
         else:
             away = self.limits.home_retry << min(self.home_count, MAX_DOUBLINGS)
             self.home_at = now + away + self.random_source.randrange(away + 1)
@@ -55,7 +61,8 @@
 
     def on_current(self, lease_until: int) -> None:
         """Once it was brought up to date, it is left as soon as the lease runs out."""
-        self.silent_count = self.stale_count = 0
+        self.silent_count = 0
+        self.stale_count = 0
         self.stale_at = lease_until
 
     def on_left_silent(self) -> None:
--- a/indigohitch/fleet/distribution/content.py
+++ b/indigohitch/fleet/distribution/content.py
@@ -12,7 +12,8 @@
 from ...encoding.rows import digest
 from .types import Resource, ServiceName
 
-SERVICE_SALT, SCOPE_SALT = 3, 4
+SERVICE_SALT = 3
+SCOPE_SALT = 4
 
 
 class ServiceContent:
--- a/indigohitch/fleet/distribution/convergence.py
+++ b/indigohitch/fleet/distribution/convergence.py
@@ -57,7 +57,8 @@
     """Of one distributor."""
 
     def __init__(self, name: DistributorName, limits: Limits) -> None:
-        self.name, self.limits = name, limits
+        self.name = name
+        self.limits = limits
         self.departed: dict[SubscriberName, DepartedSubscriber] = {}
         self.number = 0
 
@@ -138,9 +139,12 @@
 class FleetConvergence:
     """Of all distributors, at one of them."""
 
-    def __init__(self, name: DistributorName, expected: Collection[DistributorName], limits: Limits) -> None:
-        self.name, self.limits = name, limits
-        self.expected = frozenset(expected) - {name}
+    def __init__(
+        self, name: DistributorName, expected_distributors: Collection[DistributorName], limits: Limits
+    ) -> None:
+        self.name = name
+        self.limits = limits
+        self.expected_distributors = frozenset(expected_distributors) - {name}
         self.reports: dict[DistributorName, tuple[Report, int]] = {}  # with when it came
 
     def on_report(self, now: int, report: Report) -> None:
@@ -157,7 +161,7 @@
         """`own`: of this distributor, made now."""
         recent = {name: one for name, one in self.reports.items() if now - one[1] <= REPORT_TIMEOUT}
         reports = [(own_report, 0), *((report, now - at) for report, at in recent.values())]
-        silent = (self.expected | self.reports.keys()) - recent.keys()
+        silent = (self.expected_distributors | self.reports.keys()) - recent.keys()
         newest = max(report.version for report, _ in reports)
         serving = [(report, age) for report, age in reports if report.subscribers]
         connected = set().union(*(split_marks(report.connected) for report, _ in reports))
--- a/indigohitch/fleet/distribution/distributor.py
+++ b/indigohitch/fleet/distribution/distributor.py
@@ -23,8 +23,8 @@
 )
 from .limits import Limits
 from .messages import Report
+from .pending_updates import MissingChange
 from .resource_store import ResourceStore
-from .subscription import MissingChange
 from .subscription_server import SubscriptionServer
 from .types import DistributorName
 
@@ -42,11 +42,13 @@
         store: ResourceStore,
         limits: Limits,
         now: int,
-        others: Collection[DistributorName] = (),
+        expected_distributors: Collection[DistributorName] = (),
     ) -> None:
-        self.name, self.store, self.limits = name, store, limits
+        self.name = name
+        self.store = store
+        self.limits = limits
         self.tracker = ConvergenceTracker(name, limits)
-        self.fleet_convergence = FleetConvergence(name, others, limits)
+        self.fleet_convergence = FleetConvergence(name, expected_distributors, limits)
         self.server = SubscriptionServer(store, limits, self.tracker, now)
         self.announced_version = store.version  # the subscriptions were told of all changes up to it
         self.sweep_at = now + SWEEP_INTERVAL
@@ -78,7 +80,8 @@
 
     def report(self, now: int) -> Report:
         """For the other distributors, once a second or so."""
-        caught_up_at, served = self.server.caught_up_at, self.server.subscribers.subscribed()
+        caught_up_at = self.server.caught_up_at
+        served = self.server.subscribers.subscribed()
         ledger_age = now - caught_up_at if caught_up_at else None
         return self.tracker.report(now, self.announced_version, self.store, served, ledger_age)
 
@@ -88,7 +91,8 @@
 
     def status(self, now: int) -> dict:
         """For `status`, as plain JSON."""
-        report, admission = self.report(now), self.server.admission
+        report = self.report(now)
+        admission = self.server.admission
         return {
             "version": self.store.version.text(),
             "ledger_age": report.ledger_age,
--- a/indigohitch/fleet/distribution/distributor_choice.py
+++ b/indigohitch/fleet/distribution/distributor_choice.py
@@ -42,7 +42,8 @@
         random_source: random.Random,
     ) -> None:
         self.order = rendezvous_order(subscriber, distributors)
-        self.limits, self.random_source = limits, random_source
+        self.limits = limits
+        self.random_source = random_source
         self.not_before = dict.fromkeys(self.order, 0)
         self.failures = dict.fromkeys(self.order, 0)  # in a row
 
--- a/indigohitch/fleet/distribution/distributor_connector.py
+++ b/indigohitch/fleet/distribution/distributor_connector.py
@@ -29,7 +29,8 @@
         random_source: random.Random,
         now: int,
     ) -> None:
-        self.limits, self.random_source = limits, random_source
+        self.limits = limits
+        self.random_source = random_source
         self.choice = DistributorChoice(name, distributors, limits, random_source)
         self.deadlines = ConnectionDeadlines(limits, random_source, now)
         self.phase = ConnectionPhase.WAITING
@@ -52,7 +53,8 @@
         if chosen is None:
             self.dial_at = max(self.choice.next_attempt_at(), now + 1)
             return None
-        self.phase, self.distributor = ConnectionPhase.DIALLING, chosen
+        self.phase = ConnectionPhase.DIALLING
+        self.distributor = chosen
         self.deadlines.await_message(now)
         return Dial(chosen)
 
@@ -101,5 +103,6 @@
 
     def schedule_dial(self, now: int) -> None:
         """Subscribers that lose one distributor together don't come to the next one together."""
-        self.phase, self.distributor = ConnectionPhase.WAITING, ""
+        self.phase = ConnectionPhase.WAITING
+        self.distributor = ""
         self.dial_at = now + self.random_source.randrange(self.limits.first_delay + 1)
--- a/indigohitch/fleet/distribution/distributor_listener.py
+++ b/indigohitch/fleet/distribution/distributor_listener.py
@@ -49,14 +49,19 @@
         machine: Distributor,
         limits: Limits,
     ) -> None:
-        self.loop, self.log, self.fleet, self.member, self.token = loop, log, fleet, member, token
+        self.loop = loop
+        self.log = log
+        self.fleet = fleet
+        self.member = member
+        self.token = token
         self.limits = limits
         self.acceptor = Acceptor(
             loop, log, MESSAGE_TYPES, self, "subscribers", MAX_UNIDENTIFIED, BufferPool(BUFFER_POOL_BYTES)
         )
         self.connections: dict[int, InboundLink] = {}
         self.numbers: dict[InboundLink, int] = {}
-        self.last_number = self.bytes_sent = 0  # number of the last connection; bytes
+        self.last_number = 0
+        self.bytes_sent = 0  # number of the last connection; bytes
         self.driver = MachineDriver(loop, machine, self.execute)
 
     def start(self, address: tuple[str, int]) -> None:
@@ -91,8 +96,10 @@
             link.close()
             return
         self.last_number += 1
-        link.who, link.token = greeting.who, greeting.token
-        self.connections[self.last_number], self.numbers[link] = link, self.last_number
+        link.who = greeting.who
+        link.token = greeting.token
+        self.connections[self.last_number] = link
+        self.numbers[link] = self.last_number
         link.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
         link.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
         link.answer(links.HandshakeAccepted(self.member, self.token))
--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -45,23 +45,32 @@
         loop: EventLoop,
         log: Log,
         fleet: str,
-        me: str,
+        member_name: str,
         token: int,
         addresses: dict[str, tuple[str, int]],
         part: DistributionPart,
         read: ConfirmedRead,
-        say: Callable[[str, Row], bool],
+        send: Callable[[str, Row], bool],
     ) -> None:
-        self.loop, self.log, self.member_name, self.addresses = loop, log, me, addresses
-        self.replicated_part, self.confirmed_read, self.send = part, read, say
-        self.machine = Distributor(me, part.store, LIMITS, loop.clock.now(), self.others)
-        self.listener = DistributorListener(loop, log, fleet, MemberId(me, 0), token, self.machine, LIMITS)
-        self.listen_due = self.confirm_due = self.report_due = 0
+        self.loop = loop
+        self.log = log
+        self.member_name = member_name
+        self.addresses = addresses
+        self.replicated_part = part
+        self.confirmed_read = read
+        self.send = send
+        self.machine = Distributor(member_name, part.store, LIMITS, loop.clock.now(), self.peers)
+        self.listener = DistributorListener(
+            loop, log, fleet, MemberId(member_name, 0), token, self.machine, LIMITS
+        )
+        self.listen_due = 0
+        self.confirm_due = 0
+        self.report_due = 0
         self.is_reading = False
         self.is_closed = False
 
     @property
-    def others(self) -> Collection[str]:
+    def peers(self) -> Collection[str]:
         return [name for name in self.addresses if name != self.member_name]
 
     # ---- from the ledger ---------------------------------------------------------------------------
@@ -130,7 +139,7 @@
 
     def send_reports(self, now: int) -> None:
         report = self.machine.report(now)
-        for name in self.others:
+        for name in self.peers:
             self.send(name, report)
 
     def on_report(self, sender: MemberId, report: Report) -> None:
--- a/indigohitch/fleet/distribution/machine_driver.py
+++ b/indigohitch/fleet/distribution/machine_driver.py
@@ -20,9 +20,12 @@
 
 class MachineDriver:
     def __init__(self, loop: EventLoop, machine: Machine, execute: Callable[[object], None]) -> None:
-        self.loop, self.machine, self.execute = loop, machine, execute
+        self.loop = loop
+        self.machine = machine
+        self.execute = execute
         self.pending: deque = deque()
-        self.busy = self.stopped = False
+        self.busy = False
+        self.stopped = False
         self.timer = DueTimer(loop, lambda: self.machine.due, lambda: self.step(Tick()))
 
     def step(self, input) -> None:
--- /dev/null
+++ b/indigohitch/fleet/distribution/pending_updates.py
@@ -0,0 +1,43 @@
+"""Updates on their way to one subscriber, and the changes that it lacks.  No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+import msgspec
+
+from .types import ServiceName, Version
+
+
+@dataclass(slots=True, frozen=True)
+class MissingChange:
+    """A change that the subscriber lacks.  `since`: when this distributor applied it; `level`: when the
+    distributor was last level with the ledger before that (0: never)."""
+
+    version: Version
+    applied_at: int
+    caught_up_at: int
+
+
+@dataclass(slots=True, frozen=True)
+class InFlightUpdate:
+    """An update that is out."""
+
+    number: int
+    request: int
+    version: Version
+    digest: bytes
+    size: int
+    sent_at: int
+    unknown: frozenset[ServiceName]  # whole in it
+    missing: MissingChange | None  # the oldest change in it
+
+
+def oldest_missing(missing: Iterable[MissingChange | None]) -> MissingChange | None:
+    known = [each for each in missing if each is not None]
+    return min(known, key=lambda each: (each.version, each.applied_at), default=None)
+
+
+def encoded_size(changes: Iterable[msgspec.Raw]) -> int:
+    return sum(len(memoryview(change)) for change in changes)
--- a/indigohitch/fleet/distribution/replicated_part.py
+++ b/indigohitch/fleet/distribution/replicated_part.py
@@ -57,7 +57,7 @@
         self.store = ResourceStore()
 
     def apply(
-        self, context: EntryContext, word: str, body: SetResources | RemoveResources | ReplaceResources
+        self, context: EntryContext, kind: str, body: SetResources | RemoveResources | ReplaceResources
     ) -> tuple[ServiceName, ...]:
         version = Version(context.term, context.index)
         if len({each.service for each in body.services}) < len(body.services):
--- a/indigohitch/fleet/distribution/resource_store.py
+++ b/indigohitch/fleet/distribution/resource_store.py
@@ -208,10 +208,14 @@
         return ResourceStoreRow(self.version, self.floor, services)
 
     def restore(self, row: ResourceStoreRow) -> None:
-        self.version, self.floor = row.version, row.floor
-        self.services, self.empty_services, self.history = {}, {}, [row.version]
+        self.version = row.version
+        self.floor = row.floor
+        self.services = {}
+        self.empty_services = {}
+        self.history = [row.version]
         for each in row.services:
-            service = self.services[each.service] = StoredService(each.service, each.floor)
+            service = StoredService(each.service, each.floor)
+            self.services[each.service] = service
             service.content = ServiceContent(each.service, {key: body for key, body, _ in each.resources})
             service.changed = {key: changed_at for key, _, changed_at in each.resources}
             service.removed = dict(each.removed)
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -51,7 +51,8 @@
         random_source: random.Random,
         now: int,
     ) -> None:
-        self.name, self.limits = name, limits
+        self.name = name
+        self.limits = limits
         self.scope = SubscriberScope(limits.guard_versions)
         self.services = frozenset(services)
         self.requested_services: frozenset[ServiceName] = frozenset()  # the scope of the last Subscribe
@@ -64,7 +65,8 @@
             0  # until when answers over this connection alone let the content count as current
         )
         self.no_distributor_logged = False  # no distributor answers; logged once
-        self.now, self.outputs = now, []
+        self.now = now
+        self.outputs = []
         self.handlers = {
             ConnectionEstablished: self.on_connected,
             ConnectionLost: self.on_connection_lost,
@@ -78,9 +80,11 @@
 
     def step(self, now: int, event: SubscriberInput) -> list[SubscriberOutput]:
         """What to do, in order."""
-        self.now, self.outputs = now, []
+        self.now = now
+        self.outputs = []
         self.handlers[type(event)](event)
-        outputs, self.outputs = self.outputs, []
+        outputs = self.outputs
+        self.outputs = []
         return outputs
 
     @property
@@ -164,15 +168,16 @@
         """What is held stays until the first update for the new scope."""
         self.services = event.services
         if self.connector.phase is ConnectionPhase.SERVED:
-            self.change_subscription()
+            self.subscribe_if_changed()
 
     def subscribe(self) -> None:
         self.request_number += 1
-        self.requested_services, self.has_open_request = self.services, True
+        self.requested_services = self.services
+        self.has_open_request = True
         claim = self.scope.claim(self.requested_services)
         self.outputs.append(SendToDistributor(Subscribe(self.request_number, self.version, claim)))
 
-    def change_subscription(self) -> None:
+    def subscribe_if_changed(self) -> None:
         """One subscription is out at a time."""
         if not self.has_open_request and self.services != self.requested_services:
             self.subscribe()
@@ -209,11 +214,12 @@
             self.on_request_answered()
 
     def on_request_answered(self) -> None:
-        self.has_open_request, self.no_distributor_logged = False, False
+        self.has_open_request = False
+        self.no_distributor_logged = False
         if self.connector.phase is ConnectionPhase.SUBSCRIBING:
             self.connector.on_served()
         self.renew_now()
-        self.change_subscription()
+        self.subscribe_if_changed()
 
     def reject(
         self,
--- a/indigohitch/fleet/distribution/subscriber_connection.py
+++ b/indigohitch/fleet/distribution/subscriber_connection.py
@@ -53,12 +53,18 @@
         limits: SubscriberLimits | None = None,
         on_applied: Callable[[UpdateApplied], None] = lambda output: None,
     ) -> None:
-        self.loop, self.log, self.fleet, self.name = loop, log, fleet, name
-        self.kinds, self.chance, self.on_applied = MESSAGE_TYPES, random_source.random, on_applied
+        self.loop = loop
+        self.log = log
+        self.fleet = fleet
+        self.name = name
+        self.kinds = MESSAGE_TYPES
+        self.chance = random_source.random
+        self.on_applied = on_applied
         self.distributors = dict(distributors)
         self.token = random_source.getrandbits(62)
         self.link: OutboundLink | None = None
-        self._received = self._sent = 0  # bytes over connections that are closed
+        self._received = 0
+        self._sent = 0  # bytes over connections that are closed
         weights = dict.fromkeys(distributors, 1.0)
         limits = limits or SubscriberLimits()
         self.machine = Subscriber(name, services, weights, limits, random_source, loop.clock.now())
@@ -97,7 +103,8 @@
             link.close()
 
     def dropped(self) -> OutboundLink:
-        link, self.link = self.link, None
+        link = self.link
+        self.link = None
         self._received += link.received
         self._sent += link.sent
         return link
@@ -132,9 +139,9 @@
             )
             self.driver.step(ConnectionLost(link.name, reason))
 
-    def replied(self, link: OutboundLink, word: Row) -> None:
+    def replied(self, link: OutboundLink, message: Row) -> None:
         if link is self.link:
-            self.driver.step(DistributorMessageReceived(link.name, word))
+            self.driver.step(DistributorMessageReceived(link.name, message))
 
     def spoilt(self, name: str, broken: BrokenFrameError) -> None:
         log_broken_frame(self.log, name, broken, "distributors")
--- a/indigohitch/fleet/distribution/subscriber_scope.py
+++ b/indigohitch/fleet/distribution/subscriber_scope.py
@@ -65,7 +65,8 @@
             for name in services.keys() | self.services.keys()
             if services.get(name) is not self.services.get(name)
         }
-        self.services, self.version = services, update.version
+        self.services = services
+        self.version = update.version
         return tuple(sorted(changed))
 
     def services_after(
--- a/indigohitch/fleet/distribution/subscription.py
+++ b/indigohitch/fleet/distribution/subscription.py
@@ -6,51 +6,25 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from dataclasses import dataclass
-
-import msgspec
-
 from ..membership.leases import grantor_span
 from .content import scope_digest
 from .errors import DigestMismatchError, ScopeTooLargeError
 from .limits import Limits
 from .messages import Acknowledge, Reject, RejectReason, Subscribe, Update
+from .pending_updates import InFlightUpdate, MissingChange, encoded_size, oldest_missing
 from .resource_store import ResourceStore
 from .types import NO_VERSION, ServiceName, SubscriberName, Version, subscriber_mark
 
 
-@dataclass(slots=True, frozen=True)
-class MissingChange:
-    """A change that the subscriber lacks.  `since`: when this distributor applied it; `level`: when the
-    distributor was last level with the ledger before that (0: never)."""
-
-    version: Version
-    applied_at: int
-    caught_up_at: int
-
-
-@dataclass(slots=True, frozen=True)
-class InFlightUpdate:
-    """An update that is out."""
-
-    number: int
-    request: int
-    version: Version
-    digest: bytes
-    size: int
-    sent_at: int
-    unknown: frozenset[ServiceName]  # whole in it
-    missing: MissingChange | None  # the oldest change in it
-
-
 class Subscription:
     def __init__(
         self, connection: int, subscriber: SubscriberName, store: ResourceStore, limits: Limits
     ) -> None:
-        self.connection, self.subscriber = connection, subscriber
+        self.connection = connection
+        self.subscriber = subscriber
         self.mark = subscriber_mark(subscriber)
-        self.store, self.limits = store, limits
+        self.store = store
+        self.limits = limits
         self.request_number = 0
         self.scope: tuple[ServiceName, ...] = ()
         self.acknowledged = NO_VERSION
@@ -97,7 +71,9 @@
 
     def change_scope(self, claim: Subscribe) -> None:
         """What was in the scope before goes on; the rest is sent whole."""
-        before, unknown, dirty = set(self.scope), self.full_resend, self.changed_services
+        before = set(self.scope)
+        unknown = self.full_resend
+        dirty = self.changed_services
         self.start_request(claim)
         added = [name for name in self.scope if name not in before]
         self.full_resend = {name: unknown[name] for name in self.scope if name in unknown}
@@ -110,18 +86,20 @@
 
     def start_request(self, claim: Subscribe) -> None:
         self.check_scope(claim)
-        self.request_number, self.has_response = claim.request, False
+        self.request_number = claim.request
+        self.has_response = False
         self.scope = tuple(sorted({claimed.service for claimed in claim.services}))
 
     def reject_claimed_version(self, now: int, void: Version) -> None:
         """The version that the subscriber holds never was: all is sent whole, and until then it lacks all."""
-        self.void_version, self.acknowledged = void, NO_VERSION
+        self.void_version = void
+        self.acknowledged = NO_VERSION
         self.changed_services.clear()
         self.full_resend = dict.fromkeys(self.scope, MissingChange(Version(0, 1), now, 0))
 
     def resend_all(self, missing: MissingChange | None = None) -> None:
         """`missing`: the oldest change that was in an update which came to nothing."""
-        oldest = self.oldest_missing([missing, self.missing])
+        oldest = oldest_missing([missing, self.missing])
         self.full_resend = dict.fromkeys(self.scope, oldest)
         self.changed_services.clear()
 
@@ -146,7 +124,9 @@
             return None
         if message.version != in_flight.version or message.digest != in_flight.digest:
             raise DigestMismatchError("an acknowledgement of something else than was sent", self.subscriber)
-        self.in_flight, self.rejections, self.void_version = None, 0, NO_VERSION
+        self.in_flight = None
+        self.rejections = 0
+        self.void_version = NO_VERSION
         self.acknowledged = in_flight.version
         self.has_response = self.has_response or in_flight.request == self.request_number
         self.apply_pending_scope()
@@ -176,7 +156,8 @@
 
     def apply_pending_scope(self) -> None:
         if self.pending_scope is not None:
-            claim, self.pending_scope = self.pending_scope, None
+            claim = self.pending_scope
+            self.pending_scope = None
             self.change_scope(claim)
 
     # ---- what goes out -----------------------------------------------------------------------------
@@ -231,18 +212,9 @@
         """The oldest change that it has not acknowledged, None where it has all that are known here."""
         if self.in_flight is not None and self.in_flight.missing is not None:
             return self.in_flight.missing
-        return self.oldest_missing([*self.changed_services.values(), *self.full_resend.values()])
-
-    @staticmethod
-    def oldest_missing(missing: Iterable[MissingChange | None]) -> MissingChange | None:
-        known = [each for each in missing if each is not None]
-        return min(known, key=lambda each: (each.version, each.applied_at), default=None)
+        return oldest_missing([*self.changed_services.values(), *self.full_resend.values()])
 
     @property
     def is_confirmed(self) -> bool:
         """It has acknowledged the whole of its scope, as it stood at some version of this distributor."""
         return self.has_response and not self.full_resend
-
-
-def encoded_size(changes: Iterable[msgspec.Raw]) -> int:
-    return sum(len(memoryview(change)) for change in changes)
--- a/indigohitch/fleet/distribution/subscription_server.py
+++ b/indigohitch/fleet/distribution/subscription_server.py
@@ -28,15 +28,18 @@
     Renew,
     Subscribe,
 )
+from .pending_updates import encoded_size
 from .resource_store import ResourceStore
 from .subscriber_registry import PendingClaim, SubscriberRegistry
-from .subscription import Subscription, encoded_size
+from .subscription import Subscription
 from .types import NO_VERSION, Version
 
 
 class SubscriptionServer:
     def __init__(self, store: ResourceStore, limits: Limits, tracker: ConvergenceTracker, now: int) -> None:
-        self.store, self.limits, self.tracker = store, limits, tracker
+        self.store = store
+        self.limits = limits
+        self.tracker = tracker
         self.subscribers = SubscriberRegistry()
         self.admission = Admission(limits)
         self.caught_up_at = (
@@ -55,8 +58,9 @@
     def take_outputs(self) -> list[DistributorOutput]:
         """What is to be done after all that waits and may go has gone."""
         self.admission.serve_ready(self.now, self.serve)
-        out, self.outputs = self.outputs, []
-        return out
+        outputs = self.outputs
+        self.outputs = []
+        return outputs
 
     def forget(self, connection: int) -> None:
         self.admission.remove(connection)
--- a/indigohitch/fleet/seats/allocator.py
+++ b/indigohitch/fleet/seats/allocator.py
@@ -79,12 +79,17 @@
         settings: SeatSettings,
     ) -> None:
         """`fleet_time(now)` tells the fleet's time at `now` of this process, 0 while there is none."""
-        self.name, self.part, self.acts, self.fleet_time = name, part, acts, fleet_time
+        self.name = name
+        self.part = part
+        self.acts = acts
+        self.fleet_time = fleet_time
         self.settings = settings
         self.lease: Lease | None = None
         self.pools: dict[tuple[str, str], SeatPool] = {}  # by feature and pool
         self.expiries: list[Expiry] = []  # a heap
-        self.order, self.window_at, self.sweep_at = 0, 0, SWEPT
+        self.order = 0
+        self.window_at = 0
+        self.sweep_at = SWEPT
         self.counts = Counts()
 
     # ---- what changes ------------------------------------------------------------------------------
@@ -106,7 +111,9 @@
 
     def turn(self, now: int, lease: Lease | None) -> None:
         if lease is not None and (self.lease is None or lease.incarnation != self.lease.incarnation):
-            self.pools, self.expiries, self.lease = {}, [], lease  # a new incarnation holds nothing yet
+            self.pools = {}
+            self.expiries = []
+            self.lease = lease  # a new incarnation holds nothing yet
             self.sync()
         if lease is not None:
             self.lease = lease
@@ -155,7 +162,8 @@
         found = self.part.features.get(feature)
         if found is None or not found.terms.seats:
             return self.refuse("no contract")
-        terms, fleet = found.terms, self.fleet_time(now)
+        terms = found.terms
+        fleet = self.fleet_time(now)
         if not terms.valid(fleet):
             early = terms.since - fleet if 0 < fleet < terms.since else 0
             return self.refuse("the contract does not run", early)
--- a/indigohitch/fleet/seats/nodeclock.py
+++ b/indigohitch/fleet/seats/nodeclock.py
@@ -63,7 +63,8 @@
     SWEPT = 1024  # stamps kept before those whose end has passed are looked for
 
     def __init__(self, boot: str) -> None:
-        self.boot, self.sweep_at = boot, self.SWEPT
+        self.boot = boot
+        self.sweep_at = self.SWEPT
         self.last: dict[tuple[str, int], tuple[int, int]] = {}  # by seat: the greatest (counter, use)
         self.seen: dict[tuple[str, int, int], int] = {}  # by stamp: its end, after which it is late
         self.jobs: dict[int, Pass] = {}
@@ -84,7 +85,8 @@
         return verdict, self.serial
 
     def verdict(self, now: int, shown: Pass) -> Verdict:
-        given, last = shown.given, self.last.get((shown.given.feature, shown.given.number))
+        given = shown.given
+        last = self.last.get((shown.given.feature, shown.given.number))
         if not shown.boot:
             return Verdict.UNREAD
         if shown.boot != self.boot or now >= shown.until:
@@ -119,7 +121,8 @@
 
 def header(shown: Pass) -> str:
     """`feature number counter use shared boot until member incarnation term version number`."""
-    g, s = shown.given, shown.stamp
+    g = shown.given
+    s = shown.stamp
     return " ".join(
         map(
             str,
--- a/indigohitch/fleet/seats/part.py
+++ b/indigohitch/fleet/seats/part.py
@@ -26,7 +26,8 @@
         self.shares: dict[tuple[str, str, int], Share] = {}  # by pool, name, incarnation
 
     def take(self, terms: Terms) -> None:
-        self.terms, self.pools = terms, terms.pools()
+        self.terms = terms
+        self.pools = terms.pools()
 
     def held(self, pool: str | None = None) -> int:
         return sum(len(s.seats) for s in self.shares.values() if pool is None or s.pool == pool)
@@ -132,7 +133,8 @@
         for feature in sorted(named.keys() | self.features.keys()):
             found = self.features.get(feature)
             if found is None:
-                found = self.features[feature] = Feature(named[feature])
+                found = Feature(named[feature])
+                self.features[feature] = found
             # A feature that is not named any more: nothing is contracted, what is held is drained.
             found.take(named.get(feature) or Terms(feature, 0, found.terms.kind, drain=found.terms.drain))
             found.grow()
@@ -151,7 +153,8 @@
         share = found.shares.setdefault(
             (body.pool, body.member, body.incarnation), Share(body.pool, body.member, body.incarnation, [])
         )
-        given, found.free = found.free[: body.count], found.free[body.count :]
+        given = found.free[: body.count]
+        found.free = found.free[body.count :]
         for number in given:
             found.counters[number] += 1
             insort(share.seats, number)
@@ -172,7 +175,8 @@
 
     def on_return(self, at: EntryContext, body: Return) -> int:
         """Returns how many were taken; those not held any more are passed over, so that it may come twice."""
-        found, taken = self.found(body.feature), 0
+        found = self.found(body.feature)
+        taken = 0
         share = found.shares.get((body.pool, at.proposer, at.incarnation))
         for number, counter in body.seats if share is not None else ():
             if number in share.seats and found.counters[number] == counter:
@@ -215,9 +219,12 @@
             found = msgspec.msgpack.decode(row, type=SeatsRow)
         except msgspec.MsgspecError as bad:
             raise InvalidDataError(f"not the seats of a book: {bad}") from None
-        self.edition, self.gone, self.features = found.edition, dict(found.gone), {}
+        self.edition = found.edition
+        self.gone = dict(found.gone)
+        self.features = {}
         for each in found.features:
-            feature = self.features[each.terms.feature] = Feature(each.terms)
+            feature = Feature(each.terms)
+            self.features[each.terms.feature] = feature
             feature.counters = list(each.counters)
             feature.shares = {(s.pool, s.name, s.incarnation): s for s in each.shares}
             taken = {number for s in each.shares for number in s.seats}
--- a/indigohitch/fleet/seats/pool.py
+++ b/indigohitch/fleet/seats/pool.py
@@ -52,7 +52,8 @@
 
 class SeatPool:
     def __init__(self, feature: str, place_kept: int) -> None:
-        self.feature, self.place_kept = feature, place_kept
+        self.feature = feature
+        self.place_kept = place_kept
         self.seats: dict[int, Seat] = {}
         self.idle: list[Seat] = []
         self.returning: dict[int, Seat] = {}  # proposed to be returned: assigned to nobody any more
@@ -60,10 +61,14 @@
         self.by_key: dict[str, Assignment] = {}
         self.uses: dict[str, int] = {}  # assigned seats by tenant
         self.waiting: dict[str, Waiting] = {}  # by refused tenant
-        self.debt, self.due = 0, 0
+        self.debt = 0
+        self.due = 0
         self.mean = 0  # seats assigned on average in the last window, rounded up
-        self.area = self.began = self.at = 0  # seats x tenths of a ms so far in this one
-        self.missed = self.missed_before = 0  # asks refused for want of a seat
+        self.area = 0
+        self.began = 0
+        self.at = 0  # seats x tenths of a ms so far in this one
+        self.missed = 0
+        self.missed_before = 0  # asks refused for want of a seat
 
     @property
     def usable(self) -> int:
@@ -79,9 +84,11 @@
                 if seat in self.idle:
                     self.idle.remove(seat)
         for number in sorted(held.keys() - self.seats.keys() - self.returning.keys()):
-            seat = self.seats[number] = Seat(number, held[number])
+            seat = Seat(number, held[number])
+            self.seats[number] = seat
             self.idle.append(seat)
-            self.missed = self.missed_before = 0  # of when it had fewer
+            self.missed = 0
+            self.missed_before = 0  # of when it had fewer
 
     # ---- assigning ---------------------------------------------------------------------------------
 
@@ -107,7 +114,8 @@
 
     def ahead_of(self, now: int, tenant: str) -> int:
         """Waiting tenants below their part whose turn comes before this one's."""
-        part, mine = self.fair_part(), self.uses.get(tenant, 0)
+        part = self.fair_part()
+        mine = self.uses.get(tenant, 0)
         since = self.waiting[tenant].since if tenant in self.waiting else now
         return sum(
             1
@@ -129,7 +137,8 @@
         seat = self.idle.pop()
         seat.uses += 1
         given = Given(self.feature, seat.number, seat.counter, seat.uses, bool(key))
-        assignment = seat.assignment = Assignment(self, seat, key, tenant, given)
+        assignment = Assignment(self, seat, key, tenant, given)
+        seat.assignment = assignment
         self.assignments[assignment] = None
         if key:
             self.by_key[key] = assignment
@@ -169,8 +178,10 @@
     def close_window(self, now: int) -> None:
         self.count(now)
         self.mean = -(-self.area // max(1, now - self.began))
-        self.area, self.began = 0, now
-        self.missed_before, self.missed = self.missed, 0
+        self.area = 0
+        self.began = now
+        self.missed_before = self.missed
+        self.missed = 0
 
     def demand(self) -> Demand:
         return Demand(self.mean, max(self.missed, self.missed_before))
--- a/indigohitch/fleet/seats/rebalancing.py
+++ b/indigohitch/fleet/seats/rebalancing.py
@@ -60,13 +60,15 @@
 
 def fair_parts(size: int, wanted: Sequence[int], turn: int = 0) -> FairParts:
     """Whole seats of `size`, max-min fair.  What can't be shared evenly goes to others with each turn."""
-    left, level = size, 0
+    left = size
+    level = 0
     rest = sorted(wanted)
     for place, count in enumerate(rest):  # who wants less than an equal part gets what it wants
         level = left // (len(rest) - place)
         if count > level:
             break
-        left, level = left - count, count
+        left = left - count
+        level = count
     found = [min(count, level) for count in wanted]
     left = size - sum(found)
     order = sorted(range(len(wanted)), key=lambda i: (i + turn) % len(wanted))
--- a/indigohitch/fleet/seats/work.py
+++ b/indigohitch/fleet/seats/work.py
@@ -42,7 +42,9 @@
         settings: SeatSettings,
     ) -> None:
         """`stocks`: it has a front that needs seats, and holds some before they are wanted."""
-        self.part, self.contract, self.stocks = part, contract, stocks
+        self.part = part
+        self.contract = contract
+        self.stocks = stocks
         self.allocator = SeatAllocator(name, part, acts, fleet_time, settings)
         self.out: set[str] = set()  # tags of proposals that are not answered
         self.next_round = 0
@@ -128,7 +130,8 @@
 
     def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         heard = decoded(reports)
-        recalls, wanted = now >= self.next_round, []
+        recalls = now >= self.next_round
+        wanted = []
         if recalls:
             self.next_round = now + ROUND
         for feature, found in self.part.features.items():
@@ -151,7 +154,8 @@
         ]
         coming = sum(share.debt for share in found.shares.values() if share.pool == pool)
         moves = rebalance(size, found.room(pool), coming, members, now // TURN)
-        wanted, feature = [], found.terms.feature
+        wanted = []
+        feature = found.terms.feature
         for move in moves.grants:
             self.fed[feature, pool, move.member.name] = now + FED
             wanted += self.want_move(Grant, "grant", feature, pool, move)
@@ -167,7 +171,8 @@
         return self.want(f"lead {feature} {pool} {word} {member.name}", f"seats.{word}", row)
 
     def demand(self, now: int, found: Feature, pool: str, name: str, heard: Heard) -> MemberDemand:
-        feature, report = found.terms.feature, heard.report
+        feature = found.terms.feature
+        report = heard.report
         share = found.shares.get((pool, name, report.incarnation))
         net = share.net if share is not None else 0
         wanting = heard.wanting.get((feature, pool))
