--- a/indigohitch/fleet/distribution/__init__.py
+++ b/indigohitch/fleet/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Scoped distribution: a subscriber hears of the services it reaches only (docs/distribution.md)."""
+"""Scoped distribution: a subscriber receives only the services that it needs (docs/distribution.md)."""
--- a/indigohitch/fleet/distribution/admin_requests.py
+++ b/indigohitch/fleet/distribution/admin_requests.py
@@ -1,8 +1,9 @@
-"""What people and discovery say over the control socket, as entries of the ledger.  No I/O.
+"""Parses the control commands `distribute ...` into entries of the ledger.  No I/O.
 
-{"ask": "distribute set", "services": {"maps": {"m1": "10.0.0.1:80 serving"}}}   these stand, others stay
-{"ask": "distribute replace", "services": {"maps": {...}}}                       these and no others
-{"ask": "distribute remove", "services": {"maps": ["m1"]}}                       these go"""
+{"ask": "distribute set", "services": {"maps": {"m1": "10.0.0.1:80 serving"}}}   sets these, keeps others
+{"ask": "distribute replace", "services": {"maps": {...}}}                       removes all others
+{"ask": "distribute remove", "services": {"maps": ["m1"]}}                       removes these
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 
 
 def parse_entry(command: str, services: object) -> Row:
-    """Raises Unfit."""
+    """Returns the body of the entry; raises InvalidRequestError."""
     row_type = COMMANDS.get(command)
     if row_type is None:
         raise InvalidRequestError(
@@ -35,12 +36,14 @@
 
 
 def parse_keys(service: str, keys: object) -> tuple[str, ...]:
+    """Returns the keys of one service that are to be removed; raises InvalidRequestError."""
     if not isinstance(keys, list) or not all(isinstance(key, str) for key in keys):
         raise InvalidRequestError("a list of keys is wanted", service, f"as {FORM}")
     return tuple(keys)
 
 
 def parse_resources(service: str, given: object) -> tuple[Resource, ...]:
+    """Returns the resources of one service; raises InvalidRequestError."""
     if not isinstance(given, Mapping) or not all(isinstance(body, str) for body in given.values()):
         raise InvalidRequestError("a text for each key is wanted", service, f"as {FORM}")
     return tuple(Resource(key, body.encode()) for key, body in given.items())
--- a/indigohitch/fleet/distribution/content.py
+++ b/indigohitch/fleet/distribution/content.py
@@ -1,7 +1,8 @@
 """Content of a service and of a scope, with digests.  Immutable, no I/O.
 
-A digest goes over services by name, and in each over resources by key: two levels of a Merkle tree.  Services
-are small (17 resources on average), so a change makes the digest of its service anew and no more."""
+A digest is computed over services by name, and in each over resources by key: two levels of a Merkle tree.
+Services are small (17 resources on average), so a change recomputes the digest of its service only.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +18,10 @@
 
 
 class ServiceContent:
-    """Resources of one service: bodies by key.  Without resources it is the same as a service that is not
-    known."""
+    """Resources of one service: bodies by key.
+
+    A service without resources equals an unknown one.
+    """
 
     __slots__ = ("service", "bodies", "_digest")
 
@@ -29,13 +32,14 @@
 
     @property
     def digest(self) -> bytes:
-        """Made when it is first asked for: a burst of changes costs one."""
+        """The digest, computed on first use: a burst of changes costs one."""
         if not self._digest:
             encoded = msgspec.msgpack.encode([self.service, sorted(self.bodies.items())])
             self._digest = digest(encoded, SERVICE_SALT)
         return self._digest
 
     def with_changes(self, changed: Iterable[Resource], removed: Iterable[str]) -> ServiceContent:
+        """Returns the content after these changes."""
         bodies = dict(self.bodies)
         for key in removed:
             bodies.pop(key, None)
@@ -45,6 +49,6 @@
 
 
 def scope_digest(contents: Collection[ServiceContent]) -> bytes:
-    """Of services in any order; each service's digest goes over its name too."""
+    """Returns the digest of services in any order; each service's digest covers its name."""
     ordered = sorted(contents, key=lambda content: content.service)
     return digest(b"".join(content.digest for content in ordered), SCOPE_SALT)
--- a/indigohitch/fleet/distribution/distributor.py
+++ b/indigohitch/fleet/distribution/distributor.py
@@ -1,4 +1,4 @@
-"""All subscriptions of one distributor: who is served, in which order, and what is in force.  No I/O."""
+"""The state machine of one distributor: subscriptions, their order and what is in force.  No I/O."""
 
 from __future__ import annotations
 
@@ -28,13 +28,16 @@
 from .subscription_server import SubscriptionServer
 from .types import DistributorName
 
-SWEEP_INTERVAL = SECOND // 2  # updates without an answer and claims in doubt are looked at so often
+SWEEP_INTERVAL = SECOND // 2  # between checks of unacknowledged updates and claims
 
 
 class Distributor:
-    """`catalogue`: of the replicated part in this process; the driver tells by `Changed` and `Replaced` what
-    became of it, and by `Level` each time that a confirmed read shows it to be level with the ledger.
-    `others`: distributors whose reports are expected."""
+    """Serves the resources of `store`, which the replicated part of this process owns.
+
+    The driver reports changes of the store by `ResourcesChanged` and `ResourcesReplaced`, and by `CaughtUp`
+    each confirmed read that shows the store to have caught up with the ledger.  `expected_distributors`:
+    those whose reports are expected.
+    """
 
     def __init__(
         self,
@@ -50,7 +53,7 @@
         self.tracker = ConvergenceTracker(name, limits)
         self.fleet_convergence = FleetConvergence(name, expected_distributors, limits)
         self.server = SubscriptionServer(store, limits, self.tracker, now)
-        self.announced_version = store.version  # the subscriptions were told of all changes up to it
+        self.announced_version = store.version  # its changes are marked in all subscriptions
         self.sweep_at = now + SWEEP_INTERVAL
         self.handlers = {
             SubscriberConnected: self.on_subscriber_connected,
@@ -67,30 +70,30 @@
     # ---- from outside ------------------------------------------------------------------------------
 
     def step(self, now: int, event: DistributorInput) -> list[DistributorOutput]:
-        """What to do, in order."""
+        """Handles one event and returns the outputs in order."""
         self.server.now = now
         self.handlers[type(event)](event)
         return self.server.take_outputs()
 
     @property
     def due(self) -> int:
-        """When `Due` is to come at the latest."""
+        """When `Tick` is due at the latest."""
         next_update = self.server.admission.next_due(self.server.now)
         return self.sweep_at if next_update is None else min(self.sweep_at, next_update)
 
     def report(self, now: int) -> Report:
-        """For the other distributors, once a second or so."""
+        """Returns the report for the other distributors."""
         caught_up_at = self.server.caught_up_at
         served = self.server.subscribers.subscribed()
         ledger_age = now - caught_up_at if caught_up_at else None
         return self.tracker.report(now, self.announced_version, self.store, served, ledger_age)
 
     def in_force(self, now: int) -> ConvergenceReport:
-        """Fleet-wide, from the own subscribers and the reports heard."""
+        """Returns the convergence of the fleet, from own subscribers and received reports."""
         return self.fleet_convergence.in_force(now, self.report(now))
 
     def status(self, now: int) -> dict:
-        """For `status`, as plain JSON."""
+        """Returns plain JSON for the `status` command."""
         report = self.report(now)
         admission = self.server.admission
         return {
@@ -108,20 +111,25 @@
     # ---- inputs ------------------------------------------------------------------------------------
 
     def on_subscriber_connected(self, event: SubscriberConnected) -> None:
+        """Registers a connection."""
         self.server.subscribers.add(event.connection, event.subscriber)
 
     def on_message(self, event: MessageReceived) -> None:
+        """Handles a message of a subscriber."""
         self.server.on_message(event)
 
     def on_subscriber_disconnected(self, event: SubscriberDisconnected) -> None:
+        """Forgets a connection."""
         self.server.forget(event.connection)
 
     def on_shutdown(self, event: ShutdownStarted) -> None:
+        """Refuses all subscribers, so that they go to other distributors."""
         self.server.is_shutting_down = True
         for connection in list(self.server.subscribers.names):
             self.server.refuse(connection, DistributorClosingError("this distributor is about to end"))
 
     def on_resources_changed(self, event: ResourcesChanged) -> None:
+        """Marks changed services as pending for the subscribers that have them in scope."""
         missing = self.announce()
         subscribers = self.server.subscribers
         for service in event.services:
@@ -130,28 +138,32 @@
                 self.server.admission.enqueue(connection)
 
     def on_resources_replaced(self, event: ResourcesReplaced) -> None:
+        """Marks all services as pending: any of them may have changed."""
         missing = self.announce()
         for connection, subscription in self.server.subscribers.subscriptions.items():
             subscription.on_store_replaced(missing)
             self.server.admission.enqueue(connection)
 
     def announce(self) -> MissingChange:
-        """The oldest change since the last that the subscriptions were told of."""
+        """Returns the oldest change since the last that was announced to the subscriptions."""
         oldest = self.store.after(self.announced_version)
         self.announced_version = self.store.version
         return MissingChange(oldest, self.server.now, self.server.caught_up_at)
 
     def on_caught_up(self, event: CaughtUp) -> None:
+        """Notes that the store has caught up with the ledger."""
         if not self.server.caught_up_at:
             fields = {"version": self.store.version.text()}
             self.server.outputs.append(Note("distributor_level", fields))
         self.server.on_caught_up(event.confirmed_at)
 
     def on_report(self, event: ReportReceived) -> None:
+        """Takes in the report of another distributor."""
         self.fleet_convergence.on_report(self.server.now, event.report)
         self.tracker.forget_connected_elsewhere(event.report)
 
     def on_tick(self, event: Tick) -> None:
+        """Runs the periodic checks when they are due."""
         now = self.server.now
         if now >= self.sweep_at:
             self.sweep_at = now + SWEEP_INTERVAL
--- a/indigohitch/fleet/distribution/distributor_choice.py
+++ b/indigohitch/fleet/distribution/distributor_choice.py
@@ -1,9 +1,10 @@
-"""Which distributor a subscriber asks next.  No I/O.
+"""Which distributor a subscriber connects to next.  No I/O.
 
 Each subscriber has its own order of the distributors by weighted rendezvous hashing (Thaler and Ravishankar
-1998): where one is lost, its subscribers spread evenly over the others, and all others stay where they are.
-The bound on the largest load is the distributor's: who is refused there goes on to the next of its order
-(as consistent hashing with bounded loads, Mirrokni, Thorup and Zadimoghaddam 2018)."""
+1998): when one fails, its subscribers spread evenly over the others, and all others stay.  Load is bounded by
+the distributors: a refused subscriber goes on to the next of its order (consistent hashing with bounded
+loads, Mirrokni, Thorup and Zadimoghaddam 2018).
+"""
 
 from __future__ import annotations
 
@@ -22,7 +23,10 @@
 def rendezvous_order(
     subscriber: SubscriberName, distributors: Mapping[DistributorName, float]
 ) -> list[DistributorName]:
-    """By preference; a distributor of twice the weight comes first twice as often."""
+    """Returns the distributors by preference.
+
+    A distributor of twice the weight comes first twice as often.
+    """
 
     def cost(name: DistributorName) -> float:
         drawn = xxhash.xxh3_64_intdigest(f"{subscriber}\0{name}".encode())
@@ -32,7 +36,10 @@
 
 
 class DistributorChoice:
-    """`distributors`: weights above 0 by name."""
+    """The preferences of one subscriber, with a backoff for each distributor.
+
+    `distributors`: positive weights by name.
+    """
 
     def __init__(
         self,
@@ -49,33 +56,36 @@
 
     @property
     def preferred(self) -> DistributorName:
+        """The first choice."""
         return self.order[0]
 
     def next_available(self, now: int) -> DistributorName | None:
-        """The most preferred that may be asked now."""
+        """Returns the most preferred distributor that is not in backoff, if any."""
         return next((name for name in self.order if self.not_before[name] <= now), None)
 
     def next_attempt_at(self) -> int:
-        """When one may be asked."""
+        """Returns when the first backoff ends."""
         return min(self.not_before.values())
 
     def on_failed(self, now: int, name: DistributorName) -> None:
-        """It did not answer, or its connection ended: exponential backoff with jitter."""
+        """Starts an exponential backoff with jitter after a failed connection."""
         doublings = min(self.failures[name], MAX_DOUBLINGS)
         self.failures[name] += 1
         backoff = min(self.limits.backoff << doublings, self.limits.max_backoff)
         self.delay(now, name, backoff)
 
     def on_refused(self, now: int, name: DistributorName, retry_after: int) -> None:
+        """Backs off for the time that the distributor has asked for."""
         self.delay(now, name, retry_after)
 
     def on_served(self, name: DistributorName) -> None:
+        """Resets the failure count."""
         self.failures[name] = 0
 
     def delay(self, now: int, name: DistributorName, duration: int) -> None:
-        """Between one and two spans."""
+        """Blocks a distributor for between one and two times the duration."""
         self.not_before[name] = now + duration + self.random_source.randrange(duration + 1)
 
     def have_all_failed(self) -> bool:
-        """Each has failed since it was last of use."""
+        """Returns whether each distributor has failed since it last served."""
         return all(self.failures.values())
--- a/indigohitch/fleet/distribution/distributor_connector.py
+++ b/indigohitch/fleet/distribution/distributor_connector.py
@@ -1,4 +1,4 @@
-"""A subscriber's way to a distributor: which one is dialled when, and when it is left.  No I/O."""
+"""Which distributor a subscriber dials when, and when it leaves it.  No I/O."""
 
 from __future__ import annotations
 
@@ -14,6 +14,8 @@
 
 
 class ConnectionPhase(enum.Enum):
+    """The state of the connection to a distributor."""
+
     WAITING = "waiting"  # until the next distributor is dialled
     DIALLING = "dialling"
     SUBSCRIBING = "subscribing"  # connected, and no update for this subscription yet
@@ -21,6 +23,8 @@
 
 
 class DistributorConnector:
+    """Connects one subscriber to one distributor at a time."""
+
     def __init__(
         self,
         name: SubscriberName,
@@ -39,16 +43,18 @@
 
     @property
     def is_connected(self) -> bool:
+        """Whether a distributor has accepted the connection."""
         return self.phase in (ConnectionPhase.SUBSCRIBING, ConnectionPhase.SERVED)
 
     @property
     def due(self) -> int:
+        """When the next action is due."""
         if self.phase is ConnectionPhase.WAITING:
             return self.dial_at
         return self.deadlines.silent_at if self.phase is ConnectionPhase.DIALLING else self.deadlines.due
 
     def dial(self, now: int) -> Dial | None:
-        """None: all have failed or refused a moment ago; `dial_at` says when one may be asked."""
+        """Returns whom to dial; None: all are in backoff, and `dial_at` is the next attempt."""
         chosen = self.choice.next_available(now)
         if chosen is None:
             self.dial_at = max(self.choice.next_attempt_at(), now + 1)
@@ -59,7 +65,7 @@
         return Dial(chosen)
 
     def on_connected(self, now: int, distributor: DistributorName) -> bool:
-        """False: it is not the one that was dialled last."""
+        """Returns whether the connection is to the distributor dialled last."""
         if self.phase is not ConnectionPhase.DIALLING or distributor != self.distributor:
             return False
         self.phase = ConnectionPhase.SUBSCRIBING
@@ -67,16 +73,18 @@
         return True
 
     def on_served(self) -> None:
+        """Notes the first update of the subscription."""
         self.phase = ConnectionPhase.SERVED
         self.choice.on_served(self.distributor)
 
     def on_lost(self, now: int, distributor: DistributorName) -> None:
+        """Schedules the next attempt after a lost connection."""
         if self.phase is not ConnectionPhase.WAITING and distributor == self.distributor:
             self.choice.on_failed(now, distributor)
             self.schedule_dial(now)
 
     def leave_if_overdue(self, now: int, lease_until: int) -> Disconnect | None:
-        """None: there is no cause to leave."""
+        """Leaves a silent, stale or less preferred distributor; None: there is no cause."""
         deadlines = self.deadlines
         if now >= deadlines.silent_at:
             deadlines.on_left_silent()
@@ -92,7 +100,7 @@
         return None
 
     def leave(self, now: int, reason: str, failed: bool = False, retry_after: int = 0) -> Disconnect:
-        """`again`: not there before so long."""
+        """Leaves the distributor, not to return before `retry_after`."""
         distributor = self.distributor
         if failed:
             self.choice.on_failed(now, distributor)
@@ -102,7 +110,7 @@
         return Disconnect(distributor, reason)
 
     def schedule_dial(self, now: int) -> None:
-        """Subscribers that lose one distributor together don't come to the next one together."""
+        """Schedules the next attempt at random, so that subscribers do not reconnect all at once."""
         self.phase = ConnectionPhase.WAITING
         self.distributor = ""
         self.dial_at = now + self.random_source.randrange(self.limits.first_delay + 1)
--- a/indigohitch/fleet/distribution/distributor_listener.py
+++ b/indigohitch/fleet/distribution/distributor_listener.py
@@ -1,4 +1,4 @@
-"""A distributor's process side: its listener, the connections of its subscribers, and its machine."""
+"""The connections of a distributor's process: its listener, its subscribers, its state machine."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from ...net.ring_buffer import BufferPool
 from ..transport import messages as links
 from ..transport.acceptor import Acceptor
-from ..transport.handshake import REMEDIES, refused_subscriber
+from ..transport.handshake import REMEDIES, check_subscriber
 from ..transport.inbound import InboundLink
-from ..transport.outbound import KERNEL
+from ..transport.outbound import SEND_BUFFER_BYTES
 from ..types import MemberId
 from .distributor import Distributor
 from .interfaces import (
@@ -34,11 +34,13 @@
 # Of the buffers of all connections: what can't be had closes the connection that wanted it.
 BUFFER_POOL_BYTES = 64 << 20
 SPARE_OUTPUT_BYTES = 1 << 10  # room beside one update: welcomes and answers to pulses
-# A subscriber asks each second: one that is silent for so long is stopped or cut off.
+# A subscriber renews its lease each second: one that is silent for so long is stopped or cut off.
 SUBSCRIBER_TIMEOUT = 6 * SECOND
 
 
 class DistributorListener:
+    """Accepts subscribers and carries messages between them and the state machine."""
+
     def __init__(
         self,
         loop: EventLoop,
@@ -65,51 +67,57 @@
         self.driver = MachineDriver(loop, machine, self.execute)
 
     def start(self, address: tuple[str, int]) -> None:
-        """Raises OSError where the address can't be had."""
+        """Starts to listen; raises OSError if the address is not available."""
         self.acceptor.start(address)
         self.log.event("distributes", address=f"{address[0]}:{address[1]}")
 
     @property
     def is_listening(self) -> bool:
+        """Whether the listener is open."""
         return self.acceptor.listener is not None
 
     def beat(self, now: int) -> None:
-        self.acceptor.beat(now)
+        """Drops subscribers that have been silent for too long; called once a second."""
+        self.acceptor.tick(now)
         for number, link in list(self.connections.items()):
-            if now - link.heard_at > SUBSCRIBER_TIMEOUT:
+            if now - link.last_received_at > SUBSCRIBER_TIMEOUT:
                 self.drop(number, "silent", "see whether it runs; it comes back by itself")
             else:
                 link.connection.outgoing.trim()
 
     def drop(self, number: int, reason: str, remedy: str) -> None:
+        """Closes a connection and logs the reason."""
         link = self.connections[number]
-        self.log.warning("subscriber_dropped", subscriber=link.who.name, why=reason, remedy=remedy)
+        self.log.warning("subscriber_dropped", subscriber=link.peer.name, why=reason, remedy=remedy)
         link.close()
 
     # ---- who comes ---------------------------------------------------------------------------------
 
-    def greeted(self, link: InboundLink, greeting: links.Handshake) -> None:
-        reason, kind = refused_subscriber(greeting, self.fleet)
+    def on_handshake(self, link: InboundLink, greeting: links.Handshake) -> None:
+        """Accepts or refuses a subscriber."""
+        reason, kind = check_subscriber(greeting, self.fleet)
         if reason:
             self.log.warning("subscriber_refused", why=reason, remedy=REMEDIES[kind])
-            link.answer(links.HandshakeRefused(reason))
+            link.send(links.HandshakeRefused(reason))
             link.close()
             return
         self.last_number += 1
-        link.who = greeting.who
+        link.peer = greeting.who
         link.token = greeting.token
         self.connections[self.last_number] = link
         self.numbers[link] = self.last_number
-        link.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, KERNEL)
+        link.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         link.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
-        link.answer(links.HandshakeAccepted(self.member, self.token))
+        link.send(links.HandshakeAccepted(self.member, self.token))
         self.driver.step(SubscriberConnected(self.last_number, greeting.who.name))
 
-    def heard(self, link: InboundLink, message: Row) -> None:
+    def on_message(self, link: InboundLink, message: Row) -> None:
+        """Hands a subscriber's message to the state machine."""
         if link in self.numbers:
             self.driver.step(MessageReceived(self.numbers[link], message))
 
-    def gone(self, link: InboundLink) -> None:
+    def on_closed(self, link: InboundLink) -> None:
+        """Reports a closed connection to the state machine."""
         number = self.numbers.pop(link, None)
         if number is not None:
             del self.connections[number]
@@ -118,6 +126,7 @@
     # ---- what the machine wants --------------------------------------------------------------------
 
     def execute(self, output: DistributorOutput) -> None:
+        """Carries out one output of the state machine."""
         match output:
             case SendToSubscriber(number, message):
                 self.send(number, message)
@@ -127,18 +136,19 @@
                 self.log.event(event, **fields)
 
     def send(self, number: int, message: Row) -> None:
+        """Sends a message, or drops a subscriber that does not read."""
         link = self.connections.get(number)
         if link is None:
             return
         data = MESSAGE_TYPES.frame(message)
-        if not link.put(data):
+        if not link.send_frame(data):
             self.drop(number, "it does not read", "see whether it runs; it comes back by itself")
             return
         self.bytes_sent += len(data)
         link.connection.outgoing.trim()
 
     def close_one(self, number: int) -> None:
-        """The machine knows."""
+        """Closes a connection that the state machine has ended."""
         link = self.connections.pop(number, None)
         if link is not None:
             del self.numbers[link]
@@ -147,6 +157,7 @@
     # ---- the end -----------------------------------------------------------------------------------
 
     def close(self) -> None:
+        """Closes the listener and all connections."""
         self.acceptor.close()
         self.driver.step(ShutdownStarted())
         self.driver.stop()
@@ -154,6 +165,7 @@
             self.close_one(number)
 
     def status(self) -> dict:
+        """Returns plain JSON for the `status` command."""
         return {
             "listens": self.is_listening,
             "connections": len(self.connections),
--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -1,9 +1,12 @@
-"""A member's part as a distributor: it tells its machine what the ledger applied, keeps it level with the
-ledger, and exchanges reports with the other distributors."""
+"""The distributor role of a member.
+
+It feeds applied entries to its state machine, keeps that caught up by confirmed reads, and exchanges reports
+with the other distributors.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection
+from collections.abc import Callable, Collection, Mapping
 
 import msgspec
 
@@ -23,7 +26,7 @@
 from .messages import Behind, Report, Unreachable
 from .replicated_part import DistributionPart
 
-CONFIRM_INTERVAL = SECOND // 2  # between confirmed reads: what is told is older by that at most
+CONFIRM_INTERVAL = SECOND // 2  # between confirmed reads: adds at most that to the age of content
 REPORT_INTERVAL = SECOND
 LISTEN_RETRY_DELAY = SECOND
 RESERVED_DESCRIPTORS = (
@@ -35,8 +38,10 @@
 
 
 class DistributorRole:
-    """A `Work` (fleet/ports.py).  `read(done)`: a read confirmed by a majority; `say(name, word)`: to another
-    member."""
+    """A `Work` of the member.
+
+    `read(on_confirmed)` is a read confirmed by a majority; `send(name, message)` sends to another member.
+    """
 
     name = "distribution"
 
@@ -71,11 +76,13 @@
 
     @property
     def peers(self) -> Collection[str]:
+        """The other distributors."""
         return [name for name in self.addresses if name != self.member_name]
 
     # ---- from the ledger ---------------------------------------------------------------------------
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
+        """Reports services changed by an applied entry to the state machine."""
         if entry.kind.startswith("distribution.") and not outcome.refused and not outcome.doubled:
             services = msgspec.msgpack.decode(outcome.told, type=tuple[str, ...])
             if services:
@@ -83,21 +90,26 @@
         return []
 
     def restored(self, now: int) -> list[ProposalRequest]:
+        """Reports a restored snapshot to the state machine."""
         self.listener.driver.step(ResourcesReplaced())
         return []
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
+        """Does nothing: this work proposes no entries."""
         return []
 
     def report(self, now: int) -> bytes:
+        """Returns nothing for the leader."""
         return b""
 
-    def lead(self, now: int, reports) -> list[ProposalRequest]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
+        """Does nothing as leader."""
         return []
 
     # ---- the beat ----------------------------------------------------------------------------------
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
+        """Listens, confirms reads and sends reports when they are due."""
         if self.is_closed:
             return []
         if not self.listener.is_listening and now >= self.listen_due:
@@ -112,6 +124,7 @@
         return []
 
     def listen(self, now: int) -> None:
+        """Opens the listener, or schedules another attempt."""
         needed = LIMITS.subscribers + RESERVED_DESCRIPTORS
         if (allowed := raise_file_limit(needed)) < needed:
             remedy = f"raise the limit on descriptors to {needed}"
@@ -123,8 +136,10 @@
             self.log.warning("distributor_cannot_listen", **error_fields(error, "free the address"))
 
     def confirm_read(self, now: int) -> None:
+        """Starts a confirmed read unless one is pending."""
+
         def on_confirmed(index: int | None) -> None:
-            # In a turn of its own: the entry that completes a read is told to the machine after this.
+            # In a turn of its own: the machine gets the entry that completes a read only after this.
             self.is_reading = False
             if index is not None:
                 self.loop.after(0, lambda: self.listener.driver.step(CaughtUp(now)))
@@ -138,29 +153,32 @@
             self.is_reading = False
 
     def send_reports(self, now: int) -> None:
+        """Sends the report of this distributor to the others."""
         report = self.machine.report(now)
         for name in self.peers:
             self.send(name, report)
 
     def on_report(self, sender: MemberId, report: Report) -> None:
+        """Hands the report of another distributor to the state machine."""
         if not self.is_closed and sender.name == report.distributor:
             self.listener.driver.step(ReportReceived(report))
 
     # ---- the end, and people -----------------------------------------------------------------------
 
     def close(self) -> None:
-        """Its port may be another process' from here on."""
+        """Frees the port for another process."""
         self.is_closed = True
         self.listener.close()
 
     def figures(self) -> dict:
+        """Returns plain JSON for the `status` command."""
         now = self.loop.clock.now()
         in_force = convergence_status(self.machine.in_force(now))
         return self.listener.status() | self.machine.status(now) | {"in_force": in_force}
 
 
 def convergence_status(report: ConvergenceReport) -> dict:
-    """As `status` names it; times in tenths of a millisecond."""
+    """Returns the report as `status` shows it; times in tenths of a millisecond."""
     return {
         "version": report.version.text(),
         "newest": report.newest.text(),
@@ -176,6 +194,7 @@
 
 
 def behind_status(row: Behind) -> dict:
+    """Returns one subscriber that is behind, as `status` shows it."""
     return {
         "subscriber": row.subscriber,
         "acknowledged": row.acknowledged.text(),
@@ -185,6 +204,7 @@
 
 
 def unreachable_status(row: Unreachable) -> dict:
+    """Returns one unreachable subscriber, as `status` shows it."""
     return {
         "subscriber": row.subscriber,
         "acknowledged": row.acknowledged.text(),
--- a/indigohitch/fleet/distribution/limits.py
+++ b/indigohitch/fleet/distribution/limits.py
@@ -1,4 +1,4 @@
-"""What bounds a distributor and its subscribers.  Times are tenths of a millisecond."""
+"""Limits of a distributor and of its subscribers.  Times are tenths of a millisecond."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """Of one distributor.  `resume` and `guard_versions` are never taken out but by the proof, which has to
-    fail then."""
+    """Limits of one distributor.
+
+    `resume` and `guard_versions` are turned off only by the proof, which must then fail.
+    """
 
     subscribers: int = 2_200  # 6,500 fit into three of six
     services: int = 512  # of one scope
@@ -34,7 +36,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscriberLimits:
-    """Of one subscriber.  `lease` and `drift` as at the distributors."""
+    """Limits of one subscriber; `lease` and `drift` as at the distributors."""
 
     lease: int = 4 * SECOND
     drift: float = 0.01
--- a/indigohitch/fleet/distribution/machine_driver.py
+++ b/indigohitch/fleet/distribution/machine_driver.py
@@ -1,5 +1,8 @@
-"""Steps one state machine on the loop: inputs one after the other, also those that come while the outputs of
-one are being carried out, and `Due` when the machine wants it."""
+"""Drives one state machine on the event loop.
+
+Events are handled one after the other, also those that arrive while outputs are carried out; `Tick` comes
+when the machine is due.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +16,17 @@
 
 
 class Machine(Protocol):
+    """A state machine of the distribution."""
+
     due: int | None
 
-    def step(self, now: int, input) -> list: ...
+    def step(self, now: int, event: object) -> list:
+        """Handles one event and returns the outputs in order."""
 
 
 class MachineDriver:
+    """Feeds events to a machine and carries out its outputs."""
+
     def __init__(self, loop: EventLoop, machine: Machine, execute: Callable[[object], None]) -> None:
         self.loop = loop
         self.machine = machine
@@ -28,10 +36,11 @@
         self.stopped = False
         self.timer = DueTimer(loop, lambda: self.machine.due, lambda: self.step(Tick()))
 
-    def step(self, input) -> None:
+    def step(self, event: object) -> None:
+        """Handles an event now, or after the one in progress."""
         if self.stopped:
             return
-        self.pending.append(input)
+        self.pending.append(event)
         if self.busy:
             return
         self.busy = True
@@ -44,6 +53,7 @@
         self.timer.arm()
 
     def stop(self) -> None:
+        """Drops pending events and stops the timer."""
         self.stopped = True
         self.pending.clear()
         self.timer.cancel()
--- a/indigohitch/fleet/distribution/pending_updates.py
+++ b/indigohitch/fleet/distribution/pending_updates.py
@@ -12,8 +12,11 @@
 
 @dataclass(slots=True, frozen=True)
 class MissingChange:
-    """A change that the subscriber lacks.  `since`: when this distributor applied it; `level`: when the
-    distributor was last level with the ledger before that (0: never)."""
+    """A change that the subscriber lacks.
+
+    `applied_at`: when this distributor applied it; `caught_up_at`: when the distributor had last caught up
+    with the ledger before that (0: never).
+    """
 
     version: Version
     applied_at: int
@@ -22,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InFlightUpdate:
-    """An update that is out."""
+    """An update that is sent and not yet acknowledged."""
 
     number: int
     request: int
@@ -35,9 +38,11 @@
 
 
 def oldest_missing(missing: Iterable[MissingChange | None]) -> MissingChange | None:
+    """Returns the oldest of these changes, None if there is none."""
     known = [each for each in missing if each is not None]
     return min(known, key=lambda each: (each.version, each.applied_at), default=None)
 
 
 def encoded_size(changes: Iterable[msgspec.Raw]) -> int:
+    """Returns the bytes of encoded changes."""
     return sum(len(memoryview(change)) for change in changes)
--- a/indigohitch/fleet/distribution/subscriber_registry.py
+++ b/indigohitch/fleet/distribution/subscriber_registry.py
@@ -1,4 +1,4 @@
-"""Who is connected to a distributor, who is served, and which subscribers reach a service.  No I/O."""
+"""The subscribers of a distributor: connections, subscriptions and an index by service.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,37 +12,45 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingClaim:
-    """Of a newer version than the distributor has: either it lags, or that version never was."""
+    """A claim of a newer version than the distributor has.
+
+    Either the distributor lags, or that version never existed.
+    """
 
     message: Subscribe
     claimed_at: int
 
 
 class SubscriberRegistry:
+    """Connections and subscriptions by connection, by name and by service."""
+
     def __init__(self) -> None:
         self.names: dict[int, SubscriberName] = {}  # by connection
-        self.claims: dict[int, PendingClaim] = {}  # in doubt
+        self.claims: dict[int, PendingClaim] = {}  # that wait until the distributor has caught up
         self.subscriptions: dict[int, Subscription] = {}
         self.by_name: dict[SubscriberName, int] = {}  # served ones
         self.by_service: dict[ServiceName, dict[int, None]] = {}
         self.indexed: dict[int, tuple[ServiceName, ...]] = {}
 
     def other_count(self, connection: int) -> int:
-        """Connections that are served or in doubt, but for this one and the one that it replaces."""
+        """Returns the number of other subscribers, without the connection this one replaces."""
         replaced = self.names[connection] in self.by_name
         return len(self.subscriptions) + len(self.claims) - replaced - (connection in self.claims)
 
     def subscribed(self) -> Collection[Subscription]:
+        """Returns all subscriptions."""
         return self.subscriptions.values()
 
     def connection_of(self, name: SubscriberName) -> int | None:
-        """The connection over which it is served."""
+        """Returns the connection that serves a subscriber."""
         return self.by_name.get(name)
 
     def add(self, connection: int, name: SubscriberName) -> None:
+        """Adds a connection."""
         self.names[connection] = name
 
     def remove(self, connection: int) -> Subscription | None:
+        """Removes a connection and returns its subscription."""
         self.claims.pop(connection, None)
         subscription = self.subscriptions.pop(connection, None)
         name = self.names.pop(connection, "")
@@ -52,27 +60,31 @@
         return subscription
 
     def hold_claim(self, connection: int, claim: PendingClaim) -> None:
+        """Keeps a claim until the distributor has caught up."""
         self.claims[connection] = claim
 
     def resolve_claim(self, connection: int) -> None:
-        """Its claim, if there was one, is in doubt no more."""
+        """Drops the claim of a connection, if any."""
         self.claims.pop(connection, None)
 
     def claims_before(self, time: int) -> list[int]:
+        """Returns connections whose claim was made up to that time."""
         return [connection for connection, claim in self.claims.items() if claim.claimed_at <= time]
 
     def subscribe(self, connection: int, subscription: Subscription) -> None:
+        """Adds a subscription."""
         self.subscriptions[connection] = subscription
         self.by_name[subscription.subscriber] = connection
         self.update_index(connection)
 
     def update_index(self, connection: int) -> None:
-        """Its scope may be another one."""
+        """Updates the index after the scope may have changed."""
         scope = self.subscriptions[connection].scope
         if self.indexed.get(connection) is not scope:
             self.reindex(connection, scope)
 
     def reindex(self, connection: int, scope: tuple[ServiceName, ...]) -> None:
+        """Replaces the indexed services of a connection."""
         for service in self.indexed.pop(connection, ()):
             connections = self.by_service[service]
             del connections[connection]
@@ -84,7 +96,7 @@
             self.indexed[connection] = scope
 
     def unacknowledged(self, sent_before: int) -> list[int]:
-        """Those to whom an update went before that time and is out still."""
+        """Returns connections with an update in flight that was sent up to that time."""
         return [
             connection
             for connection, subscription in self.subscriptions.items()
--- a/indigohitch/fleet/distribution/subscription.py
+++ b/indigohitch/fleet/distribution/subscription.py
@@ -1,8 +1,9 @@
-"""One subscriber at a distributor: what it holds or may hold, and what goes to it next.  No I/O.
+"""One subscriber at a distributor: what it has acknowledged and what it is sent next.  No I/O.
 
-What waits for it is a set of names of services, never a queue: an update is made from the catalogue when
-it can go.  One update is out at a time, so the subscriber holds what it acknowledged or what is out, and
-nothing else."""
+Pending changes are a set of service names, never a queue: an update is composed from the store when it can be
+sent.  One update is in flight at a time, so the subscriber holds what it acknowledged or what is in flight,
+and nothing else.
+"""
 
 from __future__ import annotations
 
@@ -17,6 +18,8 @@
 
 
 class Subscription:
+    """The state of one subscription."""
+
     def __init__(
         self, connection: int, subscriber: SubscriberName, store: ResourceStore, limits: Limits
     ) -> None:
@@ -40,13 +43,15 @@
         self.update_number = 0
         self.rejections = 0
         self.not_before = 0  # the pace
-        self.acting_until = 0  # by the clock here, what it was told last lets it count as current until then
+        self.acting_until = 0  # own clock: the last confirmation counts until then
 
     # ---- what it holds -----------------------------------------------------------------------------
 
     def resume(self, now: int, claim: Subscribe) -> None:
-        """Begins from what the subscriber holds: by digest what is the same, by version what differs.  Raises
-        ScopeTooLarge."""
+        """Starts from what the subscriber holds; raises ScopeTooLargeError.
+
+        Services with an equal digest are not sent, others as a delta from the held version.
+        """
         self.start_request(claim)
         self.acknowledged = claim.held
         if claim.held != NO_VERSION:  # another distributor may have renewed its lease a moment ago
@@ -62,7 +67,7 @@
                 self.full_resend[claimed.service] = lacking if claimed.digest else None
 
     def change_subscription(self, claim: Subscribe) -> None:
-        """While an update is out, the new scope begins with the answer to it.  Raises ScopeTooLarge."""
+        """Changes the scope, after the update in flight if any; raises ScopeTooLargeError."""
         self.check_scope(claim)
         if self.in_flight is not None:
             self.pending_scope = claim
@@ -70,7 +75,7 @@
             self.change_scope(claim)
 
     def change_scope(self, claim: Subscribe) -> None:
-        """What was in the scope before goes on; the rest is sent whole."""
+        """Keeps pending changes of services that stay; added services are sent whole."""
         before = set(self.scope)
         unknown = self.full_resend
         dirty = self.changed_services
@@ -81,24 +86,29 @@
         self.changed_services = {name: dirty[name] for name in self.scope if name in dirty}
 
     def check_scope(self, claim: Subscribe) -> None:
+        """Raises ScopeTooLargeError for too many services."""
         if len(claim.services) > self.limits.services:
             raise ScopeTooLargeError(f"{len(claim.services)} services", self.subscriber)
 
     def start_request(self, claim: Subscribe) -> None:
+        """Starts the scope of a request; raises ScopeTooLargeError."""
         self.check_scope(claim)
         self.request_number = claim.request
         self.has_response = False
         self.scope = tuple(sorted({claimed.service for claimed in claim.services}))
 
     def reject_claimed_version(self, now: int, void: Version) -> None:
-        """The version that the subscriber holds never was: all is sent whole, and until then it lacks all."""
+        """Starts over for a subscriber whose claimed version never existed."""
         self.void_version = void
         self.acknowledged = NO_VERSION
         self.changed_services.clear()
         self.full_resend = dict.fromkeys(self.scope, MissingChange(Version(0, 1), now, 0))
 
     def resend_all(self, missing: MissingChange | None = None) -> None:
-        """`missing`: the oldest change that was in an update which came to nothing."""
+        """Marks the whole scope to be resent.
+
+        `missing`: the oldest change in an update that was not applied.
+        """
         oldest = oldest_missing([missing, self.missing])
         self.full_resend = dict.fromkeys(self.scope, oldest)
         self.changed_services.clear()
@@ -106,19 +116,21 @@
     # ---- what happens ------------------------------------------------------------------------------
 
     def on_service_changed(self, service: ServiceName, missing: MissingChange) -> None:
-        """Changes of one service that wait become one: the oldest counts for how long."""
+        """Marks a service as changed; of several changes the oldest counts for the age."""
         sent_version = self.in_flight.version if self.in_flight is not None else self.acknowledged
         if service not in self.full_resend and self.store.changed_at(service) > sent_version:
             self.changed_services.setdefault(service, missing)
 
     def on_store_replaced(self, missing: MissingChange) -> None:
-        """Any service may have changed; removals may have been forgotten."""
+        """Checks all services: any may have changed, and removals may be forgotten."""
         for service in self.scope:
             self.on_service_changed(service, missing)
 
     def acknowledge(self, message: Acknowledge) -> InFlightUpdate | None:
-        """The update that it answers; None for one that is not out.  Raises DigestMismatch for a subscriber
-        that claims to hold something else than it was sent."""
+        """Returns the acknowledged update; None if it is not in flight.
+
+        Raises DigestMismatchError if the subscriber claims to hold something other than it was sent.
+        """
         in_flight = self.in_flight
         if in_flight is None or message.number != in_flight.number:
             return None
@@ -133,8 +145,10 @@
         return in_flight
 
     def reject(self, message: Reject) -> InFlightUpdate | None:
-        """The update that it answers changed nothing; what it held stands.  Raises DigestMismatch where it
-        takes nothing that it is sent."""
+        """Returns the rejected update; None if it is not in flight.
+
+        Raises DigestMismatchError after too many rejections in a row.
+        """
         in_flight = self.in_flight
         if in_flight is None or message.number != in_flight.number:
             return None
@@ -155,6 +169,7 @@
         return in_flight
 
     def apply_pending_scope(self) -> None:
+        """Changes to a scope that was requested while an update was in flight."""
         if self.pending_scope is not None:
             claim = self.pending_scope
             self.pending_scope = None
@@ -164,13 +179,13 @@
 
     @property
     def has_pending_update(self) -> bool:
-        """An update is to go once it may."""
+        """Whether an update is to be sent."""
         return self.in_flight is None and (
             not self.has_response or bool(self.changed_services) or bool(self.full_resend)
         )
 
     def compose(self) -> Update:
-        """All that it lacks, as one update.  Raises ScopeTooLarge."""
+        """Returns one update with all that the subscriber lacks; raises ScopeTooLargeError."""
         store = self.store
         whole = len(self.full_resend) == len(self.scope)
         changes = [store.change(name, None) for name in sorted(self.full_resend)]
@@ -190,6 +205,7 @@
         )
 
     def on_sent(self, now: int, update: Update) -> None:
+        """Notes that the update is in flight."""
         self.update_number = update.number
         self.in_flight = InFlightUpdate(
             update.number,
@@ -209,12 +225,12 @@
 
     @property
     def missing(self) -> MissingChange | None:
-        """The oldest change that it has not acknowledged, None where it has all that are known here."""
+        """The oldest change that is not acknowledged; None if there is none."""
         if self.in_flight is not None and self.in_flight.missing is not None:
             return self.in_flight.missing
         return oldest_missing([*self.changed_services.values(), *self.full_resend.values()])
 
     @property
     def is_confirmed(self) -> bool:
-        """It has acknowledged the whole of its scope, as it stood at some version of this distributor."""
+        """Whether the whole scope was acknowledged at some version of this distributor."""
         return self.has_response and not self.full_resend
--- a/indigohitch/fleet/distribution/subscription_server.py
+++ b/indigohitch/fleet/distribution/subscription_server.py
@@ -1,4 +1,4 @@
-"""What a distributor answers to its subscribers, and what it sends them.  No I/O."""
+"""How a distributor answers its subscribers and sends them updates.  No I/O."""
 
 from __future__ import annotations
 
@@ -36,15 +36,16 @@
 
 
 class SubscriptionServer:
+    """Handles messages of subscribers and collects outputs."""
+
     def __init__(self, store: ResourceStore, limits: Limits, tracker: ConvergenceTracker, now: int) -> None:
         self.store = store
         self.limits = limits
         self.tracker = tracker
         self.subscribers = SubscriberRegistry()
         self.admission = Admission(limits)
-        self.caught_up_at = (
-            0  # when the distributor was last surely level with the ledger; 0: not since it started
-        )
+        # when the distributor was last surely level with the ledger; 0: not since it started
+        self.caught_up_at = 0
         self.is_shutting_down = False
         self.now = now
         self.outputs: list[DistributorOutput] = []
@@ -56,34 +57,39 @@
         }
 
     def take_outputs(self) -> list[DistributorOutput]:
-        """What is to be done after all that waits and may go has gone."""
+        """Sends pending updates as far as allowed, and returns all outputs."""
         self.admission.serve_ready(self.now, self.serve)
         outputs = self.outputs
         self.outputs = []
         return outputs
 
     def forget(self, connection: int) -> None:
+        """Removes a connection."""
         self.admission.remove(connection)
         subscription = self.subscribers.remove(connection)
         if subscription is not None:
             self.tracker.on_disconnected(self.now, subscription)
 
     def close(self, connection: int, reason: str) -> None:
+        """Closes a connection if it is open."""
         if connection in self.subscribers.names:
             self.forget(connection)
             self.outputs.append(CloseConnection(connection, reason))
 
     def refuse(self, connection: int, cause: SubscriptionRefusedError | ScopeTooLargeError) -> None:
+        """Refuses a subscription and closes the connection."""
         message = Refused(cause.reason, self.store.version, self.limits.retry_after, str(cause))
         self.outputs.append(SendToSubscriber(connection, message))
         self.close(connection, cause.what)
 
     def note(self, event: str, error: DirectorError) -> None:
+        """Logs an error."""
         self.outputs.append(Note(event, error.fields()))
 
-    # ---- what subscribers say ----------------------------------------------------------------------
+    # ---- messages ----------------------------------------------------------------------------------
 
     def on_message(self, event: MessageReceived) -> None:
+        """Handles a message of a subscriber; errors close the connection."""
         if event.connection not in self.subscribers.names:
             return  # closed here meanwhile
         handler = self.handlers.get(type(event.message))
@@ -99,6 +105,7 @@
             self.close(event.connection, str(error))
 
     def subscribe(self, connection: int, claim: Subscribe) -> None:
+        """Accepts, changes, holds back or refuses a subscription."""
         if connection in self.subscribers.subscriptions:
             self.subscribers.subscriptions[connection].change_subscription(claim)
             self.subscribers.update_index(connection)
@@ -115,6 +122,7 @@
             self.accept(connection, claim)
 
     def accept(self, connection: int, claim: Subscribe, void: Version = NO_VERSION) -> None:
+        """Starts a subscription from what the subscriber holds."""
         name = self.subscribers.names[connection]
         subscription = Subscription(connection, name, self.store, self.limits)
         subscription.resume(self.now, claim)
@@ -132,11 +140,13 @@
         self.admission.enqueue(connection)
 
     def acknowledge(self, connection: int, message: Acknowledge) -> None:
+        """Handles the ACK of an update."""
         subscription = self.subscribers.subscriptions.get(connection)
         if subscription is not None and subscription.acknowledge(message) is not None:
             self.on_update_completed(connection)
 
     def reject(self, connection: int, message: Reject) -> None:
+        """Handles the NACK of an update."""
         subscription = self.subscribers.subscriptions.get(connection)
         if subscription is None:
             return
@@ -149,17 +159,18 @@
         older = message.reason is RejectReason.OLDER or message.held > self.store.version
         if older and self.limits.guard_versions:
             raise DistributorBehindError(f"the subscriber holds {message.held.text()}")
-        elif subscription.reject(message) is not None:
+        if subscription.reject(message) is not None:
             self.on_update_completed(connection)
 
     def on_update_completed(self, connection: int) -> None:
-        """A scope that came while the update was out begins now."""
+        """Continues after an ACK or NACK; a pending change of scope takes effect."""
         self.admission.on_acknowledged(connection)
         self.subscribers.update_index(connection)
         if self.subscribers.subscriptions[connection].has_pending_update:
             self.admission.enqueue(connection)
 
     def renew(self, connection: int, message: Renew) -> None:
+        """Answers a request for another lease."""
         subscription = self.subscribers.subscriptions.get(connection)
         age = self.confirmed_age(subscription) if subscription is not None else None
         if age is not None:
@@ -168,7 +179,7 @@
         self.outputs.append(SendToSubscriber(connection, Current(message.number, self.store.version, age)))
 
     def confirmed_age(self, subscription: Subscription) -> int | None:
-        """All that was committed so long ago is in what the subscriber has acknowledged."""
+        """Returns the age up to which all commits are acknowledged; None: unknown."""
         missing = subscription.missing
         caught_up_at = self.caught_up_at if missing is None else missing.caught_up_at
         return self.now - caught_up_at if subscription.is_confirmed and caught_up_at else None
@@ -176,7 +187,7 @@
     # ---- what goes out -----------------------------------------------------------------------------
 
     def serve(self, connection: int) -> bool:
-        """Sends what that subscriber lacks, if it may go now."""
+        """Sends a connection's pending update if it may be sent now; returns whether it was."""
         subscription = self.subscribers.subscriptions.get(connection)
         if subscription is None or not subscription.has_pending_update:
             self.admission.waiting_large.pop(connection, None)
@@ -199,23 +210,24 @@
     # ---- once in a while ---------------------------------------------------------------------------
 
     def on_caught_up(self, confirmed_at: int) -> None:
-        """All that was committed at `asked` is in the catalogue: claims in doubt can be judged."""
+        """Resolves claims: the store has all that was committed at `confirmed_at`."""
         self.caught_up_at = max(self.caught_up_at, confirmed_at)
         for connection, claim in list(self.subscribers.claims.items()):
             if claim.message.held <= self.store.version:
                 self.accept_claim(connection, claim.message)
             elif confirmed_at >= claim.claimed_at:
-                # Had it ever been committed, it would stand here by now.
+                # Had it ever been committed, the store would have it by now.
                 self.accept_claim(connection, claim.message, claim.message.held)
 
     def accept_claim(self, connection: int, message: Subscribe, void: Version = NO_VERSION) -> None:
+        """Accepts a claim, or refuses a scope that is too large."""
         try:
             self.accept(connection, message, void)
         except ScopeTooLargeError as too_large:
             self.refuse(connection, too_large)
 
     def close_overdue(self) -> None:
-        """Ends with those that don't answer, and sends away those whose claim could not be judged."""
+        """Closes connections without an ACK, and refuses claims that could not be resolved."""
         for connection in self.subscribers.unacknowledged(self.now - self.limits.acknowledge_timeout):
             name = self.subscribers.names[connection]
             silent = SubscriberTimeoutError("an update was not answered in time", name)
--- a/proofs/scalekit/hollow.py
+++ b/proofs/scalekit/hollow.py
@@ -106,7 +106,7 @@
         for one in self.subscribers:
             distributor = one.machine.connector.distributor
             at[distributor] = at.get(distributor, 0) + 1
-        received = sum(one.received + one.sent for one in self.subscribers)
+        received = sum(one.bytes_received + one.bytes_sent for one in self.subscribers)
         return {"served": sum(served), "least": min(held), "at": at, "bytes": received, "broken": self.broken}
 
     def confirmed(self, since: int) -> dict:
