--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -142,7 +142,7 @@
             # In a turn of its own: the machine gets the entry that completes a read only after this.
             self.is_reading = False
             if index is not None:
-                self.loop.after(0, lambda: self.listener.driver.step(CaughtUp(now)))
+                self.loop.call_after(0, lambda: self.listener.driver.step(CaughtUp(now)))
 
         if self.is_reading:
             return
--- a/indigohitch/fleet/node/companion.py
+++ b/indigohitch/fleet/node/companion.py
@@ -63,7 +63,7 @@
         if isinstance(bad, ValueError):  # what lies there can't be read: it will not be better later
             self.on_ended(self.why)
         else:
-            self.loop.after(AGAIN, self.again)
+            self.loop.call_after(AGAIN, self.again)
 
     def again(self) -> None:
         if self.wanted and self.node is None:
@@ -135,19 +135,19 @@
         else:
             self.inside.stay()
 
-    def settled(self) -> bool:
-        return self.side.settled() and self.inside.left
+    def is_settled(self) -> bool:
+        return self.side.is_settled() and self.inside.left
 
-    def accept(self, on: bool) -> None:
+    def set_accepting(self, on: bool) -> None:
         if not on:
             self.inside.close()
-        self.side.accept(on)
+        self.side.set_accepting(on)
         if on and self.inside.node is None:  # taken back: the new process is dead
             self.inside.follows = True
             self.inside.open()
 
-    def begin(self, restored: bool) -> None:
-        self.side.begin(restored)
+    def start_serving(self, restored: bool) -> None:
+        self.side.start_serving(restored)
         self.inside.open()
 
 
@@ -161,7 +161,7 @@
     def ended(why: str) -> None:
         if alone:
             process.code = 1
-            process.loop.after(0, process.end)
+            process.loop.call_after(0, process.end)
 
     if process.beside is None:
         process.beside = NodeCompanion(process.loop, process.log, text, alone, follows, ended)
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -37,9 +37,9 @@
         self.orders = orders
         self.mark, self.shown = -1, False
         last = orders[-1]
-        if isinstance(last, face.UpdateMarker) and last.mark not in self.used:
-            self.mark = last.mark
-            self.used.append(last.mark)
+        if isinstance(last, face.UpdateMarker) and last.marker not in self.used:
+            self.mark = last.marker
+            self.used.append(last.marker)
         return True
 
     def answered(self, mark: int) -> bool:
@@ -154,12 +154,12 @@
         self.until_known = until_known
         if self.evidence is None:
             self.to, self.evidence, self.read_in_vain = to, evidence, 0
-            self.due = self.loop.at(max(self.loop.clock.now(), went + self.WITHIN), self._ask)
+            self.due = self.loop.call_at(max(self.loop.clock.now(), went + self.WITHIN), self._ask)
 
     def _ask(self) -> None:
         self.heard = False
         stream = EventStream(self._said, lambda: None)
-        self.due = self.loop.after(self.SPAN, self._again)
+        self.due = self.loop.call_after(self.SPAN, self._again)
         self.exchange = HttpClient(self.loop, self.to, self.CONNECT).request(
             "GET", "/stream", self.SPAN, self._ended, stream=lambda part: self._part(stream, part)
         )
@@ -195,7 +195,7 @@
             self.told(CallOutcome.UNKNOWN, 0)
             return
         self.read_in_vain += self.heard
-        self.due = self.loop.after(self.AGAIN << min(self.read_in_vain, self.DOUBLINGS), self._ask)
+        self.due = self.loop.call_after(self.AGAIN << min(self.read_in_vain, self.DOUBLINGS), self._ask)
 
     def _close(self) -> None:
         self.due.cancel()
