--- a/indigohitch/fleet/distribution/content_lease.py
+++ b/indigohitch/fleet/distribution/content_lease.py
@@ -15,22 +15,22 @@
 
     def __init__(self, limits: SubscriberLimits) -> None:
         self.holder = LeaseHolder(limits.lease, limits.drift)
-        self.holder.begin(LEASE_INCARNATION)
+        self.holder.start(LEASE_INCARNATION)
         self.connection_until = 0
 
     @property
     def due(self) -> int:
         """When the next renewal is to be sent."""
-        return self.holder.due
+        return self.holder.renewal_due_at
 
     @property
     def until(self) -> int:
         """The content counts as current before this time of the own clock."""
-        return self.holder.until
+        return self.holder.valid_until
 
     def age(self, now: int) -> int | None:
         """Returns the age of the last confirmation; None: the content was never confirmed."""
-        return now - (self.until - self.holder.length) if self.until else None
+        return now - (self.until - self.holder.duration) if self.until else None
 
     def on_connected(self) -> None:
         """Starts a connection that has renewed nothing yet."""
@@ -38,17 +38,17 @@
 
     def renewal(self, now: int) -> Renew | None:
         """Returns the request to send if one is due."""
-        number = self.holder.ask(now)
+        number = self.holder.next_renewal(now)
         return Renew(number) if number is not None else None
 
     def renewal_now(self, now: int) -> Renew | None:
         """Returns the request to send before the next one is due."""
-        self.holder.due = now
+        self.holder.renewal_due_at = now
         return self.renewal(now)
 
     def on_renewed(self, message: Current) -> None:
         """Extends the lease by an answer that states an age."""
-        until = self.holder.heard(LeaseRenewed(message.number, LEASE_INCARNATION), message.age)
+        until = self.holder.on_renewed(LeaseRenewed(message.number, LEASE_INCARNATION), message.age)
         self.connection_until = max(self.connection_until, until)
 
     def drop(self) -> None:
@@ -60,4 +60,4 @@
 
         A distributor that was ahead of this one has confirmed nothing about the added services.
         """
-        self.holder.until = min(self.holder.until, self.connection_until)
+        self.holder.valid_until = min(self.holder.valid_until, self.connection_until)
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -123,7 +123,7 @@
             self.no_distributor_logged = True
             error = NoDistributorError("no distributor answers", self.name)
             fields = {"version": self.version.text(), "age": self.age(self.now)}
-            self.outputs.append(Note("no_distributor", error.fields() | fields))
+            self.outputs.append(Note("no_distributor", error.log_fields() | fields))
 
     def on_connected(self, event: ConnectionEstablished) -> None:
         """Subscribes over the new connection."""
@@ -210,9 +210,9 @@
     ) -> None:
         """Rejects an update; leaves a distributor that lags."""
         reason = REJECT_REASONS[type(error)]
-        self.outputs.append(SendToDistributor(Reject(update.number, reason, self.version, error.what)))
+        self.outputs.append(SendToDistributor(Reject(update.number, reason, self.version, error.problem)))
         fields = {"distributor": self.connector.distributor, "reason": reason.name}
-        self.outputs.append(Note("update_rejected", error.fields() | fields))
+        self.outputs.append(Note("update_rejected", error.log_fields() | fields))
         if reason is RejectReason.OLDER:
             self.leave_distributor("it tells an older version", retry_after=self.limits.backoff)
 
--- a/indigohitch/fleet/distribution/subscription_server.py
+++ b/indigohitch/fleet/distribution/subscription_server.py
@@ -80,11 +80,11 @@
         """Refuses a subscription and closes the connection."""
         message = Refused(cause.reason, self.store.version, self.limits.retry_after, str(cause))
         self.outputs.append(SendToSubscriber(connection, message))
-        self.close(connection, cause.what)
+        self.close(connection, cause.problem)
 
     def note(self, event: str, error: DirectorError) -> None:
         """Logs an error."""
-        self.outputs.append(Note(event, error.fields()))
+        self.outputs.append(Note(event, error.log_fields()))
 
     # ---- messages ----------------------------------------------------------------------------------
 
