--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -83,8 +83,8 @@
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         """Reports services changed by an applied entry to the state machine."""
-        if entry.kind.startswith("distribution.") and not outcome.refused and not outcome.doubled:
-            services = msgspec.msgpack.decode(outcome.told, type=tuple[str, ...])
+        if entry.kind.startswith("distribution.") and not outcome.rejection and not outcome.is_duplicate:
+            services = msgspec.msgpack.decode(outcome.result, type=tuple[str, ...])
             if services:
                 self.listener.driver.step(ResourcesChanged(services))
         return []
--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -43,7 +43,7 @@
         else:
             self.held[body.what] = (at.proposer, at.incarnation)
 
-    def member_gone(self, at, name, incarnation):
+    def on_member_lease_expired(self, at, name, incarnation):
         self.held = {what: by for what, by in self.held.items() if by != (name, incarnation)}
 
     def row(self):
