--- a/indigohitch/encoding/__init__.py
+++ b/indigohitch/encoding/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes that outlive a call: frames with checksums, rows, files written whole; for upgrades and the fleet."""
+"""Encodings for upgrades and the fleet: frames with checksums, rows, atomically written files."""
--- a/indigohitch/encoding/frames.py
+++ b/indigohitch/encoding/frames.py
@@ -1,5 +1,8 @@
-"""Frames: magic, protocol version, kind, number of descriptors that come with it, length and checksum of its
-body; the body is msgpack of one of the rows of a `Kinds`.  No I/O."""
+"""Frames of a binary protocol.  No I/O.
+
+A frame is a header (magic, protocol version, kind, number of descriptors sent along, length and checksum of
+the body) and a body: msgpack of one of the rows of a `MessageTypes`.
+"""
 
 from __future__ import annotations
 
@@ -12,34 +15,45 @@
 from ..errors import InvalidDataError, InvalidRequestError
 from .rows import Row
 
-_HEAD = struct.Struct("!4sBBHIQ")
-HEADER_BYTES = _HEAD.size
-MAX_FRAME_BYTES = 8 << 20  # of one frame; what is larger goes in several
+_HEADER = struct.Struct("!4sBBHIQ")
+HEADER_BYTES = _HEADER.size
+MAX_FRAME_BYTES = 8 << 20  # larger messages are split over several frames
 
 
 class BrokenFrameError(InvalidDataError):
-    """Not what the other side would say."""
+    """Received bytes are no valid frame."""
 
 
 class MessageTypes:
-    """A protocol: `magic` (4 bytes), `protocol` (its version), and its rows in the order of their numbers, to
-    which rows are only ever added at the end."""
+    """The messages of a protocol.
+
+    `magic` is 4 bytes, `protocol` the version; `rows` are in the order of their numbers, and rows are only
+    ever added at the end.
+    """
 
     def __init__(
         self, magic: bytes, protocol: int, rows: Sequence[type[Row]], most: int = MAX_FRAME_BYTES
     ) -> None:
-        self.magic, self.protocol, self.rows, self.most = magic, protocol, list(rows), most
+        self.magic = magic
+        self.protocol = protocol
+        self.rows = list(rows)
+        self.most = most
         self.numbers = {kind: number for number, kind in enumerate(rows)}
 
     def frame(self, row: Row, descriptors: int = 0) -> bytes:
-        """Raises Unfit for a body larger than a frame takes."""
-        body, number = msgspec.msgpack.encode(row), self.numbers[type(row)]
+        """Encodes a row.
+
+        Raises:
+            InvalidRequestError: The body is larger than a frame takes.
+        """
+        body = msgspec.msgpack.encode(row)
+        number = self.numbers[type(row)]
         if len(body) > self.most:
             raise InvalidRequestError(
                 f"{type(row).__name__} of {len(body)} bytes", "", f"a frame takes {self.most}"
             )
         return (
-            _HEAD.pack(
+            _HEADER.pack(
                 self.magic,
                 self.protocol,
                 number,
@@ -50,9 +64,13 @@
             + body
         )
 
-    def head(self, data: bytes | bytearray, at: int = 0) -> tuple[int, int, int, int, int]:
-        """Protocol, kind, descriptors, length and checksum of the frame that begins there; raises Broken."""
-        magic, protocol, number, descriptors, length, checksum = _HEAD.unpack_from(data, at)
+    def head(self, data: bytes | bytearray, offset: int = 0) -> tuple[int, int, int, int, int]:
+        """Returns protocol, kind, descriptors, length and checksum of the frame at `offset`.
+
+        Raises:
+            BrokenFrameError: The header is of another protocol, or invalid.
+        """
+        magic, protocol, number, descriptors, length, checksum = _HEADER.unpack_from(data, offset)
         if magic != self.magic or not self.protocol - 1 <= protocol <= self.protocol + 1:
             raise BrokenFrameError("another protocol")
         if number >= len(self.rows) or length > self.most:
@@ -60,23 +78,32 @@
         return protocol, number, descriptors, length, checksum
 
     def body(self, data: bytes, protocol: int, number: int, checksum: int) -> Row:
-        """Raises Broken."""
+        """Decodes the body of a frame.
+
+        Raises:
+            BrokenFrameError: The checksum is wrong, or the body is not of its kind.
+        """
         if xxhash.xxh3_64_intdigest(data, protocol << 8 | number) != checksum:
             raise BrokenFrameError("a frame has another checksum than its body")
         try:
             return msgspec.msgpack.decode(data, type=self.rows[number])
-        except msgspec.MsgspecError as bad:
-            raise BrokenFrameError(f"{self.rows[number].__name__}: {bad}") from None
+        except msgspec.MsgspecError as error:
+            raise BrokenFrameError(f"{self.rows[number].__name__}: {error}") from None
 
 
 class FrameDecoder:
-    """Frames out of the pieces in which they come."""
+    """Decodes frames from pieces of any size."""
 
     def __init__(self, kinds: MessageTypes) -> None:
-        self.kinds, self.rest = kinds, bytearray()
+        self.kinds = kinds
+        self.rest = bytearray()
 
     def feed(self, data: bytes) -> Iterator[tuple[Row, int]]:
-        """Rows with the number of their descriptors; raises Broken, and then is of no more use."""
+        """Yields the rows that are complete, with the number of their descriptors.
+
+        Raises:
+            BrokenFrameError: The input is invalid; the decoder must not be used any more.
+        """
         self.rest += data
         while len(self.rest) >= HEADER_BYTES:
             protocol, number, descriptors, length, checksum = self.kinds.head(self.rest)
--- a/indigohitch/net/__init__.py
+++ b/indigohitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, deadlines and HTTP on one loop; knows nothing of what is said over them."""
+"""Sockets, deadlines and HTTP on one event loop; independent of the protocols spoken over them."""
--- a/indigohitch/net/clock.py
+++ b/indigohitch/net/clock.py
@@ -1,23 +1,32 @@
-"""The one clock: Unix time in whole tenths of a millisecond that never steps."""
+"""The one clock: Unix time that never steps.
+
+Times and durations are integers of ticks; a tick is a tenth of a millisecond.
+"""
 
 import time
 
-SECOND = 10_000  # the unit of every span: tenths of a millisecond
+Ticks = int
+
+SECOND: Ticks = 10_000
+TICK_NS = 100_000
 
 
 class Clock:
+    """Unix time in ticks; a correction of the wall clock does not move it."""
+
     def __init__(self) -> None:
         # Wall time is read once; what passes since is monotonic, so a corrected wall clock moves nothing.
         self._base = time.time_ns() - time.monotonic_ns()
 
     @staticmethod
-    def wall() -> int:
-        """Unix time as the system has it now, which may have stepped."""
-        return time.time_ns() // 100_000
+    def wall() -> Ticks:
+        """Returns the Unix time of the system, which may have stepped."""
+        return time.time_ns() // TICK_NS
 
-    def follow(self, now: int) -> None:
-        """Go on with another clock, which says `now`."""
-        self._base += now * 100_000 - (self._base + time.monotonic_ns())
+    def follow(self, now: Ticks) -> None:
+        """Continues another clock, whose time is `now`."""
+        self._base += now * TICK_NS - (self._base + time.monotonic_ns())
 
-    def now(self) -> int:
-        return (self._base + time.monotonic_ns()) // 100_000
+    def now(self) -> Ticks:
+        """Returns the time."""
+        return (self._base + time.monotonic_ns()) // TICK_NS
--- a/indigohitch/net/file_limits.py
+++ b/indigohitch/net/file_limits.py
@@ -1,15 +1,17 @@
-"""How many descriptors this process may have open."""
+"""The limit on open file descriptors of this process."""
 
 from __future__ import annotations
 
 import resource
 
 
-def raise_file_limit(wanted: int) -> int:
-    """Raises the soft limit to that number, or as far as the hard one goes; returns what is allowed."""
+def raise_file_limit(needed: int) -> int:
+    """Raises the soft limit to `needed`, or as far as the hard one allows; returns the limit in force."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft == resource.RLIM_INFINITY or soft >= wanted:
-        return wanted if soft == resource.RLIM_INFINITY else soft
-    most = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    return most
+    if soft == resource.RLIM_INFINITY:
+        return needed
+    if soft >= needed:
+        return soft
+    limit = needed if hard == resource.RLIM_INFINITY else min(needed, hard)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
+    return limit
--- a/indigohitch/net/slot_table.py
+++ b/indigohitch/net/slot_table.py
@@ -1,4 +1,4 @@
-"""A table of numbered slots: what is in use has a number, freed numbers are used again."""
+"""A table of numbered slots; freed numbers are used again."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 
 
 class SlotTable(Generic[T]):
+    """Items by number; the number of a dropped item is used again."""
+
     def __init__(self) -> None:
         self._items: list[T | None] = []
         self._free: list[int] = []
@@ -20,6 +22,7 @@
         return (item for item in list(self._items) if item is not None)
 
     def put(self, item: T) -> int:
+        """Stores an item and returns its number."""
         if self._free:
             number = self._free.pop()
             self._items[number] = item
@@ -29,8 +32,10 @@
         return number
 
     def get(self, number: int) -> T | None:
+        """Returns the item with that number, None if it was dropped."""
         return self._items[number]
 
     def drop(self, number: int) -> None:
+        """Frees a number."""
         self._items[number] = None
         self._free.append(number)
--- a/indigohitch/net/worker_thread.py
+++ b/indigohitch/net/worker_thread.py
@@ -1,10 +1,12 @@
-"""Work beside the loop: one thread takes calls in order, their results come back into the loop.
+"""Work beside the event loop: one thread takes calls in order, their results come back into the loop.
 
-For what is pure and may take long, such as the decisions on thousands of slices; what it works on is nobody
-else's meanwhile.  Not used on the platform."""
+For pure functions that may take long, such as the decisions on thousands of slices; nothing else may touch
+their data meanwhile.  Not used on the platform.
+"""
 
 from __future__ import annotations
 
+import contextlib
 import queue
 import socket
 import sys
@@ -17,6 +19,8 @@
 
 
 class WorkerThread:
+    """A daemon thread, started with the first call; results are delivered in turns of the loop."""
+
     # How long the thread may hold the interpreter while the loop waits for it: a tenth of a fast answer.
     SWITCH = 0.0005
 
@@ -31,7 +35,7 @@
         self._thread: threading.Thread | None = None
 
     def do(self, call: Callable[[], object], done: Callable[[object, BaseException | None], None]) -> None:
-        """`done(result, error)` in a turn of the loop."""
+        """Queues a call; `done(result, error)` is called in a turn of the loop."""
         if self._thread is None:
             sys.setswitchinterval(self.SWITCH)
             self._thread = threading.Thread(target=self._work, daemon=True)
@@ -43,31 +47,32 @@
             call, done = entry
             try:
                 self._results.append((done, call(), None))
-            except Exception as broken:  # told where the loop tells of its own
-                self._results.append((done, None, broken))
-            try:
+            except Exception as error:  # reported where the loop reports its own
+                self._results.append((done, None, error))
+            # Full: the loop is awake anyway; closed: nobody waits any more.
+            with contextlib.suppress(OSError):
                 self._wake.send(b"x")
-            except OSError:  # full: it is awake anyway; closed: nobody waits any more
-                pass
 
     def settle(self) -> None:
-        """Wait until all that was asked for is done, and its results are in."""
+        """Waits until all queued calls are done, and delivers their results."""
         if self._thread is not None:
             done = threading.Event()
-            self._calls.put((done.set, lambda result, broken: None))
+            self._calls.put((done.set, lambda result, error: None))
             done.wait()
-            self._tell()
+            self._deliver()
 
     def ready(self, readable: bool, writable: bool) -> None:
+        """Delivers results when the thread has woken the loop."""
         self._woken.recv(4096)
-        self._tell()
+        self._deliver()
 
-    def _tell(self) -> None:
+    def _deliver(self) -> None:
         while self._results:
-            done, result, broken = self._results.popleft()
-            self.loop.guarded(done, result, broken)
+            done, result, error = self._results.popleft()
+            self.loop.guarded(done, result, error)
 
     def close(self) -> None:
+        """Ends the thread after the calls in the queue; their results are dropped."""
         self._calls.put(None)
         self.loop.forget(self._woken, self._number)
         self._woken.close()
