--- a/indigohitch/encoding/frames.py
+++ b/indigohitch/encoding/frames.py
@@ -32,12 +32,12 @@
     """
 
     def __init__(
-        self, magic: bytes, protocol: int, rows: Sequence[type[Row]], most: int = MAX_FRAME_BYTES
+        self, magic: bytes, protocol: int, rows: Sequence[type[Row]], max_frame_bytes: int = MAX_FRAME_BYTES
     ) -> None:
         self.magic = magic
         self.protocol = protocol
         self.rows = list(rows)
-        self.most = most
+        self.max_frame_bytes = max_frame_bytes
         self.numbers = {kind: number for number, kind in enumerate(rows)}
 
     def frame(self, row: Row, descriptors: int = 0) -> bytes:
@@ -48,9 +48,9 @@
         """
         body = msgspec.msgpack.encode(row)
         number = self.numbers[type(row)]
-        if len(body) > self.most:
+        if len(body) > self.max_frame_bytes:
             raise InvalidRequestError(
-                f"{type(row).__name__} of {len(body)} bytes", "", f"a frame takes {self.most}"
+                f"{type(row).__name__} of {len(body)} bytes", "", f"a frame takes {self.max_frame_bytes}"
             )
         return (
             _HEADER.pack(
@@ -73,7 +73,7 @@
         magic, protocol, number, descriptors, length, checksum = _HEADER.unpack_from(data, offset)
         if magic != self.magic or not self.protocol - 1 <= protocol <= self.protocol + 1:
             raise BrokenFrameError("another protocol")
-        if number >= len(self.rows) or length > self.most:
+        if number >= len(self.rows) or length > self.max_frame_bytes:
             raise BrokenFrameError(f"no such word: kind {number}, {length} bytes")
         return protocol, number, descriptors, length, checksum
 
--- a/indigohitch/fleet/transport/inbound.py
+++ b/indigohitch/fleet/transport/inbound.py
@@ -53,7 +53,7 @@
         self.last_received_at = self.accepted_at
         self.frames = FrameDecoder(owner.kinds)
         self.connection = Connection.accepted(
-            owner.loop, sock, self, owner.kinds.most + EXTRA_UNREAD_BYTES, pool or owner.loop.pool
+            owner.loop, sock, self, owner.kinds.max_frame_bytes + EXTRA_UNREAD_BYTES, pool or owner.loop.pool
         )
 
     def on_data(self, connection: Connection) -> None:
@@ -92,7 +92,7 @@
 
     def send_frame(self, data: bytes) -> bool:
         """Sends an encoded frame; returns False if the buffer is full or the link closed."""
-        if not self.connection.open or self.connection.outgoing.room() < len(data):
+        if not self.connection.open or self.connection.outgoing.free_capacity() < len(data):
             return False
         self.connection.write(data)
         return True
--- a/indigohitch/fleet/transport/outbound.py
+++ b/indigohitch/fleet/transport/outbound.py
@@ -217,7 +217,7 @@
 
     def _write(self, message: Row) -> bool:
         data = self.owner.kinds.frame(message)
-        if self.connection.outgoing.room() < len(data):
+        if self.connection.outgoing.free_capacity() < len(data):
             self.dropped += 1
             self.owner.log.count("words_dropped")
             return False
--- a/indigohitch/load/replay/drive.py
+++ b/indigohitch/load/replay/drive.py
@@ -50,7 +50,7 @@
             raise broken
 
         self.loop = EventLoop(Clock(), failed)
-        self.loop.pool.left = 1 << 30  # a tool: no limit but the machine's
+        self.loop.pool.available = 1 << 30  # a tool: no limit but the machine's
         self.to, self.due, self.figures, self.pace, self.most = to, due, figures, pace, connections
         self.journal, self.name, self.host = journal, name, f"{to[0]}:{to[1]}"
         self.begin = self.loop.clock.now()  # of the schedule, Unix time; may be set until `run`
--- a/indigohitch/net/listener.py
+++ b/indigohitch/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket: it accepts connections in bounded bursts, and rests while no descriptor is left."""
+"""A listening socket: it accepts connections in bounded bursts, and pauses while no descriptor is left."""
 
 from __future__ import annotations
 
@@ -13,44 +13,53 @@
 
 
 class Listener:
-    """Accepts up to `most` connections; `greet` makes the reader of each."""
+    """Accepts connections and hands each socket to `greet`, which returns False to have it closed."""
 
-    PAUSE = SECOND // 10  # after a failed accept: short for those who wait, long enough not to spin
+    PAUSE = SECOND // 10  # after a failed accept: short for waiting clients, long enough not to spin
     BURST = 64  # accepts a turn
     PATIENCE = 1.0  # s, at the start of a process
-    LAST = 2  # bursts before it closes: more than that in the queue come from a flood
+    LAST_BURSTS = 2  # before it closes: more than that in the queue come from a flood
+    QUEUE = 1024  # connections that may wait in the kernel, listen(2)
 
     def __init__(
         self,
         loop: EventLoop,
-        at: tuple[str, int],
+        address: tuple[str, int],
         greet: Callable[[socket.socket], bool],
-        trouble: Callable[[str], None],
+        on_accept_failed: Callable[[str], None],
         listening: socket.socket | None = None,
     ) -> None:
-        """`listening`: a socket that listens already, come from another process.  Without it one is opened,
-        which may block for PATIENCE where no descriptor is left.  Raises OSError."""
-        self.loop, self.greet, self.trouble = loop, greet, trouble
-        self.sock = listening or retry_transient(lambda: self.opened(at), patience=self.PATIENCE)
+        """Takes over the socket `listening`, passed on by another process, or opens one.
+
+        Opening may block for PATIENCE where no descriptor is left.
+
+        Raises:
+            OSError: The address could not be opened.
+        """
+        self.loop = loop
+        self.greet = greet
+        self.on_accept_failed = on_accept_failed
+        self.sock = listening or retry_transient(lambda: self.open_socket(address), patience=self.PATIENCE)
         self.sock.setblocking(False)
         self._number = loop.watch(self.sock, self, READ)
         self._paused: Deadline | None = None
         self.accepting = True
 
     @staticmethod
-    def opened(at: tuple[str, int]) -> socket.socket:
+    def open_socket(address: tuple[str, int]) -> socket.socket:
+        """Opens a listening socket; raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind(at)
-            sock.listen(1024)
+            sock.bind(address)
+            sock.listen(Listener.QUEUE)
         except OSError:
             sock.close()
             raise
         return sock
 
     def accept(self, on: bool) -> None:
-        """Who connects while it is off waits in the kernel, for whoever accepts at this socket next."""
+        """Turns accepting on or off; meanwhile connections wait in the kernel for the next to accept here."""
         if self.accepting == on:
             return
         self.accepting = on
@@ -63,35 +72,38 @@
             self.loop.pause(self.sock)
 
     def ready(self, readable: bool, writable: bool) -> None:
+        """Accepts a burst."""
         self._burst()
 
     def accept_last(self) -> None:
-        """Before it closes: who has connected by then is greeted, and not reset by the kernel.  Nothing to do
-        while it is off, as another process accepts at this socket."""
+        """Accepts what has connected before the socket closes, so that the kernel does not reset it.
+
+        Nothing is done while accepting is off, as another process accepts at this socket.
+        """
         if not self.accepting:
             return
         if self._paused is not None:
             self._paused.cancel()
             self._resume()
-        for _ in range(self.LAST):
+        for _ in range(self.LAST_BURSTS):
             if not self._burst():
                 return
 
     def _burst(self) -> bool:
-        """Whether more may wait."""
+        """Accepts a burst; returns whether more may wait."""
         for _ in range(self.BURST):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 return False
-            except OSError as failed:
-                if is_transient(failed):
+            except OSError as error:
+                if is_transient(error):
                     # The waiting connection stays readable: without a pause the loop would spin on it.
-                    self.trouble(failed.strerror)
+                    self.on_accept_failed(error.strerror)
                     self.loop.pause(self.sock)
                     self._paused = self.loop.call_after(self.PAUSE, self._resume)
                     return False
-                continue  # that one broke before it was accepted
+                continue  # that connection broke before it was accepted
             sock.setblocking(False)
             if not self.greet(sock):
                 close_in_order(sock)
@@ -102,6 +114,7 @@
         self.loop.resume(self.sock, self._number, READ)
 
     def close(self) -> None:
+        """Closes the socket; waiting connections are reset unless another process listens on it."""
         if self._paused is not None:
             self._paused.cancel()
             self._resume()
--- a/indigohitch/net/loop.py
+++ b/indigohitch/net/loop.py
@@ -1,94 +1,113 @@
-"""One loop on `selectors`: sockets that are ready, then deadlines that have passed, turn by turn."""
+"""An event loop on `selectors`: in each turn the ready sockets, then the deadlines that have passed."""
 
 from __future__ import annotations
 
 import selectors
+import socket
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
-from typing import Protocol
+from typing import Any, Protocol
 
-from .clock import SECOND, Clock
+from .clock import SECOND, Clock, Ticks
 from .ring_buffer import BufferPool
 from .slot_table import SlotTable
 
 
 class Watched(Protocol):
-    """What can be put under watch: a socket's owner."""
+    """The owner of a watched socket."""
 
-    def ready(self, readable: bool, writable: bool) -> None: ...
+    def ready(self, readable: bool, writable: bool) -> None:
+        """Handles readiness of the socket."""
+
+
+Watchable = socket.socket | int  # or a file descriptor
+ReadySocket = tuple[int, "Watched | None", int]  # number, owner, events
 
 
 class Deadline:
-    """A due time in the loop's heap; `cancel` leaves it there, empty, until it comes up."""
+    """An action at a time, in the loop's heap."""
 
     __slots__ = ("when", "action")
 
-    def __init__(self, when: int, action: Callable[[], None]) -> None:
-        self.when, self.action = when, action
+    def __init__(self, when: Ticks, action: Callable[[], None]) -> None:
+        self.when = when
+        self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
+        """Drops the action; the empty entry stays in the heap until it is due."""
         self.action = None
 
 
 class EventLoop:
-    POOL = 16 << 20  # for the connections that are ours, until the limits are read
-    SWEPT = 256  # deadlines in the heap before the cancelled are looked for
-    CROWD = 32  # of those in the crowd a turn: with what one may bring, 10 ms at the worst
+    """Runs callbacks of sockets and deadlines, one after the other, in turns."""
+
+    POOL = 16 << 20  # bytes, for outbound connections, until the limits are read
+    SWEPT = 256  # deadlines in the heap before the cancelled ones are removed
+    CROWD = 32  # sockets of the crowd served in a turn: with the data one may bring, 10 ms at the worst
 
     def __init__(self, clock: Clock, failed: Callable[[BaseException], None]) -> None:
-        self.clock, self.failed = clock, failed
+        """`failed` is called with each exception of a callback."""
+        self.clock = clock
+        self.failed = failed
         self.pool = BufferPool(self.POOL)
         self.watched: SlotTable[Watched] = SlotTable()
         self._selector = selectors.DefaultSelector()
-        self._due: list[tuple[int, int, Deadline]] = []
+        self._due: list[tuple[Ticks, int, Deadline]] = []
         self._sweep_at = self.SWEPT
-        self._order = 0  # two due at one time: first come, first served
-        # Who comes last in a turn and may have to wait for a later one, by number: the turn that served it.
+        self._order = 0  # equal times are served in the order of their calls
+        # Sockets that come last in a turn and may have to wait for a later one: the turn that served them.
         self._crowd: dict[int, int] = {}
         self._turns = 0
 
-    def call_at(self, when: int, action: Callable[[], None]) -> Deadline:
+    def call_at(self, when: Ticks, action: Callable[[], None]) -> Deadline:
+        """Calls `action` in the first turn at or after `when`."""
         deadline = Deadline(when, action)
         self._order += 1
         if len(self._due) > self._sweep_at:
-            # Most deadlines are cancelled long before they are due: they must not hold what they guarded.
+            # Most deadlines are cancelled long before they are due: they must not keep their objects alive.
             self._due = [due for due in self._due if due[2].action is not None]
             heapify(self._due)
             self._sweep_at = max(self.SWEPT, 2 * len(self._due))
         heappush(self._due, (when, self._order, deadline))
         return deadline
 
-    def call_after(self, span: int, action: Callable[[], None]) -> Deadline:
-        return self.call_at(self.clock.now() + span, action)
+    def call_after(self, delay: Ticks, action: Callable[[], None]) -> Deadline:
+        """Calls `action` in the first turn after `delay`; 0: in this turn or the next."""
+        return self.call_at(self.clock.now() + delay, action)
 
-    def watch(self, sock, owner: Watched, events: int) -> int:
+    def watch(self, sock: Watchable, owner: Watched, events: int) -> int:
+        """Watches a socket for `events` of `selectors`; returns its number."""
         number = self.watched.put(owner)
         self._selector.register(sock, events, number)
         return number
 
-    def change(self, sock, number: int, events: int) -> None:
+    def change(self, sock: Watchable, number: int, events: int) -> None:
+        """Changes the events to watch for."""
         self._selector.modify(sock, events, number)
 
-    def pause(self, sock) -> None:
+    def pause(self, sock: Watchable) -> None:
+        """Stops watching until `resume`; the number stays taken."""
         self._selector.unregister(sock)
 
-    def resume(self, sock, number: int, events: int) -> None:
+    def resume(self, sock: Watchable, number: int, events: int) -> None:
+        """Watches a paused socket again."""
         self._selector.register(sock, events, number)
 
-    def forget(self, sock, number: int) -> None:
+    def forget(self, sock: Watchable, number: int) -> None:
+        """Stops watching and frees the number."""
         self._selector.unregister(sock)
         self.watched.drop(number)
         self._crowd.pop(number, None)
 
     def crowd(self, number: int, on: bool) -> None:
-        """Whether it is one of many that nobody knows: all of them together get a bounded share of a turn."""
+        """Marks a socket as one of the unidentified peers, which share a bounded part of each turn."""
         if on:
             self._crowd[number] = 0
         else:
             self._crowd.pop(number, None)
 
-    def _in_order(self, ready: list) -> list:
-        """The crowd last, who has waited the longest first; the rest of it stays ready for a later turn."""
+    def _in_order(self, ready: list[ReadySocket]) -> list[ReadySocket]:
+        """Puts the crowd last, the longest wait first; the rest of it stays ready for a later turn."""
         if not self._crowd:
             return ready
         crowd = [entry for entry in ready if entry[0] in self._crowd]
@@ -98,13 +117,15 @@
         self._crowd.update((entry[0], self._turns) for entry in crowd)
         return [entry for entry in ready if entry[0] not in self._crowd] + crowd
 
-    def guarded(self, action: Callable, *args) -> None:
+    def guarded(self, action: Callable[..., object], *args: Any) -> None:  # noqa: ANN401 - those of `action`
+        """Calls `action` and reports an exception instead of raising it."""
         try:
             action(*args)
-        except Exception as broken:  # a defect met on one connection must not end all the others
-            self.failed(broken)
+        except Exception as error:  # a defect met on one connection must not end all the others
+            self.failed(error)
 
     def turn(self) -> None:
+        """Waits for the next event or deadline and handles all that are due."""
         while self._due and self._due[0][2].action is None:
             heappop(self._due)
         wait = None
@@ -123,4 +144,5 @@
                 self.guarded(action)
 
     def close(self) -> None:
+        """Closes the selector; the sockets stay open."""
         self._selector.close()
--- a/indigohitch/net/request_connection.py
+++ b/indigohitch/net/request_connection.py
@@ -35,7 +35,7 @@
         """`head_only`: to HEAD no body comes, whatever its head says."""
         self.job, self.status, self.head_only = job, 0, head_only
         self.parser = httptools.HttpResponseParser(self)
-        if len(data) > self.stream.outgoing.most:
+        if len(data) > self.stream.outgoing.max_size:
             self.stream.outgoing.allow(len(data))
         self.stream.write(data)
 
--- a/indigohitch/net/ring_buffer.py
+++ b/indigohitch/net/ring_buffer.py
@@ -12,18 +12,18 @@
     """
 
     def __init__(self, size: int) -> None:
-        self.left = size
+        self.available = size
 
     def take(self, size: int) -> bool:
         """Reserves bytes; returns False if they are not available."""
-        if size > self.left:
+        if size > self.available:
             return False
-        self.left -= size
+        self.available -= size
         return True
 
     def give(self, size: int) -> None:
         """Releases bytes."""
-        self.left += size
+        self.available += size
 
 
 class RingBuffer:
@@ -31,8 +31,8 @@
 
     FIRST = 4096  # most messages are far smaller; a thousand of these are 4 MB
 
-    def __init__(self, most: int, pool: BufferPool) -> None:
-        self.most = most
+    def __init__(self, max_size: int, pool: BufferPool) -> None:
+        self.max_size = max_size
         self._pool = pool
         self._block = bytearray()  # most connections never have anything to wait
         self._head = 0
@@ -47,7 +47,7 @@
         capacity = max(len(self._block), self.FIRST)
         while capacity < self._size + need:
             capacity *= 2
-        capacity = min(capacity, self.most)
+        capacity = min(capacity, self.max_size)
         if capacity < self._size + need or not self._pool.take(self._counted(capacity) - self._counted()):
             return False
         block = bytearray(capacity)
@@ -60,9 +60,9 @@
         """Returns what the pool counts: all beyond the first block, which each ring may have."""
         return max(0, (len(self._block) if capacity is None else capacity) - self.FIRST)
 
-    def allow(self, most: int) -> None:
+    def allow(self, max_size: int) -> None:
         """Sets another bound, no lower than the bytes in the ring."""
-        self.most = most
+        self.max_size = max_size
 
     def close(self) -> None:
         """Drops the bytes and releases the memory."""
@@ -77,8 +77,8 @@
         if not self._size and len(self._block) > self.FIRST:
             self.close()
 
-    def fill(self, sock: socket.socket, most: int = 1 << 20) -> int:
-        """Reads once from the socket, up to `most` bytes.
+    def fill(self, sock: socket.socket, limit: int = 1 << 20) -> int:
+        """Reads once from the socket, up to `limit` bytes.
 
         Returns the bytes read, 0 at the end of the stream, -1 if the ring is full.  Raises OSError.
         """
@@ -87,7 +87,7 @@
         tail = (self._head + self._size) % len(self._block)
         end = len(self._block) if tail >= self._head else self._head
         with memoryview(self._block) as view:
-            received = sock.recv_into(view[tail : min(end, tail + most)])
+            received = sock.recv_into(view[tail : min(end, tail + limit)])
         self._size += received
         return received
 
@@ -162,11 +162,11 @@
         self._scanned = self._size if index < 0 else 0
         return max(0, index + len(mark)) if index >= 0 else 0
 
-    def room(self) -> int:
+    def free_capacity(self) -> int:
         """Returns how many bytes `push` is sure to take: up to the bound, or to what the pool allows."""
-        if self._pool.left >= self._counted(self.most) - self._counted():
-            return self.most - self._size
-        return max(len(self._block), min(self.FIRST, self.most)) - self._size
+        if self._pool.available >= self._counted(self.max_size) - self._counted():
+            return self.max_size - self._size
+        return max(len(self._block), min(self.FIRST, self.max_size)) - self._size
 
     @property
     def full(self) -> bool:
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -127,7 +127,7 @@
         until = self.clock.now() + self.HELD
         while self.phase is Phase.STARTING:
             try:
-                return Listener.opened(at)
+                return Listener.open_socket(at)
             except OSError as held:
                 if held.errno != errno.EADDRINUSE and not is_transient(held) or self.clock.now() >= until:
                     raise
--- a/indigohitch/sidecar/host.py
+++ b/indigohitch/sidecar/host.py
@@ -21,7 +21,7 @@
 
 class Host:
     SWEEP = SECOND // 2  # slow clients are ended as late as that: their waits are seconds
-    QUEUE = 1024  # as many may wait to be accepted, says Listener.opened
+    QUEUE = 1024  # as many may wait to be accepted, says Listener.open_socket
 
     def __init__(self, loop: EventLoop, log: Log, text: Text) -> None:
         self.loop, self.log, self.text = loop, log, text
--- a/indigohitch/sidecar/passing.py
+++ b/indigohitch/sidecar/passing.py
@@ -15,7 +15,7 @@
     ring = client.stream.incoming
     try:
         while not body.done:
-            data = body.take(ring, min(PIECE, stream.room() - len(out) - 32))
+            data = body.take(ring, min(PIECE, stream.free_capacity() - len(out) - 32))
             if not data and not body.done:
                 break
             out += chunk(data) if body.kind == Body.CHUNKED else data
@@ -53,7 +53,7 @@
             return None
         if not head.interim:
             rpc.answer = head
-        elif rpc.head.version == "1.1" and client.stream.room() > 4096:
+        elif rpc.head.version == "1.1" and client.stream.free_capacity() > 4096:
             client.stream.write(head.onward(False, False))
     return rpc.answer
 
@@ -63,7 +63,7 @@
     rpc.client.since = rpc.pool.host.now
     try:
         while not body.done:
-            data = body.take(stream.incoming, min(PIECE, to.room() - len(out) - 32))
+            data = body.take(stream.incoming, min(PIECE, to.free_capacity() - len(out) - 32))
             if not data and not body.done:
                 break
             out += chunk(data) if rpc.chunks else data
@@ -96,7 +96,7 @@
         return
     out = (chunk(data) + LAST_CHUNK) if rpc.chunks else data
     if out and not to.outgoing.push(out):
-        to.outgoing.allow(to.outgoing.most + len(out))  # at most a ring more, and only now
+        to.outgoing.allow(to.outgoing.max_size + len(out))  # at most a ring more, and only now
         to.outgoing.push(out)
     to.flush_soon()
     rpc.complete()
--- a/indigohitch/standins/fault_links.py
+++ b/indigohitch/standins/fault_links.py
@@ -98,7 +98,7 @@
                 return
             self.next, allowed = now + DRIP, max(1, lane.fault.trickle * DRIP // SECOND)
         while self.queue and self.queue[0][0] <= now and allowed > 0:
-            room = min(sink.room(), allowed)
+            room = min(sink.free_capacity(), allowed)
             if room <= 0:
                 return  # `on_output_drained` pumps again
             due, data = self.queue.popleft()
--- a/indigohitch/standins/fault_proxy.py
+++ b/indigohitch/standins/fault_proxy.py
@@ -35,7 +35,7 @@
         self.uniform = random.Random(seed).random
         self.broken: list[BaseException] = []
         self.loop = EventLoop(Clock(), self.broken.append)
-        self.loop.pool.left = 1 << 30  # a stand-in's memory is nobody's concern
+        self.loop.pool.available = 1 << 30  # a stand-in's memory is nobody's concern
         self.gates: dict[tuple[str, str], Gate] = {}
         self.lanes: dict[tuple[str, str], FaultLink] = {}
         self.told: list[tuple[float, str]] = []  # when (time.monotonic), what was done
--- a/indigohitch/standins/load.py
+++ b/indigohitch/standins/load.py
@@ -32,7 +32,7 @@
             raise broken
 
         self.loop = EventLoop(Clock(), failed)
-        self.loop.pool.left = 1 << 30
+        self.loop.pool.available = 1 << 30
         self.to, self.kept, self.fresh, self.reserve, self.keys = to, kept, fresh, reserve, keys
         rng = random.Random(seed)
         self.uniform, self.randrange, self.prefix = rng.random, rng.randrange, prefix
--- a/indigohitch/standins/peer.py
+++ b/indigohitch/standins/peer.py
@@ -192,8 +192,8 @@
         self.next()
 
     def on_output_drained(self, stream: Stream) -> None:
-        while self.writing and stream.room() > 0:
-            room = min(stream.room(), 1 << 18)
+        while self.writing and stream.free_capacity() > 0:
+            room = min(stream.free_capacity(), 1 << 18)
             part, self.writing = bytes(self.writing[:room]), self.writing[room:]
             stream.write(part)
         if not self.writing and self.busy:
--- a/proofs/scalekit/hollow.py
+++ b/proofs/scalekit/hollow.py
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.broken: list[str] = []
         self.loop = EventLoop(Clock(), lambda bad: self.broken.append(repr(bad)))
-        self.loop.pool.left = 1 << 30  # the proof's memory, not a subscriber's
+        self.loop.pool.available = 1 << 30  # the proof's memory, not a subscriber's
         self.log = Log(self.loop.clock, "hollow", os.open(os.devnull, os.O_WRONLY))
         self.subscribers: list[Hollow] = []
         self.ended = False
--- a/tests/test_crossing_floods.py
+++ b/tests/test_crossing_floods.py
@@ -111,7 +111,7 @@
         except BlockingIOError:
             pass
         hall.loop.turn()
-        assert len(connection.outgoing) <= 4096 and hall.hub.pool.left == 1 << 20
+        assert len(connection.outgoing) <= 4096 and hall.hub.pool.available == 1 << 20
     assert hall.log.counts["accepted_unread_limit_exceeded"] == 1
 
 
--- a/tests/test_crossing_reload.py
+++ b/tests/test_crossing_reload.py
@@ -173,8 +173,8 @@
             relay.bounds.pace.window,
             hub.most,
             known,
-            front.loop.pool.left,
-            hub.pool.left,
+            front.loop.pool.available,
+            hub.pool.available,
         )
     )
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -52,7 +52,7 @@
             model = rest if found else model
         assert len(ring) == len(model) and ring.peek() == model
     ring.close()
-    assert pool.left == 1 << 20
+    assert pool.available == 1 << 20
     ours.close()
     theirs.close()
 
