--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -91,7 +91,7 @@
 
     def move(self, to: tuple[str, int]) -> bool:
         """Calls go to another address from the next one on; one that is out ends where it began."""
-        if to == self.client.to:
+        if to == self.client.address:
             return False
         self.client.retire()
         self.client = HttpClient(self.loop, to, self.CONNECT, self.IDLE)
@@ -126,7 +126,7 @@
         if self.idle or self.held:
             return
         if self.first.in_doubt and not self.first.may_repeat:
-            self.first.inquire(self.client.to, self.waiting[0])
+            self.first.inquire(self.client.address, self.waiting[0])
             self._wait_until(self.first.repeat_at(in_reach=False), self._repeat)
             return
         if len(self.waiting) > 1 and (self.bounds.pace.most or self.guard.late_lines(self.waiting[0])):
@@ -172,7 +172,7 @@
         if self.bounded:
             self._wait_until(when)
             if self.first.in_doubt:  # what stands in the store tells sooner whether it goes again at all
-                self.first.inquire(self.client.to, self.waiting[0], until_known=True)
+                self.first.inquire(self.client.address, self.waiting[0], until_known=True)
         return self.bounded
 
     def _send(self, orders: str) -> None:
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -89,7 +89,7 @@
 
     def move(self, to: tuple[str, int]) -> bool:
         """Watch at another address.  The watch at the old one goes on until a list has come from there."""
-        if to == self.client.to:
+        if to == self.client.address:
             return False
         self.client.retire()
         self.client = self._client(to)
--- a/indigohitch/platform_protocol/relay_watch.py
+++ b/indigohitch/platform_protocol/relay_watch.py
@@ -90,7 +90,7 @@
 
     def move(self, to: tuple[str, int]) -> bool:
         """Ask at another address.  The stream that tells goes on until one there does."""
-        if to == self.client.to:
+        if to == self.client.address:
             return False
         self.client = HttpClient(self.loop, to, self.CONNECT)
         self.anew()
--- a/indigohitch/process.py
+++ b/indigohitch/process.py
@@ -1,4 +1,4 @@
-"""What every long-running command of the program is: named phases, one loop, and signals heard in it."""
+"""The base of each long-running command: named phases, one event loop, and signals handled in it."""
 
 from __future__ import annotations
 
@@ -15,6 +15,8 @@
 
 
 class Process:
+    """A process with a clock, a log and an event loop; subclasses handle signals."""
+
     SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP)
 
     def __init__(self, phase: enum.Enum, name: str) -> None:
@@ -22,34 +24,38 @@
         self.clock = Clock()
         self.log = Log(self.clock, name)
         self.loop = retry_transient(lambda: EventLoop(self.clock, self.failed), self.delayed)
-        self._wake, wake = retry_transient(socket.socketpair, self.delayed)
-        for end in (self._wake, wake):
+        self._signal_reader, wake = retry_transient(socket.socketpair, self.delayed)
+        for end in (self._signal_reader, wake):
             end.setblocking(False)
-        self._woken_by = wake  # held, or it would close
+        self._signal_writer = wake  # referenced here, or it would be closed
         signal.set_wakeup_fd(wake.fileno(), warn_on_full_buffer=False)
         for number in self.SIGNALS:
-            signal.signal(number, lambda *_: None)  # heard through the wakeup socket, in the loop
-        self.loop.watch(self._wake, self, READ)
+            signal.signal(number, lambda *_: None)  # handled through the wakeup socket, in the loop
+        self.loop.watch(self._signal_reader, self, READ)
 
     def become(self, phase: enum.Enum) -> None:
+        """Enters a phase and logs it."""
         self.log.event("phase", was=self.phase.value, now=phase.value)
         self.phase = phase
 
     def delayed(self, error: OSError) -> None:
-        """The start waits for what the system has not got just now."""
+        """Logs that the start waits for a resource of the system."""
         self.log.warning("start_delayed", why=str(error))
 
-    def failed(self, broken: BaseException) -> None:
+    def failed(self, error: BaseException) -> None:
+        """Logs an unexpected exception of a callback."""
         self.log.warning(
             "defect",
-            error=f"{type(broken).__name__}: {broken}"[:500],
-            trace="".join(traceback.format_exception(broken))[-2000:],
+            error=f"{type(error).__name__}: {error}"[:500],
+            trace="".join(traceback.format_exception(error))[-2000:],
         )
 
     def ready(self, readable: bool, writable: bool) -> None:
-        # Each once; which of two came first the kernel does not tell: by number, a reload before the end.
-        for number in sorted(set(self._wake.recv(256))):
-            self.loop.guarded(self.on_signal, number)  # the end is heard though a reload fails
+        """Handles the signals that have arrived."""
+        # Each once, by number, a reload before the end: the kernel does not report which of two came first.
+        for number in sorted(set(self._signal_reader.recv(256))):
+            self.loop.guarded(self.on_signal, number)  # the end is handled though a reload fails
 
     def on_signal(self, number: int) -> None:
+        """Handles a signal, in a turn of the loop."""
         raise NotImplementedError
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -12,38 +12,45 @@
 import orjson
 
 from .errors import error_fields
-from .net.clock import SECOND
+from .net.clock import SECOND, Ticks
 from .net.connection import parse_address
 from .net.listener import Listener
 from .net.transient_errors import is_transient, retry_transient
 from .platform_protocol.front import Front
 from .process import Process
 
-# What a configuration that can't be read, or lacks something, shows itself by.
+# The errors of a configuration that can't be read, or lacks something.
 UNUSABLE = (OSError, ValueError, KeyError, TypeError, AttributeError)
 REMEDY = "mend the file that BALANCER_CONFIG names"
 
 
 class Phase(enum.Enum):
+    """The phases of a coordinator; their values are in the log."""
+
     STARTING = "starting"  # reads its configuration, opens its address
-    LISTENING = "listening"  # answers; the relay has not told yet what stands
+    LISTENING = "listening"  # answers; the state of the relay is not known yet
     SERVING = "serving"
-    ENDING = "ending"  # was told to end: finishes the calls that wait, for a moment
+    ENDING = "ending"  # after SIGTERM: finishes pending calls, for GRACE
     ENDED = "ended"
 
 
 def read_configuration(environ: Mapping[str, str], *variables: str) -> dict:
-    """What the platform hands over; the variables named win over the file, which says more."""
+    """Reads the file that BALANCER_CONFIG names; the environment variables named override its entries.
+
+    Raises:
+        OSError, ValueError, KeyError: See UNUSABLE.
+    """
     with open(environ["BALANCER_CONFIG"], "rb") as file:
-        found = orjson.loads(file.read())
+        configuration = orjson.loads(file.read())
     for variable in variables:
         if variable in environ:
-            found[variable.removeprefix("BALANCER_").lower()] = environ[variable]
-    return found
+            configuration[variable.removeprefix("BALANCER_").lower()] = environ[variable]
+    return configuration
 
 
 ENDS = (Phase.ENDING, Phase.ENDED)
-RELOAD_PATIENCE, RELOAD_AGAIN = 4 * SECOND, SECOND // 50
+RELOAD_PATIENCE = 4 * SECOND
+RELOAD_RETRY_DELAY = SECOND // 50
 
 
 def reload_front(
@@ -51,49 +58,58 @@
     environ: Mapping[str, str],
     front: Callable[[], Front | None],
     done: Callable[[], None] = lambda: None,
-    until: int = 0,
+    deadline: Ticks = 0,
 ) -> None:
-    """The file as it is now; one that can't be used changes nothing.  It is newer than the variable that told
-    of discovery at the start; the address to listen on can't change while callers hold it.  One that can't be
-    opened just now is tried again for RELOAD_PATIENCE, while there is a `front`; `done`: it was read."""
-    if (moved := front()) is None:
+    """Applies the configuration file as it is now; `done` is called if it was applied.
+
+    A file that can't be used changes nothing.  The file is newer than the variable that named discovery at
+    the start; the address to listen on can't change while connections use it.  A transient failure is
+    retried for RELOAD_PATIENCE, as long as `front` returns one.
+    """
+    if (current := front()) is None:
         return
     now = process.clock.now()
-    until = until or now + RELOAD_PATIENCE
+    deadline = deadline or now + RELOAD_PATIENCE
     try:
-        moved.reload(read_configuration(environ, "BALANCER_LISTEN"))
-    except UNUSABLE as bad:
-        if is_transient(bad) and now < until:
-            process.loop.call_after(RELOAD_AGAIN, lambda: reload_front(process, environ, front, done, until))
+        current.reload(read_configuration(environ, "BALANCER_LISTEN"))
+    except UNUSABLE as error:
+        if is_transient(error) and now < deadline:
+            process.loop.call_after(
+                RELOAD_RETRY_DELAY, lambda: reload_front(process, environ, front, done, deadline)
+            )
         else:
-            process.log.warning("reload_failed", **error_fields(bad, REMEDY))
+            process.log.warning("reload_failed", **error_fields(error, REMEDY))
     else:
         done()
 
 
 class Service(Process):
+    """The process of a coordinator that is restarted, not upgraded."""
+
     GRACE = SECOND // 4  # of the 0.7 s until SIGKILL
-    # The process before this one holds the address until it has ended, 0.7 s and a SIGKILL after its SIGTERM.
-    HELD, AGAIN = 4 * SECOND, SECOND // 50
+    # The previous process has the address until it has ended, 0.7 s and a SIGKILL after its SIGTERM.
+    LISTEN_PATIENCE = 4 * SECOND
+    LISTEN_RETRY_DELAY = SECOND // 50
 
     def __init__(self, environ: Mapping[str, str]) -> None:
         super().__init__(Phase.STARTING, environ.get("BALANCER_NAME", ""))
         self.environ = environ
         self.front: Front | None = None
-        self.decided = False  # while it ends: on all that was told before
+        self.decided = False  # while it ends: all earlier events are decided on
         self.file_is_newer = False
 
     def reload(self) -> None:
+        """Applies the configuration file as it is now."""
         reload_front(self, self.environ, lambda: None if self.phase in ENDS else self.front)
 
     def run(self) -> int:
-        """Returns the exit code."""
+        """Runs to the end; returns the exit code."""
         try:
             found = retry_transient(
                 lambda: read_configuration(self.environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY"),
                 self.delayed,
             )
-            listening = self.listening(parse_address(found["listen"]))
+            listening = self.listen(parse_address(found["listen"]))
             if listening is None:
                 return 0
             if self.file_is_newer:
@@ -101,19 +117,19 @@
                     lambda: read_configuration(self.environ, "BALANCER_LISTEN"), self.delayed
                 )
             self.front = Front(self.loop, self.log, found, listening)
-        except UNUSABLE as bad:
-            self.log.event("cannot_start", **error_fields(bad, REMEDY))
+        except UNUSABLE as error:
+            self.log.event("cannot_start", **error_fields(error, REMEDY))
             self.become(Phase.ENDED)
             return 1
         self.become(Phase.LISTENING)
         self.front.start()
-        self.loop.turn()  # accepts who waits already: heard in the next, before the module's first
+        self.loop.turn()  # accepts waiting connections: read in the next turn, before the first decision
         while self.phase is not Phase.ENDED:
             self.loop.turn()
             if self.phase is not Phase.ENDED and not self.decided:
                 self.loop.guarded(self.front.gathering.turn)
             if self.phase is Phase.ENDING:
-                # A drain that was told right before the signal still gets its orders.
+                # A drain that was requested right before the signal still gets its orders.
                 self.decided |= not self.front.gathering.events
                 if self.decided and self.front.relay.idle:
                     self.end()
@@ -122,21 +138,29 @@
         self.log.counters()
         return 0
 
-    def listening(self, at: tuple[str, int]) -> socket.socket | None:
-        """Who connects from here on waits to be accepted.  None: told to end before the address was had."""
-        until = self.clock.now() + self.HELD
+    def listen(self, address: tuple[str, int]) -> socket.socket | None:
+        """Opens the listening socket, retrying while the previous process has the address.
+
+        Returns None if the process was ended meanwhile.
+
+        Raises:
+            OSError: The address can't be opened.
+        """
+        deadline = self.clock.now() + self.LISTEN_PATIENCE
         while self.phase is Phase.STARTING:
             try:
-                return Listener.open_socket(at)
-            except OSError as held:
-                if held.errno != errno.EADDRINUSE and not is_transient(held) or self.clock.now() >= until:
+                return Listener.open_socket(address)
+            except OSError as error:
+                is_retryable = error.errno == errno.EADDRINUSE or is_transient(error)
+                if not is_retryable or self.clock.now() >= deadline:
                     raise
-                self.log.warning("address_in_use", listen=f"{at[0]}:{at[1]}", why=str(held))
-            self.loop.call_after(self.AGAIN, lambda: None)
+                self.log.warning("address_in_use", listen=f"{address[0]}:{address[1]}", why=str(error))
+            self.loop.call_after(self.LISTEN_RETRY_DELAY, lambda: None)
             self.loop.turn()
         return None
 
     def on_signal(self, number: int) -> None:
+        """SIGUSR1 logs the counters, SIGHUP reloads, others end the process."""
         if number == signal.SIGUSR1:
             self.log.counters()
         elif self.phase is Phase.STARTING:
@@ -145,7 +169,7 @@
             else:
                 self.become(Phase.ENDED)
         elif self.phase not in (Phase.LISTENING, Phase.SERVING):
-            pass  # it ends: nothing is moved any more
+            pass  # it ends: nothing is reloaded any more
         elif number == signal.SIGHUP:
             self.reload()
         else:
@@ -153,11 +177,13 @@
             self.loop.call_after(self.GRACE, self.end)
 
     def end(self) -> None:
+        """Closes the front and enters the last phase."""
         if self.phase is Phase.ENDING:
             self.loop.guarded(self.front.close)  # a defect in it must not keep the process
             self.become(Phase.ENDED)
 
 
 def main() -> int:
-    os.set_blocking(1, False)  # a log that nobody reads must not hold up the service
+    """Runs a coordinator with the environment of the process; returns the exit code."""
+    os.set_blocking(1, False)  # a log that nobody reads must not block the service
     return Service(os.environ).run()
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -93,10 +93,10 @@
     asked: list
 
     def __init__(self, loop: EventLoop, to: tuple[str, int], *spans: int, **more: int) -> None:
-        self.to, self.asked, self.done = to, Recorder.asked, None
+        self.address, self.asked, self.done = to, Recorder.asked, None
 
     def request(self, method, target, span, done, body=b"", kind="", stream=None) -> SimpleNamespace:
-        data = http_form(method, target, f"{self.to[0]}:{self.to[1]}", body, kind).decode("latin-1")
+        data = http_form(method, target, f"{self.address[0]}:{self.address[1]}", body, kind).decode("latin-1")
         self.asked.append({"request": data, "streams": stream is not None})
         Recorder.done = done
         return SimpleNamespace(drop=lambda: None, connection=None)
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -20,7 +20,7 @@
     """In the place of net.http.Client."""
 
     def __init__(self, loop, to, *spans):
-        self.to, self.asked, self.retired = to, [], False
+        self.address, self.asked, self.retired = to, [], False
 
     def request(self, method, target, span, done, body, kind):
         self.asked.append((parse_qs(body.decode())["orders"][0], done))
