--- a/tests/seam.py
+++ b/tests/seam.py
@@ -81,7 +81,7 @@
 
     def come(self):
         """What the peer did is in the kernel, unread."""
-        assert select.select([self.client._resting.sock], [], [], 10)[0]
+        assert select.select([self.client._idle.sock], [], [], 10)[0]
 
     def close(self):
         assert not self.broken
--- a/tests/test_crossing_idle.py
+++ b/tests/test_crossing_idle.py
@@ -20,7 +20,7 @@
     wire.ask()
     peer = wire.accepted()
     peer.sendall(OK % (1, b"1"))
-    assert wire.answered(1).body == b"1" and wire.client._resting is not None
+    assert wire.answered(1).body == b"1" and wire.client._idle is not None
     return peer
 
 
@@ -114,7 +114,7 @@
     """A status below 400 would count as done."""
     wire.ask()
     wire.accepted().sendall(b"HTTP/1.1 101 Switching Protocols\r\n%b\r\n" % upgrade)
-    assert wire.answered(1).outcome == "unreadable" and wire.client._resting is None
+    assert wire.answered(1).outcome == "unreadable" and wire.client._idle is None
 
 
 @pytest.mark.parametrize("head", [b"", b"HTTP/1.1 100 Continue\r\n\r\n"])
@@ -138,7 +138,7 @@
 def test_only_a_connection_that_may_go_on_rests(wire, answer, keeps):
     wire.ask("GET", b"")
     wire.accepted().sendall(answer)
-    assert wire.answered(1).outcome == "answered" and (wire.client._resting is not None) == keeps
+    assert wire.answered(1).outcome == "answered" and (wire.client._idle is not None) == keeps
 
 
 def test_the_idle_close_of_our_own_meets_the_next_request(wire):
@@ -151,7 +151,7 @@
     wire.heard(peer).sendall(OK % (1, b"2"))
     assert wire.answered(2).body == b"2"
     wire.client._deadline.action()
-    assert wire.client._resting is None
+    assert wire.client._idle is None
     wire.ask()
     wire.accepted().sendall(OK % (1, b"3"))
     assert wire.answered(3).body == b"3"
@@ -165,4 +165,4 @@
     peer = wire.accepted()
     peer.sendall(OK % (1, b"1"))
     assert wire.answered(1).outcome == "answered"
-    assert not connection.open and wire.client._resting is None
+    assert not connection.open and wire.client._idle is None
--- a/tests/test_crossing_shutdown.py
+++ b/tests/test_crossing_shutdown.py
@@ -197,7 +197,7 @@
             self.heard.append(number)
 
     process = Hearing(Phase.STARTING, "n0")
-    process._woken_by.send(bytes([signal.SIGTERM, signal.SIGHUP, signal.SIGTERM]))
+    process._signal_writer.send(bytes([signal.SIGTERM, signal.SIGHUP, signal.SIGTERM]))
     process.loop.turn()
     assert process.heard == [signal.SIGHUP, signal.SIGTERM]
     process.loop.close()
