--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -36,12 +36,14 @@
     def apply(self, at, word, body):
         if word == "alter":
             self.state_machine.parts["members"].add_change(at, "contract", body.hard, SECOND)
-        elif body.what in self.held or self.state_machine.parts["members"].ineligibility(at.proposer, at.incarnation):
+        elif body.what in self.held or self.state_machine.parts["members"].ineligibility(
+            at.proposer, at.incarnation
+        ):
             raise InvalidRequestError("held")
         else:
             self.held[body.what] = (at.proposer, at.incarnation)
 
-    def member_gone(self, at, name, incarnation):
+    def on_member_lease_expired(self, at, name, incarnation):
         self.held = {what: by for what, by in self.held.items() if by != (name, incarnation)}
 
     def row(self):
