--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -148,15 +148,15 @@
 
     def close(self, why: str = "") -> None:
         """Closes at once; with a reason, the reader is notified."""
-        self._register_again()
+        self._reregister()
         super().close(why)
 
     def detach(self) -> tuple[socket.socket, bytes]:
         """Takes the stream out of the loop without closing; returns the socket and unread data."""
-        self._register_again()
+        self._reregister()
         return super().detach()
 
-    def _register_again(self) -> None:
+    def _reregister(self) -> None:
         """Registers a paused socket with the selector, which is about to unregister it."""
         if self.open and not self._mask:
             self.loop.resume(self.sock, self._number, READ)
