--- a/indigohitch/control.py
+++ b/indigohitch/control.py
@@ -14,7 +14,7 @@
 from .net.loop import EventLoop
 
 
-class Asker:
+class ControlClient:
     LINE = 64 << 10  # a proposal's body is the longest thing that is told
 
     def __init__(self, control: ControlSocket) -> None:
@@ -60,7 +60,7 @@
         """`asked(what, line, answer)`.  Raises OSError.  A path that a dead program left behind is taken; one
         that answers is not."""
         self.loop, self.path, self.on_command = loop, path, asked
-        self.clients: set[Asker] = set()
+        self.clients: set[ControlClient] = set()
         self.listener = Listener(loop, None, self.greet, lambda why: None, listening or self.opened(path))
 
     @staticmethod
@@ -86,8 +86,8 @@
     def greet(self, sock: socket.socket) -> bool:
         if len(self.clients) >= self.MOST:
             return False
-        asker = Asker(self)
-        asker.connection = Connection.accepted(self.loop, sock, asker, 2 * Asker.LINE, self.loop.pool)
+        asker = ControlClient(self)
+        asker.connection = Connection.accepted(self.loop, sock, asker, 2 * ControlClient.LINE, self.loop.pool)
         self.clients.add(asker)
         return True
 
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -20,7 +20,7 @@
 from .upgrade.handover_participant import HandoverParticipant
 
 
-class Coordinating(UpgradableProcess):
+class CoordinatorProcess(UpgradableProcess):
     def __init__(self, environ: MutableMapping[str, str], text: Text, follows: bool) -> None:
         self.environ, self.source, self.fleet, self.follows = environ, text.source, text.fleet, follows
         self.decided = False  # while it ends: on all that was told before
@@ -110,7 +110,7 @@
             self.side.front.close()
 
 
-def without_front(text: Text) -> int:
+def run_headless(text: Text) -> int:
     """A subscriber or a member as a process of its own; a member's imports would cost a subscriber 3 MB."""
     if text.fleet.services:
         from .fleet.node import subscriber_process
@@ -125,7 +125,7 @@
     """Raises Mistakes, OSError."""
     text = operator_file.load(file)
     if text.fleet is not None and "BALANCER_CONFIG" not in os.environ:
-        return without_front(text)
+        return run_headless(text)
     channel = process_launch.inherited_channel()
     os.set_blocking(1, False)
-    return Coordinating(os.environ, text, channel is not None).run(channel)
+    return CoordinatorProcess(os.environ, text, channel is not None).run(channel)
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -45,7 +45,7 @@
 def restore_front(front: Front, state: shots.CoordinatorState) -> None:
     front.coordinator = thaw(state.module, front.boot)
     front.gathering.take()  # the list of the configuration is older than the state
-    front.listed = {entry.backend: entry for entry in map(event_codec.unlisted, state.listed)}
+    front.listed = {entry.backend: entry for entry in map(event_codec.unpack_entry, state.listed)}
     front.addresses = dict(state.addresses)
     front.starts.known = {backend: BackendStart(told, at) for backend, told, at in state.starts}
     front.starts.heard = state.list_heard
--- a/indigohitch/state_file.py
+++ b/indigohitch/state_file.py
@@ -11,7 +11,14 @@
 from .upgrade.handover_participant import HandoverParticipant
 
 # What a state that does not fit shows itself by.
-UNFIT = (shots.UnusableSnapshotError, ValueError, IndexError, KeyError, TypeError, AttributeError)
+UNUSABLE_STATE_ERRORS = (
+    shots.UnusableSnapshotError,
+    ValueError,
+    IndexError,
+    KeyError,
+    TypeError,
+    AttributeError,
+)
 
 
 class StateFile:
@@ -30,7 +37,7 @@
             if state.taken > self.clock.now():
                 self.clock.follow(state.taken)
             side.restore(state, {})
-        except (OSError, *UNFIT) as bad:
+        except (OSError, *UNUSABLE_STATE_ERRORS) as bad:
             self.log.warning(
                 "state_refused", path=self.path, **error_fields(bad, shots.UnusableSnapshotError.remedy)
             )
--- a/indigohitch/upgrade/channel.py
+++ b/indigohitch/upgrade/channel.py
@@ -12,7 +12,7 @@
 from ..net.clock import SECOND
 from ..net.connection import READ, WRITE
 from ..net.loop import EventLoop
-from .messages import WORDS, BrokenFrameError, FrameDecoder, Word, frame
+from .messages import MESSAGE_TYPES, BrokenFrameError, FrameDecoder, Message, frame
 
 
 class Channel:
@@ -23,20 +23,20 @@
         self,
         loop: EventLoop,
         sock: socket.socket,
-        heard: Callable[[Word, list[int]], None],
+        heard: Callable[[Message, list[int]], None],
         ended: Callable[[str, bool], None],
     ) -> None:
         """`ended(why, broken)` once: at the end of the channel, or as soon as what comes can't be read."""
-        self.loop, self.sock, self.heard, self.ended = loop, sock, heard, ended
+        self.loop, self.sock, self.on_message, self.ended = loop, sock, heard, ended
         sock.setblocking(False)
-        self.frames = FrameDecoder(WORDS)
+        self.frames = FrameDecoder(MESSAGE_TYPES)
         self.arrived: deque[int] = deque()  # descriptors not given to a word yet
         self.out: deque[tuple[memoryview, list[int]]] = deque()
         self.open, self._mask, self._waiting = True, READ, False
         self.ending = False
         self.number = loop.watch(sock, self, READ)
 
-    def say(self, word: Word, descriptors: Sequence[int] = ()) -> None:
+    def send(self, word: Message, descriptors: Sequence[int] = ()) -> None:
         """The descriptors have to stay open until the other side has said that it has them: they may wait
         here, and a copy of each could be more than this process may hold."""
         if self.open:
@@ -118,7 +118,7 @@
                         raise BrokenFrameError(
                             f"{type(word).__name__} lacks {count - len(self.arrived)} descriptors"
                         )
-                    self.heard(word, [self.arrived.popleft() for _ in range(count)])
+                    self.on_message(word, [self.arrived.popleft() for _ in range(count)])
                     if not self.open:
                         return
             except BrokenFrameError as bad:
--- a/indigohitch/upgrade/connection_transfer.py
+++ b/indigohitch/upgrade/connection_transfer.py
@@ -12,8 +12,8 @@
 class ConnectionTransfer:
     MOST_RESTS = 1 << 20  # unread bytes of connections in one frame: an eighth of its bound
 
-    def __init__(self, say: Callable[[messages.Word, Sequence[int]], None]) -> None:
-        self.say = say
+    def __init__(self, say: Callable[[messages.Message, Sequence[int]], None]) -> None:
+        self.send = say
         self.out: dict[int, PassedConnection] = {}  # not known to have their owner
         self.number = 0
 
@@ -48,8 +48,10 @@
     def _send(self, numbers: list[int]) -> None:
         if numbers:
             batch = [self.out[number] for number in numbers]
-            self.say(
-                messages.Passed(numbers, [rest for _, _, rest in batch], [kind for kind, _, _ in batch]),
+            self.send(
+                messages.ConnectionsPassed(
+                    numbers, [rest for _, _, rest in batch], [kind for kind, _, _ in batch]
+                ),
                 [sock.fileno() for _, sock, _ in batch],
             )
 
--- a/indigohitch/upgrade/event_codec.py
+++ b/indigohitch/upgrade/event_codec.py
@@ -51,7 +51,7 @@
     return tuple(getattr(entry, field) for field in _LISTED)
 
 
-def unlisted(row: Iterable) -> face.BackendEntry:
+def unpack_entry(row: Iterable) -> face.BackendEntry:
     """Raises ValueError."""
     return face.BackendEntry(**dict(zip(_LISTED, row, strict=True)))
 
@@ -71,7 +71,7 @@
         raise ValueError(f"no event or order: {name!r} with {len(values)} values")
     kind, fields = _KINDS[name]
     if kind is face.BackendList:
-        values[-1] = tuple(map(unlisted, values[-1]))
+        values[-1] = tuple(map(unpack_entry, values[-1]))
     elif kind is face.SetAdmission:
         values[1] = tuple(values[1])
     return kind(**dict(zip(fields, values)))
--- a/indigohitch/upgrade/message_events.py
+++ b/indigohitch/upgrade/message_events.py
@@ -6,20 +6,20 @@
 from . import snapshot as shots
 
 
-def event(word: messages.Word, state: bytes) -> tuple[str, str]:
+def event(word: messages.Message, state: bytes) -> tuple[str, str]:
     """The event, and why; `state`: what was handed over."""
     match word:
         case messages.Hello(protocol, schema):
             if abs(protocol - messages.PROTOCOL) > 1 or abs(schema - shots.SCHEMA) > 1:
                 return "refused", f"the new program reads schema {schema}, this one {shots.SCHEMA}"
             return "hello", ""
-        case messages.Restored(digest):
+        case messages.StateRestored(digest):
             same = digest == shots.digest(state)
             return ("restored", "") if same else ("refused", "the state came out different")
-        case messages.Proven():
+        case messages.StateProven():
             return "proven", ""
-        case messages.Accepting():
+        case messages.AcceptingStarted():
             return "accepting", ""
-        case messages.Refuse(why):
+        case messages.HandoverRefused(why):
             return "refused", why
     return "broken", f"{type(word).__name__} from the new process"
--- a/indigohitch/upgrade/messages.py
+++ b/indigohitch/upgrade/messages.py
@@ -4,14 +4,14 @@
 from __future__ import annotations
 
 from ..encoding.frames import MAX_FRAME_BYTES, BrokenFrameError, FrameDecoder, MessageTypes
-from ..encoding.rows import Row as Word
+from ..encoding.rows import Row as Message
 
-__all__ = ["MAX_FRAME_BYTES", "BrokenFrameError", "FrameDecoder", "Word", "WORDS", "frame"]
+__all__ = ["MAX_FRAME_BYTES", "BrokenFrameError", "FrameDecoder", "Message", "MESSAGE_TYPES", "frame"]
 
 PROTOCOL = 1
 
 
-class Hello(Word):
+class Hello(Message):
     """New to old: I am here, and this is what I read."""
 
     protocol: int
@@ -20,7 +20,7 @@
     version: str = ""
 
 
-class Listeners(Word):
+class Listeners(Message):
     """Old to new, with their descriptors: listening sockets by name, in order."""
 
     names: list[str]
@@ -29,23 +29,23 @@
     rehearse_at: int  # at this time the new one is to say what its module would order
 
 
-class Piece(Word):
+class StateChunk(Message):
     """A part of the state."""
 
     data: bytes
 
 
-class Restored(Word):
+class StateRestored(Message):
     """The state, read and written again, has this digest."""
 
     digest: bytes
 
 
-class Proven(Word):
+class StateProven(Message):
     orders: bytes  # digest of what its module would order at `rehearse_at`
 
 
-class Passed(Word):
+class ConnectionsPassed(Message):
     """With their descriptors: connections, by number, what each brought that nobody read, and what it is:
     "client" at a sidecar; at a coordinator the caller's figures as a JSON array, by position."""
 
@@ -54,58 +54,58 @@
     kinds: list[str]
 
 
-class Commit(Word):
+class CommitHandover(Message):
     """You accept from here on.  `rest`: what came since the state was taken; `reload`: SIGHUP came."""
 
     rest: bytes
     reload: bool = False
 
 
-class Accepting(Word):
+class AcceptingStarted(Message):
     pass
 
 
-class Adopted(Word):
+class ConnectionsAdopted(Message):
     """These have their owner now."""
 
     numbers: list[int]
 
 
-class Rest(Word):
+class LateEvents(Message):
     """What the old one still met while it drained."""
 
     rest: bytes
 
 
-class Done(Word):
+class DrainCompleted(Message):
     pass
 
 
-class CallOff(Word):
+class HandoverCalledOff(Message):
     why: str
 
 
-class Refuse(Word):
+class HandoverRefused(Message):
     why: str
 
 
-WORDS = MessageTypes(
+MESSAGE_TYPES = MessageTypes(
     b"IHup",
     PROTOCOL,
     [
         Hello,
         Listeners,
-        Piece,
-        Restored,
-        Proven,
-        Passed,
-        Commit,
-        Accepting,
-        Adopted,
-        Rest,
-        Done,
-        CallOff,
-        Refuse,
+        StateChunk,
+        StateRestored,
+        StateProven,
+        ConnectionsPassed,
+        CommitHandover,
+        AcceptingStarted,
+        ConnectionsAdopted,
+        LateEvents,
+        DrainCompleted,
+        HandoverCalledOff,
+        HandoverRefused,
     ],
 )
-frame = WORDS.frame
+frame = MESSAGE_TYPES.frame
--- a/indigohitch/upgrade/phase_timeouts.py
+++ b/indigohitch/upgrade/phase_timeouts.py
@@ -8,7 +8,7 @@
 
 # Restoring 10,000 slices takes half a second on a busy core; a new interpreter with all libraries a second
 # where the disk is cold.
-WAITS = {
+DEFAULT_TIMEOUTS = {
     "start": 10 * SECOND,
     "settle": 2 * SECOND,
     "give": 10 * SECOND,
@@ -20,9 +20,9 @@
 }  # the old one stands by: a first accept or plan that fails shows
 
 
-def waits(told: Mapping[str, int]) -> dict[str, int]:
+def phase_timeouts(told: Mapping[str, int]) -> dict[str, int]:
     """By the operator's lines."""
-    known = {name: span for name, span in told.items() if name in WAITS}
+    known = {name: span for name, span in told.items() if name in DEFAULT_TIMEOUTS}
     if "takeover" in told:
         known |= {"give": told["takeover"], "prove": told["takeover"]}
-    return WAITS | known
+    return DEFAULT_TIMEOUTS | known
--- a/indigohitch/upgrade/predecessor_driver.py
+++ b/indigohitch/upgrade/predecessor_driver.py
@@ -13,13 +13,13 @@
 from .connection_transfer import ConnectionTransfer
 from .handover_participant import HandoverParticipant, PassedConnection
 from .phase_deadline import PhaseDeadline
-from .phase_timeouts import waits as waits_told
+from .phase_timeouts import phase_timeouts as waits_told
 from .phases import STANDING_STILL, Phase
 from .predecessor import Predecessor
-from .process_launch import Started
+from .process_launch import StartedProcess
 from .state_transfer import send_state
 from .upgrade_report import UpgradeReport
-from .urgent_work import Urgency
+from .urgent_work import UrgentWorkMonitor
 
 
 class PredecessorDriver:
@@ -43,10 +43,10 @@
         self.deadline = PhaseDeadline(loop, self.waits, self.overdue)
         self.ended, self.reported = ended, reported
         self.machine = Predecessor()
-        self.urgency = Urgency(loop, self.has_urgent_work, self.step)
-        self.started: Started | None = None
+        self.urgency = UrgentWorkMonitor(loop, self.has_urgent_work, self.step)
+        self.started: StartedProcess | None = None
         self.channel: Channel | None = None
-        self.passing = ConnectionTransfer(self.say)
+        self.passing = ConnectionTransfer(self.send)
         self.reload = False  # SIGHUP came meanwhile
         self.taken_back: Callable[[], None] = lambda: None  # this process is the service again
         self.state, self.theirs = b"", b""
@@ -88,11 +88,11 @@
 
     # ---- what is heard -----------------------------------------------------------------------------
 
-    def heard(self, word: messages.Word, descriptors: list[int]) -> None:
-        if isinstance(word, messages.Adopted):
+    def on_message(self, word: messages.Message, descriptors: list[int]) -> None:
+        if isinstance(word, messages.ConnectionsAdopted):
             self.passing.adopted(word.numbers)
             return
-        if isinstance(word, messages.Proven):
+        if isinstance(word, messages.StateProven):
             self.theirs = word.orders
         self.step(*message_events.event(word, self.state))
 
@@ -107,7 +107,7 @@
             span = 0 if self.machine.phase is Phase.COMMITTED else self.ENDING
             self.loop.call_after(span, lambda: started is self.started and self.step("eof", why))
 
-    def died(self, started: Started, why: str) -> None:
+    def died(self, started: StartedProcess, why: str) -> None:
         if started is not self.started:
             return  # of an earlier upgrade, which was killed late
         if self.channel is not None:
@@ -118,9 +118,9 @@
 
     # ---- what is done ------------------------------------------------------------------------------
 
-    def say(self, word: messages.Word, descriptors: Sequence[int] = (), last: bool = False) -> None:
+    def send(self, word: messages.Message, descriptors: Sequence[int] = (), last: bool = False) -> None:
         if self.channel is not None:
-            self.channel.say(word, descriptors)
+            self.channel.send(word, descriptors)
             if last:
                 self.channel.flush_hard()
 
@@ -128,11 +128,11 @@
         self.figures = UpgradeReport(self.loop.clock.now())
         self.reload = False
         try:
-            self.started = Started(self.loop, self.program, self.died)
+            self.started = StartedProcess(self.loop, self.program, self.died)
         except OSError as bad:
             self.step("refused", f"the new program can't be started: {bad}")
             return
-        self.channel = Channel(self.loop, self.started.channel, self.heard, self.channel_ended)
+        self.channel = Channel(self.loop, self.started.channel, self.on_message, self.channel_ended)
         self.log.count("upgrades_begun")
 
     def do_settle(self) -> None:
@@ -164,7 +164,7 @@
     def give(self, state: bytes, began: int) -> None:
         self.state = state
         self.rehearse_at = self.loop.clock.now() + self.REHEARSE
-        send_state(self.say, self.side.listeners(), state, self.loop.clock.now(), self.rehearse_at)
+        send_state(self.send, self.side.listeners(), state, self.loop.clock.now(), self.rehearse_at)
         self.figures.state_taken(len(state), began, self.loop.clock.now())
 
     def do_commit(self) -> None:
@@ -174,7 +174,7 @@
             self.passing.own(self.side.take_idle_connections())
             self.figures.add(passed=len(self.passing.out))
             self.passing.all()
-            self.say(messages.Commit(self.side.late_events(), self.reload))
+            self.send(messages.CommitHandover(self.side.late_events(), self.reload))
         except OSError as bad:  # whatever this process lacks now, it can take back
             self.step("refused", f"nothing could be passed: {bad}")
 
@@ -219,7 +219,7 @@
 
     def do_call_off(self) -> None:
         self.log.warning("upgrade_called_off", why=self.machine.result)
-        self.say(messages.CallOff(self.machine.result), last=True)
+        self.send(messages.HandoverCalledOff(self.machine.result), last=True)
         self.side.settle(False)
 
     def do_kill(self) -> None:
@@ -240,8 +240,8 @@
     def do_done(self) -> None:
         # Our module has retired: its next step shows whether the new one's is the same.
         self.log.event("state_compared", equal=self.side.rehearse(self.rehearse_at) == self.theirs)
-        self.say(messages.Rest(self.side.late_events()))
-        self.say(messages.Done(), last=True)
+        self.send(messages.LateEvents(self.side.late_events()))
+        self.send(messages.DrainCompleted(), last=True)
 
     def do_end(self) -> None:
         self.close()
--- a/indigohitch/upgrade/process_launch.py
+++ b/indigohitch/upgrade/process_launch.py
@@ -20,7 +20,7 @@
     return list(program) or [sys.executable, *sys.orig_argv[1:]]
 
 
-class Watch:
+class ProcessWatch:
     """Another process' death, heard in the loop; it need not be a child."""
 
     def __init__(self, loop: EventLoop, pid: int, died: Callable[[], None]) -> None:
@@ -48,10 +48,12 @@
             self.fd = -1
 
 
-class Started:
+class StartedProcess:
     """A new program, with the other end of its channel."""
 
-    def __init__(self, loop: EventLoop, program: Sequence[str], died: Callable[[Started, str], None]) -> None:
+    def __init__(
+        self, loop: EventLoop, program: Sequence[str], died: Callable[[StartedProcess, str], None]
+    ) -> None:
         """Raises OSError where it can't be started."""
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
         told = {VARIABLE: f"{theirs.fileno()}:{os.getpid()}"}
@@ -61,7 +63,7 @@
                 command(program), stdin=subprocess.DEVNULL, env=os.environ | told, pass_fds=[theirs.fileno()]
             )
             self.pid, self._died = self.process.pid, died
-            self.watch = Watch(loop, self.pid, self._ended)
+            self.watch = ProcessWatch(loop, self.pid, self._ended)
         except BaseException:
             ours.close()
             raise
--- a/indigohitch/upgrade/snapshot.py
+++ b/indigohitch/upgrade/snapshot.py
@@ -21,7 +21,7 @@
 SCHEMA = 1
 MAGIC = b"IHSNAP\r\n"  # as in PNG: a transfer that changes line ends shows itself
 _HEAD = struct.Struct("!8sHQ16s")
-MOST = 1 << 30
+MAX_FILE_BYTES = 1 << 30
 
 
 class UnusableSnapshotError(InvalidDataError):
@@ -129,6 +129,6 @@
 def read(path: str) -> Snapshot:
     """Raises OSError, Unusable."""
     with open(path, "rb") as file:
-        if os.fstat(file.fileno()).st_size > MOST:
+        if os.fstat(file.fileno()).st_size > MAX_FILE_BYTES:
             raise UnusableSnapshotError("larger than any state")
         return decode(file.read())
--- a/indigohitch/upgrade/state_transfer.py
+++ b/indigohitch/upgrade/state_transfer.py
@@ -21,4 +21,4 @@
     descriptors = [sock.fileno() for sock in listeners.values()]
     say(messages.Listeners(list(listeners), now, len(state), rehearse_at), descriptors)
     for at in range(0, len(state), PIECE):
-        say(messages.Piece(state[at : at + PIECE]))
+        say(messages.StateChunk(state[at : at + PIECE]))
--- a/indigohitch/upgrade/successor_driver.py
+++ b/indigohitch/upgrade/successor_driver.py
@@ -15,7 +15,7 @@
 from .channel import Channel
 from .handover_participant import HandoverParticipant, PassedConnection
 from .phases import Phase
-from .process_launch import Watch
+from .process_launch import ProcessWatch
 from .successor import Successor
 
 
@@ -42,9 +42,9 @@
         self.shot: shots.Snapshot | None = None
         self.passed: list[tuple[int, PassedConnection]] = []
         self.why, self.rest, self.reload = "", b"", False
-        self.channel: Channel | None = Channel(loop, channel, self.heard, self.channel_ended)
+        self.channel: Channel | None = Channel(loop, channel, self.on_message, self.channel_ended)
         try:
-            self.watch: Watch | None = Watch(loop, old, self.died)
+            self.watch: ProcessWatch | None = ProcessWatch(loop, old, self.died)
         except ProcessLookupError:
             self.watch = None
             loop.call_after(0, self.died)
@@ -77,7 +77,7 @@
 
     # ---- what is heard -----------------------------------------------------------------------------
 
-    def heard(self, word: messages.Word, descriptors: list[int]) -> None:
+    def on_message(self, word: messages.Message, descriptors: list[int]) -> None:
         match word:
             case messages.Listeners(names, now, size, at):
                 if len(descriptors) != len(names):
@@ -87,11 +87,11 @@
                 self.size, self.rehearse_at = size, at
                 self.loop.clock.follow(now)
                 self.step("listeners")
-            case messages.Piece(data):
+            case messages.StateChunk(data):
                 self.parts += data
                 if len(self.parts) >= self.size:
                     self.step("state")
-            case messages.Passed(numbers, rests, kinds):
+            case messages.ConnectionsPassed(numbers, rests, kinds):
                 if not len(numbers) == len(rests) == len(kinds) == len(descriptors):
                     self.step("failed", "connections without descriptors")
                     return
@@ -100,19 +100,19 @@
                     for number, kind, fd, rest in zip(numbers, kinds, descriptors, rests)
                 ]
                 if self.machine.accepting:
-                    self.say(messages.Adopted(numbers))  # before a byte is read of them
+                    self.send(messages.ConnectionsAdopted(numbers))  # before a byte is read of them
                     self.adopt(found)
                 else:
                     self.passed += found
-            case messages.Commit(rest, reload):
+            case messages.CommitHandover(rest, reload):
                 self.rest = rest
                 self.reload |= reload
                 self.step("commit")
-            case messages.Rest(rest):
+            case messages.LateEvents(rest):
                 self.side.take_late_events(rest)
-            case messages.Done():
+            case messages.DrainCompleted():
                 self.step("done")
-            case messages.CallOff(why):
+            case messages.HandoverCalledOff(why):
                 self.step("call_off", why)
             case _:
                 self.step("failed", f"{type(word).__name__} from the old process")
@@ -128,9 +128,9 @@
             self.channel.read()  # what it said before counts: connections may be among it
         self.step("died", "the old process is dead")
 
-    def say(self, word: messages.Word) -> None:
+    def send(self, word: messages.Message) -> None:
         if self.channel is not None:
-            self.channel.say(word)
+            self.channel.send(word)
 
     def adopt(self, found: list[tuple[int, PassedConnection]]) -> None:
         for _, connection in found:
@@ -139,7 +139,7 @@
     # ---- what is done ------------------------------------------------------------------------------
 
     def do_hello(self) -> None:
-        self.say(messages.Hello(messages.PROTOCOL, shots.SCHEMA, os.getpid()))
+        self.send(messages.Hello(messages.PROTOCOL, shots.SCHEMA, os.getpid()))
 
     def do_restore(self) -> None:
         try:
@@ -150,7 +150,7 @@
         except Exception as bad:  # whatever is wrong with it: the old one carries on
             self.step("failed", f"restore: {type(bad).__name__}: {bad}")
             return
-        self.say(messages.Restored(shots.digest(built)))
+        self.send(messages.StateRestored(shots.digest(built)))
         self.step("built")
 
     def do_prove(self) -> None:
@@ -162,7 +162,7 @@
         except Exception as bad:
             self.step("failed", f"proof: {type(bad).__name__}: {bad}")
             return
-        self.say(messages.Proven(orders))
+        self.send(messages.StateProven(orders))
         self.step("works")
 
     def do_accept(self) -> None:
@@ -174,8 +174,10 @@
             self.log.event("cannot_start", **error_fields(bad))
             self.do_end()
             return
-        self.say(messages.Adopted([number for number, _ in passed]))  # before a byte is read of them
-        self.say(messages.Accepting())
+        self.send(
+            messages.ConnectionsAdopted([number for number, _ in passed])
+        )  # before a byte is read of them
+        self.send(messages.AcceptingStarted())
         self.adopt(passed)
         self.began()
 
@@ -202,12 +204,12 @@
 
     def do_refuse(self) -> None:
         self.log.warning("upgrade_refused", why=self.why)
-        self.say(messages.Refuse(self.why))
+        self.send(messages.HandoverRefused(self.why))
         if self.channel is not None:
             self.channel.flush_hard()
 
     def do_leave(self) -> None:
-        self.say(messages.Refuse("told to end"))
+        self.send(messages.HandoverRefused("told to end"))
         if self.channel is not None:
             self.channel.flush_hard()
 
--- a/indigohitch/upgrade/urgent_work.py
+++ b/indigohitch/upgrade/urgent_work.py
@@ -8,7 +8,7 @@
 from ..net.loop import EventLoop
 
 
-class Urgency:
+class UrgentWorkMonitor:
     LOOK = SECOND // 20
     # A third of the shortest grace of a drain that we know: an upgrade that goes well takes a tenth of that.
     LONGEST = SECOND
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -32,13 +32,13 @@
 
 
 def main(point, how):
-    heard, say, begin = SuccessorDriver.heard, SuccessorDriver.say, SuccessorDriver.do_accept
+    heard, say, begin = SuccessorDriver.on_message, SuccessorDriver.send, SuccessorDriver.do_accept
 
     def on_heard(self, word, descriptors):
-        if (point, type(word)) == ("commit", messages.Commit):
+        if (point, type(word)) == ("commit", messages.CommitHandover):
             struck(how)
         heard(self, word, descriptors)
-        if (point, type(word)) == ("half", messages.Piece) and len(self.parts) < self.size:
+        if (point, type(word)) == ("half", messages.StateChunk) and len(self.parts) < self.size:
             struck(how)
         if (point, type(word)) == ("listener", messages.Listeners):
             struck(how)
@@ -47,10 +47,10 @@
         if point == "newer" and type(word) is messages.Hello:
             word = messages.Hello(word.protocol, shots.SCHEMA + 2, word.pid)
             struck("none")
-        if point == "differs" and type(word) is messages.Restored:
-            word = messages.Restored(b"another digest..")
+        if point == "differs" and type(word) is messages.StateRestored:
+            word = messages.StateRestored(b"another digest..")
             struck("none")
-        if point == "garbled" and type(word) is messages.Restored:
+        if point == "garbled" and type(word) is messages.StateRestored:
             self.channel.out.append((memoryview(b"rubbish" * 20), []))
             struck("none")
         if point == "descriptors" and type(word) is messages.Hello:
@@ -64,10 +64,10 @@
             return
         say(self, word)
         if (point, type(word)) in (
-            ("restored", messages.Restored),
-            ("proven", messages.Proven),
+            ("restored", messages.StateRestored),
+            ("proven", messages.StateProven),
             ("hello", messages.Hello),
-            ("acked", messages.Accepting),
+            ("acked", messages.AcceptingStarted),
         ):
             struck(how)
 
@@ -76,7 +76,7 @@
         if point == "drain":
             self.loop.call_after(1500, lambda: struck(how))
 
-    SuccessorDriver.heard, SuccessorDriver.say, SuccessorDriver.do_accept = on_heard, on_say, on_accept
+    SuccessorDriver.on_message, SuccessorDriver.send, SuccessorDriver.do_accept = on_heard, on_say, on_accept
     if point == "start":
         struck(how)
     if point == "accept":
--- a/tests/golden/write_upgrade.py
+++ b/tests/golden/write_upgrade.py
@@ -11,14 +11,14 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 from golden.upgrade_states import FRAMES, states, values  # noqa: E402
-from indigohitch.upgrade.messages import WORDS, frame  # noqa: E402
+from indigohitch.upgrade.messages import MESSAGE_TYPES, frame  # noqa: E402
 
 
 def main(folder: Path) -> None:
     found = states()
     for name, data in found.items():
         (folder / f"{name}.snapshot").write_bytes(data)
-    for kind, (name, descriptors, given) in zip(WORDS.rows, FRAMES, strict=True):
+    for kind, (name, descriptors, given) in zip(MESSAGE_TYPES.rows, FRAMES, strict=True):
         word = kind(*values(name, given, found["coordinator"]))
         (folder / f"{name}.frame").write_bytes(frame(word, descriptors))
 
--- a/tests/golden_files_running.py
+++ b/tests/golden_files_running.py
@@ -12,7 +12,7 @@
 from golden_files import as_json
 from golden_files_control import SUBSCRIBER, signals_kept
 from indigohitch.config import operator_file
-from indigohitch.coordinator import Coordinating
+from indigohitch.coordinator import CoordinatorProcess
 from indigohitch.fleet.node.subscriber_process import SubscriberProcess
 from indigohitch.upgradable_process import UpgradableProcess
 from stage import SETTINGS
@@ -61,7 +61,9 @@
                 }
             )
         )
-        process = Coordinating({"BALANCER_CONFIG": str(file)}, operator_file.read("control /x\n"), False)
+        process = CoordinatorProcess(
+            {"BALANCER_CONFIG": str(file)}, operator_file.read("control /x\n"), False
+        )
         process.side.start_empty({})
         try:
             return as_json({"status": status(process)})
--- a/tests/test_golden_places.py
+++ b/tests/test_golden_places.py
@@ -8,7 +8,7 @@
 from indigohitch import interface as face
 from indigohitch.upgrade import event_codec
 from indigohitch.upgrade import snapshot as shots
-from indigohitch.upgrade.messages import WORDS, FrameDecoder
+from indigohitch.upgrade.messages import MESSAGE_TYPES, FrameDecoder
 from test_golden_upgrade import coordinator, log, loop, plain, recorded, sidecar  # noqa: F401
 
 ITEMS = [
@@ -126,7 +126,7 @@
 
 def test_values_of_frames_are_where_they_were():
     def word(name):
-        ((found, _),) = FrameDecoder(WORDS).feed(recorded(f"{name}.frame"))
+        ((found, _),) = FrameDecoder(MESSAGE_TYPES).feed(recorded(f"{name}.frame"))
         return found
 
     values = {name: given for name, _, given in FRAMES}
--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -38,7 +38,7 @@
 from indigohitch.sidecar.host import Host
 from indigohitch.upgrade import event_codec
 from indigohitch.upgrade import snapshot as shots
-from indigohitch.upgrade.messages import WORDS, FrameDecoder, frame
+from indigohitch.upgrade.messages import MESSAGE_TYPES, FrameDecoder, frame
 from indigohitch.upgrade.module_rows import ModuleRow
 from indigohitch.upgrade.module_state import freeze, thaw
 from waiting import free_address
@@ -117,7 +117,7 @@
         module = plain("coordinator")[3][0]
         orders = side.rehearse_copy(state, module[1] + REHEARSED_AFTER)
         assert orders == ordered_next(data)
-        word, _ = next(FrameDecoder(WORDS).feed(recorded("proven.frame")))
+        word, _ = next(FrameDecoder(MESSAGE_TYPES).feed(recorded("proven.frame")))
         assert msgspec.structs.astuple(word) == (orders,)
         assert side.rehearse(module[1] + REHEARSED_AFTER) == orders
     finally:
@@ -167,8 +167,8 @@
 def test_a_frame_is_read_and_written_as_it_was(number):
     name, descriptors, given = FRAMES[number]
     data = recorded(f"{name}.frame")
-    ((word, count),) = FrameDecoder(WORDS).feed(data)
-    assert type(word) is WORDS.rows[number] and count == descriptors
+    ((word, count),) = FrameDecoder(MESSAGE_TYPES).feed(data)
+    assert type(word) is MESSAGE_TYPES.rows[number] and count == descriptors
     assert frame(word, count) == data
     found = values(name, given, recorded("coordinator.snapshot"))
     assert list(msgspec.structs.astuple(word)) == found
@@ -176,12 +176,16 @@
 
 
 def test_each_word_has_its_frame():
-    assert len(WORDS.rows) == len(FRAMES) and WORDS.magic == b"IHup" and WORDS.protocol == 1
+    assert (
+        len(MESSAGE_TYPES.rows) == len(FRAMES)
+        and MESSAGE_TYPES.magic == b"IHup"
+        and MESSAGE_TYPES.protocol == 1
+    )
     assert {path.name for path in FOLDER.glob("*.frame")} == {f"{name}.frame" for name, _, _ in FRAMES}
 
 
 def test_what_came_since_the_state_is_read_and_written_as_it_was():
-    ((commit, _),) = FrameDecoder(WORDS).feed(recorded("commit.frame"))
+    ((commit, _),) = FrameDecoder(MESSAGE_TYPES).feed(recorded("commit.frame"))
     rest = msgspec.structs.astuple(commit)[0]
     assert (
         msgspec.msgpack.encode(event_codec.pack_all(event_codec.unpack_all(msgspec.msgpack.decode(rest))))
--- a/tests/test_upgrade_channel.py
+++ b/tests/test_upgrade_channel.py
@@ -42,7 +42,11 @@
     data, sent = b"", []
     for n in range(30):
         word = rng.choice(
-            [messages.Piece(os.urandom(rng.randrange(3000))), messages.Adopted([n]), messages.Done()]
+            [
+                messages.StateChunk(os.urandom(rng.randrange(3000))),
+                messages.ConnectionsAdopted([n]),
+                messages.DrainCompleted(),
+            ]
         )
         data += messages.frame(word)
         sent.append(word)
@@ -54,7 +58,7 @@
     assert [word for word, _ in a.heard] == sent
     read, write = os.pipe()
     other = Channel(b.loop, a.ours.dup(), lambda *_: None, lambda *_: None)
-    other.say(messages.Passed([1, 2], [b"", b"x"], ["c", "c"]), [read, write])
+    other.send(messages.ConnectionsPassed([1, 2], [b"", b"x"], ["c", "c"]), [read, write])
     a.turn()
     word, (got, put) = a.heard[-1]
     os.write(put, b"hello")
@@ -87,7 +91,12 @@
         body = msgspec.msgpack.encode(["x"])
         frame = (
             frames._HEAD.pack(
-                messages.WORDS.magic, 1, 0, 0, len(body), frames.xxhash.xxh3_64_intdigest(body, 1 << 8)
+                messages.MESSAGE_TYPES.magic,
+                1,
+                0,
+                0,
+                len(body),
+                frames.xxhash.xxh3_64_intdigest(body, 1 << 8),
             )
             + body
         )
@@ -104,11 +113,11 @@
     ends.loop.clock.now = lambda: now  # the failed write is dealt with in this turn
 
     def meanwhile():
-        ends.ours.send(messages.frame(messages.Refuse("no room")))
+        ends.ours.send(messages.frame(messages.HandoverRefused("no room")))
         ends.ours.close()
-        ends.channel.say(messages.Piece(b"x" * 1000))
+        ends.channel.send(messages.StateChunk(b"x" * 1000))
 
     ends.loop.call_after(0, meanwhile)
     ends.loop.turn()
-    assert [word for word, _ in ends.heard] == [messages.Refuse("no room")]
+    assert [word for word, _ in ends.heard] == [messages.HandoverRefused("no room")]
     assert len(ends.ended) == 1 and not ends.ended[0][1]
--- a/tests/test_upgrade_signals.py
+++ b/tests/test_upgrade_signals.py
@@ -101,7 +101,7 @@
 def test_an_earlier_upgrades_time_to_stand_by_does_not_end_a_later_one(monkeypatch):
     """Taken back, and asked for again within that time."""
     monkeypatch.setattr(
-        predecessor_driver, "Started", mock.MagicMock(side_effect=lambda *_: mock.MagicMock())
+        predecessor_driver, "StartedProcess", mock.MagicMock(side_effect=lambda *_: mock.MagicMock())
     )
     monkeypatch.setattr(predecessor_driver, "Channel", mock.MagicMock())
     loop, side, due = mock.MagicMock(), mock.MagicMock(), []
@@ -163,7 +163,7 @@
         loop, mock.MagicMock(), side, pair[0], os.getpid(), lambda: began.append(1), ended.append
     )
     taking.machine.phase = Phase.PROVEN
-    taking.heard(messages.Commit(b""), [])
+    taking.on_message(messages.CommitHandover(b""), [])
     assert pair[1].recv(100) == b""  # closed without a word
     pair[1].close()
     assert ended == [1] and not began and not side.adopt.called
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -57,9 +57,9 @@
         field.name for field in dataclasses.fields(face.BackendEntry)
     )
     row = ["b0", "ready", 6.0, "east", 2, "std", 7]
-    assert len(row) == len(LISTED) and list(event_codec.pack_entry(event_codec.unlisted(row))) == row
+    assert len(row) == len(LISTED) and list(event_codec.pack_entry(event_codec.unpack_entry(row))) == row
     with pytest.raises(ValueError):
-        event_codec.unlisted(row[:-1])
+        event_codec.unpack_entry(row[:-1])
 
 
 def test_classes_and_fields_may_be_renamed_without_a_byte_changed(monkeypatch):
