--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -153,8 +153,8 @@
         self.log.event(
             "member",
             number=me.number,
-            term=held.ballot.term,
-            snapshot=held.snap.index,
+            term=held.hard_state.term,
+            snapshot=held.snapshot.index,
             entries=len(held.entries),
         )
         self.links.set_own_id(me)
@@ -207,12 +207,12 @@
             self.belonging.renew(now, self.leader_name, self.working.reports)
             self.working.turn(now, self.lease(now))
         # One elected right after a start decides nothing until its state holds what was committed before.
-        if self.phase is Phase.TAKING_PART and self.driver.machine.settled:
+        if self.phase is Phase.TAKING_PART and self.driver.machine.has_committed_in_term:
             self.lead(now)
         self.belonging.look()
 
     def lead(self, now: int) -> None:
-        self.working.lead(now, self.assembly.membership.told)
+        self.working.lead(now, self.assembly.membership.reports_for)
         if self.assembly.membership.phase is Member.DIFFERS:
             self.driver.step(TransferLeadership())  # nobody is to go by a state that is not the others'
 
--- a/indigohitch/fleet/node/status.py
+++ b/indigohitch/fleet/node/status.py
@@ -25,11 +25,11 @@
         "role": machine.role.value if machine else "none",
         "term": machine.term if machine else 0,
         "leader": driver.leader.name if driver.leader else "",
-        "index": machine.commit if machine else 0,
+        "index": machine.commit_index if machine else 0,
         "applied": node.state_machine.index,
         "time": node.state_machine.time,
         "incarnation": node.assembly.membership.incarnation,
-        "lease_ms": lease.left(now) / 10 if lease else 0,
+        "lease_ms": lease.remaining(now) / 10 if lease else 0,
         "voters": [who(one) for one in members.voters],
         "followers": [who(one) for one in members.followers],
         "edition": node.text.edition,
@@ -41,7 +41,7 @@
         "works": node.working.figures(),
     }
     if driver.leads:
-        until = node.assembly.membership.giver.until
+        until = node.assembly.membership.grantor.granted_until
         found["leases"] = {
             f"{name} {incarnation}": max(0, end - now) / 10
             for (name, incarnation), end in sorted(until.items())
--- a/indigohitch/fleet/storage/records.py
+++ b/indigohitch/fleet/storage/records.py
@@ -25,15 +25,15 @@
     fleet: str
     who: MemberId
     base: int
-    ballot: HardState
+    hard_state: HardState
     anew: bool = False
 
 
 class LogWrite(Row, frozen=True):
     """A write: ports.Write without its number."""
 
-    ballot: HardState | None
-    cut: int
+    hard_state: HardState | None
+    truncate_from: int
     entries: tuple[LogEntry, ...]
 
 
@@ -62,7 +62,7 @@
         except BrokenFrameError as broken:
             if not (last and is_torn_write(data, at)):
                 raise CorruptStorageError(
-                    f"a record can't be read: {broken.what}", f"{where}, byte {at}"
+                    f"a record can't be read: {broken.problem}", f"{where}, byte {at}"
                 ) from None
             break
         found.append((at, row))
