--- a/indigohitch/fleet/distribution/admission.py
+++ b/indigohitch/fleet/distribution/admission.py
@@ -1,5 +1,8 @@
-"""Whose update goes next.  Each subscription that waits has one place; a large update goes only while there
-is room for it, so that a zone that comes back at once doesn't fill the memory of the distributor.  No I/O."""
+"""The order in which updates are sent to subscriptions.  No I/O.
+
+Each waiting subscription has one place.  A large update is sent only while there is capacity for it, so that
+many subscribers that reconnect at once do not fill the memory of the distributor.
+"""
 
 from __future__ import annotations
 
@@ -10,72 +13,84 @@
 
 
 class Admission:
+    """Schedules updates by connection, within the limits of the distributor."""
+
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
-        self.ready: dict[int, None] = {}  # connections in turn
-        self.large: dict[int, int] = {}  # connections whose update waits for room, in turn; its bytes
-        self.paced: list[tuple[int, int]] = []  # a heap: when, connection
-        self.waits: set[int] = set()  # connections in `paced`
-        self.out: dict[int, int] = {}  # bytes of large updates that are out, by connection
+        self.ready_connections: dict[int, None] = {}  # connections in turn
+        self.waiting_large: dict[int, int] = {}  # connections whose update waits for room, in turn; its bytes
+        self.pacing_heap: list[tuple[int, int]] = []  # a heap: when, connection
+        self.pacing: set[int] = set()  # connections in `paced`
+        self.in_flight_bytes: dict[int, int] = {}  # bytes of large updates that are out, by connection
         self.large_bytes = 0
 
-    def want(self, connection: int) -> None:
-        """It has something to be told."""
-        if connection not in self.large and connection not in self.waits:
-            self.ready[connection] = None
+    def enqueue(self, connection: int) -> None:
+        """Queues a connection that has a pending update."""
+        if connection not in self.waiting_large and connection not in self.pacing:
+            self.ready_connections[connection] = None
 
-    def pace(self, connection: int, until: int) -> None:
-        self.ready.pop(connection, None)
-        self.waits.add(connection)
-        heapq.heappush(self.paced, (until, connection))
+    def delay(self, connection: int, due_at: int) -> None:
+        """Holds a connection back until a time: it was sent an update shortly before."""
+        self.ready_connections.pop(connection, None)
+        self.pacing.add(connection)
+        heapq.heappush(self.pacing_heap, (due_at, connection))
 
-    def fits(self, connection: int, size: int) -> bool:
-        """False: it waits for room, behind those that waited before it.  One that is larger than all room
-        goes alone."""
+    def may_send(self, connection: int, size: int) -> bool:
+        """Returns whether an update of this size may be sent now; if not, it waits in order.
+
+        An update that is larger than the whole capacity is sent alone.
+        """
         if size <= self.limits.small_bytes:
             return True
-        turn = not self.large or next(iter(self.large)) == connection
-        if turn and self.has_room(size):
+        is_next = not self.waiting_large or next(iter(self.waiting_large)) == connection
+        if is_next and self.has_capacity(size):
             return True
-        self.large[connection] = size
+        self.waiting_large[connection] = size
         return False
 
-    def has_room(self, size: int) -> bool:
+    def has_capacity(self, size: int) -> bool:
+        """Returns whether a large update of this size fits beside those in flight."""
         return not self.large_bytes or self.large_bytes + size <= self.limits.large_bytes
 
-    def sent(self, connection: int, size: int) -> None:
-        self.large.pop(connection, None)
+    def on_sent(self, connection: int, size: int) -> None:
+        """Counts an update as in flight."""
+        self.waiting_large.pop(connection, None)
         if size > self.limits.small_bytes:
-            self.out[connection] = size
+            self.in_flight_bytes[connection] = size
             self.large_bytes += size
 
-    def answered(self, connection: int) -> None:
-        """What was out there is so no more."""
-        self.large_bytes -= self.out.pop(connection, 0)
-
-    def left(self, connection: int) -> None:
-        self.answered(connection)
-        self.ready.pop(connection, None)
-        self.large.pop(connection, None)
-
-    def turn(self, now: int, serve: Callable[[int], bool]) -> None:
-        """Serves up to so many; `serve` tells whether it sent anything."""
-        while self.paced and self.paced[0][0] <= now:
-            _, connection = heapq.heappop(self.paced)
-            self.waits.discard(connection)
-            self.ready[connection] = None
-        left = self.limits.sends
-        while left and self.large:
-            connection, size = next(iter(self.large.items()))
-            if not self.has_room(size) or not serve(connection):
+    def on_acknowledged(self, connection: int) -> None:
+        """Frees the capacity that the connection's update took."""
+        self.large_bytes -= self.in_flight_bytes.pop(connection, 0)
+
+    def remove(self, connection: int) -> None:
+        """Forgets a connection that has ended."""
+        self.on_acknowledged(connection)
+        self.ready_connections.pop(connection, None)
+        self.waiting_large.pop(connection, None)
+
+    def serve_ready(self, now: int, serve: Callable[[int], bool]) -> None:
+        """Serves up to `max_sends_per_step` connections.
+
+        `serve` returns whether it sent an update.
+        """
+        while self.pacing_heap and self.pacing_heap[0][0] <= now:
+            _, connection = heapq.heappop(self.pacing_heap)
+            self.pacing.discard(connection)
+            self.ready_connections[connection] = None
+        remaining_sends = self.limits.max_sends_per_step
+        while remaining_sends and self.waiting_large:
+            connection, size = next(iter(self.waiting_large.items()))
+            if not self.has_capacity(size) or not serve(connection):
                 break
-            left -= 1
-        while left and self.ready:
-            connection = next(iter(self.ready))
-            del self.ready[connection]
-            left -= serve(connection)
-
-    def due(self, now: int) -> int | None:
-        if self.ready:
+            remaining_sends -= 1
+        while remaining_sends and self.ready_connections:
+            connection = next(iter(self.ready_connections))
+            del self.ready_connections[connection]
+            remaining_sends -= serve(connection)
+
+    def next_due(self, now: int) -> int | None:
+        """Returns when `serve_ready` is to be called next; None: not until something changes."""
+        if self.ready_connections:
             return now
-        return self.paced[0][0] if self.paced else None
+        return self.pacing_heap[0][0] if self.pacing_heap else None
--- a/indigohitch/fleet/distribution/convergence.py
+++ b/indigohitch/fleet/distribution/convergence.py
@@ -1,8 +1,9 @@
-"""Which version is in force: acknowledged versions added up, per distributor and for all.  No I/O.
+"""Which version is in force: acknowledged versions aggregated per distributor and over all.  No I/O.
 
-A subscriber that is connected and holds a version counts with the oldest change that it lacks.  One that
-holds nothing yet acts on nothing: it is named among those behind, and doesn't hold the version back.  One
-whose connection is lost is counted apart; how long it may still count as current is bounded by its lease."""
+A connected subscriber that holds a version counts with the oldest change that it lacks.  One that holds
+nothing yet acts on nothing: it is listed as behind and does not hold the version back.  A disconnected one is
+counted separately; its lease bounds how long it may still count as current.
+"""
 
 from __future__ import annotations
 
@@ -25,10 +26,13 @@
 
 
 class ConvergenceReport(Row, frozen=True):
-    """`version`: each reachable subscriber has all changes of its scope up to it.  `age`: since the oldest
-    change that is not in force was applied at a distributor; 0: all are.  Unreachable ones are not counted in
-    and may act on older content for `acting` tenths of a ms more, not longer.  `silent`: distributors whose
-    report is missing or too old; their subscribers are counted with the unreachable."""
+    """How far the fleet has converged; times are tenths of a millisecond.
+
+    `version`: each reachable subscriber has all changes of its scope up to it.  `age`: since the oldest
+    change that is not in force was applied at a distributor; 0: all are in force.  Unreachable subscribers
+    are not included and may act on older content for `acting` at most.  `silent`: distributors whose report
+    is missing or too old; their subscribers count as unreachable.
+    """
 
     version: Version
     newest: Version
@@ -43,41 +47,48 @@
 
 
 def split_marks(marks: bytes) -> set[bytes]:
+    """Returns the set of marks in a report's field."""
     return {marks[at : at + MARK_BYTES] for at in range(0, len(marks), MARK_BYTES)}
 
 
 @dataclass(slots=True, frozen=True)
 class DepartedSubscriber:
+    """What is remembered of a subscriber whose connection has ended."""
+
     acknowledged: Version
     acting_until: int
     forget_at: int
 
 
 class ConvergenceTracker:
-    """Of one distributor."""
+    """The convergence of one distributor's subscribers."""
 
     def __init__(self, name: DistributorName, limits: Limits) -> None:
-        self.name, self.limits = name, limits
+        self.name = name
+        self.limits = limits
         self.departed: dict[SubscriberName, DepartedSubscriber] = {}
         self.number = 0
 
-    def arrives(self, name: SubscriberName) -> None:
+    def on_connected(self, name: SubscriberName) -> None:
+        """Removes a subscriber from the departed ones."""
         self.departed.pop(name, None)
 
-    def departs(self, now: int, subscription: Subscription) -> None:
+    def on_disconnected(self, now: int, subscription: Subscription) -> None:
+        """Remembers a subscriber whose connection has ended."""
         self.departed[subscription.subscriber] = DepartedSubscriber(
-            subscription.acknowledged, subscription.acting_until, now + self.limits.remembered
+            subscription.acknowledged, subscription.acting_until, now + self.limits.departed_retention
         )
 
-    def seen_elsewhere(self, report: Report) -> None:
-        """Those lost here that are connected there."""
+    def forget_connected_elsewhere(self, report: Report) -> None:
+        """Forgets departed subscribers that are connected to the reporting distributor."""
         if self.departed and report.connected:
-            there = split_marks(report.connected)
+            connected = split_marks(report.connected)
             self.departed = {
-                name: one for name, one in self.departed.items() if subscriber_mark(name) not in there
+                name: one for name, one in self.departed.items() if subscriber_mark(name) not in connected
             }
 
-    def sweep(self, now: int) -> None:
+    def forget_expired(self, now: int) -> None:
+        """Forgets subscribers that departed too long ago."""
         for name in [name for name, one in self.departed.items() if now >= one.forget_at]:
             del self.departed[name]
 
@@ -85,16 +96,19 @@
         self,
         now: int,
         version: Version,
-        catalogue: ResourceStore,
+        store: ResourceStore,
         subscriptions: Collection[Subscription],
         ledger_age: int | None,
     ) -> Report:
-        """`version`: the last whose changes the subscriptions were told of."""
+        """Returns the next report of this distributor.
+
+        `version`: the last one whose changes were announced to the subscriptions.
+        """
         lacking = sorted(
             (each for each in subscriptions if each.missing is not None),
             key=lambda each: each.missing.version,
         )
-        joining = [each for each in subscriptions if each.missing is None and not each.confirmed]
+        joining = [each for each in subscriptions if each.missing is None and not each.is_confirmed]
         behind = tuple(behind_row(now, each, version) for each in (lacking + joining)[:MAX_NAMED])
         lost = tuple(
             Unreachable(name, one.acknowledged, max(0, one.acting_until - now))
@@ -105,8 +119,8 @@
             self.name,
             self.number,
             version,
-            version_in_force(version, catalogue, lacking),
-            max((now - each.missing.since for each in lacking), default=0),
+            version_in_force(version, store, lacking),
+            max((now - each.missing.applied_at for each in lacking), default=0),
             ledger_age,
             len(subscriptions),
             len(lacking) + len(joining),
@@ -118,44 +132,51 @@
 
 
 def behind_row(now: int, subscription: Subscription, version: Version) -> Behind:
+    """Returns the report's row of a subscriber that lacks a change."""
     missing = subscription.missing
     return Behind(
         subscription.subscriber,
         subscription.acknowledged,
         missing.version if missing is not None else version,
-        now - missing.since if missing is not None else 0,
+        now - missing.applied_at if missing is not None else 0,
     )
 
 
-def version_in_force(version: Version, catalogue: ResourceStore, lacking: list[Subscription]) -> Version:
-    """The last version before the oldest change that one of them lacks."""
+def version_in_force(version: Version, store: ResourceStore, lacking: list[Subscription]) -> Version:
+    """Returns the last version before the oldest change that any of them lacks."""
     if not lacking:
         return version
-    before = catalogue.before(lacking[0].missing.version)
+    before = store.before(lacking[0].missing.version)
     return before if before is not None else min(each.acknowledged for each in lacking)
 
 
 class FleetConvergence:
-    """Of all distributors, at one of them."""
-
-    def __init__(self, name: DistributorName, others: Collection[DistributorName], limits: Limits) -> None:
-        self.name, self.limits = name, limits
-        self.others = frozenset(others) - {name}
+    """The convergence of all distributors, as one of them sees it."""
+
+    def __init__(
+        self, name: DistributorName, expected_distributors: Collection[DistributorName], limits: Limits
+    ) -> None:
+        self.name = name
+        self.limits = limits
+        self.expected_distributors = frozenset(expected_distributors) - {name}
         self.reports: dict[DistributorName, tuple[Report, int]] = {}  # with when it came
 
-    def heard(self, now: int, report: Report) -> None:
+    def on_report(self, now: int, report: Report) -> None:
+        """Keeps the report of another distributor if it is newer."""
         known = self.reports.get(report.distributor)
         fresh = known is None or report.number > known[0].number or now - known[1] > REPORT_TIMEOUT
         if report.distributor != self.name and fresh:
             self.reports[report.distributor] = report, now
-        for name in [name for name, one in self.reports.items() if now - one[1] > self.limits.remembered]:
+        for name in [
+            name for name, one in self.reports.items() if now - one[1] > self.limits.departed_retention
+        ]:
             del self.reports[name]
 
-    def in_force(self, now: int, own: Report) -> ConvergenceReport:
-        """`own`: of this distributor, made now."""
-        heard = {name: one for name, one in self.reports.items() if now - one[1] <= REPORT_TIMEOUT}
-        reports = [(own, 0), *((report, now - at) for report, at in heard.values())]
-        silent = (self.others | self.reports.keys()) - heard.keys()
+    def in_force(self, now: int, own_report: Report) -> ConvergenceReport:
+        """Returns the convergence of the fleet; `own_report` was made now."""
+        recent = {name: one for name, one in self.reports.items() if now - one[1] <= REPORT_TIMEOUT}
+        reports = [(own_report, 0), *((report, now - at) for report, at in recent.values())]
+        silent = (self.expected_distributors | self.reports.keys()) - recent.keys()
         newest = max(report.version for report, _ in reports)
         serving = [(report, age) for report, age in reports if report.subscribers]
         connected = set().union(*(split_marks(report.connected) for report, _ in reports))
@@ -176,18 +197,22 @@
             ],
             len(lost),
             named[:MAX_NAMED],
-            self.acting(named, len(lost)),
+            self.longest_acting(named, len(lost)),
             tuple(sorted(silent)),
         )
 
-    def acting(self, named: Collection[Unreachable], lost: int) -> int:
-        """Of those that are not named it is known only that they hold no more than a whole lease."""
+    def longest_acting(self, named: Collection[Unreachable], lost: int) -> int:
+        """Returns how long an unreachable subscriber may still count as current.
+
+        Of those that are not listed only the bound is known: a whole lease.
+        """
         if lost > len(named):
             return grantor_span(self.limits.lease, self.limits.drift)
         return max((one.acting for one in named), default=0)
 
 
 def still_unreachable(report: Report, age: int, connected: set[bytes]) -> list[Unreachable]:
+    """Returns those of a report that are connected nowhere, with the time left of their leases."""
     return [
         Unreachable(one.subscriber, one.acknowledged, max(0, one.acting - age))
         for one in report.unreachable
@@ -196,12 +221,15 @@
 
 
 def missing_age(report: Report, age: int, newest: Version) -> int:
-    """How old the oldest change is that is not in force there; a distributor that lacks a version itself
-    knows no more than when it was level."""
+    """Returns the age of the oldest change that is not in force at that distributor.
+
+    A distributor that lacks a version itself knows only when it had last caught up.
+    """
     lags = report.version < newest
     ledger_age = report.ledger_age or 0
     return max(report.in_force_age + age if report.in_force_age else 0, ledger_age + age if lags else 0)
 
 
 def missing_order(behind: Behind) -> tuple[Version, SubscriberName]:
+    """The sort key: the oldest missing change first."""
     return behind.missing, behind.subscriber
--- a/indigohitch/fleet/distribution/distributor_listener.py
+++ b/indigohitch/fleet/distribution/distributor_listener.py
@@ -1,4 +1,4 @@
-"""A distributor's process side: its listener, the connections of its subscribers, and its machine."""
+"""The connections of a distributor's process: its listener, its subscribers, its state machine."""
 
 from __future__ import annotations
 
@@ -34,83 +34,99 @@
 # Of the buffers of all connections: what can't be had closes the connection that wanted it.
 BUFFER_POOL_BYTES = 64 << 20
 SPARE_OUTPUT_BYTES = 1 << 10  # room beside one update: welcomes and answers to pulses
-# A subscriber asks each second: one that is silent for so long is stopped or cut off.
+# A subscriber renews its lease each second: one that is silent for so long is stopped or cut off.
 SUBSCRIBER_TIMEOUT = 6 * SECOND
 
 
 class DistributorListener:
+    """Accepts subscribers and carries messages between them and the state machine."""
+
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
         fleet: str,
-        me: MemberId,
+        member: MemberId,
         token: int,
         machine: Distributor,
         limits: Limits,
     ) -> None:
-        self.loop, self.log, self.fleet, self.me, self.token = loop, log, fleet, me, token
+        self.loop = loop
+        self.log = log
+        self.fleet = fleet
+        self.member = member
+        self.token = token
         self.limits = limits
-        self.arrivals = Acceptor(
+        self.acceptor = Acceptor(
             loop, log, MESSAGE_TYPES, self, "subscribers", MAX_UNIDENTIFIED, BufferPool(BUFFER_POOL_BYTES)
         )
         self.connections: dict[int, InboundLink] = {}
         self.numbers: dict[InboundLink, int] = {}
-        self.last = self.sent = 0  # number of the last connection; bytes
-        self.stepping = MachineDriver(loop, machine, self.carry)
+        self.last_number = 0
+        self.bytes_sent = 0  # number of the last connection; bytes
+        self.driver = MachineDriver(loop, machine, self.execute)
 
-    def start(self, at: tuple[str, int]) -> None:
-        """Raises OSError where the address can't be had."""
-        self.arrivals.start(at)
-        self.log.event("distributes", address=f"{at[0]}:{at[1]}")
+    def start(self, address: tuple[str, int]) -> None:
+        """Starts to listen; raises OSError if the address is not available."""
+        self.acceptor.start(address)
+        self.log.event("distributes", address=f"{address[0]}:{address[1]}")
 
     @property
-    def open(self) -> bool:
-        return self.arrivals.listener is not None
+    def is_listening(self) -> bool:
+        """Whether the listener is open."""
+        return self.acceptor.listener is not None
 
     def beat(self, now: int) -> None:
-        self.arrivals.tick(now)
-        for number, one in list(self.connections.items()):
-            if now - one.last_received_at > SUBSCRIBER_TIMEOUT:
+        """Drops subscribers that have been silent for too long; called once a second."""
+        self.acceptor.tick(now)
+        for number, link in list(self.connections.items()):
+            if now - link.last_received_at > SUBSCRIBER_TIMEOUT:
                 self.drop(number, "silent", "see whether it runs; it comes back by itself")
             else:
-                one.connection.outgoing.trim()
+                link.connection.outgoing.trim()
 
-    def drop(self, number: int, why: str, remedy: str) -> None:
-        one = self.connections[number]
-        self.log.warning("subscriber_dropped", subscriber=one.peer.name, why=why, remedy=remedy)
-        one.close()
+    def drop(self, number: int, reason: str, remedy: str) -> None:
+        """Closes a connection and logs the reason."""
+        link = self.connections[number]
+        self.log.warning("subscriber_dropped", subscriber=link.peer.name, why=reason, remedy=remedy)
+        link.close()
 
     # ---- who comes ---------------------------------------------------------------------------------
 
-    def on_handshake(self, one: InboundLink, greeting: links.Handshake) -> None:
-        why, kind = check_subscriber(greeting, self.fleet)
-        if why:
-            self.log.warning("subscriber_refused", why=why, remedy=REMEDIES[kind])
-            one.send(links.HandshakeRefused(why))
-            one.close()
+    def on_handshake(self, link: InboundLink, greeting: links.Handshake) -> None:
+        """Accepts or refuses a subscriber."""
+        reason, kind = check_subscriber(greeting, self.fleet)
+        if reason:
+            self.log.warning("subscriber_refused", why=reason, remedy=REMEDIES[kind])
+            link.send(links.HandshakeRefused(reason))
+            link.close()
             return
-        self.last += 1
-        one.peer, one.token = greeting.who, greeting.token
-        self.connections[self.last], self.numbers[one] = one, self.last
-        one.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-        one.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
-        one.send(links.HandshakeAccepted(self.me, self.token))
-        self.stepping.step(SubscriberConnected(self.last, greeting.who.name))
-
-    def on_message(self, one: InboundLink, word: Row) -> None:
-        if one in self.numbers:
-            self.stepping.step(MessageReceived(self.numbers[one], word))
-
-    def on_closed(self, one: InboundLink) -> None:
-        number = self.numbers.pop(one, None)
+        self.last_number += 1
+        link.peer = greeting.who
+        link.token = greeting.token
+        self.connections[self.last_number] = link
+        self.numbers[link] = self.last_number
+        link.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        link.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
+        link.send(links.HandshakeAccepted(self.member, self.token))
+        self.driver.step(SubscriberConnected(self.last_number, greeting.who.name))
+
+    def on_message(self, link: InboundLink, message: Row) -> None:
+        """Hands a subscriber's message to the state machine."""
+        if link in self.numbers:
+            self.driver.step(MessageReceived(self.numbers[link], message))
+
+    def on_closed(self, link: InboundLink) -> None:
+        """Reports a closed connection to the state machine."""
+        number = self.numbers.pop(link, None)
         if number is not None:
             del self.connections[number]
-            self.stepping.step(SubscriberDisconnected(number))
+            self.driver.step(SubscriberDisconnected(number))
 
     # ---- what the machine wants --------------------------------------------------------------------
 
-    def carry(self, output: DistributorOutput) -> None:
+    def execute(self, output: DistributorOutput) -> None:
+        """Carries out one output of the state machine."""
         match output:
             case SendToSubscriber(number, message):
                 self.send(number, message)
@@ -120,31 +136,38 @@
                 self.log.event(event, **fields)
 
     def send(self, number: int, message: Row) -> None:
-        one = self.connections.get(number)
-        if one is None:
+        """Sends a message, or drops a subscriber that does not read."""
+        link = self.connections.get(number)
+        if link is None:
             return
         data = MESSAGE_TYPES.frame(message)
-        if not one.send_frame(data):
+        if not link.send_frame(data):
             self.drop(number, "it does not read", "see whether it runs; it comes back by itself")
             return
-        self.sent += len(data)
-        one.connection.outgoing.trim()
+        self.bytes_sent += len(data)
+        link.connection.outgoing.trim()
 
     def close_one(self, number: int) -> None:
-        """The machine knows."""
-        one = self.connections.pop(number, None)
-        if one is not None:
-            del self.numbers[one]
-            one.close()
+        """Closes a connection that the state machine has ended."""
+        link = self.connections.pop(number, None)
+        if link is not None:
+            del self.numbers[link]
+            link.close()
 
     # ---- the end -----------------------------------------------------------------------------------
 
     def close(self) -> None:
-        self.arrivals.close()
-        self.stepping.step(ShutdownStarted())
-        self.stepping.end()
+        """Closes the listener and all connections."""
+        self.acceptor.close()
+        self.driver.step(ShutdownStarted())
+        self.driver.stop()
         for number in list(self.connections):
             self.close_one(number)
 
-    def figures(self) -> dict:
-        return {"listens": self.open, "connections": len(self.connections), "bytes_sent": self.sent}
+    def status(self) -> dict:
+        """Returns plain JSON for the `status` command."""
+        return {
+            "listens": self.is_listening,
+            "connections": len(self.connections),
+            "bytes_sent": self.bytes_sent,
+        }
