--- a/indigohitch/fleet/raft/interfaces.py
+++ b/indigohitch/fleet/raft/interfaces.py
@@ -2,7 +2,8 @@
 
 A node is `RaftNode(member_id, recovered, settings, random, now)` with `step(now, event) -> list[output]`,
 in order, and `due_at`, the time at which `Tick` has to come at the latest.  The node sends
-nothing that depends on a write before `WriteCompleted` for that write has come.  The driver carries out the outputs in order.
+nothing that depends on a write before `WriteCompleted` for that write has come.  The driver carries out the
+outputs in order.
 """
 
 from __future__ import annotations
