--- a/benchmarks/capacitykit/links_cell.py
+++ b/benchmarks/capacitykit/links_cell.py
@@ -42,7 +42,7 @@
     def __init__(self, connections: int) -> None:
         self.clock = Clock()
         self.loop = EventLoop(self.clock, self.failed)
-        self.log = Log(self.clock, "near", out=-1)  # lines are lost, and counted
+        self.log = Log(self.clock, "near", output_fd=-1)  # lines are lost, and counted
         self.links = Transport(self.loop, self.log, KINDS, FLEET, MemberId("near", 1), 1, lambda: 0.5)
         self.heard = 0
         self.links.deliver = self.hear
--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -141,7 +141,7 @@
             done(bad)
 
         self.worker = self.worker or self.begun()
-        self.worker.do(call, over)
+        self.worker.submit(call, over)
 
     def close(self) -> None:
         if self.worker is not None:
--- a/indigohitch/fleet/storage/store.py
+++ b/indigohitch/fleet/storage/store.py
@@ -213,7 +213,7 @@
                 worked()
             self.go()
 
-        self.worker.do(job, done)
+        self.worker.submit(job, done)
 
     # ---- what goes wrong ---------------------------------------------------------------------------
 
--- a/indigohitch/log.py
+++ b/indigohitch/log.py
@@ -18,11 +18,11 @@
     TEXT = 1000  # of a field, where a line would be longer: received data may be a MiB
     RATE = 20  # lines a second of one kind of warning: shows an overload, does not become one
 
-    def __init__(self, clock: Clock, name: str = "", out: int = 1) -> None:
-        """`out` is the file descriptor to write to."""
+    def __init__(self, clock: Clock, name: str = "", output_fd: int = 1) -> None:
+        """`output_fd` is the file descriptor to write to."""
         self.clock = clock
         self.name = name
-        self.out = out
+        self.output_fd = output_fd
         self.counts: Counter[str] = Counter()
         self._partial = False
         self._second = 0
@@ -42,7 +42,7 @@
             data = orjson.dumps(line, default=str) + b"\n"
         try:
             # After a line of which only a part was taken the next one starts on a line of its own.
-            self._partial = os.write(self.out, b"\n" * self._partial + data) < len(data)
+            self._partial = os.write(self.output_fd, b"\n" * self._partial + data) < len(data)
         except OSError:  # nobody reads the log any more, or it is full: go on serving
             self.counts["log_lines_lost"] += 1
 
--- a/indigohitch/net/worker_thread.py
+++ b/indigohitch/net/worker_thread.py
@@ -34,7 +34,9 @@
         self._number = loop.watch(self._woken, self, READ)
         self._thread: threading.Thread | None = None
 
-    def do(self, call: Callable[[], object], done: Callable[[object, BaseException | None], None]) -> None:
+    def submit(
+        self, call: Callable[[], object], done: Callable[[object, BaseException | None], None]
+    ) -> None:
         """Queues a call; `done(result, error)` is called in a turn of the loop."""
         if self._thread is None:
             sys.setswitchinterval(self.SWITCH)
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -125,7 +125,7 @@
 
     def freeze(self, taken: Callable[[bytes | None, BaseException | None], None]) -> None:
         """Beside the loop: the module and the tables stand still, RPCs do not."""
-        self.host.worker.do(lambda: shots.encode(self.rows_now()), taken)
+        self.host.worker.submit(lambda: shots.encode(self.rows_now()), taken)
 
     def thaw(self) -> None:
         for pool in self.host.pools.values():
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -172,7 +172,7 @@
         by the tables that stand."""
         self.deciding = self.gathering.busy = True
         coordinator = self.coordinator
-        self.host.worker.do(lambda: coordinator.handle(now, events), self.decided)
+        self.host.worker.submit(lambda: coordinator.handle(now, events), self.decided)
 
     def decided(self, orders, broken: BaseException | None) -> None:
         self.deciding = self.gathering.busy = False
--- a/tests/disks.py
+++ b/tests/disks.py
@@ -46,7 +46,7 @@
         self.loop = EventLoop(clock, self.failed.append)
         self.told = []
         self.disk = Storage(
-            self.loop, Log(clock, out=NOWHERE), str(folder), "whk", "a", self.told.append, files
+            self.loop, Log(clock, output_fd=NOWHERE), str(folder), "whk", "a", self.told.append, files
         )
 
     def founded(self):
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -39,8 +39,8 @@
         super().__init__(Hands(), "n0", os.memfd_create("log"))
 
     def lines(self) -> list[str]:
-        data = os.pread(self.out, 1 << 22, 0)
-        os.close(self.out)
+        data = os.pread(self.output_fd, 1 << 22, 0)
+        os.close(self.output_fd)
         return [former_line(line) for line in data.decode("latin-1").splitlines()]
 
 
--- a/tests/golden_told.py
+++ b/tests/golden_told.py
@@ -25,15 +25,15 @@
 def callers(given: str) -> list[str]:
     """The log's lines about one who connects and says this, but for the time and what is told to people."""
     hall = Hall()
-    hall.log.out = os.memfd_create("log")
+    hall.log.output_fd = os.memfd_create("log")
     try:
         hall.call(given.encode("latin-1"))
         for _ in range(8):
             hall.loop.call_after(5, lambda: None)
             hall.loop.turn()
-        data = os.pread(hall.log.out, 1 << 20, 0)
+        data = os.pread(hall.log.output_fd, 1 << 20, 0)
     finally:
-        os.close(hall.log.out)
+        os.close(hall.log.output_fd)
         hall.close()
     found = []
     for line in map(orjson.loads, data.splitlines()):
--- a/tests/test_audit_files.py
+++ b/tests/test_audit_files.py
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("fails", [False, True])
 def test_the_disk_is_waited_for_beside_the_acts(tmp_path, fails, monkeypatch):
     class Thread:  # net.worker.Worker, by hand
-        def do(self, call, done):
+        def submit(self, call, done):
             self.call, self.done = call, done
 
         def go(self):
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_gate.py
@@ -38,7 +38,7 @@
     clock = Clock()
     relay = Relay(
         EventLoop(clock, print),
-        Log(clock, out=-1),
+        Log(clock, output_fd=-1),
         ("127.0.0.1", 1),
         ["search"],
         0,
--- a/tests/test_batches_parts.py
+++ b/tests/test_batches_parts.py
@@ -178,7 +178,7 @@
 
 
 def test_a_spoilt_list_on_the_disk_leaves_the_last_good_one(tmp_path):
-    path, log = tmp_path / "prices.txt", Log(Clock(), out=-1)
+    path, log = tmp_path / "prices.txt", Log(Clock(), output_fd=-1)
     file = PriceFile(log, str(path), {"eros"}, Clock())
     assert file() is None and log.counts["prices_missing"] == 1
     path.write_text("edition 1\neros 2026-12-02T14:00+01:00 20\n")
--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_crossing_lists_program.py
@@ -100,5 +100,5 @@
     for each in (front, new.front):
         each.close()
     loop.close()
-    os.close(log.out)
+    os.close(log.output_fd)
     assert not defects
