--- a/indigohitch/net/http_client.py
+++ b/indigohitch/net/http_client.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 as a client speaks it: requests to one address, one exchange each (exchange.py)."""
+"""An HTTP/1.1 client: requests to one address, one exchange each (`http_exchange`)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from .clock import SECOND
+from .clock import SECOND, Ticks
 from .connection import Connection
 from .http_exchange import HttpExchange, HttpResponse, is_connection_open
 from .loop import Deadline, EventLoop
@@ -12,7 +12,7 @@
 
 
 def form(method: str, target: str, host: str, body: bytes = b"", kind: str = "") -> bytes:
-    """A request as bytes."""
+    """Encodes a request; `kind` is the content type of its body."""
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n"
     if body:
         head += f"Content-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
@@ -20,70 +20,93 @@
 
 
 class HttpClient:
-    """Requests to one address.  A connection that ended its exchange in order rests for `idle_span`
-    and serves the next one; none rests where that is 0."""
+    """Sends requests to one address.
+
+    A connection that completed its exchange is kept for `idle_span` and serves the next one; none is kept if
+    that is 0.
+    """
 
     def __init__(
-        self, loop: EventLoop, to: tuple[str, int], connect_span: int = SECOND // 2, idle_span: int = 0
+        self,
+        loop: EventLoop,
+        address: tuple[str, int],
+        connect_span: Ticks = SECOND // 2,
+        idle_span: Ticks = 0,
     ) -> None:
-        self.loop, self.to, self.connect_span, self.idle_span = loop, to, connect_span, idle_span
-        self.host = f"{to[0]}:{to[1]}"
+        self.loop = loop
+        self.address = address
+        self.connect_span = connect_span
+        self.idle_span = idle_span
+        self.host = f"{address[0]}:{address[1]}"
         self.exchanges: SlotTable[HttpExchange] = SlotTable()
-        self._resting: Connection | None = None
+        self._idle: Connection | None = None
         self._deadline: Deadline | None = None
 
     def request(
         self,
         method: str,
         target: str,
-        span: int,
+        span: Ticks,
         done: Callable[[HttpResponse], None],
         body: bytes = b"",
         kind: str = "",
-        stream=None,
+        stream: Callable[[bytes], None] | None = None,
     ) -> HttpExchange:
+        """Starts an exchange that ends within `span`, with one call of `done`.
+
+        With `stream`, parts of the body of a response 200 are passed to it as they come, and `span` is the
+        longest silence.
+        """
         exchange = HttpExchange(self, form(method, target, self.host, body, kind), span, done, stream)
         exchange.start()
         return exchange
 
-    def spare(self) -> Connection | None:
-        """The connection at rest, if it can serve: what meets its end may have been done or not."""
-        connection = self._wake()
+    def take_idle(self) -> Connection | None:
+        """Returns the idle connection if it is open: one that closes may have executed the request or not."""
+        connection = self._remove_idle()
         if connection is None or is_connection_open(connection.sock):
             return connection
         connection.close()
         return None
 
-    def _wake(self) -> Connection | None:
-        connection, self._resting = self._resting, None
+    def _remove_idle(self) -> Connection | None:
+        connection = self._idle
+        self._idle = None
         if self._deadline is not None:
             self._deadline.cancel()
         return connection
 
-    def rest(self, connection: Connection) -> None:
-        self.drop_spare()
+    def keep_idle(self, connection: Connection) -> None:
+        """Keeps a connection for the next request."""
+        self.drop_idle()
         connection.reader = self
-        self._resting = connection
-        self._deadline = self.loop.call_after(self.idle_span, self.drop_spare)
+        self._idle = connection
+        self._deadline = self.loop.call_after(self.idle_span, self.drop_idle)
 
-    def drop_spare(self) -> None:
-        connection = self._wake()
+    def drop_idle(self) -> None:
+        """Closes the idle connection."""
+        connection = self._remove_idle()
         if connection is not None:
             connection.close()
 
     def retire(self) -> None:
-        """No more requests: those that are out end by themselves, and their connections with them."""
+        """Keeps no connection from here on: those of requests in flight are closed when these end."""
         self.idle_span = 0
-        self.drop_spare()
+        self.drop_idle()
+
+    def on_connected(self, connection: Connection) -> None:
+        """Is never called: an idle connection is established."""
 
     def on_data(self, connection: Connection) -> None:
-        self.drop_spare()  # nobody asked: whatever it is, no next answer may begin with it
+        """Drops the idle connection: unrequested data must not be taken for the next response."""
+        self.drop_idle()
 
     def on_closed(self, connection: Connection, why: str) -> None:
-        self._wake()
+        """Forgets the idle connection."""
+        self._remove_idle()
 
     def close(self) -> None:
-        """Drop everything without a word to those who wait."""
-        self.drop_spare()
+        """Drops all exchanges without calling their `done`."""
+        self.drop_idle()
         for exchange in self.exchanges:
             exchange.drop()
--- a/indigohitch/pid_file.py
+++ b/indigohitch/pid_file.py
@@ -1,4 +1,4 @@
-"""The file that names the process that is the service, for whoever sends it signals."""
+"""The file that names the serving process, for whoever sends it signals."""
 
 from __future__ import annotations
 
@@ -10,13 +10,17 @@
 
 
 class PidFile:
+    """The operator's pid file; an empty path means that none is kept."""
+
     def __init__(self, path: str, log: Log) -> None:
-        """`path` empty: none is kept."""
-        self.path, self.log = path, log
+        self.path = path
+        self.log = log
 
     def write(self) -> None:
-        if self.path:
-            try:
-                write_atomically(self.path, b"%d\n" % os.getpid())
-            except OSError as bad:
-                self.log.warning("no_pidfile", **error_fields(bad))
+        """Writes the pid of this process; logs a warning where the file can't be written."""
+        if not self.path:
+            return
+        try:
+            write_atomically(self.path, b"%d\n" % os.getpid())
+        except OSError as error:
+            self.log.warning("no_pidfile", **error_fields(error))
--- a/indigohitch/state_file.py
+++ b/indigohitch/state_file.py
@@ -1,4 +1,4 @@
-"""The state of a program in the file that its operator named: read at a start, written at the end."""
+"""The state file that the operator configured: read at a start, written at the end."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .upgrade import snapshot as shots
 from .upgrade.handover_participant import HandoverParticipant
 
-# What a state that does not fit shows itself by.
+# Errors by which a state that can not be restored shows.
 UNUSABLE_STATE_ERRORS = (
     shots.UnusableSnapshotError,
     ValueError,
@@ -22,38 +22,44 @@
 
 
 class StateFile:
+    """A snapshot of the program's state on disk; an empty path means that none is kept."""
+
     def __init__(self, path: str, clock: Clock, log: Log) -> None:
-        """`path` empty: none is kept."""
-        self.path, self.clock, self.log = path, clock, log
+        self.path = path
+        self.clock = clock
+        self.log = log
 
     def restore(self, side: HandoverParticipant) -> bool | None:
-        """From the file, if there is one that fits; None: it was refused half way, and `side` is of no more
-        use."""
+        """Restores the state from the file.
+
+        Returns False where there is no file, True where the state was restored, and None where restoring
+        it failed half way, after which `side` is of no use.
+        """
         if not self.path or not os.path.exists(self.path):
             return False
         try:
             state = shots.read(self.path)
-            # Its times are the wall's; where that has been set back since, go on from there.
+            # Its times are of the wall clock; where that has been set back since, continue from the state's.
             if state.taken > self.clock.now():
                 self.clock.follow(state.taken)
             side.restore(state, {})
-        except (OSError, *UNUSABLE_STATE_ERRORS) as bad:
+        except (OSError, *UNUSABLE_STATE_ERRORS) as error:
             self.log.warning(
-                "state_refused", path=self.path, **error_fields(bad, shots.UnusableSnapshotError.remedy)
+                "state_refused", path=self.path, **error_fields(error, shots.UnusableSnapshotError.remedy)
             )
             return None
         self.log.event("state_read", path=self.path, age_ms=(self.clock.now() - state.taken) / 10)
         return True
 
     def save(self, side: HandoverParticipant) -> dict:
-        """Whole or not at all."""
+        """Writes the state atomically; returns the answer for the control socket."""
         if not self.path:
             return {"error": "the file has no line `state`"}
         data = shots.encode(side.snapshot())
         try:
             shots.write(self.path, data)
-        except OSError as bad:
-            self.log.warning("state_not_written", path=self.path, **error_fields(bad))
-            return {"error": str(bad)}
+        except OSError as error:
+            self.log.warning("state_not_written", path=self.path, **error_fields(error))
+            return {"error": str(error)}
         self.log.event("state_written", path=self.path, bytes=len(data))
         return {"path": self.path, "bytes": len(data)}
--- a/indigohitch/upgradable_parts.py
+++ b/indigohitch/upgradable_parts.py
@@ -1,4 +1,4 @@
-"""The phases of a process that can replace itself, and what may live in it beside its front."""
+"""The phases of an upgradable process, and the interface of a companion that runs beside its front."""
 
 from __future__ import annotations
 
@@ -8,19 +8,28 @@
 
 
 class Companion(Protocol):
-    """What lives in the process beside its front: a member of the fleet (fleet/node/inside)."""
+    """What runs in the process beside its front: a member of the fleet or a subscription."""
 
-    left: bool  # nothing is waited for any more
+    left: bool  # nothing remains to be waited for
 
-    def status(self) -> dict: ...
-    def on_command(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool: ...
-    def leave(self, give_up: bool) -> None: ...
-    def close(self) -> None: ...
+    def status(self) -> dict:
+        """Returns the keys that the companion adds to the process' status."""
+
+    def on_command(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
+        """Handles a command of the control socket; returns False where it does not know it."""
+
+    def leave(self, give_up: bool) -> None:
+        """Starts to leave; `give_up` releases its incarnation too."""
+
+    def close(self) -> None:
+        """Closes its sockets and files."""
 
 
 class ProcessPhase(enum.Enum):
+    """What the process does now; the values are shown in the log and by `status`."""
+
     STARTING = "starting"
     TAKING_OVER = "taking over"
     SERVING = "serving"
-    ENDING = "ending"  # accepts nobody; what is in hand is finished, for a while
+    ENDING = "ending"  # accepts no connections; work in flight is finished, for a limited time
     ENDED = "ended"
