--- a/indigohitch/net/request_connection.py
+++ b/indigohitch/net/request_connection.py
@@ -41,7 +41,7 @@
         self.status = 0
         self.head_only = head_only
         self.parser = httptools.HttpResponseParser(self)
-        if len(data) > self.stream.outgoing.most:
+        if len(data) > self.stream.outgoing.max_size:
             self.stream.outgoing.allow(len(data))
         self.stream.write(data)
 
