--- a/indigohitch/fleet/distribution/errors.py
+++ b/indigohitch/fleet/distribution/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong in the distribution: each says what happened, where, and what an operator can do."""
+"""Errors of the distribution; each has a remedy for the operator."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class OlderVersionError(InvalidRequestError):
-    """An update tells an older version than the one held."""
+    """An update has an older version than the one held."""
 
     remedy = "nothing, if it stays rare: that distributor lags behind the ledger; see its `status`"
 
 
 class UnknownBaseError(InvalidRequestError):
-    """An update follows a version that is not held."""
+    """An update is based on a version that is not held."""
 
     remedy = "nothing: the subscription resumes from what is held"
 
 
 class DigestMismatchError(InvalidDataError):
-    """What an update leads to is not what the distributor holds."""
+    """The content after an update differs from the distributor's."""
 
     remedy = "nothing, once: the whole scope is sent; if it comes again, report versions of both programs"
 
@@ -30,38 +30,42 @@
 
 
 class ScopeTooLargeError(InvalidRequestError):
-    """More services, or more bytes of them, than one update takes."""
+    """A scope has more services, or more bytes, than one update may carry."""
 
     reason = RefusalReason.SCOPE
     remedy = "let the coordinator reach fewer services, or raise the distributors' limit"
 
 
 class SubscriptionRefusedError(UnavailableError):
-    """By this distributor; another one may."""
+    """This distributor does not serve the subscription now; another one may."""
 
     reason: RefusalReason
 
 
 class DistributorStartingError(SubscriptionRefusedError):
-    """It has not caught up with the ledger since it started, so it is no authority."""
+    """The distributor has not caught up with the ledger since it started."""
 
     reason = RefusalReason.STARTING
     remedy = "wait; if it lasts, see whether the ledger has a majority"
 
 
 class DistributorBehindError(SubscriptionRefusedError):
-    """It lags behind what the subscriber holds."""
+    """The distributor lags behind what the subscriber holds."""
 
     reason = RefusalReason.BEHIND
     remedy = "nothing, if it stays rare; else see that distributor's `ledger_age` in its `status`"
 
 
 class DistributorFullError(SubscriptionRefusedError):
+    """The distributor serves as many subscribers as it may."""
+
     reason = RefusalReason.FULL
     remedy = "add a distributor, or raise the limit on subscribers"
 
 
 class DistributorClosingError(SubscriptionRefusedError):
+    """The distributor is shutting down."""
+
     reason = RefusalReason.CLOSING
     remedy = "nothing: subscribers go to the others"
 
@@ -70,19 +74,19 @@
 
 
 class SubscriberTimeoutError(DirectorError):
-    """It has not answered an update in time; its connection is closed."""
+    """A subscriber has not acknowledged an update in time; its connection is closed."""
 
     remedy = "see whether that process hangs or its host is overloaded; it resumes by itself"
 
 
 class SubscriberReplacedError(DirectorError):
-    """It has connected again while it was still served over an earlier connection."""
+    """A subscriber has connected again while its earlier connection was open."""
 
     remedy = "nothing, if it stays rare; else two processes bear that name"
 
 
 class UnknownVersionError(DirectorError):
-    """It claims a version that the ledger has surely never had; it gets its whole scope."""
+    """A subscriber claims a version that the ledger never had; it gets its whole scope."""
 
     remedy = "find out whether the ledger's disks were replaced, or that process belongs to another fleet"
 
@@ -91,6 +95,6 @@
 
 
 class NoDistributorError(DirectorError):
-    """No distributor can be reached: the last version stands, and ages."""
+    """No distributor can be reached; the last version stays in use and ages."""
 
     remedy = "start distributors, or see whether the network lets them through"
--- a/indigohitch/fleet/distribution/subscriber_scope.py
+++ b/indigohitch/fleet/distribution/subscriber_scope.py
@@ -1,6 +1,7 @@
-"""What a subscriber holds: the content of its scope at one version.  No I/O.
+"""The content of a subscriber's scope at one version.  No I/O.
 
-An update is taken whole or not at all; what it can't be taken for is a typed error."""
+An update is applied as a whole or not at all; a rejected one raises a typed error.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 from .messages import HeldService, RejectReason, ServiceChange, Update
 from .types import NO_VERSION, ServiceName
 
-# What a distributor is told of an update that can't be taken.
+# The reason that a NACK states for each error.
 REJECT_REASONS = {
     OlderVersionError: RejectReason.OLDER,
     UnknownBaseError: RejectReason.BASE,
@@ -24,7 +25,7 @@
 
 
 class SubscriberScope:
-    """`guard_versions` is False only in the proof, which has to fail then."""
+    """The content held; `guard_versions` is False only in the proof, which must then fail."""
 
     def __init__(self, guard_versions: bool = True) -> None:
         self.guard_versions = guard_versions
@@ -33,18 +34,21 @@
 
     @property
     def digest(self) -> bytes:
+        """The digest of the whole scope."""
         return scope_digest(self.services.values())
 
     def claim(self, scope: Collection[ServiceName]) -> tuple[HeldService, ...]:
-        """What is held of that scope, which may be another than the one held."""
+        """Returns what is held of a scope, which may differ from the present one."""
         return tuple(
             HeldService(name, self.services[name].digest if name in self.services else b"")
             for name in sorted(scope)
         )
 
     def check_version(self, update: Update) -> None:
-        """Never older than what is held, but for the one way back: what is held never was.  Raises
-        OlderVersion."""
+        """Raises OlderVersionError if the update would go back.
+
+        The one exception is a held version that the ledger never had.
+        """
         if not self.guard_versions or update.version >= self.version:
             return
         if update.whole and update.void == self.version:
@@ -52,12 +56,15 @@
         raise OlderVersionError(f"version {update.version.text()} after {self.version.text()}")
 
     def apply(self, update: Update, scope: Collection[ServiceName]) -> tuple[ServiceName, ...]:
-        """Returns the services that are others now, were added or left.  Raises OlderVersion, UnknownBase,
-        DigestMismatch, Unreadable; then nothing has changed."""
+        """Applies an update; returns the services that changed, were added or were removed.
+
+        Raises OlderVersionError, UnknownBaseError, DigestMismatchError, InvalidDataError; then nothing has
+        changed.
+        """
         self.check_version(update)
         if not update.whole and update.base != self.version:
             raise UnknownBaseError(f"an update of {update.base.text()}, held is {self.version.text()}")
-        services = self.after(update, scope)
+        services = self.services_after(update, scope)
         if scope_digest(services.values()) != update.digest:
             raise DigestMismatchError(f"version {update.version.text()} has another content than told")
         changed = {
@@ -65,12 +72,16 @@
             for name in services.keys() | self.services.keys()
             if services.get(name) is not self.services.get(name)
         }
-        self.services, self.version = services, update.version
+        self.services = services
+        self.version = update.version
         return tuple(sorted(changed))
 
-    def after(self, update: Update, scope: Collection[ServiceName]) -> dict[ServiceName, ServiceContent]:
-        held = {} if update.whole else self.services
-        services = {name: held.get(name) or ServiceContent(name) for name in scope}
+    def services_after(
+        self, update: Update, scope: Collection[ServiceName]
+    ) -> dict[ServiceName, ServiceContent]:
+        """Returns the content of the scope after an update; raises InvalidDataError."""
+        current = {} if update.whole else self.services
+        services = {name: current.get(name) or ServiceContent(name) for name in scope}
         for raw in update.changes:
             change = decode_change(raw)
             if change.service not in services:
@@ -81,8 +92,8 @@
 
 
 def decode_change(raw: msgspec.Raw) -> ServiceChange:
-    """Raises Unreadable."""
+    """Decodes one change of an update; raises InvalidDataError."""
     try:
         return msgspec.msgpack.decode(raw, type=ServiceChange)
-    except msgspec.MsgspecError as bad:
-        raise InvalidDataError(f"not a change of a service: {bad}") from None
+    except msgspec.MsgspecError as error:
+        raise InvalidDataError(f"not a change of a service: {error}") from None
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -95,7 +95,7 @@
         self.traffic.handlers |= {
             JoinRequest: self.admitting.asked,
             JoinResponse: self.admitting.admitted,
-            Report: self.assembly.heard_report,
+            Report: self.assembly.on_report,
             **dict.fromkeys((RenewLease, LeaseRenewed, LeaseNotRenewed), self.belonging.heard),
         }
         links.deliver, links.record_peer = self.traffic.heard, self.introductions.met
