--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -1,9 +1,12 @@
-"""A member's part as a distributor: it tells its machine what the ledger applied, keeps it level with the
-ledger, and exchanges reports with the other distributors."""
+"""The distributor role of a member.
+
+It feeds applied entries to its state machine, keeps that caught up by confirmed reads, and exchanges reports
+with the other distributors.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection
+from collections.abc import Callable, Collection, Mapping
 
 import msgspec
 
@@ -23,7 +26,7 @@
 from .messages import Behind, Report, Unreachable
 from .replicated_part import DistributionPart
 
-CONFIRM_INTERVAL = SECOND // 2  # between confirmed reads: what is told is older by that at most
+CONFIRM_INTERVAL = SECOND // 2  # between confirmed reads: adds at most that to the age of content
 REPORT_INTERVAL = SECOND
 LISTEN_RETRY_DELAY = SECOND
 RESERVED_DESCRIPTORS = (
@@ -35,8 +38,10 @@
 
 
 class DistributorRole:
-    """A `Work` (fleet/ports.py).  `read(done)`: a read confirmed by a majority; `say(name, word)`: to another
-    member."""
+    """A `Work` of the member.
+
+    `read(on_confirmed)` is a read confirmed by a majority; `send(name, message)` sends to another member.
+    """
 
     name = "distribution"
 
@@ -45,139 +50,163 @@
         loop: EventLoop,
         log: Log,
         fleet: str,
-        me: str,
+        member_name: str,
         token: int,
         addresses: dict[str, tuple[str, int]],
         part: DistributionPart,
         read: ConfirmedRead,
-        say: Callable[[str, Row], bool],
+        send: Callable[[str, Row], bool],
     ) -> None:
-        self.loop, self.log, self.me, self.addresses = loop, log, me, addresses
-        self.part, self.read, self.say = part, read, say
-        self.machine = Distributor(me, part.catalogue, LIMITS, loop.clock.now(), self.others)
-        self.connections = DistributorListener(loop, log, fleet, MemberId(me, 0), token, self.machine, LIMITS)
-        self.listen_due = self.confirm_due = self.report_due = 0
-        self.reading = False
-        self.closed = False
+        self.loop = loop
+        self.log = log
+        self.member_name = member_name
+        self.addresses = addresses
+        self.replicated_part = part
+        self.confirmed_read = read
+        self.send = send
+        self.machine = Distributor(member_name, part.store, LIMITS, loop.clock.now(), self.peers)
+        self.listener = DistributorListener(
+            loop, log, fleet, MemberId(member_name, 0), token, self.machine, LIMITS
+        )
+        self.listen_due = 0
+        self.confirm_due = 0
+        self.report_due = 0
+        self.is_reading = False
+        self.is_closed = False
 
     @property
-    def others(self) -> Collection[str]:
-        return [name for name in self.addresses if name != self.me]
+    def peers(self) -> Collection[str]:
+        """The other distributors."""
+        return [name for name in self.addresses if name != self.member_name]
 
     # ---- from the ledger ---------------------------------------------------------------------------
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
+        """Reports services changed by an applied entry to the state machine."""
         if entry.kind.startswith("distribution.") and not outcome.rejection and not outcome.is_duplicate:
             services = msgspec.msgpack.decode(outcome.result, type=tuple[str, ...])
             if services:
-                self.connections.stepping.step(ResourcesChanged(services))
+                self.listener.driver.step(ResourcesChanged(services))
         return []
 
     def restored(self, now: int) -> list[ProposalRequest]:
-        self.connections.stepping.step(ResourcesReplaced())
+        """Reports a restored snapshot to the state machine."""
+        self.listener.driver.step(ResourcesReplaced())
         return []
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
+        """Does nothing: this work proposes no entries."""
         return []
 
     def report(self, now: int) -> bytes:
+        """Returns nothing for the leader."""
         return b""
 
-    def lead(self, now: int, reports) -> list[ProposalRequest]:
+    def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
+        """Does nothing as leader."""
         return []
 
     # ---- the beat ----------------------------------------------------------------------------------
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
-        if self.closed:
+        """Listens, confirms reads and sends reports when they are due."""
+        if self.is_closed:
             return []
-        if not self.connections.open and now >= self.listen_due:
+        if not self.listener.is_listening and now >= self.listen_due:
             self.listen(now)
         if now >= self.confirm_due:
             self.confirm_due = now + CONFIRM_INTERVAL
-            self.confirm(now)
+            self.confirm_read(now)
         if now >= self.report_due:
             self.report_due = now + REPORT_INTERVAL
-            self.connections.beat(now)
-            self.tell(now)
+            self.listener.beat(now)
+            self.send_reports(now)
         return []
 
     def listen(self, now: int) -> None:
-        wanted = LIMITS.subscribers + RESERVED_DESCRIPTORS
-        if (allowed := raise_file_limit(wanted)) < wanted:
-            remedy = f"raise the limit on descriptors to {wanted}"
-            self.log.warning("descriptors_few", allowed=allowed, wanted=wanted, remedy=remedy)
+        """Opens the listener, or schedules another attempt."""
+        needed = LIMITS.subscribers + RESERVED_DESCRIPTORS
+        if (allowed := raise_file_limit(needed)) < needed:
+            remedy = f"raise the limit on descriptors to {needed}"
+            self.log.warning("descriptors_few", allowed=allowed, wanted=needed, remedy=remedy)
         try:
-            self.connections.start(self.addresses[self.me])
-        except OSError as bad:
+            self.listener.start(self.addresses[self.member_name])
+        except OSError as error:
             self.listen_due = now + LISTEN_RETRY_DELAY
-            self.log.warning("distributor_cannot_listen", **error_fields(bad, "free the address"))
+            self.log.warning("distributor_cannot_listen", **error_fields(error, "free the address"))
+
+    def confirm_read(self, now: int) -> None:
+        """Starts a confirmed read unless one is pending."""
 
-    def confirm(self, now: int) -> None:
-        def done(index: int | None) -> None:
-            # In a turn of its own: the entry that completes a read is told to the machine after this.
-            self.reading = False
+        def on_confirmed(index: int | None) -> None:
+            # In a turn of its own: the machine gets the entry that completes a read only after this.
+            self.is_reading = False
             if index is not None:
-                self.loop.call_after(0, lambda: self.connections.stepping.step(CaughtUp(now)))
+                self.loop.call_after(0, lambda: self.listener.driver.step(CaughtUp(now)))
 
-        if self.reading:
+        if self.is_reading:
             return
-        self.reading = True
+        self.is_reading = True
         try:
-            self.read(done)
+            self.confirmed_read(on_confirmed)
         except UnavailableError:
-            self.reading = False
+            self.is_reading = False
 
-    def tell(self, now: int) -> None:
+    def send_reports(self, now: int) -> None:
+        """Sends the report of this distributor to the others."""
         report = self.machine.report(now)
-        for name in self.others:
-            self.say(name, report)
+        for name in self.peers:
+            self.send(name, report)
 
-    def heard_report(self, who: MemberId, word: Report) -> None:
-        if not self.closed and who.name == word.distributor:
-            self.connections.stepping.step(ReportReceived(word))
+    def on_report(self, sender: MemberId, report: Report) -> None:
+        """Hands the report of another distributor to the state machine."""
+        if not self.is_closed and sender.name == report.distributor:
+            self.listener.driver.step(ReportReceived(report))
 
     # ---- the end, and people -----------------------------------------------------------------------
 
     def close(self) -> None:
-        """Its port may be another process' from here on."""
-        self.closed = True
-        self.connections.close()
+        """Frees the port for another process."""
+        self.is_closed = True
+        self.listener.close()
 
     def figures(self) -> dict:
+        """Returns plain JSON for the `status` command."""
         now = self.loop.clock.now()
         in_force = convergence_status(self.machine.in_force(now))
-        return self.connections.figures() | self.machine.figures(now) | {"in_force": in_force}
+        return self.listener.status() | self.machine.status(now) | {"in_force": in_force}
 
 
-def convergence_status(found: ConvergenceReport) -> dict:
-    """As `status` names it; times in tenths of a millisecond."""
+def convergence_status(report: ConvergenceReport) -> dict:
+    """Returns the report as `status` shows it; times in tenths of a millisecond."""
     return {
-        "version": found.version.text(),
-        "newest": found.newest.text(),
-        "age": found.age,
-        "subscribers": found.subscribers,
-        "behind_count": found.behind_count,
-        "behind": [behind_status(one) for one in found.behind],
-        "unreachable_count": found.unreachable_count,
-        "unreachable": [unreachable_status(one) for one in found.unreachable],
-        "acting": found.acting,
-        "silent": list(found.silent),
+        "version": report.version.text(),
+        "newest": report.newest.text(),
+        "age": report.age,
+        "subscribers": report.subscribers,
+        "behind_count": report.behind_count,
+        "behind": [behind_status(row) for row in report.behind],
+        "unreachable_count": report.unreachable_count,
+        "unreachable": [unreachable_status(row) for row in report.unreachable],
+        "acting": report.acting,
+        "silent": list(report.silent),
     }
 
 
-def behind_status(one: Behind) -> dict:
+def behind_status(row: Behind) -> dict:
+    """Returns one subscriber that is behind, as `status` shows it."""
     return {
-        "subscriber": one.subscriber,
-        "acknowledged": one.acknowledged.text(),
-        "missing": one.missing.text(),
-        "age": one.age,
+        "subscriber": row.subscriber,
+        "acknowledged": row.acknowledged.text(),
+        "missing": row.missing.text(),
+        "age": row.age,
     }
 
 
-def unreachable_status(one: Unreachable) -> dict:
+def unreachable_status(row: Unreachable) -> dict:
+    """Returns one unreachable subscriber, as `status` shows it."""
     return {
-        "subscriber": one.subscriber,
-        "acknowledged": one.acknowledged.text(),
-        "acting": one.acting,
+        "subscriber": row.subscriber,
+        "acknowledged": row.acknowledged.text(),
+        "acting": row.acting,
     }
