--- a/indigohitch/fleet/storage/__init__.py
+++ b/indigohitch/fleet/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What a member of the ledger has on its disk: segments, snapshots, identity (docs/ledger.md)."""
+"""A member's persistent state: the write-ahead log in segments, snapshots, identity (docs/ledger.md)."""
--- a/indigohitch/fleet/storage/files.py
+++ b/indigohitch/fleet/storage/files.py
@@ -1,50 +1,57 @@
-"""The calls to the operating system that the disk's files hang on, in one object: faults are put in here."""
+"""The calls to the operating system below the write-ahead log, in one object, for fault injection."""
 
 from __future__ import annotations
 
+import contextlib
 import fcntl
 import os
 
-from ...encoding.files import sync_folder, write_atomically
+from ...encoding import files as encoding_files
 
 
 class FileSystem:
-    """Each raises OSError."""
+    """Each call raises OSError if it fails."""
 
     def make_folder(self, path: str) -> None:
+        """Creates a folder, with its parents, unless it exists."""
         os.makedirs(path, 0o700, exist_ok=True)
 
     def list_names(self, folder: str) -> list[str]:
+        """Returns the names in a folder, sorted."""
         return sorted(os.listdir(folder))
 
     def read(self, path: str) -> bytes:
+        """Returns the content of a file."""
         with open(path, "rb") as file:
             return file.read()
 
     def write_atomically(self, path: str, data: bytes) -> None:
-        """There whole and on the disk, or not there."""
-        write_atomically(path, data)
+        """Writes a file with fsync, so that after a crash it has all of the data or is as before."""
+        encoding_files.write_atomically(path, data)
 
     def open_for_append(self, path: str) -> int:
+        """Opens an existing file and returns its descriptor."""
         return os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
 
     def write(self, fd: int, data: bytes) -> int:
+        """Writes data and returns how many bytes were taken."""
         return os.write(fd, data)
 
     def fsync(self, fd: int) -> None:
+        """Waits until what was written is on the disk."""
         os.fsync(fd)
 
     def close(self, fd: int) -> None:
+        """Closes a descriptor."""
         os.close(fd)
 
     def close_quietly(self, fd: int) -> None:
-        """Raises nothing: what was written there is synced or given up, nothing hangs on the close."""
-        try:
+        """Closes a descriptor and raises nothing: its data was synced or given up before."""
+        with contextlib.suppress(OSError):
             self.close(fd)
-        except OSError:
-            pass
 
     def truncate(self, path: str, size: int) -> None:
+        """Cuts a file to `size` bytes, with fsync."""
         fd = os.open(path, os.O_WRONLY | os.O_CLOEXEC)
         try:
             os.ftruncate(fd, size)
@@ -53,14 +60,18 @@
             os.close(fd)
 
     def remove(self, path: str) -> None:
+        """Removes a file."""
         os.unlink(path)
 
     def sync_folder(self, folder: str) -> None:
-        sync_folder(folder)
+        """Waits until the names in a folder are on the disk."""
+        encoding_files.sync_folder(folder)
 
     def lock_file(self, path: str) -> int:
-        """A descriptor that holds the lock until it is closed, also by the process' death; BlockingIOError
-        where another process holds it."""
+        """Returns a descriptor that holds the lock until it is closed, also by the end of the process.
+
+        Raises BlockingIOError if another process holds the lock.
+        """
         fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/indigohitch/fleet/storage/folder.py
+++ b/indigohitch/fleet/storage/folder.py
@@ -1,25 +1,27 @@
-"""A member's folder: whose it is, and what it holds at a start."""
+"""A member's folder: the member that it belongs to, and what is in it at a start."""
 
 from __future__ import annotations
 
 from ...errors import InvalidDataError, UnavailableError
 from ..types import MemberId
-from . import identity as id
+from . import identity as identity_file
 from .files import FileSystem
+from .identity import Identity
 from .records import CorruptStorageError
 from .recovery import PART, RecoveryResult, recover
 
 
 class Folder:
-    """Raises OSError besides what is said."""
+    """The folder of one member; all methods raise OSError too."""
 
     def __init__(self, files: FileSystem, path: str, fleet: str, name: str) -> None:
-        self.files, self.path = files, path
-        self.identity = id.Identity(fleet, name)
+        self.files = files
+        self.path = path
+        self.identity = Identity(fleet, name)
         self.lock = -1
 
     def take(self) -> None:
-        """Until `leave`, or this process' death, it is no other's.  Raises NotNow."""
+        """Locks the folder until `leave` or the end of this process; raises UnavailableError."""
         self.files.make_folder(self.path)
         try:
             self.lock = self.files.lock_file(f"{self.path}/lock")
@@ -31,54 +33,64 @@
             ) from None
 
     def leave(self) -> None:
+        """Releases the lock."""
         if self.lock >= 0:
             self.files.close(self.lock)
             self.lock = -1
 
     def read(self) -> RecoveryResult | None:
-        """None where no member has been founded on it.  Raises Unreadable, CorruptStorageError."""
+        """Recovers the log; None for a folder without a member.
+
+        Raises InvalidDataError for the folder of another member, CorruptStorageError for a damaged one.
+        """
         names = self.files.list_names(self.path)
         for name in names:
             if name.endswith(PART):
                 self.files.remove(f"{self.path}/{name}")
         if "identity" in names:
             path = f"{self.path}/identity"
-            found = id.decode(self.files.read(path), path)
-            if (found.fleet, found.name) != (self.identity.fleet, self.identity.name):
+            identity = identity_file.decode(self.files.read(path), path)
+            if (identity.fleet, identity.name) != (self.identity.fleet, self.identity.name):
                 raise InvalidDataError(
-                    f"the disk of {found.name} of fleet {found.fleet}",
+                    f"the disk of {identity.name} of fleet {identity.fleet}",
                     path,
                     "give this member a folder of its own",
                 )
-            self.identity = found
+            self.identity = identity
         found = recover(self.files, self.path)
         if not self.identity.number:
-            self.clear(found)
+            self._remove_incomplete(found)
             return None
         if not found.segments or not found.snapshots:
             raise CorruptStorageError("an identity, and not all that belongs to it", self.path)
         return found
 
-    def clear(self, found: RecoveryResult) -> None:
-        """After a founding that a crash cut short: nothing was promised yet."""
-        if found.held.snapshot.index or found.held.entries or found.held.hard_state.term:
+    def _remove_incomplete(self, found: RecoveryResult) -> None:
+        """Removes what is left of an initialization that a crash cut short: nothing was acknowledged yet."""
+        if (
+            found.recovered_state.snapshot.index
+            or found.recovered_state.entries
+            or found.recovered_state.hard_state.term
+        ):
             raise CorruptStorageError("a log and no identity beside it", self.path)
         for path in [segment.path for segment in found.segments] + found.snapshots:
             self.files.remove(path)
 
-    def keep(self, identity: id.Identity) -> None:
-        """In place of the one that stood, at once: rare, and nothing may go on before it."""
-        self.files.write_atomically(f"{self.path}/identity", id.encode(identity))
+    def _replace_identity(self, identity: Identity) -> None:
+        """Replaces the identity file at once: rare, and nothing may go on before it."""
+        self.files.write_atomically(f"{self.path}/identity", identity_file.encode(identity))
         self.identity = identity
 
-    def founded(self, number: int, founders: tuple[str, ...]) -> None:
-        """This member has that number from here on."""
-        was = self.identity
-        self.keep(id.Identity(was.fleet, was.name, number, founders, was.seen_numbers, was.form))
+    def set_number(self, number: int, founders: tuple[str, ...]) -> None:
+        """Sets the number of this member."""
+        old = self.identity
+        self._replace_identity(Identity(old.fleet, old.name, number, founders, old.seen_numbers, old.form))
 
-    def record_seen_number(self, who: MemberId) -> None:
-        """Another member showed itself under this number: kept before anything is heard of it."""
-        if who.number > self.identity.seen_numbers.get(who.name, 0):
-            was = self.identity
-            met = was.seen_numbers | {who.name: who.number}
-            self.keep(id.Identity(was.fleet, was.name, was.number, was.founders, met, was.form))
+    def record_seen_number(self, member: MemberId) -> None:
+        """Records the number of another member, before any of its messages is handled."""
+        if member.number > self.identity.seen_numbers.get(member.name, 0):
+            old = self.identity
+            seen_numbers = old.seen_numbers | {member.name: member.number}
+            self._replace_identity(
+                Identity(old.fleet, old.name, old.number, old.founders, seen_numbers, old.form)
+            )
--- a/indigohitch/fleet/storage/identity.py
+++ b/indigohitch/fleet/storage/identity.py
@@ -1,4 +1,4 @@
-"""Who the disk belongs to, as a file that people can read."""
+"""The member that a disk belongs to, as a file that people can read."""
 
 from __future__ import annotations
 
@@ -11,9 +11,11 @@
 
 
 class Identity(msgspec.Struct):
-    """`number` 0: not a member yet.  `founders`: the voters at the founding, by name.  `met`: the highest
-    number ever met of each other name, so that none is used twice.  The names in the file stand here beside
-    the fields, and stay as they are."""
+    """Fleet, name and number of a member; the names of the keys in the file are given beside the fields.
+
+    `number` 0: not a member yet.  `founders`: the voters of the new cluster, by name.  `seen_numbers`: the
+    highest number that was ever seen of each other name, so that none is used twice.
+    """
 
     fleet: str = msgspec.field(name="fleet")
     name: str = msgspec.field(name="name")
@@ -21,28 +23,37 @@
     founders: tuple[str, ...] = msgspec.field(default=(), name="founders")
     seen_numbers: dict[str, int] = msgspec.field(default_factory=dict, name="met")
     form: int = msgspec.field(default=FORM, name="form")
-    # of all else: a changed number would let a lost disk vote again
+    # Of all else: a changed number would let a lost disk vote again.
     check: str = msgspec.field(default="", name="check")
 
-    def checked(self) -> str:
-        met = dict(sorted(self.seen_numbers.items()))
-        bare = Identity(self.fleet, self.name, self.number, self.founders, met, self.form)
-        return digest(msgspec.json.encode(bare)).hex()
+    def checksum(self) -> str:
+        """Returns the checksum of all fields but `check`."""
+        seen_numbers = dict(sorted(self.seen_numbers.items()))
+        unchecked = Identity(self.fleet, self.name, self.number, self.founders, seen_numbers, self.form)
+        return digest(msgspec.json.encode(unchecked)).hex()
 
 
 def encode(identity: Identity) -> bytes:
-    one = identity
-    one.seen_numbers = dict(sorted(one.seen_numbers.items()))
-    whole = Identity(one.fleet, one.name, one.number, one.founders, one.seen_numbers, one.form, one.checked())
-    return msgspec.json.format(msgspec.json.encode(whole)) + b"\n"
+    """Returns the content of the identity file."""
+    identity.seen_numbers = dict(sorted(identity.seen_numbers.items()))
+    checked = Identity(
+        identity.fleet,
+        identity.name,
+        identity.number,
+        identity.founders,
+        identity.seen_numbers,
+        identity.form,
+        identity.checksum(),
+    )
+    return msgspec.json.format(msgspec.json.encode(checked)) + b"\n"
 
 
 def decode(data: bytes, where: str) -> Identity:
-    """Raises Unreadable."""
+    """Reads the content of the identity file; raises InvalidDataError."""
     try:
-        found = msgspec.json.decode(data, type=Identity)
-    except msgspec.MsgspecError as bad:
-        raise InvalidDataError(f"not an identity: {bad}", where) from None
-    if found.check != found.checked():
+        identity = msgspec.json.decode(data, type=Identity)
+    except msgspec.MsgspecError as error:
+        raise InvalidDataError(f"not an identity: {error}", where) from None
+    if identity.check != identity.checksum():
         raise InvalidDataError("it was changed since it was written", where)
-    return found
+    return identity
--- a/indigohitch/fleet/storage/records.py
+++ b/indigohitch/fleet/storage/records.py
@@ -1,10 +1,13 @@
-"""Segments as bytes: records with checksums, and what a harmed one is taken for.  No I/O.
+"""Records of a segment, with checksums, and how a damaged one is judged.  No I/O.
 
-One group of writes is one record, and the next is begun only once that one is on the disk.  So what a crash
-can leave unfinished is the last record alone: anything else that can't be read was harmed later."""
+One batch of writes is one record, and the next is begun only once that one is on the disk.  So a crash can
+leave only the last record incomplete: any other one that can't be read was damaged later.
+"""
 
 from __future__ import annotations
 
+import contextlib
+
 from ...encoding.frames import HEADER_BYTES, BrokenFrameError, MessageTypes
 from ...encoding.rows import Row
 from ...errors import InvalidDataError
@@ -19,18 +22,21 @@
 
 
 class SegmentHeader(Row, frozen=True):
-    """First in a segment.  `base`: the last entry before its first; `ballot`: as it stood, so that older
-    segments can go; `anew`: what older segments say is void."""
+    """First record of a segment.
+
+    `base`: the last entry before its first; `hard_state`: as it was, so that older segments can be removed;
+    `replaces_all`: older segments are void.
+    """
 
     fleet: str
-    who: MemberId
+    member: MemberId
     base: int
     hard_state: HardState
-    anew: bool = False
+    replaces_all: bool = False
 
 
 class LogWrite(Row, frozen=True):
-    """A write: ports.Write without its number."""
+    """A write: `WriteEntries` without its number."""
 
     hard_state: HardState | None
     truncate_from: int
@@ -38,7 +44,7 @@
 
 
 class WriteBatch(Row, frozen=True):
-    """What went to the disk together."""
+    """Writes that went to the disk together."""
 
     writes: tuple[LogWrite, ...]
 
@@ -52,55 +58,54 @@
     remedy = REMEDY
 
 
-def read_records(data: bytes, where: str, last: bool) -> tuple[list[tuple[int, Row]], int]:
-    """Records with their offsets, and how much of `data` is good: less than all only in the last segment,
-    whose torn tail is to be cut.  Raises CorruptStorageError."""
-    found, at = [], 0
-    while at < len(data):
+def read_records(data: bytes, where: str, is_last: bool) -> tuple[list[tuple[int, Row]], int]:
+    """Returns the records with their offsets, and how many bytes of `data` are good.
+
+    That is less than all only in the last segment, whose torn tail is to be cut.  Raises CorruptStorageError.
+    """
+    records: list[tuple[int, Row]] = []
+    offset = 0
+    while offset < len(data):
         try:
-            row, end = read_record(data, at)
+            row, end = read_record(data, offset)
         except BrokenFrameError as broken:
-            if not (last and is_torn_write(data, at)):
+            if not (is_last and is_torn_write(data, offset)):
                 raise CorruptStorageError(
-                    f"a record can't be read: {broken.problem}", f"{where}, byte {at}"
+                    f"a record can't be read: {broken.problem}", f"{where}, byte {offset}"
                 ) from None
             break
-        found.append((at, row))
-        at = end
-    return found, at
+        records.append((offset, row))
+        offset = end
+    return records, offset
 
 
-def read_record(data: bytes, at: int) -> tuple[Row, int]:
-    """The record that begins there, and where it ends; raises Broken."""
-    if len(data) - at < HEADER_BYTES:
+def read_record(data: bytes, offset: int) -> tuple[Row, int]:
+    """Returns the record at `offset`, and where it ends; raises BrokenFrameError."""
+    if len(data) - offset < HEADER_BYTES:
         raise BrokenFrameError("it ends within its head")
-    protocol, number, descriptors, length, checksum = RECORDS.head(data, at)
-    if descriptors:
-        raise BrokenFrameError(
-            "its head was changed"
-        )  # records have none; the checksum does not cover their number
-    end = at + HEADER_BYTES + length
+    protocol, number, descriptors, length, checksum = RECORDS.head(data, offset)
+    if descriptors:  # records have none; the checksum does not cover their number
+        raise BrokenFrameError("its head was changed")
+    end = offset + HEADER_BYTES + length
     if end > len(data):
         raise BrokenFrameError(f"it ends {end - len(data)} bytes early")
-    return RECORDS.body(data[at + HEADER_BYTES : end], protocol, number, checksum), end
+    return RECORDS.body(data[offset + HEADER_BYTES : end], protocol, number, checksum), end
 
 
-def is_torn_write(data: bytes, at: int) -> bool:
-    """Whether the bad record there may be one that a crash left unfinished: nothing was begun after it."""
-    if len(data) - at < HEADER_BYTES:
+def is_torn_write(data: bytes, offset: int) -> bool:
+    """Whether a crash may have left the bad record at `offset` incomplete: no record follows it."""
+    if len(data) - offset < HEADER_BYTES:
         return True
-    try:
-        length = RECORDS.head(data, at)[3]
-    except BrokenFrameError:
-        pass  # its head did not all reach the disk, or was harmed
-    else:
-        if at + HEADER_BYTES + length < len(data):
+    with contextlib.suppress(BrokenFrameError):  # its header did not all reach the disk, or was damaged
+        length = RECORDS.head(data, offset)[3]
+        if offset + HEADER_BYTES + length < len(data):
             return False
-    place = data.find(MAGIC, at + 1)
-    while place >= 0:
+    next_magic = data.find(MAGIC, offset + 1)
+    while next_magic >= 0:
         try:
-            read_record(data, place)
-            return False
+            read_record(data, next_magic)
         except BrokenFrameError:
-            place = data.find(MAGIC, place + 1)
+            next_magic = data.find(MAGIC, next_magic + 1)
+        else:
+            return False
     return True
--- a/indigohitch/fleet/storage/recovery.py
+++ b/indigohitch/fleet/storage/recovery.py
@@ -1,138 +1,182 @@
-"""What a folder gives back at a start."""
+"""Recovery: what a folder's segments and snapshots hold at a start."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
+from ...encoding.rows import Row
 from ..raft.interfaces import HardState, Members, RecoveredState, Snapshot
 from ..types import LogEntry
 from . import snapshots
 from .files import FileSystem
 from .records import CorruptStorageError, LogWrite, SegmentHeader, WriteBatch, read_records
 
-SEGMENT, SNAPSHOT, PART = "log-", "book-", ".part"
+# Names of files in the folder.
+SEGMENT = "log-"
+SNAPSHOT = "book-"
+PART = ".part"
 
 
 def segment_name(number: int) -> str:
+    """Returns the file name of a segment."""
     return f"{SEGMENT}{number:012}"
 
 
 def snapshot_name(index: int) -> str:
+    """Returns the file name of a snapshot."""
     return f"{SNAPSHOT}{index:012}"
 
 
 @dataclass(slots=True)
 class Segment:
+    """A segment on the disk; `highest` is the index of its last entry, or its base."""
+
     number: int
     path: str
-    highest: int  # of the entries that it holds, or its base
+    highest: int
     size: int = 0
 
 
 @dataclass(slots=True)
 class RecoveryResult:
-    held: RecoveredState
+    """What a folder holds.
+
+    `snapshots`: paths, the last one is in force; `torn_tail`: a file, and how many of its bytes are good;
+    `void`: segments that a later one has replaced; `follows`: the log continues the snapshot.
+    """
+
+    recovered_state: RecoveredState
     segments: list[Segment] = field(default_factory=list)
-    snapshots: list[str] = field(default_factory=list)  # paths; the last one is in force
-    torn_tail: tuple[str, int] | None = None  # a file, and how many of its bytes are good
-    void: list[str] = field(default_factory=list)  # segments that a later one has replaced
-    follows: bool = True  # the log agrees with the snapshot, and goes on there
+    snapshots: list[str] = field(default_factory=list)
+    torn_tail: tuple[str, int] | None = None
+    void: list[str] = field(default_factory=list)
+    follows: bool = True
+
+
+@dataclass(slots=True)
+class SegmentContent:
+    """A segment as it was read: its records with their offsets, and how many bytes are good."""
+
+    number: int
+    path: str
+    rows: list[tuple[int, Row]]
+    size: int
+
+    @property
+    def header(self) -> SegmentHeader:
+        """Its first record; raises CorruptStorageError if that is not a header."""
+        if not self.rows or not isinstance(self.rows[0][1], SegmentHeader):
+            raise CorruptStorageError("a segment has no beginning", self.path)
+        return self.rows[0][1]
 
 
 class RecoveredLog:
-    """Entries after the snapshot, as the records tell them one after the other."""
+    """Entries after index `base`, as writes follow one another."""
 
     def __init__(self, base: int) -> None:
-        self.base, self.entries = base, []
+        self.base = base
+        self.entries: list[LogEntry] = []
 
     @property
     def last(self) -> int:
+        """Index of the last entry."""
         return self.entries[-1].index if self.entries else self.base
 
-    def write(self, one: LogWrite, where: str = "in memory") -> None:
-        """Raises CorruptStorageError where the entries do not follow."""
-        if one.truncate_from > self.base:
-            del self.entries[one.truncate_from - self.base - 1 :]
-        elif one.truncate_from:  # back into a segment that a snapshot has covered since
-            self.base, self.entries = one.truncate_from - 1, []
-        for entry in one.entries:
+    def write(self, write: LogWrite, where: str = "in memory") -> None:
+        """Applies a write; raises CorruptStorageError if its entries do not follow."""
+        if write.truncate_from > self.base:
+            del self.entries[write.truncate_from - self.base - 1 :]
+        elif write.truncate_from:  # back into a segment that a snapshot has covered since
+            self.base = write.truncate_from - 1
+            self.entries = []
+        for entry in write.entries:
             if entry.index != self.last + 1:
                 raise CorruptStorageError(f"entry {entry.index} stands after {self.last}", where)
             self.entries.append(entry)
 
-    def agrees(self, snap: Snapshot) -> bool:
-        """Whether it goes on at the snapshot's end (Ongaro and Ousterhout 2014, 7)."""
-        if self.base >= snap.index:
+    def agrees(self, snapshot: Snapshot) -> bool:
+        """Whether the log continues the snapshot (Ongaro and Ousterhout 2014, 7)."""
+        if self.base >= snapshot.index:
             return True
-        place = snap.index - self.base - 1
-        return place < len(self.entries) and self.entries[place].term == snap.term
+        position = snapshot.index - self.base - 1
+        return position < len(self.entries) and self.entries[position].term == snapshot.term
 
-    def after(self, snap: Snapshot) -> list[LogEntry]:
-        """What follows the snapshot: all, if the log agrees with it, else nothing."""
-        return self.entries[max(0, snap.index - self.base) :] if self.agrees(snap) else []
+    def after(self, snapshot: Snapshot) -> list[LogEntry]:
+        """Returns the entries after the snapshot if the log continues it, else none."""
+        return self.entries[max(0, snapshot.index - self.base) :] if self.agrees(snapshot) else []
 
 
 def recover(files: FileSystem, folder: str) -> RecoveryResult:
-    """Reads only.  Raises OSError, CorruptStorageError."""
-    names = files.list_names(folder)
-    found = RecoveryResult(RecoveredState(HardState(0), Snapshot(0, 0, Members(()), b"")))
-    found.snapshots = [
-        f"{folder}/{name}" for name in names if name.startswith(SNAPSHOT) and not name.endswith(PART)
-    ]
-    if found.snapshots:
-        found.held.snapshot = snapshots.decode(files.read(found.snapshots[-1]), found.snapshots[-1])
-    paths = [
-        (int(name[len(SEGMENT) :]), f"{folder}/{name}")
-        for name in names
-        if name.startswith(SEGMENT) and not name.endswith(PART)
-    ]
-    read: list[tuple] = []
+    """Reads a folder and changes nothing; raises OSError, CorruptStorageError."""
+    names = [name for name in files.list_names(folder) if not name.endswith(PART)]
+    result = RecoveryResult(RecoveredState(HardState(0), Snapshot(0, 0, Members(()), b"")))
+    result.snapshots = [f"{folder}/{name}" for name in names if name.startswith(SNAPSHOT)]
+    if result.snapshots:
+        path = result.snapshots[-1]
+        result.recovered_state.snapshot = snapshots.decode(files.read(path), path)
+    paths = [(int(name[len(SEGMENT) :]), f"{folder}/{name}") for name in names if name.startswith(SEGMENT)]
+    contents = _read_segments(files, paths, result)
+    _replay(result, contents)
+    return result
+
+
+def _read_segments(
+    files: FileSystem, paths: list[tuple[int, str]], result: RecoveryResult
+) -> list[SegmentContent]:
+    """Reads the segments that count, from the last one back, and returns them in order."""
+    contents: list[SegmentContent] = []
     while paths:
         number, path = paths.pop()
-        if read and number != read[0][0] - 1:
-            paths.append((number, path))  # what lies before a gap was taken away, and not for good yet
+        if contents and number != contents[0].number - 1:
+            paths.append((number, path))  # those before a gap were being removed
             break
         data = files.read(path)
-        rows, good = read_records(data, path, not read)
-        if not rows or not isinstance(rows[0][1], SegmentHeader):
-            raise CorruptStorageError("a segment has no beginning", path)
-        if good < len(data):
-            found.torn_tail = (path, good)
-        read.insert(0, (number, path, rows, good))
-        if rows[0][1].anew:  # a crash came before the older ones were taken away
+        rows, size = read_records(data, path, not contents)
+        content = SegmentContent(number, path, rows, size)
+        header = content.header
+        if size < len(data):
+            result.torn_tail = (path, size)
+        contents.insert(0, content)
+        if header.replaces_all:  # a crash came before the older ones were removed
             break
-    found.void = [path for _, path in paths]
-    replay(found, read)
-    return found
-
-
-def replay(found: RecoveryResult, read: list) -> None:
-    """Replays segments in order.  Raises CorruptStorageError where they do not go back to the snapshot."""
-    snap, log = found.held.snapshot, None
-    if not read and snap.index:
-        raise CorruptStorageError("the log is missing beside its snapshot", found.snapshots[-1])
-    for number, path, rows, good in read:
-        begin = rows[0][1]
+    result.void = [path for _, path in paths]
+    return contents
+
+
+def _replay(result: RecoveryResult, contents: list[SegmentContent]) -> None:
+    """Replays segments in order; raises CorruptStorageError where they do not go back to the snapshot."""
+    state = result.recovered_state
+    snapshot = state.snapshot
+    log: RecoveredLog | None = None
+    if not contents and snapshot.index:
+        raise CorruptStorageError("the log is missing beside its snapshot", result.snapshots[-1])
+    for content in contents:
+        base = content.header.base
         if log is None:
-            if begin.base > snap.index:
+            if base > snapshot.index:
                 raise CorruptStorageError(
-                    f"entries {snap.index + 1} to {begin.base} are missing before it", path
+                    f"entries {snapshot.index + 1} to {base} are missing before it", content.path
                 )
-            log = RecoveredLog(begin.base)
-        elif begin.base != log.last:
+            log = RecoveredLog(base)
+        elif base != log.last:
             raise CorruptStorageError(
-                f"it goes on after entry {begin.base}, the one before ends at {log.last}", path
+                f"it goes on after entry {base}, the one before ends at {log.last}", content.path
             )
-        highest = begin.base
-        found.held.hard_state = begin.hard_state
-        for at, row in rows[1:]:
-            where = f"{path}, byte {at}"
-            if not isinstance(row, WriteBatch):
-                raise CorruptStorageError("a segment begins twice", where)
-            for one in row.writes:
-                log.write(one, where)
-                found.held.hard_state = one.hard_state or found.held.hard_state
-                highest = max(highest, log.last)
-        found.segments.append(Segment(number, path, highest, good))
+        result.segments.append(_replay_segment(content, log, state))
     if log is not None:
-        found.held.entries, found.follows = log.after(snap), log.agrees(snap)
+        state.entries = log.after(snapshot)
+        result.follows = log.agrees(snapshot)
+
+
+def _replay_segment(content: SegmentContent, log: RecoveredLog, state: RecoveredState) -> Segment:
+    highest = content.header.base
+    state.hard_state = content.header.hard_state
+    for offset, row in content.rows[1:]:
+        where = f"{content.path}, byte {offset}"
+        if not isinstance(row, WriteBatch):
+            raise CorruptStorageError("a segment begins twice", where)
+        for write in row.writes:
+            log.write(write, where)
+            state.hard_state = write.hard_state or state.hard_state
+            highest = max(highest, log.last)
+    return Segment(content.number, content.path, highest, content.size)
--- a/indigohitch/fleet/storage/segments.py
+++ b/indigohitch/fleet/storage/segments.py
@@ -1,11 +1,13 @@
-"""Segments on the disk: appended to, begun, taken away.  Called from the disk's thread, one call at a time.
+"""The segments of the write-ahead log on the disk.  Called from the storage thread, one call at a time.
 
-A segment is made whole, with its first record, before anything is appended; so a torn record is never the
-first one."""
+A segment is created atomically with its first record, before anything is appended; so a torn write is never
+the first record.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+import contextlib
+from collections.abc import Iterable, Iterator
 
 import msgspec
 
@@ -16,148 +18,171 @@
 from .records import RECORDS, LogWrite, SegmentHeader, WriteBatch
 from .recovery import Segment, segment_name, snapshot_name
 
-# Of a segment: large enough that making one (two fsyncs more) is rare, small enough that little lies beside a
-# snapshot that covers it.
+# Of a segment: large enough that creating one (two fsyncs more) is rare, small enough that little remains
+# beside a snapshot that covers it.
 SEGMENT_BYTES = 4 << 20
 # Of entries in one record: an eighth of what a frame takes, so that one larger entry still fits.
 MAX_BATCH_BYTES = 1 << 20
+ENTRY_OVERHEAD_BYTES = 64  # of an entry beside its body, kind and proposer, rounded up
 
 
 def entry_size(entry: LogEntry) -> int:
-    """About how many bytes it takes."""
-    return len(entry.body) + 64 + len(entry.kind) + len(entry.proposer)
+    """Returns about how many bytes an entry takes."""
+    return len(entry.body) + ENTRY_OVERHEAD_BYTES + len(entry.kind) + len(entry.proposer)
 
 
-def batch_writes(writes: Iterable[LogWrite]) -> Iterable[WriteBatch]:
-    """As few records as fit their bound, in order; a write too large for one goes in several, its ballot and
-    cut in the first."""
-    waiting, size = [], 0
-    for one in writes:
+def batch_writes(writes: Iterable[LogWrite]) -> Iterator[WriteBatch]:
+    """Puts writes into as few records as their bound allows, in order.
+
+    A write too large for one goes into several, its hard state and truncation into the first.
+    """
+    waiting: list[LogWrite] = []
+    size = 0
+    for write in writes:
+        rest = write
         part: list[LogEntry] = []
-        for entry in one.entries:
+        for entry in write.entries:
             if part and size + entry_size(entry) > MAX_BATCH_BYTES:
-                yield WriteBatch((*waiting, LogWrite(one.hard_state, one.truncate_from, tuple(part))))
-                one, waiting, part, size = LogWrite(None, 0, ()), [], [], 0
+                yield WriteBatch((*waiting, LogWrite(rest.hard_state, rest.truncate_from, tuple(part))))
+                rest = LogWrite(None, 0, ())
+                waiting = []
+                part = []
+                size = 0
             part.append(entry)
             size += entry_size(entry)
-        waiting.append(msgspec.structs.replace(one, entries=tuple(part)))
+        waiting.append(msgspec.structs.replace(rest, entries=tuple(part)))
         if size > MAX_BATCH_BYTES:
             yield WriteBatch(tuple(waiting))
-            waiting, size = [], 0
+            waiting = []
+            size = 0
     if waiting:
         yield WriteBatch(tuple(waiting))
 
 
 class Segments:
+    """The segments and snapshots in a folder; `found` and `snapshot_paths` are those of the start."""
+
     def __init__(
         self,
         files: FileSystem,
         folder: str,
         fleet: str,
-        who: MemberId,
-        stood: list[Segment],
-        read: list[str],
+        member: MemberId,
+        found: list[Segment],
+        snapshot_paths: list[str],
         size: int = SEGMENT_BYTES,
     ) -> None:
-        """`stood`: segments found at the start, in order; `read`: paths of snapshots found."""
-        self.files, self.folder, self.fleet, self.who, self.size = files, folder, fleet, who, size
-        self.stood, self.snapshots = stood, read
+        self.files = files
+        self.folder = folder
+        self.fleet = fleet
+        self.member = member
+        self.size = size
+        self.segments = found
+        self.snapshot_paths = snapshot_paths
         self.fd = -1
-        self.hard_state, self.last = HardState(0), 0  # as the records so far tell them
-
-    def open(self, ballot: HardState, last: int) -> None:
-        """Go on after what was found; raises OSError."""
-        self.hard_state, self.last = ballot, last
-        if self.stood:
-            self.fd = self.files.open_for_append(self.stood[-1].path)
+        self.hard_state = HardState(0)  # by the records so far
+        self.last = 0
+
+    def open(self, hard_state: HardState, last: int) -> None:
+        """Continues after what was recovered; raises OSError."""
+        self.hard_state = hard_state
+        self.last = last
+        if self.segments:
+            self.fd = self.files.open_for_append(self.segments[-1].path)
         else:
-            self.begin(b"")
+            self._create_segment(b"", self.last)
 
-    def begin(self, rest: bytes, base: int | None = None, anew: bool = False) -> None:
-        base = self.last if base is None else base
-        number = self.stood[-1].number + 1 if self.stood else 1
+    def _create_segment(self, records: bytes, base: int, replaces_all: bool = False) -> None:
+        number = self.segments[-1].number + 1 if self.segments else 1
         path = f"{self.folder}/{segment_name(number)}"
-        data = RECORDS.frame(SegmentHeader(self.fleet, self.who, base, self.hard_state, anew)) + rest
+        header = SegmentHeader(self.fleet, self.member, base, self.hard_state, replaces_all)
+        data = RECORDS.frame(header) + records
         self.files.write_atomically(path, data)
         self.close()
         self.fd = self.files.open_for_append(path)
-        self.stood.append(Segment(number, path, max(base, self.last), len(data)))
+        self.segments.append(Segment(number, path, max(base, self.last), len(data)))
 
     def write(self, writes: list[LogWrite]) -> None:
-        """On the disk when it returns.  Raises OSError: then nothing of these is known to be there, and
-        `anew` is the only way on."""
-        for group in batch_writes(writes):
-            self.append(RECORDS.frame(group))
-            self.took(group.writes)
-            if self.stood[-1].size > self.size:
-                self.begin(b"")
-
-    def append(self, data: bytes) -> None:
+        """Writes with fsync.
+
+        Raises OSError: then none of the writes is known to be on the disk, and only `rewrite` may follow.
+        """
+        for batch in batch_writes(writes):
+            self._append(RECORDS.frame(batch))
+            self._track(batch.writes)
+            if self.segments[-1].size > self.size:
+                self._create_segment(b"", self.last)
+
+    def _append(self, data: bytes) -> None:
         view = memoryview(data)
         while view:
             view = view[self.files.write(self.fd, view) :]
         self.files.fsync(self.fd)
-        self.stood[-1].size += len(data)
-
-    def took(self, writes: Iterable[LogWrite]) -> None:
-        for one in writes:
-            self.hard_state = one.hard_state or self.hard_state
-            if one.truncate_from:
-                self.last = min(self.last, one.truncate_from - 1)
-            if one.entries:
-                self.last = one.entries[-1].index
-                self.stood[-1].highest = max(self.stood[-1].highest, self.last)
-
-    def snapshot(self, snap: Snapshot, follows: bool) -> None:
-        """Written; then what it covers is taken away, if the log `follows` it, else all.  Raises OSError."""
+        self.segments[-1].size += len(data)
+
+    def _track(self, writes: Iterable[LogWrite]) -> None:
+        for write in writes:
+            self.hard_state = write.hard_state or self.hard_state
+            if write.truncate_from:
+                self.last = min(self.last, write.truncate_from - 1)
+            if write.entries:
+                self.last = write.entries[-1].index
+                self.segments[-1].highest = max(self.segments[-1].highest, self.last)
+
+    def snapshot(self, snapshot: Snapshot, follows: bool) -> None:
+        """Writes a snapshot and removes the segments that it covers; all, unless the log `follows` it.
+
+        Raises OSError.
+        """
         if not follows:
-            self.anew(snap, self.hard_state, ())
+            self.rewrite(snapshot, self.hard_state, ())
             return
-        self.put(snap)
-        if self.stood[-1].size > self.size // 4:
-            self.begin(b"")  # so that the next snapshot covers what stands now
-        self.drop_snapshots(snap)
-        while len(self.stood) > 1 and self.stood[0].highest <= snap.index:
-            self.drop(self.stood.pop(0))
-
-    def put(self, snap: Snapshot) -> None:
-        path = f"{self.folder}/{snapshot_name(snap.index)}"
-        self.files.write_atomically(path, snapshots.encode(snap))
-        if path not in self.snapshots:
-            self.snapshots.append(path)
-
-    def anew(self, snap: Snapshot, ballot: HardState, entries: tuple[LogEntry, ...]) -> None:
-        """All of it into files of their own, trusting none that stands; then those go.  Raises OSError."""
+        self.put(snapshot)
+        if self.segments[-1].size > self.size // 4:
+            self._create_segment(b"", self.last)  # so that the next snapshot covers the current one
+        self._remove_old_snapshots(snapshot)
+        while len(self.segments) > 1 and self.segments[0].highest <= snapshot.index:
+            self._remove_segment(self.segments.pop(0))
+
+    def put(self, snapshot: Snapshot) -> None:
+        """Writes a snapshot file; raises OSError."""
+        path = f"{self.folder}/{snapshot_name(snapshot.index)}"
+        self.files.write_atomically(path, snapshots.encode(snapshot))
+        if path not in self.snapshot_paths:
+            self.snapshot_paths.append(path)
+
+    def rewrite(self, snapshot: Snapshot, hard_state: HardState, entries: tuple[LogEntry, ...]) -> None:
+        """Writes all that counts into new files, trusts none of the old ones, and removes those.
+
+        Raises OSError.
+        """
         self.close()
-        old, self.hard_state, self.last = (
-            list(self.stood),
-            ballot,
-            entries[-1].index if entries else snap.index,
-        )
-        self.put(snap)
-        frames = b"".join(RECORDS.frame(group) for group in batch_writes([LogWrite(ballot, 0, entries)]))
-        self.begin(frames, snap.index, True)
-        self.stood = self.stood[-1:]
+        old = list(self.segments)
+        self.hard_state = hard_state
+        self.last = entries[-1].index if entries else snapshot.index
+        self.put(snapshot)
+        batches = batch_writes([LogWrite(hard_state, 0, entries)])
+        self._create_segment(b"".join(RECORDS.frame(batch) for batch in batches), snapshot.index, True)
+        self.segments = self.segments[-1:]
         for segment in old:
-            self.drop(segment)
-        self.drop_snapshots(snap)
+            self._remove_segment(segment)
+        self._remove_old_snapshots(snapshot)
 
-    def drop(self, segment: Segment) -> None:
-        """One that stays, because it can't be removed, is passed over at the next start."""
-        try:
+    def _remove_segment(self, segment: Segment) -> None:
+        """One that can't be removed is passed over at the next start."""
+        with contextlib.suppress(OSError):
             self.files.remove(segment.path)
-        except OSError:
-            pass
 
-    def drop_snapshots(self, kept: Snapshot) -> None:
-        for path in [path for path in self.snapshots if path != f"{self.folder}/{snapshot_name(kept.index)}"]:
-            try:
+    def _remove_old_snapshots(self, kept: Snapshot) -> None:
+        kept_path = f"{self.folder}/{snapshot_name(kept.index)}"
+        for path in [path for path in self.snapshot_paths if path != kept_path]:
+            with contextlib.suppress(OSError):
                 self.files.remove(path)
-                self.snapshots.remove(path)
-            except OSError:
-                pass
+                self.snapshot_paths.remove(path)
 
     def close(self) -> None:
+        """Closes the segment that is appended to."""
         if self.fd >= 0:
-            fd, self.fd = self.fd, -1
+            fd = self.fd
+            self.fd = -1
             self.files.close_quietly(fd)
--- a/indigohitch/fleet/storage/snapshots.py
+++ b/indigohitch/fleet/storage/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the state as bytes.  Form: magic, form, length, digest, msgpack of `ports.Snap`.  No I/O."""
+"""Snapshots as bytes: magic, form, length, digest, then the msgpack of `Snapshot`.  No I/O."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 _HEAD = struct.Struct("!8sHQ16s")
 
 
-def encode(snap: Snapshot) -> bytes:
-    body = msgspec.msgpack.encode(snap)
+def encode(snapshot: Snapshot) -> bytes:
+    """Returns the content of a snapshot file."""
+    body = msgspec.msgpack.encode(snapshot)
     return _HEAD.pack(MAGIC, FORM, len(body), digest(body, FORM)) + body
 
 
 def decode(data: bytes, where: str) -> Snapshot:
-    """Raises CorruptStorageError: it was written whole, so nothing of it is missing by a crash."""
+    """Reads a snapshot file; raises CorruptStorageError, as a crash leaves none incomplete."""
     if len(data) < _HEAD.size:
         raise CorruptStorageError("a snapshot ends within its head", where)
     magic, form, length, check = _HEAD.unpack_from(data)
@@ -32,5 +33,5 @@
         raise CorruptStorageError("a snapshot is not what was written", where)
     try:
         return msgspec.msgpack.decode(body, type=Snapshot)
-    except msgspec.MsgspecError as bad:
-        raise CorruptStorageError(f"a snapshot: {bad}", where) from None
+    except msgspec.MsgspecError as error:
+        raise CorruptStorageError(f"a snapshot: {error}", where) from None
--- a/indigohitch/fleet/storage/store.py
+++ b/indigohitch/fleet/storage/store.py
@@ -30,8 +30,7 @@
 from .files import FileSystem
 from .folder import Folder
 from .records import LogWrite
-from .recovery import RecoveredLog as Kept
-from .recovery import RecoveryResult
+from .recovery import RecoveredLog, RecoveryResult
 from .segments import Segments
 
 # After a write that failed: often enough that a freed disk is used soon, rarely enough not to add to the load
@@ -67,8 +66,8 @@
         self.state, self.why = StorageState.CLOSED, ""
         self.worker: WorkerThread | None = None
         self.segments: Segments | None = None
-        self.kept, self.latest_snapshot, self.hard_state = (
-            Kept(0),
+        self.recent, self.latest_snapshot, self.hard_state = (
+            RecoveredLog(0),
             Snapshot(0, 0, Members(()), b""),
             HardState(0),
         )
@@ -96,7 +95,7 @@
         except BaseException:
             self.close()
             raise
-        return RecoveredState(self.hard_state, self.latest_snapshot, list(self.kept.entries))
+        return RecoveredState(self.hard_state, self.latest_snapshot, list(self.recent.entries))
 
     def stood(self, found: RecoveryResult) -> None:
         if found.torn_tail is not None:
@@ -112,14 +111,14 @@
         held = RecoveredState(HardState(0), Snapshot(0, 0, members, b""))
         self.begin(RecoveryResult(held), number)
         self.segments.put(held.snapshot)
-        self.folder.founded(number, founders)
+        self.folder.set_number(number, founders)
         return held
 
     def begin(self, found: RecoveryResult, number: int) -> None:
-        held, identity = found.held, self.identity
+        held, identity = found.recovered_state, self.identity
         self.latest_snapshot, self.hard_state = held.snapshot, held.hard_state
-        self.kept = Kept(held.snapshot.index)
-        self.kept.entries = list(held.entries)
+        self.recent = RecoveredLog(held.snapshot.index)
+        self.recent.entries = list(held.entries)
         self.segments = Segments(
             self.files,
             self.folder.path,
@@ -129,9 +128,9 @@
             found.snapshots,
         )
         if found.follows:
-            self.segments.open(held.hard_state, self.kept.last)
+            self.segments.open(held.hard_state, self.recent.last)
         else:
-            self.segments.anew(held.snapshot, held.hard_state, ())
+            self.segments.rewrite(held.snapshot, held.hard_state, ())
         self.state = StorageState.IDLE
 
     def close(self) -> None:
@@ -153,22 +152,22 @@
 
     def write(self, write: WriteEntries) -> None:
         """`Written` comes once it is on the disk."""
-        base, cut = self.kept.base, write.truncate_from
+        base, cut = self.recent.base, write.truncate_from
         entries = tuple(entry for entry in write.entries if entry.index > base)  # else: in the snapshot
-        if entries and entries[0].index <= self.kept.last:
+        if entries and entries[0].index <= self.recent.last:
             cut = min(cut or entries[0].index, entries[0].index)
         one = LogWrite(write.hard_state, max(cut, base + 1) if cut else 0, entries)
         self.hard_state = write.hard_state or self.hard_state
-        self.kept.write(one)
+        self.recent.write(one)
         self.ask((write.number, one))
 
     def snapshot(self, snap: Snapshot, follows: bool) -> None:
         """Of our own, which the log `follows`, or the leader's in place of it.  `Snapped` comes once it is on
         the disk."""
-        if snap.index < self.kept.base:
+        if snap.index < self.recent.base:
             return
-        self.kept.entries = self.kept.after(snap) if follows else []
-        self.kept.base, self.latest_snapshot = snap.index, snap
+        self.recent.entries = self.recent.after(snap) if follows else []
+        self.recent.base, self.latest_snapshot = snap.index, snap
         self.ask((snap, follows))
 
     def ask(self, job: tuple) -> None:
@@ -235,16 +234,16 @@
         if self.state is not StorageState.FAILED:
             return
         self.state = StorageState.MENDING
-        snap, ballot, entries = self.latest_snapshot, self.hard_state, tuple(self.kept.entries)
-        self.do(lambda: self.segments.anew(snap, ballot, entries))
+        snap, ballot, entries = self.latest_snapshot, self.hard_state, tuple(self.recent.entries)
+        self.do(lambda: self.segments.rewrite(snap, ballot, entries))
 
     def figures(self) -> dict:
         return {
             "state": self.state.value,
             "syncs": self.syncs,
             "failures": self.failures,
-            "segments": len(self.segments.stood) if self.segments else 0,
+            "segments": len(self.segments.segments) if self.segments else 0,
             "snapshot": self.latest_snapshot.index,
-            "entries": len(self.kept.entries),
+            "entries": len(self.recent.entries),
             **({"why": self.why} if self.why else {}),
         }
