--- a/benchmarks/capacitykit/entries_cell.py
+++ b/benchmarks/capacitykit/entries_cell.py
@@ -8,8 +8,8 @@
 
 from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.node.messages import KINDS
-from indigohitch.fleet.node.node import BOUNDS
 from indigohitch.fleet.node.notes import Add, Notes
+from indigohitch.fleet.node.wiring import BOUNDS
 from indigohitch.fleet.raft.interfaces import ApplyEntries, MessageReceived, Propose, WriteEntries
 from indigohitch.fleet.raft.messages import AppendEntries, AppendEntriesResponse
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
--- a/benchmarks/capacitykit/ledger_cell.py
+++ b/benchmarks/capacitykit/ledger_cell.py
@@ -9,7 +9,7 @@
 
 from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.node.messages import KINDS
-from indigohitch.fleet.node.node import BOUNDS
+from indigohitch.fleet.node.wiring import BOUNDS
 from indigohitch.fleet.raft.configuration import encode_members
 from indigohitch.fleet.raft.interfaces import (
     HardState,
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -49,7 +49,7 @@
         from .backend_subscription.source import SubscribedBackends
 
         source = SubscribedBackends(self.log, self.companion.resources, tell)
-        self.companion.heard = source.applied
+        self.companion.on_services_applied = source.applied
         return source
 
     def make(self, listening: socket.socket | None) -> Front:
--- a/indigohitch/fleet/node/__init__.py
+++ b/indigohitch/fleet/node/__init__.py
@@ -1,1 +1,1 @@
-"""A member of the fleet in one process: the ledger's machine, disk and links, the state and the works."""
+"""A member of the fleet in its process: Raft, the replicated state machine and the works over it."""
--- a/indigohitch/fleet/node/admin_requests.py
+++ b/indigohitch/fleet/node/admin_requests.py
@@ -1,13 +1,13 @@
-"""What people and proofs ask a node over the control socket, beside `status`:
+"""Commands of operators to a node over the control socket, beside `status`.
 
-{"ask": "note TEXT"}                    written down in the state machine for all to see
-{"ask": "notes"}                        those kept
+{"ask": "note TEXT"}                    stores a text in the state machine for all to see
+{"ask": "notes"}                        the texts stored
 {"ask": "propose", "kind": "notes.add", "body": ["text"]}   any entry
 {"ask": "read"}                         an index confirmed by a majority, and the state machine's digest there
-{"ask": "book"}                         where the state stands, and its digest; `book NAME`: one part's row
-{"ask": "out NAME"}                     a member that no file lists any more goes out; asked at the leader
+{"ask": "book"}                         index and digest of the state; `book NAME`: one part's row
+{"ask": "out NAME"}                     removes a member that no file lists any more; only at the leader
 {"ask": "batch", "batch": {...}}        submits one (batches/asking.py shows its shape)
-{"ask": "piece ID from STEP"}           an operator's word on a piece: or `done`, or `drop`
+{"ask": "piece ID from STEP"}           restarts a piece of a batch; or `done`, or `drop`
 {"ask": "distribute set", "services": {...}}   or `remove`, `replace` (distribution/asking.py)
 {"ask": "ledger"}                       the last entries, each with a digest
 """
@@ -23,32 +23,39 @@
 from ..batches.admin_requests import batch_of, word_of
 from ..distribution.admin_requests import parse_entry
 from ..types import Outcome
-from .messages import BODY
+from .messages import MAX_BODY_BYTES
 
 if TYPE_CHECKING:
     from .node import Node
 
-SHOWN = 256  # entries of `ledger`
+# A line of the control socket: a JSON object.
+Line = dict[str, object]
+
+MAX_SHOWN = 256  # entries of `ledger`
 
 
 class AdminRequests:
-    def __init__(self, node: Node | None, answer: Callable[[dict], None]) -> None:
-        self.node, self.answer = node, answer
+    """Handles one command; `answer` is called with its result, at once or later."""
+
+    def __init__(self, node: Node | None, answer: Callable[[Line], None]) -> None:
+        """`node` is None while this process takes no part in the fleet."""
+        self.node = node
+        self.answer = answer
 
-    def word(self, what: str, line: dict) -> bool:
-        """False: no word of ours."""
+    def handle(self, what: str, line: Line) -> bool:
+        """Handles a command; returns False for one of another part of the process."""
         first, _, rest = what.partition(" ")
         action = {
-            "note": self.note,
-            "notes": self.notes,
-            "propose": self.propose,
-            "read": self.read,
-            "book": self.replicated_state,
-            "ledger": self.ledger,
-            "out": self.out,
-            "batch": self.batch,
-            "piece": self.piece,
-            "distribute": self.distribute,
+            "note": self._note,
+            "notes": self._notes,
+            "propose": self._propose,
+            "read": self._read,
+            "book": self._replicated_state,
+            "ledger": self._ledger,
+            "out": self._remove_member,
+            "batch": self._batch,
+            "piece": self._piece,
+            "distribute": self._distribute,
         }.get(first)
         if action is None:
             return False
@@ -57,56 +64,57 @@
             return True
         try:
             action(rest, line)
-        except UnavailableError as late:
-            self.answer({"error": late.problem, "again_ms": late.retry_after_ticks / 10})
-        except InvalidRequestError as unfit:
-            self.answer({"error": str(unfit)})
+        except UnavailableError as error:
+            self.answer({"error": error.problem, "again_ms": error.retry_after_ticks / 10})
+        except InvalidRequestError as error:
+            self.answer({"error": str(error)})
         return True
 
-    def out(self, rest: str, line: dict) -> None:
-        node, leader = self.node, self.node.leader_name
+    def _remove_member(self, rest: str, line: Line) -> None:
+        node = self.node
+        leader = node.driver.leader_name
         if not node.driver.leads:
             self.answer({"error": f"{leader or 'nobody'} leads: ask there", "leader": leader})
             return
-        why = node.admitting.take_out(rest)
+        why = node.join.remove_member(rest)
         self.answer({"error": why} if why else {"result": "it goes out with the next entries"})
 
-    def note(self, rest: str, line: dict) -> None:
-        self.put("notes.add", msgspec.msgpack.encode([rest]))
+    def _note(self, rest: str, line: Line) -> None:
+        self._submit("notes.add", msgspec.msgpack.encode([rest]))
 
-    def propose(self, rest: str, line: dict) -> None:
-        self.put(str(line.get("kind", rest)), msgspec.msgpack.encode(line.get("body", [])))
+    def _propose(self, rest: str, line: Line) -> None:
+        self._submit(str(line.get("kind", rest)), msgspec.msgpack.encode(line.get("body", [])))
 
-    def batch(self, rest: str, line: dict) -> None:
-        self.put("batches.submit", msgspec.msgpack.encode(batch_of(line.get("batch"))))
+    def _batch(self, rest: str, line: Line) -> None:
+        self._submit("batches.submit", msgspec.msgpack.encode(batch_of(line.get("batch"))))
 
-    def piece(self, rest: str, line: dict) -> None:
-        self.put("batches.word", msgspec.msgpack.encode(word_of(rest)))
+    def _piece(self, rest: str, line: Line) -> None:
+        self._submit("batches.word", msgspec.msgpack.encode(word_of(rest)))
 
-    def distribute(self, rest: str, line: dict) -> None:
+    def _distribute(self, rest: str, line: Line) -> None:
         entry = parse_entry(rest, line.get("services"))
-        self.put(f"distribution.{rest}", msgspec.msgpack.encode(entry))
+        self._submit(f"distribution.{rest}", msgspec.msgpack.encode(entry))
 
-    def put(self, kind: str, body: bytes) -> None:
-        if len(body) > BODY or not kind or kind.startswith("ledger."):
+    def _submit(self, kind: str, body: bytes) -> None:
+        if len(body) > MAX_BODY_BYTES or not kind or kind.startswith("ledger."):
             self.answer({"error": f"no entry of this kind or size: {kind[:40]}, {len(body)} bytes"})
             return
-        self.node.traffic.propose(kind, body, self.known)
+        self.node.traffic.propose(kind, body, self._on_outcome)
 
-    def known(self, outcome: Outcome | None) -> None:
+    def _on_outcome(self, outcome: Outcome | None) -> None:
         if outcome is None:
             self.answer(
                 {"error": "not known: this member began anew; it may have taken effect", "unknown": True}
             )
             return
-        told = {"index": outcome.index, "doubled": outcome.doubled}
+        result: Line = {"index": outcome.index, "doubled": outcome.doubled}
         if outcome.refused:
-            told |= {"refused": outcome.refused, "error": outcome.refused}
+            result |= {"refused": outcome.refused, "error": outcome.refused}
         elif outcome.told:
-            told["told"] = msgspec.msgpack.decode(outcome.told)
-        self.answer(told)
+            result["told"] = msgspec.msgpack.decode(outcome.told)
+        self.answer(result)
 
-    def read(self, rest: str, line: dict) -> None:
+    def _read(self, rest: str, line: Line) -> None:
         def done(index: int | None) -> None:
             if index is None:
                 self.answer({"error": "no majority confirmed it", "again_ms": 100})
@@ -115,26 +123,26 @@
 
         self.node.traffic.read(done)
 
-    def notes(self, rest: str, line: dict) -> None:
-        self.replicated_state("notes", line)
+    def _notes(self, rest: str, line: Line) -> None:
+        self._replicated_state("notes", line)
 
-    def replicated_state(self, rest: str, line: dict) -> None:
+    def _replicated_state(self, rest: str, line: Line) -> None:
         state_machine = self.node.state_machine
-        told: dict = {
+        result: Line = {
             "index": state_machine.index,
             "term": state_machine.term,
             "digest": state_machine.digest().hex(),
         }
         if rest == "notes":
-            told["texts"] = [text for _, text in state_machine.parts["notes"].texts]
+            result["texts"] = [text for _, text in state_machine.parts["notes"].texts]
         elif rest in state_machine.parts:
-            told["part"] = msgspec.to_builtins(state_machine.parts[rest].row(), str_keys=True)
+            result["part"] = msgspec.to_builtins(state_machine.parts[rest].row(), str_keys=True)
         elif rest:
-            told = {"error": f"no part {rest[:40]}; there are {', '.join(state_machine.parts)}"}
-        self.answer(told)
+            result = {"error": f"no part {rest[:40]}; there are {', '.join(state_machine.parts)}"}
+        self.answer(result)
 
-    def ledger(self, rest: str, line: dict) -> None:
-        recent = list(self.node.driver.recent)[-SHOWN:]
+    def _ledger(self, rest: str, line: Line) -> None:
+        recent = list(self.node.driver.recent)[-MAX_SHOWN:]
         self.answer(
             {
                 "index": self.node.state_machine.index,
--- a/indigohitch/fleet/node/cluster_bootstrap.py
+++ b/indigohitch/fleet/node/cluster_bootstrap.py
@@ -1,10 +1,10 @@
-"""A member whose disk is new: may it found, must it ask to be admitted, or has it to wait?  And the leader's
-side of it.  No I/O.
+"""Whether a member with a new disk bootstraps the fleet, requests to join it or waits; and the leader's side.
 
-A voter that lost its disk has forgotten its vote and what it acknowledged; under its old number it could
-help to elect a leader that lacks what was committed.  So a new disk founds under number 1 only if every other
-voter that its file lists has answered and none ever met a number of this name; else the leader admits it
-under a number that was never used."""
+No I/O.  A voter that lost its disk has forgotten its vote and what it acknowledged; under its old number it
+could help to elect a leader that lacks committed entries.  So a new disk bootstraps under number 1 only if
+every other voter of its file has replied and none has ever seen a number of this name; else the leader admits
+it under a number that was never used.
+"""
 
 from __future__ import annotations
 
@@ -18,53 +18,71 @@
 
 
 class BootstrapMode(enum.Enum):
+    """What a member with a new disk does."""
+
     FOUND = "found"
-    ASK = "ask"  # to be admitted
+    ASK = "ask"  # requests to join
     WAIT = "wait"
 
 
 def bootstrap_mode(
-    name: str, votes: bool, voters: tuple[str, ...], welcomes: Mapping[str, HandshakeAccepted]
+    name: str, votes: bool, voters: tuple[str, ...], replies: Mapping[str, HandshakeAccepted | None]
 ) -> tuple[BootstrapMode, str]:
-    """What to do, and for the log why.  `voters`: all that the file lists, in order of name; `welcomes`: the
-    last of each member that has answered since this process began."""
-    known = {who: w for who, w in welcomes.items() if w is not None}
-    if any(w.met or w.who.number and w.founders != voters for w in known.values()):
+    """Returns what a member with a new disk does, and why for the log.
+
+    Args:
+        name: of this member.
+        votes: whether it votes, by its file.
+        voters: names of all voters of its file, sorted.
+        replies: the last accepted handshake of each other member since this process started.
+    """
+    known = {other: reply for other, reply in replies.items() if reply is not None}
+    if any(_is_older(reply, voters) for reply in known.values()):
         return BootstrapMode.ASK, "the fleet is older than this disk"
     if not votes:
         return BootstrapMode.ASK, "it follows"
-    silent = [other for other in voters if other != name and other not in known]
+    others = [voter for voter in voters if voter != name]
+    silent = [voter for voter in others if voter not in known]
     if silent:
         return BootstrapMode.WAIT, f"not heard yet: {', '.join(silent)}"
-    other = [who for who in voters if who != name and known[who].founders != voters]
-    if other:
-        return BootstrapMode.WAIT, f"another list of voters in the file of {', '.join(other)}"
+    differing = [voter for voter in others if known[voter].founders != voters]
+    if differing:
+        return BootstrapMode.WAIT, f"another list of voters in the file of {', '.join(differing)}"
     return BootstrapMode.FOUND, ""
 
 
-def founders(voters: tuple[str, ...]) -> Members:
-    return Members(tuple(MemberId(name, 1) for name in voters))
+def _is_older(reply: HandshakeAccepted, voters: tuple[str, ...]) -> bool:
+    """Whether the sender has seen this name before, or was bootstrapped with other voters."""
+    return bool(reply.met) or (reply.who.number != 0 and reply.founders != voters)
+
+
+def initial_members(voters: tuple[str, ...]) -> Members:
+    """Returns Raft's first configuration: each voter under number 1."""
+    return Members(tuple(MemberId(voter, 1) for voter in voters))
 
 
 class Admission:
-    """At the leader."""
+    """At the leader: assigns numbers to members that request to join."""
 
     def __init__(self) -> None:
-        self.given: dict[str, tuple[int, int]] = {}  # name -> start token, number
-
-    def who(self, asked: JoinRequest, members: Members, met: int) -> MemberId | None:
-        """The number under which it is to be in the ledger; None for a disk that was replaced since."""
-        stood = [w.number for w in members.voters + members.followers if w.name == asked.name]
-        highest = max([met, *stood])
-        if asked.number:
-            return MemberId(asked.name, asked.number) if asked.number >= highest else None
-        token, number = self.given.get(asked.name, (0, 0))
-        if token != asked.token or number < highest:
+        """Creates an admission that has assigned none."""
+        self.assigned: dict[str, tuple[int, int]] = {}  # name -> start token, number
+
+    def assign(self, request: JoinRequest, members: Members, highest_seen: int) -> MemberId | None:
+        """Returns the member's name and number; None if its disk has been replaced by an older one."""
+        numbers = [
+            member.number for member in members.voters + members.followers if member.name == request.name
+        ]
+        highest = max([highest_seen, *numbers])
+        if request.number:
+            return MemberId(request.name, request.number) if request.number >= highest else None
+        token, number = self.assigned.get(request.name, (0, 0))
+        if token != request.token or number < highest:
             number = max(highest, number) + 1
-            self.given[asked.name] = (asked.token, number)
-        return MemberId(asked.name, number)
+            self.assigned[request.name] = (request.token, number)
+        return MemberId(request.name, number)
 
 
-def stands(who: MemberId, votes: bool, members: Members) -> bool:
-    """Whether it is in the ledger as it should be."""
-    return who in (members.voters if votes else members.followers)
+def is_configured(member: MemberId, votes: bool, members: Members) -> bool:
+    """Whether Raft's configuration has the member in its role."""
+    return member in (members.voters if votes else members.followers)
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -1,6 +1,7 @@
-"""Carries out what the ledger's machine says: to the disk, over the links, into the state machine.
+"""Connects the Raft node to its disk, its links, its timer and the replicated state machine.
 
-Inputs are taken one after the other, also those that come while one is being carried out."""
+Inputs are taken one after the other, also those that come while one is being carried out.
+"""
 
 from __future__ import annotations
 
@@ -36,11 +37,11 @@
 from ..transport.links import Transport
 from ..types import LogEntry, MemberId, Outcome, Proposal
 
-RECENT = 512  # entries whose digests people can ask for
+MAX_RECENT = 512  # entries whose digests the control socket shows
 
 
 class Driver:
-    """`broken(why)`: the machine or the state machine met what must never be; this member has to end."""
+    """Steps the Raft node of this member and carries out its outputs."""
 
     def __init__(
         self,
@@ -49,96 +50,136 @@
         disk: Storage,
         links: Transport,
         state_machine: ReplicatedStateMachine,
-        bootstrap: Mapping,
+        bootstrap: Mapping[str, int],
         chance: Callable[[], float],
         broken: Callable[[BaseException], None],
     ) -> None:
-        self.loop, self.log, self.disk, self.links, self.state_machine = loop, log, disk, links, state_machine
-        self.bootstrap, self.chance, self.broken = bootstrap, chance, broken
+        """Creates a driver without a Raft node.
+
+        Args:
+            loop: event loop of this process.
+            log: log of this process.
+            disk: storage of this member.
+            links: transport of this member.
+            state_machine: takes the committed entries.
+            bootstrap: settings of the Raft node.
+            chance: returns random numbers in [0, 1).
+            broken: called with the error when an invariant is violated; this member has to end.
+        """
+        self.loop = loop
+        self.log = log
+        self.disk = disk
+        self.links = links
+        self.state_machine = state_machine
+        self.bootstrap = bootstrap
+        self.chance = chance
+        self.broken = broken
         self.machine: RaftNode | None = None
-        self.waiting: deque[Input] = deque()
-        self.stepping = False
-        self.timer = DueTimer(loop, self.next_due, lambda: self.step(Tick()))
-        self.recent: deque[tuple[LogEntry, bytes, Outcome]] = deque(maxlen=RECENT)  # without bodies; digests
+        self.inputs: deque[Input] = deque()
+        self.is_stepping = False
+        self.timer = DueTimer(loop, self._due_at, lambda: self.step(Tick()))
+        self.recent: deque[tuple[LogEntry, bytes, Outcome]] = deque(
+            maxlen=MAX_RECENT
+        )  # without bodies; digests
         self.on_applied: Callable[[LogEntry, Outcome], None] = lambda entry, outcome: None
         self.on_restored: Callable[[], None] = lambda: None
-        self.on_turned: Callable[[Proposal, int], None] = lambda proposal, again: None
-        self.on_readable: Callable[[int, int, bool], None] = lambda number, index, ok: None
-        self.on_became: Callable[[RoleChanged], None] = lambda became: None
-
-    def begin(self, me: MemberId, held: RecoveredState) -> None:
-        """Raises Unreadable for a state machine that can't be read."""
-        if held.snap.state:
-            self.state_machine.restore(held.snap.state)
-        self.machine = RaftNode(me, held, self.bootstrap, self.chance, self.loop.clock.now())
+        self.on_rejected: Callable[[Proposal, int], None] = lambda proposal, retry_after: None
+        self.on_read_result: Callable[[int, int, bool], None] = lambda number, index, ok: None
+        self.on_role_changed: Callable[[RoleChanged], None] = lambda change: None
+
+    def start(self, own_id: MemberId, recovered: RecoveredState) -> None:
+        """Starts the Raft node; raises InvalidDataError for a snapshot that can't be read."""
+        if recovered.snap.state:
+            self.state_machine.restore(recovered.snap.state)
+        self.machine = RaftNode(own_id, recovered, self.bootstrap, self.chance, self.loop.clock.now())
         self.on_restored()
         self.timer.arm()
 
     @property
     def members(self) -> Members:
+        """Raft's configuration, empty while this member takes no part."""
         return self.machine.members if self.machine is not None else Members(())
 
     @property
     def leads(self) -> bool:
+        """Whether this member is the leader."""
         return self.machine is not None and self.machine.role.value == "leader"
 
     @property
     def leader(self) -> MemberId | None:
+        """The leader as far as it is known here."""
         return self.machine.leader if self.machine is not None else None
 
-    # ---- in and out --------------------------------------------------------------------------------
+    @property
+    def leader_name(self) -> str:
+        """The name of the leader, "" if none is known."""
+        return self.leader.name if self.leader is not None else ""
+
+    @property
+    def voter_names(self) -> tuple[str, ...]:
+        """The names of the voters in Raft's configuration."""
+        return tuple(member.name for member in self.members.voters)
 
-    def step(self, input: Input) -> None:
+    # ---- inputs and outputs --------------------------------------------------------------------------------
+
+    def step(self, event: Input) -> None:
+        """Takes an input; one that comes while another is being carried out waits its turn."""
         if self.machine is None:
             return
-        self.waiting.append(input)
-        if self.stepping:
+        self.inputs.append(event)
+        if self.is_stepping:
             return
-        self.stepping = True
+        self.is_stepping = True
         try:
-            while self.waiting and self.machine is not None:
-                for output in self.machine.step(self.loop.clock.now(), self.waiting.popleft()):
-                    self.carry(output)
-        except Exception as broken:  # whatever it is, going on could break a promise
+            while self.inputs and self.machine is not None:
+                for output in self.machine.step(self.loop.clock.now(), self.inputs.popleft()):
+                    self._carry_out(output)
+        except Exception as error:  # whatever it is, going on could break a promise
             self.end()
-            self.broken(broken)
+            self.broken(error)
         finally:
-            self.stepping = False
+            self.is_stepping = False
         self.timer.arm()
 
-    def carry(self, output: Output) -> None:
+    def _carry_out(self, output: Output) -> None:
         match output:
-            case SendMessage(to, word):
-                self.links.send(to, word)
+            case SendMessage(to, message):
+                self.links.send(to, message)
             case WriteEntries():
                 self.disk.write(output)
             case ApplyEntries(entries):
                 for entry in entries:
-                    self.apply(entry)
-            case RestoreSnapshot(snap):
-                if snap.index > self.state_machine.index:  # else it comes again, after a disk that failed
-                    self.state_machine.restore(snap.state)
-                    self.log.event("snapshot_taken_over", index=snap.index, bytes=len(snap.state))
-                    self.on_restored()
-                self.disk.snapshot(snap, False)
+                    self._apply(entry)
+            case RestoreSnapshot(snapshot):
+                self._restore(snapshot)
             case TakeSnapshot(index, term, members):
                 self.disk.snapshot(Snapshot(index, term, members, self.state_machine.snapshot()), True)
-            case ProposalRejected(proposal, again):
-                self.on_turned(proposal, again)
+            case ProposalRejected(proposal, retry_after):
+                self.on_rejected(proposal, retry_after)
             case ReadConfirmed(number, index, ok):
-                self.on_readable(number, index, ok)
+                self.on_read_result(number, index, ok)
             case RoleChanged():
-                self.log.event(
-                    "ledger_role",
-                    role=output.role,
-                    term=output.term,
-                    leader=output.leader.name if output.leader else "",
-                )
-                self.on_became(output)
+                self._change_role(output)
             case LogNote(event, fields):
                 self.log.event(event, **fields)
 
-    def apply(self, entry: LogEntry) -> None:
+    def _restore(self, snapshot: Snapshot) -> None:
+        if snapshot.index > self.state_machine.index:  # else it comes again, after a disk that failed
+            self.state_machine.restore(snapshot.state)
+            self.log.event("snapshot_taken_over", index=snapshot.index, bytes=len(snapshot.state))
+            self.on_restored()
+        self.disk.snapshot(snapshot, False)
+
+    def _change_role(self, change: RoleChanged) -> None:
+        self.log.event(
+            "ledger_role",
+            role=change.role,
+            term=change.term,
+            leader=change.leader.name if change.leader else "",
+        )
+        self.on_role_changed(change)
+
+    def _apply(self, entry: LogEntry) -> None:
         outcome = self.state_machine.apply(entry)
         check = digest(msgspec.msgpack.encode(entry))
         self.recent.append(
@@ -148,10 +189,11 @@
 
     # ---- time --------------------------------------------------------------------------------------
 
-    def next_due(self) -> int | None:
+    def _due_at(self) -> int | None:
         return self.machine.due if self.machine is not None else None
 
     def end(self) -> None:
+        """Ends the Raft node; what is still to be carried out is dropped."""
         self.machine = None
-        self.waiting.clear()
+        self.inputs.clear()
         self.timer.cancel()
--- a/indigohitch/fleet/node/headless.py
+++ b/indigohitch/fleet/node/headless.py
@@ -1,4 +1,4 @@
-"""A process of the fleet without a front: its file is read again by what lives in it."""
+"""A process of the fleet without a front; its companion takes the file when it is reloaded."""
 
 from __future__ import annotations
 
@@ -8,18 +8,22 @@
 
 
 class HeadlessProcess(UpgradableProcess):
+    """A process that can be upgraded and has no front."""
+
     def __init__(self, text: Text) -> None:
+        """Creates the process of an operator's file."""
         self.text = text
         super().__init__(text.single["name"], text.single, text.waits)
 
     def read_operator_file(self) -> Text:
+        """Returns the file as it is now; raises OSError or ValueError if it can't be read."""
         return operator_file.load(self.text.source)
 
     def reload(self) -> None:
-        """What of the file may change while it runs; a file with a mistake changes nothing."""
+        """Applies what of the file may change while it runs; a file with a mistake changes nothing."""
         try:
             self.companion.reread(self.read_operator_file().fleet)
-        except (OSError, ValueError) as bad:
-            self.log.warning("reload_failed", why=str(bad))
+        except (OSError, ValueError) as error:
+            self.log.warning("reload_failed", why=str(error))
             return
         self.log.count("reloads")
--- a/indigohitch/fleet/node/headless_handover.py
+++ b/indigohitch/fleet/node/headless_handover.py
@@ -5,83 +5,112 @@
 import socket
 from collections.abc import Callable
 
+from ...net.clock import Clock
 from ...net.listener import Listener
-from ...upgrade import snapshot as shots
+from ...upgrade import snapshot
+from ...upgrade.handover_participant import PassedConnection
 
 
 class HeadlessHandover:
-    """All that is handed over is the control socket: the record is on the disk (upgrade.side.Side)."""
+    """Hands over nothing but the control socket: the log is on the disk (HandoverParticipant)."""
 
     def __init__(
         self,
-        clock,
-        controls: Callable[[], Listener | None],
-        control_taken: Callable[[socket.socket], None],
+        clock: Clock,
+        control_listener: Callable[[], Listener | None],
+        take_over_control: Callable[[socket.socket], None],
         reload: Callable[[], None],
     ) -> None:
-        self.clock, self.controls, self.control_taken, self.reload = clock, controls, control_taken, reload
-        self.given: dict[str, socket.socket] = {}
-        self.state: shots.Snapshot | None = None
+        """Creates a side from the functions of its process."""
+        self.clock = clock
+        self.control_listener = control_listener
+        self.take_over_control = take_over_control
+        self.reload = reload
+        self.inherited: dict[str, socket.socket] = {}
+        self.state: snapshot.Snapshot | None = None
+
+    # ---- in the old process ------------------------------------------------------------------------
 
     def listeners(self) -> dict[str, socket.socket]:
-        control = self.controls()
+        """Returns the control socket, by its name."""
+        control = self.control_listener()
         return {"control": control.sock} if control else {}
 
-    def settle(self, on: bool) -> None: ...
+    def settle(self, on: bool) -> None:
+        """Does nothing: there is no work of a front."""
 
     def has_urgent_work(self) -> bool:
+        """Returns False: there is no work of a front."""
         return False
 
     def is_settled(self) -> bool:
+        """Returns True: there is no work of a front."""
         return True
 
-    def snapshot(self) -> shots.Snapshot:
-        return shots.Snapshot("member", self.clock.now())
+    def snapshot(self) -> snapshot.Snapshot:
+        """Returns a state without content."""
+        return snapshot.Snapshot("member", self.clock.now())
 
     def freeze(self, taken: Callable[[bytes | None, BaseException | None], None]) -> None:
-        taken(shots.encode(self.snapshot()), None)
+        """Passes the state on at once."""
+        taken(snapshot.encode(self.snapshot()), None)
 
-    def thaw(self) -> None: ...
+    def thaw(self) -> None:
+        """Does nothing: nothing was frozen."""
 
     def set_accepting(self, on: bool) -> None:
-        if control := self.controls():
+        """Starts or stops accepting at the control socket."""
+        if control := self.control_listener():
             control.accept(on)
 
     def late_events(self) -> bytes:
+        """Returns nothing: a state without content is never late."""
         return b""
 
-    def take_idle_connections(self) -> list:
+    def take_idle_connections(self) -> list[PassedConnection]:
+        """Returns none: there are no connections of a front."""
         return []
 
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
+        """Closes a connection, as there is no front for it."""
         sock.close()
 
-    def drain(self, pass_on: Callable) -> None: ...
+    def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
+        """Does nothing: there are no connections of a front."""
 
     def is_drained(self) -> bool:
+        """Returns True: there are no connections of a front."""
         return True
 
     def rehearse(self, at: int) -> bytes:
+        """Returns an empty digest: there are no orders."""
         return b""
 
-    # ---- in the new process
+    # ---- in the new process ------------------------------------------------------------------------
 
-    def restore(self, state: shots.Snapshot, listeners: dict[str, socket.socket]) -> None:
+    def restore(self, state: snapshot.Snapshot, listeners: dict[str, socket.socket]) -> None:
+        """Takes the state and the sockets; raises ValueError for another program's state."""
         if state.kind != "member":
             raise ValueError(f"the state of a {state.kind}")
-        self.state, self.given = state, listeners
+        self.state = state
+        self.inherited = listeners
 
-    def snapshot_again(self) -> shots.Snapshot:
+    def snapshot_again(self) -> snapshot.Snapshot | None:
+        """Returns the restored state."""
         return self.state
 
-    def rehearse_copy(self, state: shots.Snapshot, at: int) -> bytes:
+    def rehearse_copy(self, state: snapshot.Snapshot, at: int) -> bytes:
+        """Returns an empty digest: there are no orders."""
         return b""
 
-    def take_late_events(self, rest: bytes) -> None: ...
+    def take_late_events(self, rest: bytes) -> None:
+        """Does nothing: a state without content is never late."""
 
     def start_empty(self, listeners: dict[str, socket.socket]) -> None:
-        self.given = listeners
+        """Takes the sockets without a state."""
+        self.inherited = listeners
 
     def start_serving(self, restored: bool) -> None:
-        if "control" in self.given:
-            self.control_taken(self.given["control"])
+        """Takes over the control socket, if one was handed over."""
+        if "control" in self.inherited:
+            self.take_over_control(self.inherited["control"])
--- a/indigohitch/fleet/node/headless_member.py
+++ b/indigohitch/fleet/node/headless_member.py
@@ -1,4 +1,4 @@
-"""A member of the fleet without a front, as a process: it votes and keeps the record."""
+"""A member of the fleet as a process without a front: it votes and stores the log."""
 
 from __future__ import annotations
 
@@ -13,17 +13,21 @@
 
 
 class HeadlessMember(HeadlessProcess):
+    """A process that is nothing but a member."""
+
     def __init__(self, text: Text, follows: bool) -> None:
+        """With `follows` the process was started for an upgrade."""
         self.follows = follows
         super().__init__(text)
 
     def make_participant(self) -> HandoverParticipant:
+        """Returns the process' side of an upgrade, with its node."""
         side = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
         return node_companion(self, side, self.text.fleet, True, self.follows)
 
 
 def main(text: Text) -> int:
-    """Raises OSError."""
+    """Runs the process and returns its exit code; raises OSError if it can't start."""
     channel = process_launch.inherited_channel()
     os.set_blocking(1, False)
     return HeadlessMember(text, channel is not None).run(channel)
--- a/indigohitch/fleet/node/introductions.py
+++ b/indigohitch/fleet/node/introductions.py
@@ -1,4 +1,4 @@
-"""What this member tells of itself to those that greet it, and the highest number it has met of each name."""
+"""What this member reports of itself in a handshake, and the highest number it has seen of each name."""
 
 from __future__ import annotations
 
@@ -11,31 +11,36 @@
 
 
 class Introductions:
-    """`listed`: the names of the voters in this member's file, sorted."""
-
-    def __init__(self, disk: Storage, links: Transport, listed: Callable[[], tuple[str, ...]]) -> None:
-        self.disk, self.links, self.listed = disk, links, listed
-
-    def highest(self, name: str) -> int:
-        """The highest number met of that name; 0 before any."""
+    """Replies to handshakes from what the disk knows."""
+
+    def __init__(
+        self, disk: Storage, links: Transport, configured_voters: Callable[[], tuple[str, ...]]
+    ) -> None:
+        """`configured_voters` returns the names of the voters in this member's file, sorted."""
+        self.disk = disk
+        self.links = links
+        self.configured_voters = configured_voters
+
+    def highest_number(self, name: str) -> int:
+        """Returns the highest number seen of that name; 0 if there is none."""
         return self.disk.identity.met.get(name, 0)
 
-    def welcome(self, who: MemberId) -> HandshakeAccepted:
-        """The answer to one that greets."""
+    def acceptance(self, peer: MemberId) -> HandshakeAccepted:
+        """Returns the reply to an accepted handshake."""
         identity = self.disk.identity
         return HandshakeAccepted(
             self.links.own_id,
             self.links.token,
-            self.highest(who.name),
-            identity.founders if identity.number else self.listed(),
+            self.highest_number(peer.name),
+            identity.founders if identity.number else self.configured_voters(),
         )
 
-    def met(self, who: MemberId) -> str:
-        """Why it may not speak, "" where it may; then its number is kept."""
-        if 0 < who.number < self.highest(who.name):
-            return f"{who.name} comes with an old disk, number {who.number}"
+    def record(self, peer: MemberId) -> str:
+        """Stores the number of a peer; returns why the peer may not connect, "" if it may."""
+        if 0 < peer.number < self.highest_number(peer.name):
+            return f"{peer.name} comes with an old disk, number {peer.number}"
         try:
-            self.disk.folder.met(who)
-        except OSError as bad:
-            return f"its number can't be kept: {bad}"
+            self.disk.folder.met(peer)
+        except OSError as error:
+            return f"its number can't be kept: {error}"
         return ""
--- a/indigohitch/fleet/node/membership.py
+++ b/indigohitch/fleet/node/membership.py
@@ -1,5 +1,4 @@
-"""Drives this process' part in the roster (members/work): what it proposes under, its lease, and while it
-leads the leases of all."""
+"""Drives this process' part in the roster: its proposer, its lease, and as leader the leases of all."""
 
 from __future__ import annotations
 
@@ -17,49 +16,70 @@
 
 
 class MembershipDriver:
-    """`read(done)`: one confirmed by a majority, `done(index or None)`; `tell(name, word)`: to a member, this
-    one too; `acts()`: how many acts it has stamped."""
+    """Connects a `Membership` to the messages, reads and proposals of its node."""
 
     def __init__(
         self,
         log: Log,
-        clock,
+        clock: Clock,
         membership: Membership,
         proposals: Proposals,
-        read: Callable,
-        tell: Callable[[str, Row], None],
-        acts: Callable[[], int],
+        read: Callable[[Callable[[int | None], None]], None],
+        send_to: Callable[[str, Row], None],
+        action_count: Callable[[], int],
     ) -> None:
-        self.log, self.clock, self.membership, self.proposals = log, clock, membership, proposals
-        self.read, self.tell, self.acts = read, tell, acts
-        self.phase = membership.phase  # as last logged
+        """Creates the driver.
+
+        Args:
+            log: log of this process.
+            clock: clock of this process.
+            membership: this process' part in the roster.
+            proposals: the proposals of this process.
+            read: starts a confirmed read; its argument is called with the index or None.
+            send_to: sends a message to a member by name, this one too.
+            action_count: returns the number of actions that this member has stamped.
+        """
+        self.log = log
+        self.clock = clock
+        self.membership = membership
+        self.proposals = proposals
+        self.read = read
+        self.send_to = send_to
+        self.action_count = action_count
+        self.logged_phase = membership.phase
 
     def lease(self, now: int) -> Lease | None:
+        """Returns the lease held now, None if there is none."""
         return self.membership.lease(now)
 
     @property
     def may_propose(self) -> bool:
-        """For other works than the roster's: this incarnation counts."""
+        """Whether works other than the membership may propose: this incarnation is a member."""
         return self.membership.phase in (Phase.COMPARED, Phase.VALID)
 
     @property
-    def leaves(self) -> bool:
-        """It has said that it leaves, and the state machine does not say so yet."""
+    def is_leaving(self) -> bool:
+        """Whether its leave is proposed and not applied yet."""
         membership = self.membership
         return membership.phase is Phase.LEFT and not membership.roster.ineligibility(
             membership.member_name, membership.incarnation
         )
 
-    def look(self) -> None:
-        """After anything that may have moved it: what it proposes under, and what people are told."""
+    def follow_phase(self) -> None:
+        """Updates the proposer and the log after anything that may have changed the membership's phase."""
+        proposer = self.membership.proposer()
+        if proposer != (self.proposals.proposer, self.proposals.incarnation):
+            self.proposals.start(*proposer)
+        if self.membership.phase is not self.logged_phase:
+            self._log_phase()
+
+    def _log_phase(self) -> None:
         membership = self.membership
-        if (proposer := membership.proposer()) != (self.proposals.proposer, self.proposals.incarnation):
-            self.proposals.begin(*proposer)
-        if membership.phase is self.phase:
-            return
-        was, self.phase = self.phase, membership.phase
-        fields = {"was": was.value, "now": self.phase.value, "incarnation": membership.incarnation}
-        if self.phase is Phase.DIFFERS:
+        previous = self.logged_phase
+        phase = membership.phase
+        self.logged_phase = phase
+        fields = {"was": previous.value, "now": phase.value, "incarnation": membership.incarnation}
+        if phase is Phase.DIFFERS:
             index, own, agreed = membership.evidence
             self.log.warning(
                 "state_differs",
@@ -68,41 +88,42 @@
                 agreed=agreed.hex(),
                 remedy="keep the folder for who looks into it, and start the member without it",
             )
-        elif self.phase is Phase.REPLACED:
+        elif phase is Phase.REPLACED:
             self.log.warning("replaced", **fields, remedy="another process bears this name: end one of them")
         else:
-            self.log.event(
-                "membership", **fields, **({"why": membership.refusal} if membership.refusal else {})
-            )
+            reason = {"why": membership.refusal} if membership.refusal else {}
+            self.log.event("membership", **fields, **reason)
 
-    # ---- words -------------------------------------------------------------------------------------
+    # ---- messages ----------------------------------------------------------------------------------
 
     def renew(self, now: int, leader: str, reports: Callable[[int], dict[str, bytes]]) -> None:
-        """To the leader, if one is due."""
+        """Sends a renewal of the lease to the leader, if one is due."""
         if leader and now >= self.membership.holder.renewal_due_at:
-            word = self.membership.renew(now, Clock.wall(), self.acts(), reports(now))
-            if word is not None:
-                self.tell(leader, word)
+            message = self.membership.renew(now, Clock.wall(), self.action_count(), reports(now))
+            if message is not None:
+                self.send_to(leader, message)
 
-    def heard(self, sender: MemberId, word: Row) -> None:
-        self.carry(self.membership.on_message(self.clock.now(), sender.name, word))
+    def on_message(self, sender: MemberId, message: Row) -> None:
+        """Takes a message about leases."""
+        self._carry_out(self.membership.on_message(self.clock.now(), sender.name, message))
 
-    def became(self, became: RoleChanged) -> None:
-        self.membership.on_role_changed(self.clock.now(), became.role, became.term)
+    def on_role_changed(self, change: RoleChanged) -> None:
+        """Takes this member's role in Raft."""
+        self.membership.on_role_changed(self.clock.now(), change.role, change.term)
 
-    def carry(self, out: list[ReadFirst | Answer]) -> None:
-        for one in out:
-            match one:
+    def _carry_out(self, orders: list[ReadFirst | Answer]) -> None:
+        for order in orders:
+            match order:
                 case ReadFirst(number):
-
-                    def done(index: int | None, number: int = number) -> None:
-                        self.carry(
-                            self.membership.on_read_confirmed(self.clock.now(), number, index is not None)
-                        )
-
-                    try:
-                        self.read(done)
-                    except UnavailableError:  # it asks again with the next renewals
-                        self.log.count("reads_without_room")
-                case Answer(to, word):
-                    self.tell(to, word)
+                    self._start_read(number)
+                case Answer(to, message):
+                    self.send_to(to, message)
+
+    def _start_read(self, number: int) -> None:
+        def done(index: int | None) -> None:
+            self._carry_out(self.membership.on_read_confirmed(self.clock.now(), number, index is not None))
+
+        try:
+            self.read(done)
+        except UnavailableError:  # the next renewals start another one
+            self.log.count("reads_without_room")
--- a/indigohitch/fleet/node/messages.py
+++ b/indigohitch/fleet/node/messages.py
@@ -1,5 +1,7 @@
-"""What members' nodes say to each other beside the ledger's machines, and all words of a link by number.
-Rows only; fields are only ever added at the end."""
+"""Messages between nodes beside Raft's, and all message types of a link by number.
+
+Rows only; fields are only ever added at the end.
+"""
 
 from __future__ import annotations
 
@@ -13,28 +15,28 @@
 
 
 class Forward(Row, frozen=True):
-    """To the leader: a proposal of the sender."""
+    """A proposal of the sender, for the leader."""
 
     proposal: Proposal
 
 
 class ProposalRejected(Row, frozen=True):
-    """It was not taken: come back in `again` tenths of a ms."""
+    """The proposal was not taken; it may be sent again after `retry_after` ticks."""
 
     proposer: str
     incarnation: int
     number: int
-    again: int
+    retry_after: int
 
 
 class ReadIndexRequest(Row, frozen=True):
-    """To the leader: how far must a state machine be that answers now?"""
+    """Request to the leader for the index of a linearizable read."""
 
     number: int
 
 
 class ReadIndexResponse(Row, frozen=True):
-    """`ok` False: who was asked doesn't lead."""
+    """Reply to `ReadIndexRequest`; `ok` is False if the receiver did not lead."""
 
     number: int
     index: int
@@ -42,8 +44,10 @@
 
 
 class JoinRequest(Row, frozen=True):
-    """To whoever leads: the sender is not in the ledger as its file has it.  `number` 0: its disk is new;
-    `token` of its start."""
+    """Request to the leader of a member that Raft's configuration does not have as its file has it.
+
+    `number` is 0 if its disk is new; `token` is that of its start.
+    """
 
     name: str
     token: int
@@ -52,7 +56,7 @@
 
 
 class JoinResponse(Row, frozen=True):
-    """That number is in the ledger, and is the asker's if it bears that token."""
+    """The number of the member with that token is committed."""
 
     who: MemberId
     token: int
@@ -84,7 +88,7 @@
     JoinResponse,
     distribution.Report,
 )
-MACHINE = frozenset(ledger.MESSAGE_TYPES)
-# Of one frame: four messages of entries; a proposal's body is a tenth of it at most.
+RAFT_MESSAGES = frozenset(ledger.MESSAGE_TYPES)
+# A frame has room for four messages of entries; a proposal's body is a tenth of it at most.
 KINDS = MessageTypes(b"IHfl", links.PROTOCOL, MESSAGE_TYPES, 512 << 10)
-BODY = 48 << 10
+MAX_BODY_BYTES = 48 << 10
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -1,4 +1,4 @@
-"""A member of the fleet: its phases, its beat, and how its parts hang together."""
+"""A member of the fleet: its phases, its tick, and how its parts are connected."""
 
 from __future__ import annotations
 
@@ -9,9 +9,7 @@
 from ...log import Log
 from ...net.clock import SECOND
 from ...net.loop import Deadline, EventLoop
-from ..distribution.messages import Report
-from ..membership.member_work import Phase as Member
-from ..membership.messages import LeaseNotRenewed, LeaseRenewed, RenewLease
+from ..membership.member_work import Phase as MemberPhase
 from ..raft.interfaces import RecoveredState, RoleChanged, TransferLeadership
 from ..storage.files import FileSystem
 from ..storage.store import Storage
@@ -22,20 +20,18 @@
 from .join import JoinProcedure
 from .leaving import Leaving
 from .membership import MembershipDriver
-from .messages import KINDS, JoinRequest, JoinResponse
+from .messages import KINDS
 from .phases import Phase
-from .standard import Place, assembled
+from .standard import Place, assemble
 from .traffic import Traffic
+from .wiring import connect_handlers, connect_raft, connect_transport, raft_settings
 from .work_loop import WorkLoop
 
-BEAT = SECOND // 10
-# Of the machine: a message of entries small enough that a beat is not late behind it on a slow link, and so
-# many of them under way that 50 MB/s pass at a round trip of 10 ms.
-BOUNDS = {"append_most": 64 << 10, "piece": 64 << 10, "inflight": 8, "proposals_most": 1024}
+TICK_INTERVAL = SECOND // 10
 
 
 class Node:
-    """`ended(why)`: this member can't go on.  `chance`: seeded; for waits, spreads and tokens."""
+    """One member in its process."""
 
     def __init__(
         self,
@@ -46,201 +42,209 @@
         ended: Callable[[str], None],
         files: FileSystem | None = None,
     ) -> None:
-        self.loop, self.log, self.text, self.ended = loop, log, text, ended
+        """Creates a closed node of an operator's file.
+
+        `chance` is a seeded generator, for timeouts, jitter and tokens; `ended` is called with the reason if
+        this member can't go on; `files` is the file system, by default that of the machine.
+        """
+        self.loop = loop
+        self.log = log
+        self.text = text
+        self.ended = ended
         self.phase = Phase.CLOSED
-        self.beating: Deadline | None = None
+        self.tick_timer: Deadline | None = None
         self.token = chance.getrandbits(62)
-        self.disk = Storage(loop, log, text.folder, text.name, text.me, self.disk_told, files)
+        self.disk = Storage(
+            loop, log, text.folder, text.name, text.me, lambda event: self.driver.step(event), files
+        )
         self.links = Transport(loop, log, KINDS, text.name, MemberId(text.me, 0), self.token, chance.random)
-        place = Place(loop, log, text, self.voters, self.lease, lambda: chance.getrandbits(62))
-        place.read, place.say = lambda done: self.traffic.read(done), self.links.send_to
-        self.assembly = assembled(place)
+        self.assembly = assemble(
+            Place(
+                loop,
+                log,
+                text,
+                lambda: self.driver.voter_names,
+                self.lease,
+                lambda: chance.getrandbits(62),
+                lambda done: self.traffic.read(done),
+                self.links.send_to,
+            )
+        )
         self.state_machine = self.assembly.state_machine
-        waits: dict[str, int] = text.waits
-        bootstrap = BOUNDS | {"election": waits["election"], "beat": waits["beat"], "log_most": text.limit}
+        settings = raft_settings(text)
         self.driver = Driver(
-            loop, log, self.disk, self.links, self.state_machine, bootstrap, chance.random, self.broken
+            loop, log, self.disk, self.links, self.state_machine, settings, chance.random, self._on_broken
         )
         self.traffic = Traffic(
-            loop.clock, self.links, self.driver, text.me, self.token, 2 * waits["election"]
+            loop.clock, self.links, self.driver, text.me, self.token, 2 * text.waits["election"]
         )
-        membership, proposals = self.assembly.membership, self.traffic.proposals
-        self.belonging = MembershipDriver(
+        self.membership_driver = MembershipDriver(
             log,
             loop.clock,
-            membership,
-            proposals,
+            self.assembly.membership,
+            self.traffic.proposals,
             self.traffic.read,
-            self.traffic.tell,
+            self.traffic.send_to,
             lambda: self.assembly.acts.number,
         )
-        self.working = WorkLoop(
+        self.work_loop = WorkLoop(
             loop,
             log,
             self.assembly.works,
-            proposals,
-            lambda work: work is membership or self.belonging.may_propose,
-            self.traffic.send,
+            self.traffic.proposals,
+            lambda work: work is self.assembly.membership or self.membership_driver.may_propose,
+            self.traffic.send_due,
         )
-        self.admitting, self.leaving = JoinProcedure(self), Leaving(self)
-        self.introductions = Introductions(self.disk, self.links, self.listed)
-        self.wire()
-
-    def wire(self) -> None:
-        """Who hears whom."""
-        driver, links = self.driver, self.links
-        driver.on_applied, driver.on_restored = self.applied, self.working.restored
-        driver.on_turned, driver.on_readable = self.traffic.turned, self.traffic.readable
-        driver.on_became = self.became
-        self.traffic.handlers |= {
-            JoinRequest: self.admitting.asked,
-            JoinResponse: self.admitting.admitted,
-            Report: self.assembly.heard_report,
-            **dict.fromkeys((RenewLease, LeaseRenewed, LeaseNotRenewed), self.belonging.heard),
-        }
-        links.deliver, links.record_peer = self.traffic.heard, self.introductions.met
-        links.make_acceptance, links.highest_number = self.introductions.welcome, self.introductions.highest
-
-    def disk_told(self, told) -> None:
-        self.driver.step(told)
-
-    # ---- what the file says ------------------------------------------------------------------------
+        self.join = JoinProcedure(self)
+        self.leaving = Leaving(self)
+        self.introductions = Introductions(self.disk, self.links, self.configured_voters)
+        self.driver.on_applied = self._on_applied
+        self.driver.on_role_changed = self._on_role_changed
+        connect_raft(self.driver, self.traffic, self.work_loop)
+        connect_handlers(self.traffic, self.assembly, self.membership_driver, self.join)
+        connect_transport(self.links, self.traffic, self.introductions)
+
+    # ---- configuration -----------------------------------------------------------------------------
 
     @property
     def votes(self) -> bool:
+        """Whether this member votes, by its file."""
         return self.text.members[self.text.me].votes
 
-    def listed(self) -> tuple[str, ...]:
+    def configured_voters(self) -> tuple[str, ...]:
+        """Returns the names of the voters in its file, sorted."""
         return tuple(sorted(name for name, member in self.text.members.items() if member.votes))
 
-    def voters(self) -> tuple[str, ...]:
-        return tuple(who.name for who in self.driver.members.voters)
-
     def reread(self, text: FleetText) -> None:
-        """Addresses and members as the file has them now; its other lines take a start."""
-        self.text.members, self.text.edition, self.text.parts = text.members, text.edition, text.parts
-        self.set_peers()
+        """Takes addresses and members of a file read again; its other lines need a restart."""
+        self.text.members = text.members
+        self.text.edition = text.edition
+        self.text.parts = text.parts
+        self._set_peers()
 
-    def set_peers(self) -> None:
+    def _set_peers(self) -> None:
         self.links.set_peers(
             {name: member.address for name, member in self.text.members.items() if name != self.text.me}
         )
 
     # ---- phases ------------------------------------------------------------------------------------
 
-    def be(self, phase: Phase) -> None:
+    def enter(self, phase: Phase) -> None:
+        """Enters a phase and logs it."""
         self.log.event("node", was=self.phase.value, now=phase.value)
         self.phase = phase
 
     def open(self) -> None:
-        """Raises Trouble and OSError: it stays closed."""
-        held = self.disk.open()
+        """Opens disk and links and starts to tick; if it raises DirectorError or OSError, it stays closed."""
+        recovered = self.disk.open()
         try:
             self.links.start(self.text.members[self.text.me].address)
         except OSError:
             self.disk.close()
             raise
-        self.set_peers()
-        if held is None:
-            self.be(Phase.FRESH)
+        self._set_peers()
+        if recovered is None:
+            self.enter(Phase.FRESH)
         else:
-            self.take_part(held)
-        self.beat()
+            self.participate(recovered)
+        self.tick()
 
-    def take_part(self, held: RecoveredState) -> None:
+    def participate(self, recovered: RecoveredState) -> None:
+        """Starts Raft as the member that the disk says this is."""
         identity = self.disk.identity
-        me = MemberId(identity.name, identity.number)
+        own_id = MemberId(identity.name, identity.number)
         self.log.event(
             "member",
-            number=me.number,
-            term=held.ballot.term,
-            snapshot=held.snap.index,
-            entries=len(held.entries),
+            number=own_id.number,
+            term=recovered.ballot.term,
+            snapshot=recovered.snap.index,
+            entries=len(recovered.entries),
         )
-        self.links.set_own_id(me)
-        self.be(Phase.TAKING_PART)
-        self.driver.begin(me, held)
+        self.links.set_own_id(own_id)
+        self.enter(Phase.TAKING_PART)
+        self.driver.start(own_id, recovered)
 
-    def broken(self, bad: BaseException) -> None:
-        """Going on could break a promise: the others do without this one."""
-        self.loop.failed(bad)
+    def _on_broken(self, error: BaseException) -> None:
+        """Stops: going on could break a promise, and the others do without this member."""
+        self.loop.failed(error)
         self.stop(
-            f"{type(bad).__name__}: {bad}",
+            f"{type(error).__name__}: {error}",
             "keep the folder for who looks into it; start the member "
             "again, or without its folder if it comes again",
         )
 
     def stop(self, why: str, remedy: str) -> None:
+        """Stops for good after an error, and reports it."""
         self.log.warning("member_stops", why=why, remedy=remedy)
-        self.be(Phase.BROKEN)
-        if self.beating is not None:
-            self.beating.cancel()
+        self.enter(Phase.BROKEN)
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         self.driver.end()
         self.assembly.stop_distributing()
         self.links.close()
         self.ended(why)
 
     def close(self) -> None:
-        """Disk and port may be another process' from here on."""
+        """Closes the node; disk and port may be another process' from here on."""
         if self.phase is Phase.CLOSED:
             return
-        if self.beating is not None:
-            self.beating.cancel()
-            self.beating = None
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
+            self.tick_timer = None
         self.assembly.close()
-        self.disk.close()  # first: what it still tells may be said
+        self.disk.close()  # first: messages that wait for its last writes may still be sent
         self.driver.end()
         self.links.close()
-        self.be(Phase.CLOSED)
+        self.enter(Phase.CLOSED)
 
-    # ---- the beat ----------------------------------------------------------------------------------
+    # ---- by time -----------------------------------------------------------------------------------
 
-    def beat(self) -> None:
-        self.beating = self.loop.call_after(BEAT, self.beat)
+    def tick(self) -> None:
+        """Does what is due, and schedules the next tick."""
+        self.tick_timer = self.loop.call_after(TICK_INTERVAL, self.tick)
         now = self.loop.clock.now()
         self.links.tick()
-        self.admitting.beat(now)
+        self.join.tick(now)
         if self.phase in (Phase.TAKING_PART, Phase.LEAVING):
-            self.traffic.reads.beat(now)
-            self.traffic.send()
-        if self.works:
-            self.belonging.renew(now, self.leader_name, self.working.reports)
-            self.working.turn(now, self.lease(now))
-        # One elected right after a start decides nothing until its state holds what was committed before.
+            self.traffic.reads.tick(now)
+            self.traffic.send_due()
+        if self.is_incarnation_active:
+            self.membership_driver.renew(now, self.driver.leader_name, self.work_loop.reports)
+            self.work_loop.tick(now, self.lease(now))
+        # One elected right after a start decides nothing until its state has what was committed before.
         if self.phase is Phase.TAKING_PART and self.driver.machine.settled:
             self.lead(now)
-        self.belonging.look()
+        self.membership_driver.follow_phase()
 
     def lead(self, now: int) -> None:
-        self.working.lead(now, self.assembly.membership.reports_for)
-        if self.assembly.membership.phase is Member.DIFFERS:
-            self.driver.step(TransferLeadership())  # nobody is to go by a state that is not the others'
-
-    @property
-    def leader_name(self) -> str:
-        return self.driver.leader.name if self.driver.leader is not None else ""
+        """Gives the works their turn as those of the leader."""
+        self.work_loop.lead(now, self.assembly.membership.reports_for)
+        if self.assembly.membership.phase is MemberPhase.DIFFERS:
+            # No member is to follow a state that differs from the others'.
+            self.driver.step(TransferLeadership())
 
     @property
-    def works(self) -> bool:
-        """Its incarnation counts: a front that is being upgraded acts until disk and port are given over."""
+    def is_incarnation_active(self) -> bool:
+        """Whether its incarnation counts: a front under upgrade acts until disk and port are handed over."""
         return self.phase is Phase.TAKING_PART or (
-            self.phase is Phase.LEAVING and self.assembly.membership.phase is not Member.LEFT
+            self.phase is Phase.LEAVING and self.assembly.membership.phase is not MemberPhase.LEFT
         )
 
     def lease(self, now: int) -> Lease | None:
-        return self.belonging.lease(now) if self.works else None
-
-    # ---- what is told ------------------------------------------------------------------------------
-
-    def applied(self, entry: LogEntry, outcome: Outcome) -> None:
-        self.traffic.proposals.applied(entry, outcome)
-        self.traffic.reads.applied(self.state_machine.index)
-        self.belonging.look()
-        self.working.applied(entry, outcome)
-        self.belonging.look()
-
-    def became(self, became: RoleChanged) -> None:
-        self.belonging.became(became)
-        if became.leader is not None:
-            self.traffic.proposals.hurry(self.loop.clock.now())
-            self.loop.call_after(0, self.traffic.send)
+        """Returns the lease held now, None if there is none."""
+        return self.membership_driver.lease(now) if self.is_incarnation_active else None
+
+    # ---- events ------------------------------------------------------------------------------------
+
+    def _on_applied(self, entry: LogEntry, outcome: Outcome) -> None:
+        self.traffic.proposals.on_applied(entry, outcome)
+        self.traffic.reads.on_applied(self.state_machine.index)
+        self.membership_driver.follow_phase()
+        self.work_loop.on_applied(entry, outcome)
+        self.membership_driver.follow_phase()
+
+    def _on_role_changed(self, change: RoleChanged) -> None:
+        self.membership_driver.on_role_changed(change)
+        if change.leader is not None:
+            self.traffic.proposals.resend_all(self.loop.clock.now())
+            self.loop.call_after(0, self.traffic.send_due)
--- a/indigohitch/fleet/node/notes.py
+++ b/indigohitch/fleet/node/notes.py
@@ -1,8 +1,9 @@
-"""The part `notes` of the state machine: what operators write down for all members to see.  No I/O."""
+"""The part `notes` of the state machine: texts of operators for all members to see.  No I/O."""
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Mapping
 
 import msgspec
 
@@ -11,41 +12,54 @@
 from ..interfaces import EntryContext
 from ..state_machine import ReplicatedStateMachine
 
-KEPT = 4096  # some months of an operator's; what is older goes
-LONGEST = 1024
+MAX_NOTES = 4096  # some months of an operator's; older ones are dropped
+MAX_CHARACTERS = 1024
 
 
 class Add(Row, frozen=True):
+    """Entry that adds a note."""
+
     text: str
 
 
 class NotesRow(Row):
+    """Snapshot of the notes: each with the index of its entry."""
+
     texts: list[tuple[int, str]]
     count: int = 0
 
 
 class Notes:
+    """The state machine part `notes`."""
+
     name = "notes"
-    kinds = {"add": Add}
+    kinds: Mapping[str, type[Row]] = {"add": Add}
     state_machine: ReplicatedStateMachine
 
     def __init__(self) -> None:
-        self.texts: deque[tuple[int, str]] = deque(maxlen=KEPT)  # entry, text
+        """Creates a part without notes."""
+        self.texts: deque[tuple[int, str]] = deque(maxlen=MAX_NOTES)  # index of the entry, text
         self.count = 0
 
     def apply(self, at: EntryContext, word: str, body: Add) -> int:
-        if len(body.text) > LONGEST:
-            raise InvalidRequestError(f"a note of {len(body.text)} characters", remedy=f"{LONGEST} at most")
+        """Adds a note and returns how many there have been; raises InvalidRequestError if it is too long."""
+        if len(body.text) > MAX_CHARACTERS:
+            raise InvalidRequestError(
+                f"a note of {len(body.text)} characters", remedy=f"{MAX_CHARACTERS} at most"
+            )
         self.texts.append((at.index, body.text))
         self.count += 1
         return self.count
 
     def row(self) -> NotesRow:
+        """Returns the snapshot."""
         return NotesRow(list(self.texts), self.count)
 
     def restore(self, row: bytes) -> None:
+        """Restores a snapshot; raises InvalidDataError if it can't be read."""
         try:
             found = msgspec.msgpack.decode(row, type=NotesRow)
-        except msgspec.MsgspecError as bad:
-            raise InvalidDataError(f"not notes: {bad}") from None
-        self.texts, self.count = deque(found.texts, KEPT), found.count
+        except msgspec.MsgspecError as error:
+            raise InvalidDataError(f"not notes: {error}") from None
+        self.texts = deque(found.texts, MAX_NOTES)
+        self.count = found.count
--- a/indigohitch/fleet/node/ports.py
+++ b/indigohitch/fleet/node/ports.py
@@ -1,4 +1,4 @@
-"""What the parts of a node see of the node that they belong to.  Shapes only."""
+"""Interface of a node for its own parts.  Shapes only."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
     links: Transport
     driver: Driver
     assembly: Assembly
-    belonging: MembershipDriver
-    working: WorkLoop
+    membership_driver: MembershipDriver
+    work_loop: WorkLoop
 
     @property
     def votes(self) -> bool:
         """Whether this member votes, by its file."""
 
-    def listed(self) -> tuple[str, ...]:
+    def configured_voters(self) -> tuple[str, ...]:
         """The names of the voters in its file, sorted."""
 
-    def be(self, phase: Phase) -> None:
+    def enter(self, phase: Phase) -> None:
         """Enters the phase and logs it."""
 
-    def take_part(self, held: RecoveredState) -> None:
-        """Begins as the member that its disk says it is."""
+    def participate(self, recovered: RecoveredState) -> None:
+        """Starts as the member that its disk says it is."""
--- a/indigohitch/fleet/node/proposals.py
+++ b/indigohitch/fleet/node/proposals.py
@@ -1,7 +1,9 @@
-"""This process' own proposals, each under one number until it is known what it came to.  No I/O.
+"""This process' own proposals, each under one number until its outcome is known.  No I/O.
 
-They are sent again and again: the leader may be gone, the word lost, the entry taken back.  The state lets
-each take effect once, as long as its number is within the window; so none leaves it before it is known."""
+They are sent again and again: the leader may be lost, the message dropped, the entry overwritten.  The state
+machine lets each take effect once, as long as its number is within the window; so none leaves it before its
+outcome is known.
+"""
 
 from __future__ import annotations
 
@@ -12,69 +14,84 @@
 from ..state_machine import WINDOW
 from ..types import LogEntry, Outcome, Proposal
 
-MOST = WINDOW // 2  # out at a time; the rest of the window is for those that come again late
-LONGEST = 8  # of what a sending again waits, in first waits
+# The rest of the window is for proposals that arrive late for a second time.
+MAX_PENDING = WINDOW // 2
+# Longest delay of a resend, in first delays.
+MAX_BACKOFF_FACTOR = 8
 
 Done = Callable[[Outcome | None], None]
 
 
 @dataclass(slots=True)
-class Open:
+class PendingProposal:
+    """A proposal without an outcome; times in ticks."""
+
     proposal: Proposal
     done: Done
-    due: int  # to be sent (again)
-    wait: int
+    due_at: int  # when it is to be sent (again)
+    backoff: int
 
 
 class Proposals:
-    def __init__(self, proposer: str, incarnation: int, again: int) -> None:
-        """`again`: until a proposal of which nothing was heard is sent again; it doubles each time."""
-        self.proposer, self.incarnation, self.again = proposer, incarnation, again
+    """The pending proposals of one incarnation, in the order of their numbers."""
+
+    def __init__(self, proposer: str, incarnation: int, resend_after: int) -> None:
+        """Creates an empty list; `resend_after` is the first delay of a resend, which doubles each time."""
+        self.proposer = proposer
+        self.incarnation = incarnation
+        self.resend_after = resend_after
+        self.number = 0
+        self.pending: dict[int, PendingProposal] = {}
+
+    def start(self, proposer: str, incarnation: int) -> None:
+        """Starts another incarnation; the outcomes of the pending proposals stay unknown."""
+        abandoned = self.pending
+        self.pending = {}
+        self.proposer = proposer
+        self.incarnation = incarnation
         self.number = 0
-        self.open: dict[int, Open] = {}
-
-    def begin(self, proposer: str, incarnation: int) -> None:
-        """Under another incarnation from here on: nobody will tell what becomes of those that are out."""
-        out, self.open = self.open, {}
-        self.proposer, self.incarnation, self.number = proposer, incarnation, 0
-        for one in out.values():
-            one.done(None)
-
-    def put(self, now: int, kind: str, body: bytes, done: Done) -> None:
-        """Raises NotNow where too many are out."""
-        first = next(iter(self.open), self.number + 1)
-        if len(self.open) >= MOST or self.number + 1 - first >= WINDOW - 1:
+        for pending in abandoned.values():
+            pending.done(None)
+
+    def submit(self, now: int, kind: str, body: bytes, done: Done) -> None:
+        """Adds a proposal; raises UnavailableError if too many are pending."""
+        first = next(iter(self.pending), self.number + 1)
+        if len(self.pending) >= MAX_PENDING or self.number + 1 - first >= WINDOW - 1:
             raise UnavailableError(
-                f"{len(self.open)} proposals are out",
+                f"{len(self.pending)} proposals are out",
                 remedy="come back once some are known",
-                retry_after_ticks=self.again,
+                retry_after_ticks=self.resend_after,
             )
         self.number += 1
         proposal = Proposal(self.proposer, self.incarnation, self.number, kind, body)
-        self.open[self.number] = Open(proposal, done, now, self.again)
-
-    def due(self, now: int) -> list[Open]:
-        return [one for one in self.open.values() if one.due <= now]
-
-    def sent(self, now: int, one: Open) -> None:
-        one.due = now + one.wait
-        one.wait = min(2 * one.wait, LONGEST * self.again)
-
-    def turned(self, now: int, proposer: str, incarnation: int, number: int, again: int) -> None:
-        if (proposer, incarnation) == (self.proposer, self.incarnation) and number in self.open:
-            self.open[number].due = now + again
-            self.open[number].wait = self.again
-
-    def hurry(self, now: int) -> None:
-        """There is another leader: what the last one had may be void."""
-        for one in self.open.values():
-            one.due, one.wait = now, self.again
-
-    def applied(self, entry: LogEntry, outcome: Outcome) -> bool:
-        """Whether it was one of these; its owner is told."""
+        self.pending[self.number] = PendingProposal(proposal, done, now, self.resend_after)
+
+    def due(self, now: int) -> list[PendingProposal]:
+        """Returns the proposals to send now."""
+        return [pending for pending in self.pending.values() if pending.due_at <= now]
+
+    def on_sent(self, now: int, pending: PendingProposal) -> None:
+        """Schedules the resend of a proposal that was sent."""
+        pending.due_at = now + pending.backoff
+        pending.backoff = min(2 * pending.backoff, MAX_BACKOFF_FACTOR * self.resend_after)
+
+    def on_rejected(self, now: int, proposer: str, incarnation: int, number: int, retry_after: int) -> None:
+        """Schedules the resend of a proposal that was not taken."""
+        if (proposer, incarnation) == (self.proposer, self.incarnation) and number in self.pending:
+            self.pending[number].due_at = now + retry_after
+            self.pending[number].backoff = self.resend_after
+
+    def resend_all(self, now: int) -> None:
+        """Makes all due, as there is another leader: what the last one had may be void."""
+        for pending in self.pending.values():
+            pending.due_at = now
+            pending.backoff = self.resend_after
+
+    def on_applied(self, entry: LogEntry, outcome: Outcome) -> bool:
+        """Passes the outcome on if the entry is one of these proposals; returns whether it is."""
         if (entry.proposer, entry.incarnation) != (self.proposer, self.incarnation):
             return False
-        one = self.open.pop(entry.number, None)
-        if one is not None:
-            one.done(outcome)
-        return one is not None
+        pending = self.pending.pop(entry.number, None)
+        if pending is not None:
+            pending.done(outcome)
+        return pending is not None
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -1,4 +1,4 @@
-"""What every member of a fleet has: the parts of the state machine, and its works."""
+"""The parts of the state machine and the works that every member of a fleet has."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Place:
-    """What a work may know of the process it is in."""
+    """The process of a work."""
 
     loop: EventLoop
     log: Log
@@ -43,40 +43,48 @@
     lease: Callable[[int], Lease | None]
     token: Callable[[], int]  # 62 bits of chance
     read: ConfirmedRead | None = None  # confirmed by a majority
-    say: Callable[[str, Row], bool] | None = None  # to another member
+    send_to: Callable[[str, Row], bool] | None = None  # to another member
 
 
 @dataclass(slots=True)
 class Assembly:
+    """The state machine and the works of one member."""
+
     state_machine: ReplicatedStateMachine
     membership: Membership
     acts: ActionChain
     auditing: AuditWork
     works: list[Work] = field(default_factory=list)  # the membership first
-    felt: Callable[[int, str, int], None] = lambda now, rpc, latency: None  # an RPC was answered here
+    on_rpc_completed: Callable[[int, str, int], None] = lambda now, rpc, latency: (
+        None
+    )  # time, RPC and latency
     distributing: DistributorRole | None = None
 
-    def heard_report(self, who: MemberId, report: Report) -> None:
+    def on_report(self, sender: MemberId, report: Report) -> None:
+        """Takes the report of another distributor."""
         if self.distributing is not None:
-            self.distributing.heard_report(who, report)
+            self.distributing.heard_report(sender, report)
 
     def stop_distributing(self) -> None:
-        """Subscribers go elsewhere; this member may go on with the rest, or end."""
+        """Closes the distributor; its subscribers connect to another one."""
         if self.distributing is not None:
             self.distributing.close()
 
     def close(self) -> None:
+        """Closes the action chain and the distributor."""
         self.acts.close()
         self.stop_distributing()
 
 
 def parts() -> list[StateMachinePart]:
-    """In a fixed order; each only knows those before it."""
+    """Returns new parts in a fixed order; each only uses those before it."""
     return [Notes(), Roster(), FleetClock(), Heads(), Seats(), Batches(), DistributionPart()]
 
 
-def assembled(place: Place) -> Assembly:
-    state_machine, text = ReplicatedStateMachine(parts()), place.text
+def assemble(place: Place) -> Assembly:
+    """Returns a new state machine and the works over it."""
+    state_machine = ReplicatedStateMachine(parts())
+    text = place.text
     membership = Membership(
         text.me,
         text.members[text.me].votes,
@@ -88,33 +96,33 @@
     hours = FleetClockWork(state_machine.parts["hours"], text.me, Clock.wall, place.voters)
     membership.detector.fleet_time = hours.time
 
-    def trouble(bad: DirectorError) -> None:
-        place.log.warning("audit", **error_fields(bad))
+    def log_fault(error: DirectorError) -> None:
+        place.log.warning("audit", **error_fields(error))
 
     acts = ActionChain(
         text.me,
         place.lease,
         state_machine,
         Store(f"{text.folder}/audit", begun=lambda: WorkerThread(place.loop)),
-        trouble,
+        log_fault,
         when=hours.time,
     )
-    auditing = AuditWork(acts, state_machine.parts["audit"], membership, trouble)
+    auditing = AuditWork(acts, state_machine.parts["audit"], membership, log_fault)
     seats = seats_work(text, state_machine.parts["seats"], acts, hours.time)
     batches = batches_work(place.loop, place.log, text, state_machine.parts["batches"], acts, hours.time)
     works = [membership, hours, auditing, seats, batches]
-    distributing = distributing_of(place, state_machine.parts["distribution"])
+    distributing = _distributor(place, state_machine.parts["distribution"])
     if distributing is not None:
         works.append(distributing)
     return Assembly(state_machine, membership, acts, auditing, works, batches.felt, distributing)
 
 
-def distributing_of(place: Place, part: DistributionPart) -> DistributorRole | None:
-    """None where the file names another member, or none, as a distributor."""
+def _distributor(place: Place, part: DistributionPart) -> DistributorRole | None:
+    """Returns this member's distributor role; None if its file does not name it as one."""
     text = place.text
     if text.me not in text.distributors:
         return None
-    addresses = {one.name: one.address for one in text.distributors.values()}
+    addresses = {each.name: each.address for each in text.distributors.values()}
     return DistributorRole(
-        place.loop, place.log, text.name, text.me, place.token(), addresses, part, place.read, place.say
+        place.loop, place.log, text.name, text.me, place.token(), addresses, part, place.read, place.send_to
     )
--- a/indigohitch/fleet/node/status.py
+++ b/indigohitch/fleet/node/status.py
@@ -1,4 +1,4 @@
-"""What a node tells of itself in `status`."""
+"""What `status` shows of a node."""
 
 from __future__ import annotations
 
@@ -10,40 +10,43 @@
     from .node import Node
 
 
-def who(one: MemberId) -> dict:
-    return {"name": one.name, "number": one.number}
+def _plain(member: MemberId) -> dict[str, object]:
+    return {"name": member.name, "number": member.number}
 
 
-def figures(node: Node) -> dict:
-    now, driver = node.loop.clock.now(), node.driver
-    machine, lease = driver.machine, node.lease(now)
+def node_status(node: Node) -> dict[str, object]:
+    """Returns the status of a node as plain JSON."""
+    now = node.loop.clock.now()
+    driver = node.driver
+    raft = driver.machine
+    lease = node.lease(now)
     members = driver.members
-    found = {
+    status: dict[str, object] = {
         "name": node.text.name,
-        "me": who(node.links.own_id),
+        "me": _plain(node.links.own_id),
         "phase": node.phase.value,
-        "role": machine.role.value if machine else "none",
-        "term": machine.term if machine else 0,
+        "role": raft.role.value if raft else "none",
+        "term": raft.term if raft else 0,
         "leader": driver.leader.name if driver.leader else "",
-        "index": machine.commit if machine else 0,
+        "index": raft.commit if raft else 0,
         "applied": node.state_machine.index,
         "time": node.state_machine.time,
         "incarnation": node.assembly.membership.incarnation,
         "lease_ms": lease.left(now) / 10 if lease else 0,
-        "voters": [who(one) for one in members.voters],
-        "followers": [who(one) for one in members.followers],
+        "voters": [_plain(voter) for voter in members.voters],
+        "followers": [_plain(follower) for follower in members.followers],
         "edition": node.text.edition,
-        "proposals": len(node.traffic.proposals.open),
-        "proposals_waiting": len(node.working.waiting),
-        "reads": len(node.traffic.reads.open),
+        "proposals": len(node.traffic.proposals.pending),
+        "proposals_waiting": len(node.work_loop.waiting),
+        "reads": len(node.traffic.reads.pending),
         "disk": node.disk.figures(),
         "links": node.links.status(),
-        "works": node.working.figures(),
+        "works": node.work_loop.status(),
     }
     if driver.leads:
-        until = node.assembly.membership.grantor.granted_until
-        found["leases"] = {
+        granted_until = node.assembly.membership.grantor.granted_until
+        status["leases"] = {
             f"{name} {incarnation}": max(0, end - now) / 10
-            for (name, incarnation), end in sorted(until.items())
+            for (name, incarnation), end in sorted(granted_until.items())
         }
-    return found
+    return status
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -1,5 +1,4 @@
-"""A subscriber as a process: it holds the content of its scope, and says in the log and in `status` which
-version that is and how old."""
+"""A subscriber as a process: it has the content of its scope, and shows its version and age."""
 
 from __future__ import annotations
 
@@ -21,96 +20,112 @@
 from .headless import HeadlessProcess
 from .headless_handover import HeadlessHandover
 
-TOLD = 60 * SECOND  # how often the log has the version and its age, beside each change
+LOG_INTERVAL = 60 * SECOND  # between two log lines with the version and its age, beside each change
 
 
 class Subscription:
-    """What lives in the process beside its (empty) front: replaceable.Beside."""
+    """The companion of a process (upgradable_parts.Companion) that subscribes."""
 
     left = True
 
     def __init__(self, loop: EventLoop, log: Log, text: FleetText) -> None:
-        self.loop, self.log, self.text = loop, log, text
-        # Of a front here, if there is one: the ledger's entry, and the services held.
-        self.heard: Callable[[int, Collection[str]], None] = lambda index, services: None
-        self.following: SubscriberConnection | None = None
-        self.telling: Deadline | None = None
+        """Creates a subscription that is not open."""
+        self.loop = loop
+        self.log = log
+        self.text = text
+        # For the front here, if there is one: the index of the entry, and the services.
+        self.on_services_applied: Callable[[int, Collection[str]], None] = lambda index, services: None
+        self.connection: SubscriberConnection | None = None
+        self.log_timer: Deadline | None = None
 
     def open(self) -> None:
-        if self.following is not None:
+        """Subscribes, unless it is open already."""
+        if self.connection is not None:
             return
-        text, seed = self.text, random.Random(secrets.randbits(64))
-        addresses = {one.name: one.address for one in text.distributors.values()}
-        self.following = SubscriberConnection(
-            self.loop, self.log, text.name, text.me, text.services, addresses, seed, applied=self.applied
+        text = self.text
+        seed = random.Random(secrets.randbits(64))
+        addresses = {each.name: each.address for each in text.distributors.values()}
+        self.connection = SubscriberConnection(
+            self.loop, self.log, text.name, text.me, text.services, addresses, seed, applied=self._on_applied
         )
-        self.following.start()
-        self.tell()
+        self.connection.start()
+        self._log_content()
 
-    def tell(self) -> None:
-        self.telling = self.loop.call_after(TOLD, self.tell)
-        self.log.event("content", **self.following.figures()["distribution"])
+    def _log_content(self) -> None:
+        self.log_timer = self.loop.call_after(LOG_INTERVAL, self._log_content)
+        self.log.event("content", **self.connection.figures()["distribution"])
 
-    def applied(self, output: UpdateApplied) -> None:
-        age = self.following.machine.age(self.loop.clock.now())
+    def _on_applied(self, output: UpdateApplied) -> None:
+        age = self.connection.machine.age(self.loop.clock.now())
         self.log.event(
             "version_applied",
             version=output.version.text(),
             services=len(output.services),
             age_ms=None if age is None else age / 10,
         )
-        self.heard(output.version.index, self.following.machine.held.services.keys())
+        self.on_services_applied(output.version.index, self.connection.machine.held.services.keys())
 
     def resources(self, service: str) -> Mapping[str, bytes]:
-        return self.following.machine.resources(service) if self.following is not None else {}
+        """Returns the resources of a service, by key."""
+        return self.connection.machine.resources(service) if self.connection is not None else {}
 
     def reread(self, text: FleetText | None) -> None:
-        """Raises Unfit."""
+        """Takes the services of a file read again; raises InvalidRequestError for another change."""
         if text is None or not text.services:
             raise InvalidRequestError(
                 "it has no `subscribe` lines any more", "", "start the program anew for it"
             )
-        addresses = {name: one.address for name, one in text.distributors.items()}
-        if addresses != {name: one.address for name, one in self.text.distributors.items()}:
+        addresses = {name: each.address for name, each in text.distributors.items()}
+        if addresses != {name: each.address for name, each in self.text.distributors.items()}:
             raise InvalidRequestError(
                 "other distributors than at the start", "", "start the subscriber anew for these"
             )
         self.text = text
-        if self.following is not None:
-            self.following.rescope(text.services)
-
-    def status(self) -> dict:
-        return self.following.figures() if self.following is not None else {}
-
-    def on_command(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
-        """`resources SERVICE`: what is held of it."""
-        word, _, service = what.partition(" ")
-        if word != "resources" or self.following is None:
+        if self.connection is not None:
+            self.connection.rescope(text.services)
+
+    def status(self) -> dict[str, object]:
+        """Returns what `status` shows."""
+        return self.connection.figures() if self.connection is not None else {}
+
+    def on_command(
+        self, what: str, line: dict[str, object], answer: Callable[[dict[str, object]], None]
+    ) -> bool:
+        """Answers `resources SERVICE`; returns False for another command."""
+        command, _, service = what.partition(" ")
+        if command != "resources" or self.connection is None:
             return False
-        held = self.resources(service)
-        answer({"resources": {key: body.decode(errors="replace") for key, body in sorted(held.items())}})
+        resources = self.resources(service)
+        answer({"resources": {key: body.decode(errors="replace") for key, body in sorted(resources.items())}})
         return True
 
-    def leave(self, give_up: bool) -> None: ...
+    def leave(self, give_up: bool) -> None:
+        """Does nothing: a subscriber has no lease."""
 
     def close(self) -> None:
-        if self.following is not None:
-            self.following.close()
-            self.following = None
-            self.telling.cancel()
+        """Ends the subscription."""
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
+            self.log_timer.cancel()
 
 
 class SubscriberSide:
-    """The side of an upgrade (upgrade.side.Side) of a process that subscribes: the new one subscribes once
-    the old one has let go, and resumes from nothing."""
+    """The side of an upgrade of a process that subscribes (HandoverParticipant).
+
+    The new process subscribes once the old one has closed its subscription, and starts without content.
+    """
 
     def __init__(self, side: HandoverParticipant, subscription: Subscription) -> None:
-        self.side, self.subscription = side, subscription
+        """`side` is that of the process without the subscription."""
+        self.side = side
+        self.subscription = subscription
 
-    def __getattr__(self, name: str):
+    def __getattr__(self, name: str) -> object:
         return getattr(self.side, name)
 
     def set_accepting(self, on: bool) -> None:
+        """Opens or closes the subscription with the listeners."""
         self.side.set_accepting(on)
         if on:
             self.subscription.open()
@@ -118,20 +133,24 @@
             self.subscription.close()
 
     def start_serving(self, restored: bool) -> None:
+        """Subscribes in the new process."""
         self.side.start_serving(restored)
         self.subscription.open()
 
 
 class SubscriberProcess(HeadlessProcess):
+    """A process that is nothing but a subscriber."""
+
     def make_participant(self) -> HandoverParticipant:
+        """Returns the process' side of an upgrade."""
         if self.companion is None:
             self.companion = Subscription(self.loop, self.log, self.text.fleet)
-        bare = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
-        return SubscriberSide(bare, self.companion)
+        side = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
+        return SubscriberSide(side, self.companion)
 
 
 def main(text: Text) -> int:
-    """Raises OSError."""
+    """Runs the process and returns its exit code; raises OSError if it can't start."""
     channel = process_launch.inherited_channel()
     os.set_blocking(1, False)
     return SubscriberProcess(text).run(channel)
--- a/indigohitch/fleet/node/traffic.py
+++ b/indigohitch/fleet/node/traffic.py
@@ -1,4 +1,4 @@
-"""What goes between this node and the others beside the machines' words: proposals, reads, leases' words."""
+"""Messages between this node and the others beside Raft's: proposals, reads and those of the handlers."""
 
 from __future__ import annotations
 
@@ -7,12 +7,11 @@
 from ...encoding.rows import Row
 from ...errors import UnavailableError
 from ...net.clock import Clock
-from ..raft.interfaces import MessageReceived, Propose
-from ..raft.interfaces import ReadRequest as Ask
+from ..raft.interfaces import MessageReceived, Propose, ReadRequest
 from ..transport.links import Transport
 from ..types import MemberId, Outcome, Proposal
 from .driver import Driver
-from .messages import MACHINE, Forward, ProposalRejected, ReadIndexRequest, ReadIndexResponse
+from .messages import RAFT_MESSAGES, Forward, ProposalRejected, ReadIndexRequest, ReadIndexResponse
 from .proposals import Proposals
 from .reads import Reads
 
@@ -20,92 +19,115 @@
 
 
 class Traffic:
-    """`handlers`: of the words that others than this take, by their type; filled by the node."""
+    """Sends and takes messages.
+
+    `handlers` has those of the message types that others than this class take; the node fills it.
+    """
 
     def __init__(
         self, clock: Clock, links: Transport, driver: Driver, name: str, token: int, resend_after: int
     ) -> None:
-        self.clock, self.links, self.driver, self.name = clock, links, driver, name
+        """Creates the traffic of the member `name`, whose process has that start token."""
+        self.clock = clock
+        self.links = links
+        self.driver = driver
+        self.name = name
         self.state_machine = driver.state_machine
         self.proposals = Proposals(name, token, resend_after)
         self.reads = Reads()
         self.handlers: dict[type[Row], Handler] = {
             Forward: self.on_forward,
-            ProposalRejected: self.on_turned_away,
-            ReadIndexRequest: self.on_read_ask,
-            ReadIndexResponse: self.on_read_at,
+            ProposalRejected: self.on_proposal_rejected,
+            ReadIndexRequest: self.on_read_request,
+            ReadIndexResponse: self.on_read_response,
         }
 
-    def heard(self, who: MemberId, word: Row) -> None:
-        if type(word) in MACHINE:
-            self.driver.step(MessageReceived(who, word))
-        elif (heard := self.handlers.get(type(word))) is not None:
-            heard(who, word)
+    def on_message(self, sender: MemberId, message: Row) -> None:
+        """Passes a message to Raft or to its handler; one without a handler is ignored."""
+        if type(message) in RAFT_MESSAGES:
+            self.driver.step(MessageReceived(sender, message))
+            return
+        handler = self.handlers.get(type(message))
+        if handler is not None:
+            handler(sender, message)
 
-    def tell(self, name: str, word: Row) -> None:
-        """A member, or this one itself."""
+    def send_to(self, name: str, message: Row) -> None:
+        """Sends a message to a member by name, or handles it if that is this member."""
         if name == self.name:
-            self.handlers[type(word)](self.links.own_id, word)
+            self.handlers[type(message)](self.links.own_id, message)
         else:
-            self.links.send_to(name, word)
+            self.links.send_to(name, message)
 
     # ---- proposals ---------------------------------------------------------------------------------
 
     def propose(self, kind: str, body: bytes, done: Callable[[Outcome | None], None]) -> None:
-        """Raises NotNow."""
-        self.proposals.put(self.clock.now(), kind, body, done)
-        self.send()
-
-    def send(self) -> None:
-        """What is due, to the leader."""
-        leader, now = self.driver.leader, self.clock.now()
+        """Submits a proposal; raises UnavailableError if too many are pending."""
+        self.proposals.submit(self.clock.now(), kind, body, done)
+        self.send_due()
+
+    def send_due(self) -> None:
+        """Sends the proposals that are due to the leader, if there is one."""
+        leader = self.driver.leader
+        now = self.clock.now()
         if leader is None:
             return
-        for one in self.proposals.due(now):
+        for pending in self.proposals.due(now):
             if leader == self.links.own_id:
-                self.proposals.sent(now, one)
-                self.driver.step(Propose(one.proposal))
-            elif self.links.send(leader, Forward(one.proposal)):
-                self.proposals.sent(now, one)
+                self.proposals.on_sent(now, pending)
+                self.driver.step(Propose(pending.proposal))
+            elif self.links.send(leader, Forward(pending.proposal)):
+                self.proposals.on_sent(now, pending)
             else:
-                return  # the next beat tries again
+                return  # the next tick retries
 
-    def turned(self, proposal: Proposal, again: int) -> None:
-        """The machine here did not take it, whoever made it."""
-        word = ProposalRejected(proposal.proposer, proposal.incarnation, proposal.number, again)
-        self.tell(proposal.proposer.partition("?")[0], word)
+    def on_rejected(self, proposal: Proposal, retry_after: int) -> None:
+        """Sends the proposer of a proposal that Raft here did not take a rejection."""
+        message = ProposalRejected(proposal.proposer, proposal.incarnation, proposal.number, retry_after)
+        self.send_to(proposal.proposer.partition("?")[0], message)
 
-    def on_forward(self, who: MemberId, word: Forward) -> None:
-        self.driver.step(Propose(word.proposal))
+    def on_forward(self, sender: MemberId, message: Forward) -> None:
+        """Proposes on behalf of another member."""
+        self.driver.step(Propose(message.proposal))
 
-    def on_turned_away(self, who: MemberId, word: ProposalRejected) -> None:
-        self.proposals.turned(self.clock.now(), word.proposer, word.incarnation, word.number, word.again)
+    def on_proposal_rejected(self, sender: MemberId, message: ProposalRejected) -> None:
+        """Schedules the resend of a rejected proposal."""
+        self.proposals.on_rejected(
+            self.clock.now(), message.proposer, message.incarnation, message.number, message.retry_after
+        )
 
     # ---- reads -------------------------------------------------------------------------------------
 
     def read(self, done: Callable[[int | None], None]) -> None:
-        """`done(index)`: the state here stands there or later, and all that was committed before this call is
-        in it; None: not confirmed.  Raises NotNow."""
-        number, leader = self.reads.begin(self.clock.now(), done), self.driver.leader
+        """Starts a linearizable read; raises UnavailableError if too many are in flight.
+
+        `done(index)` is called once the state here has all that was committed before this call, and is
+        applied up to `index` or later; `done(None)` if that is not confirmed.
+        """
+        number = self.reads.start(self.clock.now(), done)
+        leader = self.driver.leader
         if self.driver.leads:
-            self.driver.step(Ask(number))
+            self.driver.step(ReadRequest(number))
         elif leader is None or not self.links.send(leader, ReadIndexRequest(number)):
-            self.reads.answered(number, 0, False, 0)
+            self.reads.on_result(number, 0, False, 0)
+
+    def on_read_request(self, sender: MemberId, message: ReadIndexRequest) -> None:
+        """Starts a read for another member; only a leader does."""
 
-    def on_read_ask(self, who: MemberId, word: ReadIndexRequest) -> None:
         def done(index: int | None) -> None:
-            self.links.send_to(who.name, ReadIndexResponse(word.number, index or 0, index is not None))
+            self.links.send_to(sender.name, ReadIndexResponse(message.number, index or 0, index is not None))
 
         if not self.driver.leads:
-            done(None)  # no leader's leader is asked in turn
+            done(None)  # it is not passed on to another leader
             return
         try:
             self.read(done)
         except UnavailableError:
             done(None)
 
-    def on_read_at(self, who: MemberId, word: ReadIndexResponse) -> None:
-        self.reads.answered(word.number, word.index, word.ok, self.state_machine.index)
+    def on_read_response(self, sender: MemberId, message: ReadIndexResponse) -> None:
+        """Takes the leader's result of a read."""
+        self.on_read_result(message.number, message.index, message.ok)
 
-    def readable(self, number: int, index: int, ok: bool) -> None:
-        self.reads.answered(number, index, ok, self.state_machine.index)
+    def on_read_result(self, number: int, index: int, ok: bool) -> None:
+        """Takes the result of a read."""
+        self.reads.on_result(number, index, ok, self.state_machine.index)
--- a/indigohitch/fleet/node/work_loop.py
+++ b/indigohitch/fleet/node/work_loop.py
@@ -1,9 +1,10 @@
-"""Calls the works of this process and makes the proposals that they want."""
+"""Calls the works of this process and submits the proposals that they request."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Iterable, Mapping
+from typing import ParamSpec, TypeVar
 
 import msgspec
 
@@ -12,15 +13,19 @@
 from ...net.loop import EventLoop
 from ..interfaces import LeaseBoundWork, ProposalRequest, Work
 from ..types import Lease, LogEntry, Outcome
-from .messages import BODY
+from .messages import MAX_BODY_BYTES
 from .proposals import Proposals
 
-# Proposals of works that wait for room.  What finds none is answered as not known, and wanted again.
-MOST = 256
+# Proposals of works that wait for capacity.  For one that finds none the outcome is unknown, and its work
+# requests it again.
+MAX_WAITING = 256
+
+Arguments = ParamSpec("Arguments")
+Result = TypeVar("Result")
 
 
 class WorkLoop:
-    """A work that fails is a defect of that work: it is told, and the others go on."""
+    """Isolates the works: one that raises has a defect, which is logged, and the others go on."""
 
     def __init__(
         self,
@@ -28,89 +33,105 @@
         log: Log,
         works: Iterable[Work],
         proposals: Proposals,
-        may: Callable[[Work], bool],
-        send: Callable[[], None],
+        may_propose: Callable[[Work], bool],
+        send_due: Callable[[], None],
     ) -> None:
-        """`may(work)`: it may propose now; `send`: proposals are there to go out."""
-        self.loop, self.log, self.works = loop, log, list(works)
-        self.proposals, self.may, self.send = proposals, may, send
+        """`may_propose(work)` is read before each submit; `send_due` sends what was submitted."""
+        self.loop = loop
+        self.log = log
+        self.works = list(works)
+        self.proposals = proposals
+        self.may_propose = may_propose
+        self.send_due = send_due
         self.waiting: deque[tuple[Work, ProposalRequest]] = deque()
-        self.unmade: deque[tuple[Work, str]] = deque(maxlen=MOST)  # told with the next beat, not at once
+        # Their works are notified at the next tick, not within the call that requested them.
+        self.dropped: deque[tuple[Work, str]] = deque(maxlen=MAX_WAITING)
 
-    def call(self, work: Work, action: Callable, *args):
+    def _call(self, work: Work, method: Callable[Arguments, Result], *args: Arguments.args) -> Result | None:
         try:
-            return action(*args)
-        except Exception as broken:
+            return method(*args)
+        except Exception as error:
             self.log.count(f"defects_of_{work.name}")
-            self.loop.failed(broken)
+            self.loop.failed(error)
             return None
 
-    def each(self, ask: Callable[[Work], list[ProposalRequest]]) -> None:
+    def _call_each(self, method: Callable[[Work], list[ProposalRequest]]) -> None:
         for work in self.works:
-            self.want(work, self.call(work, ask, work))
+            self.request(work, self._call(work, method, work))
 
-    def want(self, work: Work, wanted: list[ProposalRequest] | None) -> None:
-        for one in wanted or ():
-            if len(self.waiting) >= MOST:
+    def request(self, work: Work, requests: list[ProposalRequest] | None) -> None:
+        """Submits the proposals that a work requests, or lets them wait for capacity."""
+        for request in requests or ():
+            if len(self.waiting) >= MAX_WAITING:
                 self.log.count("proposals_without_room")
-                self.unmade.append((work, one.tag))
+                self.dropped.append((work, request.tag))
             else:
-                self.waiting.append((work, one))
-        self.put()
-
-    def put(self) -> None:
-        while self.waiting:
-            work, one = self.waiting[0]
-            body = msgspec.msgpack.encode(one.body)
-            if len(body) > BODY or not self.may(work):
-                if len(body) > BODY:
-                    self.log.warning("proposal_too_large", kind=one.kind, bytes=len(body))
-                self.unmade.append((work, one.tag))
-                self.waiting.popleft()
-                continue
-            try:
-                self.proposals.put(
-                    self.loop.clock.now(),
-                    one.kind,
-                    body,
-                    lambda outcome, work=work, tag=one.tag: self.answered(work, tag, outcome),
-                )
-            except UnavailableError:
-                break  # the next turn looks again
-            self.waiting.popleft()
-        self.send()
-
-    # ---- what works hear ---------------------------------------------------------------------------
+                self.waiting.append((work, request))
+        self._submit_waiting()
 
-    def answered(self, work: Work, tag: str, outcome: Outcome | None) -> None:
-        self.want(work, self.call(work, work.answered, self.loop.clock.now(), tag, outcome))
-
-    def applied(self, entry: LogEntry, outcome: Outcome) -> None:
+    def _submit_waiting(self) -> None:
+        while self.waiting and self._submit(*self.waiting[0]):
+            self.waiting.popleft()
+        self.send_due()
+
+    def _submit(self, work: Work, request: ProposalRequest) -> bool:
+        """Submits a proposal or drops it; returns False if there is no capacity now."""
+        body = msgspec.msgpack.encode(request.body)
+        is_too_large = len(body) > MAX_BODY_BYTES
+        if is_too_large or not self.may_propose(work):
+            if is_too_large:
+                self.log.warning("proposal_too_large", kind=request.kind, bytes=len(body))
+            self.dropped.append((work, request.tag))
+            return True
+        try:
+            self.proposals.submit(
+                self.loop.clock.now(),
+                request.kind,
+                body,
+                lambda outcome: self._on_outcome(work, request.tag, outcome),
+            )
+        except UnavailableError:
+            return False  # the next tick retries
+        return True
+
+    # ---- events of the works -----------------------------------------------------------------------
+
+    def _on_outcome(self, work: Work, tag: str, outcome: Outcome | None) -> None:
+        self.request(work, self._call(work, work.answered, self.loop.clock.now(), tag, outcome))
+
+    def on_applied(self, entry: LogEntry, outcome: Outcome) -> None:
+        """Notifies all works of an applied entry."""
         now = self.loop.clock.now()
-        self.each(lambda work: work.applied(now, entry, outcome))
+        self._call_each(lambda work: work.applied(now, entry, outcome))
 
-    def restored(self) -> None:
+    def on_restored(self) -> None:
+        """Notifies all works that the state machine was set to a snapshot."""
         now = self.loop.clock.now()
-        self.each(lambda work: work.restored(now))
+        self._call_each(lambda work: work.restored(now))
 
-    def turn(self, now: int, lease: Lease | None) -> None:
-        unmade, self.unmade = list(self.unmade), deque(maxlen=MOST)
-        for work, tag in unmade:
-            self.answered(work, tag, None)
-        self.put()
-        self.each(lambda work: work.turn(now, lease))
+    def tick(self, now: int, lease: Lease | None) -> None:
+        """Gives each work its turn."""
+        dropped = list(self.dropped)
+        self.dropped.clear()
+        for work, tag in dropped:
+            self._on_outcome(work, tag, None)
+        self._submit_waiting()
+        self._call_each(lambda work: work.turn(now, lease))
 
     def lead(self, now: int, reports: Callable[[int, str], Mapping[str, bytes]]) -> None:
+        """At the leader: gives each work the members' reports."""
         for work in self.works:
-            self.want(work, self.call(work, work.lead, now, reports(now, work.name)))
+            self.request(work, self._call(work, work.lead, now, reports(now, work.name)))
 
     def reports(self, now: int) -> dict[str, bytes]:
-        found = {work.name: self.call(work, work.report, now) for work in self.works}
+        """Returns the works' reports to the leader, by name; empty ones are left out."""
+        found = {work.name: self._call(work, work.report, now) for work in self.works}
         return {name: report for name, report in found.items() if report}
 
-    def holds(self, now: int) -> bool:
-        """Something is out that ends with the lease, as a job with a seat: it must not be given on before."""
+    def depends_on_lease(self, now: int) -> bool:
+        """Whether something ends with the lease, as a job with a seat: it must not be given on before."""
         return any(work.holds(now) for work in self.works if isinstance(work, LeaseBoundWork))
 
-    def figures(self) -> dict:
-        return {work.name: self.call(work, work.figures) or {} for work in self.works}
+    def status(self) -> dict[str, dict]:
+        """Returns what `status` shows of each work."""
+        return {work.name: self._call(work, work.figures) or {} for work in self.works}
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -28,7 +28,7 @@
         from ..fleet.node.companion import node_companion
 
         side = node_companion(self, side, self.text.fleet, False, self.follows)
-        self.host.felt = self.companion.felt
+        self.host.felt = self.companion.on_rpc_completed
         if self.text.seats:
             from .seating import Seating
 
--- a/tests/golden/fleet/write_frames.py
+++ b/tests/golden/fleet/write_frames.py
@@ -73,7 +73,7 @@
     members.LeaseNotRenewed(number=40, incarnation=4, why="shut out"),
     members.LeaseNotRenewed(number=40, incarnation=4, why="shut out", over=True, retry_after=2_000),
     node.Forward(proposal=PROPOSAL),
-    node.ProposalRejected(proposer="b", incarnation=4, number=70_000, again=500),
+    node.ProposalRejected(proposer="b", incarnation=4, number=70_000, retry_after=500),
     node.ReadIndexRequest(number=17),
     node.ReadIndexResponse(number=17, index=60),
     node.ReadIndexResponse(number=17, index=60, ok=False),
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -6,7 +6,7 @@
 
 from indigohitch.config.fleet import FleetText, MemberText
 from indigohitch.fleet.node.node import Node
-from indigohitch.fleet.node.status import figures
+from indigohitch.fleet.node.status import node_status
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
 from indigohitch.net.connection import parse_address
@@ -128,7 +128,7 @@
         assert len({node.state_machine.digest() for node in self.nodes.values()}) == 1
 
     def figures(self, name):
-        return figures(self.nodes[name])
+        return node_status(self.nodes[name])
 
     def close(self):
         for name in list(self.nodes):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -126,7 +126,7 @@
     with pytest.raises(UnavailableError) as full:
         for _ in range(1000):
             world.nodes[leader].traffic.propose("notes.add", b"\x91\xa1x", told.append)
-    assert full.value.retry_after_ticks > 0 and len(world.nodes[leader].traffic.proposals.open) < 200
+    assert full.value.retry_after_ticks > 0 and len(world.nodes[leader].traffic.proposals.pending) < 200
     world.start(*[n for n in world.members if n != leader])
     world.until(lambda: len(told) >= 100)
     assert all(outcome.index for outcome in told)
@@ -138,7 +138,7 @@
     node, others = world.nodes[leader], [n for n in world.nodes if n != leader]
     incarnation = node.assembly.membership.incarnation
     node.leaving.leave(True)
-    world.until(lambda: node.leaving.left)
+    world.until(lambda: node.leaving.has_left)
     assert world.until(lambda: world.leader(but=leader)) in others
     assert not node.lease(world.clock.now())
     assert node.state_machine.parts["members"].ineligibility(leader, incarnation)
@@ -223,8 +223,8 @@
     def beaten():
         """Each looks in every turn what there is to lead: no beat misses the moment by luck."""
         for node in world.nodes.values():
-            node.beating.cancel()
-            node.beat()
+            node.tick_timer.cancel()
+            node.tick()
         return led
 
     world.until(beaten)
--- a/tests/test_node_inside.py
+++ b/tests/test_node_inside.py
@@ -6,7 +6,7 @@
 from indigohitch.errors import UnavailableError
 from indigohitch.fleet.node import companion as within
 from indigohitch.fleet.node.admin_requests import AdminRequests
-from indigohitch.fleet.node.companion import Handed, NodeCompanion
+from indigohitch.fleet.node.companion import NodeCompanion, NodeHandover
 from indigohitch.fleet.node.headless_handover import HeadlessHandover
 from nodes import Kept, World, free
 
@@ -22,7 +22,7 @@
     """That member as a process has it."""
     log = Kept(world.clock, name)
     inside = NodeCompanion(world.loop, log, world.text(name), True, follows, world.ended.append)
-    side = Handed(HeadlessHandover(world.clock, lambda: None, lambda sock: None, lambda: None), inside)
+    side = NodeHandover(HeadlessHandover(world.clock, lambda: None, lambda sock: None, lambda: None), inside)
     inside.open()
     world.nodes[name] = inside.node
     return side, inside
@@ -30,7 +30,7 @@
 
 def asked(world, name, what, **line):
     told = []
-    AdminRequests(world.nodes[name], told.append).word(what, line)
+    AdminRequests(world.nodes[name], told.append).handle(what, line)
     world.until(lambda: told)
     return told[0]
 
@@ -129,4 +129,4 @@
     assert read["index"] in entries and all(others[i] == check for i, check in entries.items() if i in others)
     assert asked(world, "v1", "notes")["texts"] == ["one", "two"]
     assert asked(world, "v1", "book hours")["part"] and "error" in asked(world, "v1", "book nothing")
-    assert not AdminRequests(world.nodes["v1"], None).word("upgrade", {})
+    assert not AdminRequests(world.nodes["v1"], None).handle("upgrade", {})
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -9,9 +9,9 @@
 from indigohitch.errors import UnavailableError
 from indigohitch.fleet.node.cluster_bootstrap import Admission, BootstrapMode, bootstrap_mode
 from indigohitch.fleet.node.messages import MESSAGE_TYPES, JoinRequest
-from indigohitch.fleet.node.notes import LONGEST, Notes
-from indigohitch.fleet.node.proposals import MOST, Proposals
-from indigohitch.fleet.node.reads import WAIT, Reads
+from indigohitch.fleet.node.notes import MAX_CHARACTERS, Notes
+from indigohitch.fleet.node.proposals import MAX_PENDING, Proposals
+from indigohitch.fleet.node.reads import READ_TIMEOUT, Reads
 from indigohitch.fleet.raft.interfaces import Members
 from indigohitch.fleet.state_machine import WINDOW, ReplicatedStateMachine
 from indigohitch.fleet.transport.messages import HandshakeAccepted
@@ -26,11 +26,11 @@
     chance = random.Random(seed)
     proposals, state_machine = Proposals("a", 1, 100), ReplicatedStateMachine([Notes()])
     answers, sent, put, now, index = {}, [], 0, 0, 0
-    while put < 300 or proposals.open:
+    while put < 300 or proposals.pending:
         now += chance.randint(0, 60)
         if put < 300 and chance.random() < 0.6:
             try:
-                proposals.put(
+                proposals.submit(
                     now,
                     "notes.add",
                     b"\x91\xa4%04d" % put,
@@ -38,23 +38,23 @@
                 )
                 put += 1
             except UnavailableError:
-                assert len(proposals.open) >= MOST or put - min(proposals.open) > MOST
+                assert len(proposals.pending) >= MAX_PENDING or put - min(proposals.pending) > MAX_PENDING
         for one in proposals.due(now):
             if chance.random() < 0.8:
                 sent += [one.proposal] * chance.choice((0, 1, 1, 2))
-                proposals.sent(now, one)
+                proposals.on_sent(now, one)
         if sent and chance.random() < 0.7:
             taken = sent.pop(chance.randrange(len(sent)))
             if chance.random() < 0.2:
-                proposals.turned(now, "a", 1, taken.number, 30)
+                proposals.on_rejected(now, "a", 1, taken.number, 30)
                 continue
             index += 1
             entry = LogEntry(index, 1, taken.kind, taken.body, "a", 1, taken.number)
-            proposals.applied(entry, state_machine.apply(entry))
+            proposals.on_applied(entry, state_machine.apply(entry))
         if chance.random() < 0.02:
-            proposals.hurry(now)
-        assert len(proposals.open) <= MOST
-        numbers = list(proposals.open)
+            proposals.resend_all(now)
+        assert len(proposals.pending) <= MAX_PENDING
+        numbers = list(proposals.pending)
         assert not numbers or numbers[-1] - numbers[0] < WINDOW
     texts = [text for _, text in state_machine.parts["notes"].texts]
     assert sorted(texts) == [f"{n:04}" for n in range(300)]
@@ -63,31 +63,31 @@
 
 def test_another_incarnation_gives_up_what_is_out():
     proposals, told = Proposals("a", 1, 100), []
-    proposals.put(0, "notes.add", b"", told.append)
-    proposals.begin("a", 2)
-    assert told == [None] and not proposals.open
-    proposals.put(0, "notes.add", b"", told.append)
+    proposals.submit(0, "notes.add", b"", told.append)
+    proposals.start("a", 2)
+    assert told == [None] and not proposals.pending
+    proposals.submit(0, "notes.add", b"", told.append)
     assert proposals.due(0)[0].proposal.incarnation == 2
-    proposals.turned(0, "a", 1, 1, 5000)  # of the one before
+    proposals.on_rejected(0, "a", 1, 1, 5000)  # of the one before
     assert proposals.due(0)
 
 
 def test_reads_wait_for_the_state_machine_and_end_in_time():
     reads, told = Reads(), []
-    number = reads.begin(0, told.append)
-    reads.answered(number, 7, True, 5)
+    number = reads.start(0, told.append)
+    reads.on_result(number, 7, True, 5)
     assert told == []
-    reads.applied(6)
-    reads.applied(7)
+    reads.on_applied(6)
+    reads.on_applied(7)
     assert told == [7]
-    reads.answered(reads.begin(0, told.append), 0, False, 7)
+    reads.on_result(reads.start(0, told.append), 0, False, 7)
     assert told == [7, None]
-    reads.begin(0, told.append)
-    late = reads.begin(0, told.append)
-    reads.answered(late, 100, True, 7)
-    reads.beat(WAIT)
-    assert told == [7, None, None, None] and not reads.open and not reads.behind
-    reads.answered(late, 100, True, 200)
+    reads.start(0, told.append)
+    late = reads.start(0, told.append)
+    reads.on_result(late, 100, True, 7)
+    reads.tick(READ_TIMEOUT)
+    assert told == [7, None, None, None] and not reads.pending and not reads.confirmed
+    reads.on_result(late, 100, True, 200)
     assert len(told) == 4
 
 
@@ -132,7 +132,7 @@
             token += 1  # another disk, or another start of a fresh one
         elif what < 0.4:
             admission = Admission()  # another leader
-        who = admission.who(JoinRequest("c", token), members, met)
+        who = admission.assign(JoinRequest("c", token), members, met)
         assert given.setdefault(who.number, token) == token and who.number > met
         if chance.random() < 0.5:  # the entry is committed: all leaders know of it
             members = Members(members.voters, (who,))
@@ -144,14 +144,16 @@
 
 
 def test_an_old_disk_is_not_admitted():
-    assert Admission().who(JoinRequest("a", 1, number=1), Members((MemberId("a", 2),)), 0) is None
-    assert Admission().who(JoinRequest("a", 1, number=1), Members(()), 2) is None
-    assert Admission().who(JoinRequest("a", 1, number=2), Members((MemberId("a", 1),)), 2) == MemberId("a", 2)
+    assert Admission().assign(JoinRequest("a", 1, number=1), Members((MemberId("a", 2),)), 0) is None
+    assert Admission().assign(JoinRequest("a", 1, number=1), Members(()), 2) is None
+    assert Admission().assign(JoinRequest("a", 1, number=2), Members((MemberId("a", 1),)), 2) == MemberId(
+        "a", 2
+    )
 
 
 def test_a_note_too_long_changes_nothing():
     state_machine = ReplicatedStateMachine([Notes()])
-    text = b"\x91\xda" + (LONGEST + 1).to_bytes(2, "big") + b"x" * (LONGEST + 1)
+    text = b"\x91\xda" + (MAX_CHARACTERS + 1).to_bytes(2, "big") + b"x" * (MAX_CHARACTERS + 1)
     assert "characters" in state_machine.apply(LogEntry(1, 1, "notes.add", text, "a", 1, 1)).refused
     assert not state_machine.parts["notes"].texts
 
