--- a/indigohitch/fleet/membership/member_work.py
+++ b/indigohitch/fleet/membership/member_work.py
@@ -186,10 +186,10 @@
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         """Takes the outcome of a proposal; that of `join` has the incarnation."""
         self.pending_tags.discard(tag)
-        if tag != "join" or self.phase is not Phase.JOINING or outcome is None or outcome.refused:
+        if tag != "join" or self.phase is not Phase.JOINING or outcome is None or outcome.rejection:
             return []
         self.phase = Phase.COMPARED
-        self.incarnation = msgspec.msgpack.decode(outcome.told, type=int)
+        self.incarnation = msgspec.msgpack.decode(outcome.result, type=int)
         self.holder.start(self.incarnation)
         return self._follow_roster()
 
--- a/indigohitch/fleet/node/admin_requests.py
+++ b/indigohitch/fleet/node/admin_requests.py
@@ -107,11 +107,11 @@
                 {"error": "not known: this member began anew; it may have taken effect", "unknown": True}
             )
             return
-        result: Line = {"index": outcome.index, "doubled": outcome.doubled}
-        if outcome.refused:
-            result |= {"refused": outcome.refused, "error": outcome.refused}
-        elif outcome.told:
-            result["told"] = msgspec.msgpack.decode(outcome.told)
+        result: Line = {"index": outcome.index, "doubled": outcome.is_duplicate}
+        if outcome.rejection:
+            result |= {"refused": outcome.rejection, "error": outcome.rejection}
+        elif outcome.result:
+            result["told"] = msgspec.msgpack.decode(outcome.result)
         self.answer(result)
 
     def _read(self, rest: str, line: Line) -> None:
@@ -155,8 +155,8 @@
                         "proposer": entry.proposer,
                         "incarnation": entry.incarnation,
                         "number": entry.number,
-                        "refused": outcome.refused,
-                        "doubled": outcome.doubled,
+                        "refused": outcome.rejection,
+                        "doubled": outcome.is_duplicate,
                         "digest": check.hex(),
                     }
                     for entry, check, outcome in recent
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -89,8 +89,8 @@
 
     def start(self, own_id: MemberId, recovered: RecoveredState) -> None:
         """Starts the Raft node; raises InvalidDataError for a snapshot that can't be read."""
-        if recovered.snap.state:
-            self.state_machine.restore(recovered.snap.state)
+        if recovered.snapshot.state:
+            self.state_machine.restore(recovered.snapshot.state)
         self.machine = RaftNode(own_id, recovered, self.bootstrap, self.chance, self.loop.clock.now())
         self.on_restored()
         self.timer.arm()
@@ -183,14 +183,14 @@
         outcome = self.state_machine.apply(entry)
         check = digest(msgspec.msgpack.encode(entry))
         self.recent.append(
-            (msgspec.structs.replace(entry, body=b""), check, msgspec.structs.replace(outcome, told=b""))
+            (msgspec.structs.replace(entry, body=b""), check, msgspec.structs.replace(outcome, result=b""))
         )
         self.on_applied(entry, outcome)
 
     # ---- time --------------------------------------------------------------------------------------
 
     def _due_at(self) -> int | None:
-        return self.machine.due if self.machine is not None else None
+        return self.machine.due_at if self.machine is not None else None
 
     def end(self) -> None:
         """Ends the Raft node; what is still to be carried out is dropped."""
--- a/indigohitch/fleet/node/introductions.py
+++ b/indigohitch/fleet/node/introductions.py
@@ -23,7 +23,7 @@
 
     def highest_number(self, name: str) -> int:
         """Returns the highest number seen of that name; 0 if there is none."""
-        return self.disk.identity.met.get(name, 0)
+        return self.disk.identity.seen_numbers.get(name, 0)
 
     def acceptance(self, peer: MemberId) -> HandshakeAccepted:
         """Returns the reply to an accepted handshake."""
@@ -40,7 +40,7 @@
         if 0 < peer.number < self.highest_number(peer.name):
             return f"{peer.name} comes with an old disk, number {peer.number}"
         try:
-            self.disk.folder.met(peer)
+            self.disk.folder.record_seen_number(peer)
         except OSError as error:
             return f"its number can't be kept: {error}"
         return ""
--- a/indigohitch/fleet/node/join.py
+++ b/indigohitch/fleet/node/join.py
@@ -57,7 +57,7 @@
 
     def _found(self, number: int, founders: tuple[str, ...], members: Members) -> None:
         try:
-            recovered = self.node.disk.found(number, founders, members)
+            recovered = self.node.disk.initialize(number, founders, members)
         except OSError as error:
             self.node.log.warning("not_founded", why=str(error), remedy="make room, or mend the disk")
             return
@@ -95,7 +95,7 @@
         if not node.driver.leads or configured is None or node.phase is not Phase.TAKING_PART:
             return
         raft = node.driver.machine
-        member = self.admission.assign(request, raft.members, node.disk.identity.met.get(name, 0))
+        member = self.admission.assign(request, raft.members, node.disk.identity.seen_numbers.get(name, 0))
         if member is None:
             node.log.warning(
                 "old_disk",
@@ -105,9 +105,9 @@
             )
             return
         if not is_configured(member, configured.votes, raft.members):
-            node.driver.step(ChangeMembers(member, votes=configured.votes))
-        committed = raft.state.belonging.index <= raft.commit
-        if not request.number and committed and member in raft.state.belonging.everyone:
+            node.driver.step(ChangeMembers(member, as_voter=configured.votes))
+        committed = raft.state.configuration.index <= raft.commit_index
+        if not request.number and committed and member in raft.state.configuration.everyone:
             node.links.send_to(name, JoinResponse(member, request.token, node.disk.identity.founders))
 
     def remove_member(self, name: str) -> str:
@@ -122,5 +122,5 @@
         members = node.driver.members
         found = [member for member in members.voters + members.followers if member.name == name]
         for member in found:
-            node.driver.step(ChangeMembers(member, out=True))
+            node.driver.step(ChangeMembers(member, remove=True))
         return "" if found else f"no member {name[:64]}"
--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -25,7 +25,7 @@
             return
         node.enter(Phase.LEAVING)
         now = node.loop.clock.now()
-        if give_up and not node.work_loop.depends_on_lease(now):
+        if give_up and not node.work_loop.has_leased_resources(now):
             auditing = node.assembly.auditing
             membership = node.assembly.membership
             node.work_loop.request(auditing, auditing.last(now))
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -156,8 +156,8 @@
         self.log.event(
             "member",
             number=own_id.number,
-            term=recovered.ballot.term,
-            snapshot=recovered.snap.index,
+            term=recovered.hard_state.term,
+            snapshot=recovered.snapshot.index,
             entries=len(recovered.entries),
         )
         self.links.set_own_id(own_id)
@@ -212,7 +212,7 @@
             self.membership_driver.renew(now, self.driver.leader_name, self.work_loop.reports)
             self.work_loop.tick(now, self.lease(now))
         # One elected right after a start decides nothing until its state has what was committed before.
-        if self.phase is Phase.TAKING_PART and self.driver.machine.settled:
+        if self.phase is Phase.TAKING_PART and self.driver.machine.has_committed_in_term:
             self.lead(now)
         self.membership_driver.follow_phase()
 
--- a/indigohitch/fleet/node/work_loop.py
+++ b/indigohitch/fleet/node/work_loop.py
@@ -128,9 +128,9 @@
         found = {work.name: self._call(work, work.report, now) for work in self.works}
         return {name: report for name, report in found.items() if report}
 
-    def depends_on_lease(self, now: int) -> bool:
+    def has_leased_resources(self, now: int) -> bool:
         """Whether something ends with the lease, as a job with a seat: it must not be given on before."""
-        return any(work.holds(now) for work in self.works if isinstance(work, LeaseBoundWork))
+        return any(work.has_leased_resources(now) for work in self.works if isinstance(work, LeaseBoundWork))
 
     def status(self) -> dict[str, dict]:
         """Returns what `status` shows of each work."""
