--- a/indigohitch/fleet/distribution/interfaces.py
+++ b/indigohitch/fleet/distribution/interfaces.py
@@ -1,7 +1,8 @@
-"""What goes into the distributor's and the subscriber's machines and what comes out.  Shapes only; no I/O.
+"""Events and outputs of the distributor's and the subscriber's state machines.  No I/O.
 
-Both are `step(now, input) -> list[output]`, outputs in order, and `due`, the time at which `Due` is to be put
-in at the latest (None: not until something else happens)."""
+Both are `step(now, event) -> list[output]`, outputs in order, and `due`, the time at which `Tick` is due at
+the latest.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    pass
+    """The time that `due` has named is reached."""
 
 
 # ---- into a distributor ----------------------------------------------------------------------------
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscriberConnected:
-    """A subscriber has greeted.  `connection` is unique in this process and only grows."""
+    """A subscriber has connected; `connection` is unique in this process and only grows."""
 
     connection: int
     subscriber: SubscriberName
@@ -39,38 +40,43 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscriberDisconnected:
+    """A connection has ended."""
+
     connection: int
 
 
 @dataclass(slots=True, frozen=True)
 class ResourcesChanged:
-    """The catalogue has applied an entry that changed these services."""
+    """The store has applied an entry that changed these services."""
 
     services: tuple[ServiceName, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class ResourcesReplaced:
-    """The catalogue was set to a snapshot, or read from the disk."""
+    """The store was restored from a snapshot or from disk."""
 
 
 @dataclass(slots=True, frozen=True)
 class CaughtUp:
-    """All that was committed at `asked` (own clock, before the confirmed read went out) is applied here."""
+    """All that was committed at `confirmed_at` is applied here.
+
+    `confirmed_at` is the own clock's time before the confirmed read was sent.
+    """
 
-    asked: int
+    confirmed_at: int
 
 
 @dataclass(slots=True, frozen=True)
 class ReportReceived:
-    """Of another distributor."""
+    """A report of another distributor."""
 
     report: Row
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """This distributor is about to end: subscribers are sent elsewhere."""
+    """This distributor is about to end: subscribers are sent to others."""
 
 
 DistributorInput = (
@@ -90,7 +96,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionEstablished:
-    """The distributor that was dialled has welcomed the subscriber."""
+    """The dialled distributor has accepted the subscriber."""
 
     distributor: DistributorName
 
@@ -100,7 +106,7 @@
     """The dialled distributor did not answer, or its connection has ended."""
 
     distributor: DistributorName
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -113,7 +119,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScopeChanged:
-    """The services that the subscriber reaches from now on."""
+    """The services that the subscriber needs from now on."""
 
     services: frozenset[ServiceName]
 
@@ -125,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendToSubscriber:
-    """Of a distributor: to that connection."""
+    """Distributor: send a message over this connection."""
 
     connection: int
     message: Row
@@ -133,37 +139,40 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseConnection:
-    """Of a distributor: once what was sent is out."""
+    """Distributor: close the connection once its output is sent."""
 
     connection: int
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class Dial:
-    """Of a subscriber; answered by `Connected` or `Lost`."""
+    """Subscriber: connect; the result is `ConnectionEstablished` or `ConnectionLost`."""
 
     distributor: DistributorName
 
 
 @dataclass(slots=True, frozen=True)
 class Disconnect:
-    """Of a subscriber: close the connection, no `Lost` follows."""
+    """Subscriber: close the connection; no `ConnectionLost` follows."""
 
     distributor: DistributorName
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class SendToDistributor:
-    """Of a subscriber: to the distributor it is connected with."""
+    """Subscriber: send a message to the connected distributor."""
 
     message: Row
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateApplied:
-    """Of a subscriber: the content is at `version` now; `services` have changed, were added or left."""
+    """Subscriber: the content is at `version` now.
+
+    `services` have changed, were added or were removed.
+    """
 
     version: Version
     services: tuple[ServiceName, ...]
@@ -171,7 +180,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Note:
-    """For the log: a JSON line."""
+    """An event for the log."""
 
     event: str
     fields: dict = field(default_factory=dict)
--- a/indigohitch/fleet/distribution/machine_driver.py
+++ b/indigohitch/fleet/distribution/machine_driver.py
@@ -1,5 +1,8 @@
-"""Steps one state machine on the loop: inputs one after the other, also those that come while the outputs of
-one are being carried out, and `Due` when the machine wants it."""
+"""Drives one state machine on the event loop.
+
+Events are handled one after the other, also those that arrive while outputs are carried out; `Tick` comes
+when the machine is due.
+"""
 
 from __future__ import annotations
 
@@ -13,34 +16,44 @@
 
 
 class Machine(Protocol):
+    """A state machine of the distribution."""
+
     due: int | None
 
-    def step(self, now: int, input) -> list: ...
+    def step(self, now: int, event: object) -> list:
+        """Handles one event and returns the outputs in order."""
 
 
 class MachineDriver:
-    def __init__(self, loop: EventLoop, machine: Machine, carry: Callable[[object], None]) -> None:
-        self.loop, self.machine, self.carry = loop, machine, carry
-        self.waiting: deque = deque()
-        self.busy = self.ended = False
+    """Feeds events to a machine and carries out its outputs."""
+
+    def __init__(self, loop: EventLoop, machine: Machine, execute: Callable[[object], None]) -> None:
+        self.loop = loop
+        self.machine = machine
+        self.execute = execute
+        self.pending: deque = deque()
+        self.busy = False
+        self.stopped = False
         self.timer = DueTimer(loop, lambda: self.machine.due, lambda: self.step(Tick()))
 
-    def step(self, input) -> None:
-        if self.ended:
+    def step(self, event: object) -> None:
+        """Handles an event now, or after the one in progress."""
+        if self.stopped:
             return
-        self.waiting.append(input)
+        self.pending.append(event)
         if self.busy:
             return
         self.busy = True
         try:
-            while self.waiting:
-                for output in self.machine.step(self.loop.clock.now(), self.waiting.popleft()):
-                    self.carry(output)
+            while self.pending:
+                for output in self.machine.step(self.loop.clock.now(), self.pending.popleft()):
+                    self.execute(output)
         finally:
             self.busy = False
         self.timer.arm()
 
-    def end(self) -> None:
-        self.ended = True
-        self.waiting.clear()
+    def stop(self) -> None:
+        """Drops pending events and stops the timer."""
+        self.stopped = True
+        self.pending.clear()
         self.timer.cancel()
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -1,4 +1,4 @@
-"""One subscriber: what it holds, what it takes, and which distributor it asks.  No I/O."""
+"""The state machine of one subscriber: its content, its scope and its distributor.  No I/O."""
 
 from __future__ import annotations
 
@@ -6,8 +6,7 @@
 from collections.abc import Collection, Mapping
 
 from ...errors import InvalidDataError
-from ..membership.leases import LeaseHolder
-from ..membership.messages import LeaseRenewed
+from .content_lease import ContentLease
 from .distributor_connector import ConnectionPhase, DistributorConnector
 from .errors import DigestMismatchError, NoDistributorError, OlderVersionError, UnknownBaseError
 from .interfaces import (
@@ -23,24 +22,17 @@
     UpdateApplied,
 )
 from .limits import SubscriberLimits
-from .messages import (
-    Acknowledge,
-    Current,
-    Refused,
-    Reject,
-    RejectReason,
-    Renew,
-    Subscribe,
-    Update,
-)
+from .messages import Acknowledge, Current, Refused, Reject, RejectReason, Renew, Subscribe, Update
+from .scope_request import ScopeRequest
 from .subscriber_scope import REJECT_REASONS, SubscriberScope
 from .types import DistributorName, ServiceName, SubscriberName, Version
 
-LEASE_INCARNATION = 1  # of the lease: numbers of its renewals grow over all connections
-
 
 class Subscriber:
-    """`distributors`: by name the weight of each (1.0, or its part of what an ordinary one takes)."""
+    """Keeps the content of a scope up to date.
+
+    `distributors`: the weight of each by name (1.0, or its share of an ordinary one's load).
+    """
 
     def __init__(
         self,
@@ -48,203 +40,209 @@
         services: Collection[ServiceName],
         distributors: Mapping[DistributorName, float],
         limits: SubscriberLimits,
-        chance: random.Random,
+        random_source: random.Random,
         now: int,
     ) -> None:
-        self.name, self.limits = name, limits
-        self.held = SubscriberScope(limits.guard_versions)
-        self.wanted = frozenset(services)
-        self.asked: frozenset[ServiceName] = frozenset()  # the scope of the last Subscribe
-        self.request = 0
-        self.open_request = False  # the last Subscribe is not answered yet
-        self.connecting = DistributorConnector(name, distributors, limits, chance, now)
-        self.holder = LeaseHolder(limits.lease, limits.drift)
-        self.holder.start(LEASE_INCARNATION)
-        self.lease_here = 0  # until when answers over this connection alone let the content count as current
-        self.alone = False  # no distributor answers; logged once
-        self.now, self.out = now, []
-        self.steps = {
-            ConnectionEstablished: self.connected,
-            ConnectionLost: self.lost,
-            DistributorMessageReceived: self.told,
-            ScopeChanged: self.rescope,
-            Tick: self.timed,
-        }
-        self.words = {Update: self.update, Current: self.current, Refused: self.refused}
-
-    # ---- from outside ------------------------------------------------------------------------------
-
-    def step(self, now: int, input: SubscriberInput) -> list[SubscriberOutput]:
-        """What to do, in order."""
-        self.now, self.out = now, []
-        self.steps[type(input)](input)
-        out, self.out = self.out, []
-        return out
+        self.name = name
+        self.limits = limits
+        self.scope = SubscriberScope(limits.guard_versions)
+        self.services = frozenset(services)
+        self.request = ScopeRequest()
+        self.connector = DistributorConnector(name, distributors, limits, random_source, now)
+        self.lease = ContentLease(limits)
+        self.no_distributor_logged = False  # no distributor answers; logged once
+        self.now = now
+        self.outputs: list[SubscriberOutput] = []
+
+    def step(self, now: int, event: SubscriberInput) -> list[SubscriberOutput]:
+        """Handles one event and returns the outputs in order."""
+        self.now = now
+        self.outputs = []
+        match event:
+            case ConnectionEstablished():
+                self.on_connected(event)
+            case ConnectionLost():
+                self.on_connection_lost(event)
+            case DistributorMessageReceived():
+                self.on_message(event)
+            case ScopeChanged():
+                self.on_scope_changed(event)
+            case Tick():
+                self.on_tick()
+        outputs = self.outputs
+        self.outputs = []
+        return outputs
 
     @property
     def due(self) -> int:
-        """When `Due` is to come at the latest."""
-        connecting = self.connecting
-        return min(connecting.due, self.holder.renewal_due_at) if connecting.is_connected else connecting.due
+        """When `Tick` is due at the latest."""
+        connector = self.connector
+        return min(connector.due, self.lease.due) if connector.is_connected else connector.due
 
     @property
     def version(self) -> Version:
-        """That it holds; NO_VERSION before the first update."""
-        return self.held.version
+        """The version held; NO_VERSION before the first update."""
+        return self.scope.version
 
     @property
     def digest(self) -> bytes:
-        """Of the whole scope, as held."""
-        return self.held.digest
+        """The digest of the whole scope, as held."""
+        return self.scope.digest
 
     def resources(self, service: ServiceName) -> Mapping[str, bytes]:
-        """Bodies by key, as held; empty for a service that is not held."""
-        content = self.held.services.get(service)
+        """Returns the bodies held of a service by key."""
+        content = self.scope.services.get(service)
         return content.bodies if content is not None else {}
 
     def acting_until(self, now: int) -> int:
-        """The content counts as current before this (own clock); it stands after that, but is stale."""
-        return self.holder.valid_until
+        """Returns until when the content counts as current, by the own clock."""
+        return self.lease.until
 
     def age(self, now: int) -> int | None:
-        """The content has all that was committed so long ago; None: never confirmed."""
-        return now - (self.holder.valid_until - self.holder.duration) if self.holder.valid_until else None
-
-    def figures(self, now: int) -> dict:
-        """For `status`, as plain JSON."""
-        return {
-            "phase": self.connecting.phase.value,
-            "distributor": self.connecting.distributor,
-            "version": self.version.text(),
-            "age": self.age(now),
-            "current": now < self.acting_until(now),
-            "services": len(self.held.services),
-            "resources": sum(len(content.bodies) for content in self.held.services.values()),
-        }
+        """Returns how long ago the content was surely complete; None: never confirmed."""
+        return self.lease.age(now)
 
-    def timed(self, input: Tick) -> None:
-        if self.connecting.phase is ConnectionPhase.WAITING:
-            if self.now >= self.connecting.dial_at:
+    def on_tick(self) -> None:
+        """Dials, leaves a distributor or renews the lease, as is due."""
+        if self.connector.phase is ConnectionPhase.WAITING:
+            if self.now >= self.connector.dial_at:
                 self.dial()
             return
-        left = self.connecting.leave_impatiently(self.now, self.holder.valid_until)
-        if left is not None:
-            self.out.append(left)
-        elif self.connecting.is_connected:
+        disconnect = self.connector.leave_if_overdue(self.now, self.lease.until)
+        if disconnect is not None:
+            self.outputs.append(disconnect)
+        elif self.connector.is_connected:
             self.renew()
 
     def dial(self) -> None:
-        dial = self.connecting.dial(self.now)
+        """Dials the next distributor; logs once if none answers."""
+        dial = self.connector.dial(self.now)
         if dial is not None:
-            self.out.append(dial)
-        elif not self.alone and self.connecting.choice.none_answers():
-            self.alone = True
-            trouble = NoDistributorError("no distributor answers", self.name)
+            self.outputs.append(dial)
+        elif not self.no_distributor_logged and self.connector.choice.have_all_failed():
+            self.no_distributor_logged = True
+            error = NoDistributorError("no distributor answers", self.name)
             fields = {"version": self.version.text(), "age": self.age(self.now)}
-            self.out.append(Note("no_distributor", trouble.log_fields() | fields))
+            self.outputs.append(Note("no_distributor", error.log_fields() | fields))
 
-    def connected(self, input: ConnectionEstablished) -> None:
-        if self.connecting.connected(self.now, input.distributor):
-            self.lease_here = 0
+    def on_connected(self, event: ConnectionEstablished) -> None:
+        """Subscribes over the new connection."""
+        if self.connector.on_connected(self.now, event.distributor):
+            self.lease.on_connected()
             self.subscribe()
-            self.renew_at_once()
-
-    def lost(self, input: ConnectionLost) -> None:
-        self.connecting.lost(self.now, input.distributor)
+            self.renew_now()
 
-    def leave(self, why: str, failed: bool = False, again: int = 0) -> None:
-        """`again`: not there before so long."""
-        self.out.append(self.connecting.leave(self.now, why, failed, again))
+    def on_connection_lost(self, event: ConnectionLost) -> None:
+        """Schedules the next attempt."""
+        self.connector.on_lost(self.now, event.distributor)
 
-    # ---- the subscription --------------------------------------------------------------------------
+    def leave_distributor(self, why: str, failed: bool = False, retry_after: int = 0) -> None:
+        """Leaves the distributor, not to return before `retry_after`."""
+        self.outputs.append(self.connector.leave(self.now, why, failed, retry_after))
 
-    def rescope(self, input: ScopeChanged) -> None:
-        """What is held stays until the first update for the new scope."""
-        self.wanted = input.services
-        if self.connecting.phase is ConnectionPhase.SERVED:
-            self.subscribe_anew()
+    def on_scope_changed(self, event: ScopeChanged) -> None:
+        """Requests the new scope; the old content stays until its first update."""
+        self.services = event.services
+        if self.connector.phase is ConnectionPhase.SERVED:
+            self.subscribe_if_changed()
 
     def subscribe(self) -> None:
-        self.request += 1
-        self.asked, self.open_request = self.wanted, True
-        claim = self.held.claim(self.asked)
-        self.out.append(SendToDistributor(Subscribe(self.request, self.version, claim)))
-
-    def subscribe_anew(self) -> None:
-        """One subscription is out at a time."""
-        if not self.open_request and self.wanted != self.asked:
+        """Sends a request for the scope."""
+        self.request.start(self.services)
+        claim = self.scope.claim(self.services)
+        self.outputs.append(SendToDistributor(Subscribe(self.request.number, self.version, claim)))
+
+    def subscribe_if_changed(self) -> None:
+        """Sends another request if the scope has changed and none is open."""
+        if not self.request.is_open and self.services != self.request.services:
             self.subscribe()
 
-    def told(self, input: DistributorMessageReceived) -> None:
-        connecting = self.connecting
-        if not connecting.is_connected or input.distributor != connecting.distributor:
+    def on_message(self, event: DistributorMessageReceived) -> None:
+        """Handles a message of the connected distributor."""
+        connector = self.connector
+        if not connector.is_connected or event.distributor != connector.distributor:
             return  # of a connection that is over
-        connecting.patience.heard(self.now)
-        handle = self.words.get(type(input.message))
-        if handle is None:
-            self.leave(f"a distributor doesn't say {type(input.message).__name__}", failed=True)
-        else:
-            handle(input.message)
-
-    def update(self, update: Update) -> None:
-        answers = update.request == self.request and self.open_request
-        scope = self.asked if answers else frozenset(self.held.services)
-        added = scope - self.held.services.keys()
-        back = update.version < self.version
+        connector.deadlines.on_message(self.now)
+        match event.message:
+            case Update() as update:
+                self.on_update(update)
+            case Current() as current:
+                self.on_current(current)
+            case Refused() as refused:
+                self.on_refused(refused)
+            case unexpected:
+                name = type(unexpected).__name__
+                self.leave_distributor(f"a distributor doesn't say {name}", failed=True)
+
+    def on_update(self, update: Update) -> None:
+        """Applies an update and acknowledges it, or rejects it."""
+        is_for_request = self.request.is_answered_by(update)
+        scope = self.request.services if is_for_request else frozenset(self.scope.services)
+        added = scope - self.scope.services.keys()
+        is_rollback = update.version < self.version
         try:
-            changed = self.held.apply(update, scope)
-        except (OlderVersionError, UnknownBaseError, DigestMismatchError, InvalidDataError) as refused:
-            self.reject(update, refused)
+            changed = self.scope.apply(update, scope)
+        except (OlderVersionError, UnknownBaseError, DigestMismatchError, InvalidDataError) as error:
+            self.reject(update, error)
             return
-        if back:
-            self.holder.drop()  # it was given for what never was
+        if is_rollback:
+            self.lease.drop()
         elif added:
-            # Another distributor that was ahead of this one knew nothing of what has been added.
-            self.holder.valid_until = min(self.holder.valid_until, self.lease_here)
-        self.out.append(SendToDistributor(Acknowledge(update.number, update.version, update.digest)))
-        self.out.append(UpdateApplied(update.version, changed))
-        if answers:
-            self.answered()
-
-    def answered(self) -> None:
-        self.open_request, self.alone = False, False
-        if self.connecting.phase is ConnectionPhase.SUBSCRIBING:
-            self.connecting.served()
-        self.renew_at_once()
-        self.subscribe_anew()
+            self.lease.on_services_added()
+        self.outputs.append(SendToDistributor(Acknowledge(update.number, update.version, update.digest)))
+        self.outputs.append(UpdateApplied(update.version, changed))
+        if is_for_request:
+            self.on_request_answered()
+
+    def on_request_answered(self) -> None:
+        """Continues after the first update for a request."""
+        self.request.is_open = False
+        self.no_distributor_logged = False
+        if self.connector.phase is ConnectionPhase.SUBSCRIBING:
+            self.connector.on_served()
+        self.renew_now()
+        self.subscribe_if_changed()
 
     def reject(
         self,
         update: Update,
-        refused: OlderVersionError | UnknownBaseError | DigestMismatchError | InvalidDataError,
+        error: OlderVersionError | UnknownBaseError | DigestMismatchError | InvalidDataError,
     ) -> None:
-        reason = REJECT_REASONS[type(refused)]
-        self.out.append(SendToDistributor(Reject(update.number, reason, self.version, refused.problem)))
-        fields = {"distributor": self.connecting.distributor, "reason": reason.name}
-        self.out.append(Note("update_rejected", refused.log_fields() | fields))
+        """Rejects an update; leaves a distributor that lags."""
+        reason = REJECT_REASONS[type(error)]
+        self.outputs.append(SendToDistributor(Reject(update.number, reason, self.version, error.problem)))
+        fields = {"distributor": self.connector.distributor, "reason": reason.name}
+        self.outputs.append(Note("update_rejected", error.log_fields() | fields))
         if reason is RejectReason.OLDER:
-            self.leave("it tells an older version", again=self.limits.backoff)
-
-    def refused(self, word: Refused) -> None:
-        fields = {"distributor": self.connecting.distributor, "reason": word.reason.name, "why": word.why}
-        self.out.append(Note("subscription_refused", fields))
-        self.leave(word.why, again=max(word.again, 1))
-
-    # ---- the lease ---------------------------------------------------------------------------------
+            self.leave_distributor("it tells an older version", retry_after=self.limits.backoff)
+
+    def on_refused(self, message: Refused) -> None:
+        """Leaves a distributor that has refused the subscription."""
+        fields = {
+            "distributor": self.connector.distributor,
+            "reason": message.reason.name,
+            "why": message.why,
+        }
+        self.outputs.append(Note("subscription_refused", fields))
+        self.leave_distributor(message.why, retry_after=max(message.again, 1))
 
-    def renew_at_once(self) -> None:
-        self.holder.renewal_due_at = self.now
-        self.renew()
+    def renew_now(self) -> None:
+        """Sends a renewal before the next one is due."""
+        self.send_renewal(self.lease.renewal_now(self.now))
 
     def renew(self) -> None:
-        number = self.holder.next_renewal(self.now)
-        if number is not None:
-            self.out.append(SendToDistributor(Renew(number)))
+        """Sends a renewal if one is due."""
+        self.send_renewal(self.lease.renewal(self.now))
+
+    def send_renewal(self, renewal: Renew | None) -> None:
+        """Sends a renewal if there is one."""
+        if renewal is not None:
+            self.outputs.append(SendToDistributor(renewal))
 
-    def current(self, word: Current) -> None:
-        if word.age is None:
+    def on_current(self, message: Current) -> None:
+        """Extends the lease by what the distributor has confirmed."""
+        if message.age is None:
             return
-        until = self.holder.on_renewed(LeaseRenewed(word.number, LEASE_INCARNATION), word.age)
-        self.lease_here = max(self.lease_here, until)
-        if self.now < self.holder.valid_until:
-            self.connecting.patience.current(self.holder.valid_until)
+        self.lease.on_renewed(message)
+        if self.now < self.lease.until:
+            self.connector.deadlines.on_current(self.lease.until)
--- a/indigohitch/fleet/distribution/subscriber_registry.py
+++ b/indigohitch/fleet/distribution/subscriber_registry.py
@@ -1,4 +1,4 @@
-"""Who is connected to a distributor, who is served, and which subscribers reach a service.  No I/O."""
+"""The subscribers of a distributor: connections, subscriptions and an index by service.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,37 +12,45 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingClaim:
-    """Of a newer version than the distributor has: either it lags, or that version never was."""
+    """A claim of a newer version than the distributor has.
 
-    word: Subscribe
-    since: int
+    Either the distributor lags, or that version never existed.
+    """
+
+    message: Subscribe
+    claimed_at: int
 
 
 class SubscriberRegistry:
+    """Connections and subscriptions by connection, by name and by service."""
+
     def __init__(self) -> None:
         self.names: dict[int, SubscriberName] = {}  # by connection
-        self.claims: dict[int, PendingClaim] = {}  # in doubt
+        self.claims: dict[int, PendingClaim] = {}  # that wait until the distributor has caught up
         self.subscriptions: dict[int, Subscription] = {}
         self.by_name: dict[SubscriberName, int] = {}  # served ones
         self.by_service: dict[ServiceName, dict[int, None]] = {}
         self.indexed: dict[int, tuple[ServiceName, ...]] = {}
 
-    def count_besides(self, connection: int) -> int:
-        """Connections that are served or in doubt, but for this one and the one that it replaces."""
+    def other_count(self, connection: int) -> int:
+        """Returns the number of other subscribers, without the connection this one replaces."""
         replaced = self.names[connection] in self.by_name
         return len(self.subscriptions) + len(self.claims) - replaced - (connection in self.claims)
 
-    def served(self) -> Collection[Subscription]:
+    def subscribed(self) -> Collection[Subscription]:
+        """Returns all subscriptions."""
         return self.subscriptions.values()
 
     def connection_of(self, name: SubscriberName) -> int | None:
-        """The connection over which it is served."""
+        """Returns the connection that serves a subscriber."""
         return self.by_name.get(name)
 
-    def join(self, connection: int, name: SubscriberName) -> None:
+    def add(self, connection: int, name: SubscriberName) -> None:
+        """Adds a connection."""
         self.names[connection] = name
 
-    def leave(self, connection: int) -> Subscription | None:
+    def remove(self, connection: int) -> Subscription | None:
+        """Removes a connection and returns its subscription."""
         self.claims.pop(connection, None)
         subscription = self.subscriptions.pop(connection, None)
         name = self.names.pop(connection, "")
@@ -51,42 +59,46 @@
         self.reindex(connection, ())
         return subscription
 
-    def doubt(self, connection: int, claim: PendingClaim) -> None:
+    def hold_claim(self, connection: int, claim: PendingClaim) -> None:
+        """Keeps a claim until the distributor has caught up."""
         self.claims[connection] = claim
 
-    def decided(self, connection: int) -> None:
-        """Its claim, if there was one, is in doubt no more."""
+    def resolve_claim(self, connection: int) -> None:
+        """Drops the claim of a connection, if any."""
         self.claims.pop(connection, None)
 
-    def doubts_before(self, time: int) -> list[int]:
-        return [connection for connection, claim in self.claims.items() if claim.since <= time]
+    def claims_before(self, time: int) -> list[int]:
+        """Returns connections whose claim was made up to that time."""
+        return [connection for connection, claim in self.claims.items() if claim.claimed_at <= time]
 
-    def serve(self, connection: int, subscription: Subscription) -> None:
+    def subscribe(self, connection: int, subscription: Subscription) -> None:
+        """Adds a subscription."""
         self.subscriptions[connection] = subscription
         self.by_name[subscription.subscriber] = connection
-        self.index(connection)
+        self.update_index(connection)
 
-    def index(self, connection: int) -> None:
-        """Its scope may be another one."""
+    def update_index(self, connection: int) -> None:
+        """Updates the index after the scope may have changed."""
         scope = self.subscriptions[connection].scope
         if self.indexed.get(connection) is not scope:
             self.reindex(connection, scope)
 
     def reindex(self, connection: int, scope: tuple[ServiceName, ...]) -> None:
+        """Replaces the indexed services of a connection."""
         for service in self.indexed.pop(connection, ()):
-            those = self.by_service[service]
-            del those[connection]
-            if not those:
+            connections = self.by_service[service]
+            del connections[connection]
+            if not connections:
                 del self.by_service[service]
         for service in scope:
             self.by_service.setdefault(service, {})[connection] = None
         if scope:
             self.indexed[connection] = scope
 
-    def unanswered(self, since: int) -> list[int]:
-        """Those to whom an update went before that time and is out still."""
+    def unacknowledged(self, sent_before: int) -> list[int]:
+        """Returns connections with an update in flight that was sent up to that time."""
         return [
             connection
             for connection, subscription in self.subscriptions.items()
-            if subscription.flight is not None and subscription.flight.sent <= since
+            if subscription.in_flight is not None and subscription.in_flight.sent_at <= sent_before
         ]
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -63,7 +63,7 @@
     def on_report(self, sender: MemberId, report: Report) -> None:
         """Takes the report of another distributor."""
         if self.distributing is not None:
-            self.distributing.heard_report(sender, report)
+            self.distributing.on_report(sender, report)
 
     def stop_distributing(self) -> None:
         """Closes the distributor; its subscribers connect to another one."""
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -46,14 +46,21 @@
         seed = random.Random(secrets.randbits(64))
         addresses = {each.name: each.address for each in text.distributors.values()}
         self.connection = SubscriberConnection(
-            self.loop, self.log, text.name, text.me, text.services, addresses, seed, applied=self._on_applied
+            self.loop,
+            self.log,
+            text.name,
+            text.me,
+            text.services,
+            addresses,
+            seed,
+            on_applied=self._on_applied,
         )
         self.connection.start()
         self._log_content()
 
     def _log_content(self) -> None:
         self.log_timer = self.loop.call_after(LOG_INTERVAL, self._log_content)
-        self.log.event("content", **self.connection.figures()["distribution"])
+        self.log.event("content", **self.connection.status()["distribution"])
 
     def _on_applied(self, output: UpdateApplied) -> None:
         age = self.connection.machine.age(self.loop.clock.now())
@@ -63,7 +70,7 @@
             services=len(output.services),
             age_ms=None if age is None else age / 10,
         )
-        self.on_services_applied(output.version.index, self.connection.machine.held.services.keys())
+        self.on_services_applied(output.version.index, self.connection.machine.scope.services.keys())
 
     def resources(self, service: str) -> Mapping[str, bytes]:
         """Returns the resources of a service, by key."""
@@ -86,7 +93,7 @@
 
     def status(self) -> dict[str, object]:
         """Returns what `status` shows."""
-        return self.connection.figures() if self.connection is not None else {}
+        return self.connection.status() if self.connection is not None else {}
 
     def on_command(
         self, what: str, line: dict[str, object], answer: Callable[[dict[str, object]], None]
