--- a/indigohitch/fleet/seats/allocator.py
+++ b/indigohitch/fleet/seats/allocator.py
@@ -1,21 +1,21 @@
-"""Allocating the seats of a member's own share, without a round trip.  No I/O.
+"""Allocates the seats of a member's own share without a round trip.  No I/O.
 
 A seat is allocated only while the lease is valid and the contract runs, with a stamp, and no longer than
-both. It is free again once its job is known to have ended; a job of which that is not known keeps it until
-its end, which the server has met before (nodeclock.py)."""
+both.  It is free again once its job is known to have ended; a job of which that is not known keeps it until
+its end, which the server has enforced before (nodeclock.py).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from heapq import heapify, heappop, heappush
-from typing import NamedTuple
 
 import msgspec
 
 from ..interfaces import ActionRecorder
-from ..types import Lease, Stamp
-from .contract import COMMON, Given, Return, Terms
+from ..types import Lease
+from .allocation import Allocation, Counts, Expiry, NoSeat, SeatSettings
+from .contract import COMMON, Return, Terms
 from .part import Feature, Seats
 from .pool import Assignment, SeatPool
 
@@ -24,52 +24,9 @@
 SWEPT = 256  # expiries in the heap before those of jobs that are over are looked for
 
 
-@dataclass(slots=True, frozen=True)
-class SeatSettings:
-    """Times in tenths of a ms."""
-
-    place_kept: int  # how long a refused tenant's place is kept
-    come_back: int  # when to ask again
-    drift: float  # by how much clocks run apart, as a share
-
-
-@dataclass(slots=True, eq=False)
-class Allocation:
-    """A seat for one job, until `until` of the holder's clock at the latest."""
-
-    assignment: Assignment
-    until: int
-    stamp: Stamp
-    over: bool = False
-
-    @property
-    def given(self) -> Given:
-        return self.assignment.given
-
-
-@dataclass(slots=True)
-class NoSeat:
-    why: str
-    retry_after: int  # tenths of a ms until it may be of use to ask again
-
-
-class Expiry(NamedTuple):
-    """An end of a job, or of lingering, that comes unless it is heard of before."""
-
-    at: int
-    order: int  # among those of one instant
-    what: Allocation | Assignment
-
-
-@dataclass(slots=True)
-class Counts:
-    given: int = 0
-    refused: int = 0
-    no_lease: int = 0
-    unheard: int = 0
-
-
 class SeatAllocator:
+    """Allocates the seats that this member holds."""
+
     def __init__(
         self,
         name: str,
@@ -105,11 +62,13 @@
                 self.pool(feature, pool).sync(share, found.counters)
 
     def pool(self, feature: str, pool: str) -> SeatPool:
+        """Returns the pool, which is created on first use."""
         if (feature, pool) not in self.pools:
             self.pools[feature, pool] = SeatPool(feature, self.settings.place_kept)
         return self.pools[feature, pool]
 
     def turn(self, now: int, lease: Lease | None) -> None:
+        """Applies expiries and closes the window of measurement when it is due."""
         if lease is not None and (self.lease is None or lease.incarnation != self.lease.incarnation):
             self.pools = {}
             self.expiries = []
@@ -124,7 +83,7 @@
                 pool.close_window(now)
 
     def expire(self, now: int) -> None:
-        """Ends that have come."""
+        """Applies expiries that are due."""
         while self.expiries and self.expiries[0].at <= now:
             what = heappop(self.expiries).what
             if isinstance(what, Allocation):
@@ -134,12 +93,14 @@
                 what.pool.unassign(now, what)
 
     def expire_at(self, when: int, what: Allocation | Assignment) -> None:
+        """Schedules an expiry."""
         self.order += 1
         if len(self.expiries) > self.sweep_at:  # most jobs are over long before their end
             self.sweep()
         heappush(self.expiries, Expiry(when, self.order, what))
 
     def sweep(self) -> None:
+        """Drops expiries of jobs that have ended."""
         self.expiries = [
             one for one in self.expiries if not (isinstance(one.what, Allocation) and one.what.over)
         ]
@@ -147,6 +108,7 @@
         self.sweep_at = max(SWEPT, 2 * len(self.expiries))
 
     def kind(self, feature: str) -> str:
+        """Returns what a seat of the feature is for."""
         found = self.part.features.get(feature)
         return found.terms.kind if found is not None else "job"
 
@@ -155,8 +117,10 @@
     def allocate(
         self, now: int, feature: str, tenant: str, key: str, longest: int, back: int = 0
     ) -> Allocation | NoSeat:
-        """A seat for a job of at most `longest`.  `key`: its node (kind "node") or its user (kind "user");
-        `back`: in how long who is refused is told to come again."""
+        """Allocates a seat for a job of at most `longest`.
+
+        `key`: its node (kind "node") or its user (kind "user"); `back`: when a refused caller is to retry.
+        """
         if self.expiries and self.expiries[0].at <= now:
             self.expire(now)
         found = self.part.features.get(feature)
@@ -177,7 +141,7 @@
         return self.stamped(now, assignment, until)
 
     def latest_end(self, now: int, terms: Terms, fleet: int, longest: int) -> int:
-        """The earliest of the job's own end, the lease's and the contract's."""
+        """Returns the earliest of the ends of the job, the lease and the contract."""
         until = min(self.lease.until if self.lease is not None else now, now + longest)
         if terms.until:
             until = min(until, now + int((terms.until - fleet) * (1 - self.settings.drift)))
@@ -186,7 +150,7 @@
     def assign(
         self, now: int, found: Feature, tenant: str, key: str, fleet: int, back: int
     ) -> Assignment | None:
-        """Of the tenant's own pool first, then of the common one; None where neither has a seat for it."""
+        """Assigns a seat of the tenant's own pool or of the common one; None: neither has one."""
         terms = found.terms
         # A user who isn't named has a seat for each job: more than it may need, never one for two people.
         key = {"node": key, "user": key and f"{tenant}\0{key}"}.get(terms.kind, "")
@@ -202,7 +166,7 @@
         return None
 
     def stamped(self, now: int, assignment: Assignment, until: int) -> Allocation | NoSeat:
-        """One more job under the assignment, recorded as an act of this member."""
+        """Adds a job to the assignment, recorded as an action of this member."""
         stamp = self.acts.stamp(now, "seats.given", msgspec.msgpack.encode(assignment.given))
         if stamp is None:
             if not assignment.jobs and not assignment.free_at:
@@ -216,13 +180,14 @@
         return allocation
 
     def refuse(self, why: str, retry_after: int = 0) -> NoSeat:
+        """Counts a refusal and returns it."""
         self.counts.refused += 1
         return NoSeat(why, max(retry_after, self.settings.come_back))
 
     # ---- back --------------------------------------------------------------------------------------
 
     def release(self, now: int, allocation: Allocation) -> None:
-        """Its job is over, or never began, for certain."""
+        """Frees the seat of a job that has surely ended or never started."""
         if allocation.over:
             return
         allocation.over = True
@@ -239,7 +204,7 @@
             assignment.pool.unassign(now, assignment)
 
     def returns(self) -> list[Return]:
-        """What is owed and idle, and what was to be returned and is not yet seen so in the state machine."""
+        """Returns the seats that are owed and idle, or whose return is not yet applied."""
         out = []
         for (feature, name), pool in self.pools.items():
             pool.set_aside_owed()
--- a/indigohitch/fleet/seats/configured.py
+++ b/indigohitch/fleet/seats/configured.py
@@ -1,4 +1,4 @@
-"""What the operator's file contracts, and the work on seats of the member that reads it."""
+"""The contracts of the operator's file, and the member's work on seats."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def contract_of(text: FleetText) -> Contract | None:
-    """None where the file has no line `seats`: then it says nothing of them."""
+    """Returns the contracts of a file; None if it has no line `seats`."""
     rows = text.parts.get("seats", [])
     if not text.edition or not rows:
         return None
@@ -43,7 +43,10 @@
 def work_of(
     text: FleetText, part: Seats, acts: ActionRecorder, fleet_time: Callable[[int], int]
 ) -> SeatsWork:
-    """`text` is read anew where its edition has changed: a reload may change it in place."""
+    """Returns the member's work on seats.
+
+    `text` is read again when its edition has changed: a reload may change it in place.
+    """
     settings = SeatSettings(PLACE_KEPT, COME_BACK, text.drift)
     return SeatsWork(
         text.me, part, acts, fleet_time, lambda: contract_of(text), not text.members[text.me].votes, settings
--- a/indigohitch/fleet/seats/contract.py
+++ b/indigohitch/fleet/seats/contract.py
@@ -1,6 +1,7 @@
-"""What is contracted, what entries say of seats, and what a seat's stamp holds.  Shapes only.
+"""Contracts, entries and stamps of seats; data types only.
 
-Spans are tenths of a ms, instants fleet time (Unix time as the ledger has agreed on it)."""
+Durations are tenths of a millisecond, instants fleet time (Unix time as agreed by the ledger).
+"""
 
 from __future__ import annotations
 
@@ -11,7 +12,7 @@
 
 
 class Terms(Row, frozen=True):
-    """One feature's contract.  `kind`: one seat for each "job", each "node", or each "user" of a tenant."""
+    """One feature's contract; `kind`: a seat for each "job", "node", or "user" of a tenant."""
 
     feature: str
     seats: int
@@ -23,11 +24,14 @@
     keep: tuple[tuple[str, int], ...] = ()  # tenant, seats that are its own
 
     def pools(self) -> dict[str, int]:
-        """Seats by pool: one for each tenant that has some kept, and the common one of the rest."""
+        """Returns seats by pool: one for each tenant with reserved seats, and the common one."""
         return {COMMON: self.seats - sum(count for _, count in self.keep), **dict(self.keep)}
 
     def valid(self, time: int) -> bool:
-        """At that fleet time; while none is agreed on (0) a contract with dates is not."""
+        """Returns whether the contract runs at that fleet time.
+
+        While no time is agreed on (0), a contract with dates does not.
+        """
         if not self.since and not self.until:
             return True
         return 0 < time >= self.since and (not self.until or time < self.until)
@@ -37,14 +41,14 @@
 
 
 class Contract(Row, frozen=True):
-    """All that the file with this number contracts: what it doesn't name has no seats any more."""
+    """All contracts of one edition of the file; a feature not listed has no seats any more."""
 
     edition: int
     terms: tuple[Terms, ...]
 
 
 class Grant(Row, frozen=True):
-    """So many free seats of a pool to one incarnation of a member."""
+    """Grants free seats of a pool to one incarnation of a member."""
 
     feature: str
     pool: str
@@ -54,7 +58,7 @@
 
 
 class Recall(Row, frozen=True):
-    """So many of what it holds are to be returned, the idle ones first: which, only the member knows."""
+    """Recalls seats of a member, idle ones first; only the member knows which."""
 
     feature: str
     pool: str
@@ -64,7 +68,7 @@
 
 
 class Return(Row, frozen=True):
-    """By who holds them: (number, counter) of seats that it surely gives to nobody any more."""
+    """Returns seats, by their holder: (number, counter) of each."""
 
     feature: str
     pool: str
@@ -75,7 +79,7 @@
 
 
 class Share(Row):
-    """What one incarnation of a member holds of a pool; only it gives these seats, under its lease."""
+    """The seats of a pool that one incarnation of a member holds, under its lease."""
 
     pool: str
     name: str
@@ -86,16 +90,21 @@
 
     @property
     def net(self) -> int:
+        """Seats held and not owed."""
         return len(self.seats) - self.debt
 
 
 class FeatureRow(Row):
+    """One feature in a snapshot."""
+
     terms: Terms
     counters: list[int]  # by number: how often a seat was granted or freed
     shares: list[Share]
 
 
 class SeatsRow(Row):
+    """All features in a snapshot."""
+
     edition: int
     features: list[FeatureRow]
     gone: list[tuple[str, int]]
@@ -105,8 +114,11 @@
 
 
 class Given(Row, frozen=True):
-    """One giving of a seat.  (`counter`, `use`) only grows for a number: `counter` by the state, `use` by the
-    holder.  `shared`: further jobs of the same node or user may come under it."""
+    """The identity of one use of a seat.
+
+    (`counter`, `use`) only grows for a number: `counter` by the state, `use` by the holder.  `shared`:
+    further jobs of the same node or user may use it.
+    """
 
     feature: str
     number: int
@@ -125,7 +137,7 @@
 
 
 class Report(Row, frozen=True):
-    """What a member tells the leader with each renewal: by feature and pool what it would use."""
+    """What a member reports to the leader with each renewal, by feature and pool."""
 
     incarnation: int
     wanting: tuple[Wanting, ...]
@@ -133,7 +145,7 @@
 
 
 class Pass(Row, frozen=True):
-    """What a server is shown: the giving, at which boot of the server and until when by its own clock."""
+    """What a server is shown: the use of a seat, the server's boot, and the end by the server's clock."""
 
     given: Given
     boot: str
--- a/indigohitch/fleet/seats/nodeclock.py
+++ b/indigohitch/fleet/seats/nodeclock.py
@@ -1,8 +1,9 @@
 """A job's end by the clock of the server that runs it, and the server's own check.  No I/O.
 
-A server tells its boot id and its monotonic clock with every answer.  Who has such a reading knows how far
-that clock has come at the least: clocks of one bound on drift run apart by that share of the time since.  So
-a job that must be over by an instant of the holder is given the server's time that surely comes before it."""
+A server sends its boot id and its monotonic clock with every response.  From such a reading a holder knows
+the least that the clock has reached: clocks with a bound on drift differ by that share of the time since.  So
+a job that must end by an instant of the holder gets a server time that surely comes before it.
+"""
 
 from __future__ import annotations
 
@@ -14,27 +15,34 @@
 
 @dataclass(slots=True)
 class Reading:
+    """A reading of a server's clock."""
+
     boot: str
     clock: int  # the server's, read before it answered
     at: int  # the holder's, when the answer had come
 
 
 class Nodes:
-    """The last reading of each server, at one holder.  `drift`: how far two clocks run apart at
-    most, as a share."""
+    """The last reading of each server, at one holder.
+
+    `drift`: the largest difference of two clocks, as a share.
+    """
 
     def __init__(self, drift: float) -> None:
         self.drift = drift
         self.readings: dict[str, Reading] = {}
 
     def heard(self, server: str, boot: str, clock: int, now: int) -> None:
+        """Keeps a reading if it is newer."""
         known = self.readings.get(server)
         if known is None or known.boot != boot or clock > known.clock:  # answers may cross
             self.readings[server] = Reading(boot, clock, now)
 
     def end(self, server: str, until: int) -> tuple[str, int]:
-        """Boot id and the server's time that comes before the holder's `until`.  ("", 0) where that server
-        was never heard: it refuses this, and can be heard then."""
+        """Returns the boot id and the server time that comes before the holder's `until`.
+
+        ("", 0) for a server without a reading: it refuses this, and its response has a reading.
+        """
         known = self.readings.get(server)
         if known is None:
             return "", 0
@@ -42,7 +50,7 @@
 
 
 class Verdict(enum.Enum):
-    """LATE and UNREAD tell the holder that nothing of the giving runs there: of the others a copy may."""
+    """The server's decision; LATE and UNREAD tell the holder that nothing runs there."""
 
     TAKEN = "taken"
     UNREAD = "unread"  # from one that has not heard this server's clock yet
@@ -52,13 +60,16 @@
 
     @property
     def unrun(self) -> bool:
+        """Whether nothing of this use of the seat runs on the server."""
         return self in (Verdict.UNREAD, Verdict.LATE)
 
 
 class Meter:
-    """At a server: which seats its jobs use.  A job is refused that came too late, and ends at its end.
+    """At a server: which seats its jobs use.
 
-    What it has seen is forgotten with its boot id, so nothing from before is taken afterwards."""
+    A late job is refused, and a job ends at its end.  What it has seen is forgotten with its boot id, so
+    nothing from before is accepted afterwards.
+    """
 
     SWEPT = 1024  # stamps kept before those whose end has passed are looked for
 
@@ -72,7 +83,10 @@
         self.refused = dict.fromkeys(Verdict, 0)
 
     def takes(self, now: int, shown: Pass) -> tuple[Verdict, int]:
-        """`now` by the server's monotonic clock.  With TAKEN the job's number, for `ended`."""
+        """Returns the verdict and, if it is TAKEN, the job's number.
+
+        `now` is the server's monotonic clock.
+        """
         verdict = self.verdict(now, shown)
         self.refused[verdict] += verdict is not Verdict.TAKEN
         if verdict is not Verdict.TAKEN:
@@ -85,6 +99,7 @@
         return verdict, self.serial
 
     def verdict(self, now: int, shown: Pass) -> Verdict:
+        """Returns whether the job may run."""
         given = shown.given
         last = self.last.get((shown.given.feature, shown.given.number))
         if not shown.boot:
@@ -99,14 +114,15 @@
 
     @staticmethod
     def name_of(shown: Pass) -> tuple[str, int, int]:
+        """Returns the identity of a stamp."""
         return shown.stamp.member, shown.stamp.incarnation, shown.stamp.number
 
     def ended(self, job: int) -> bool:
-        """False: it had been ended."""
+        """Returns whether the job was running; it is not after this."""
         return self.jobs.pop(job, None) is not None
 
     def overdue(self, now: int) -> list[int]:
-        """Jobs whose end has come; they have to be ended now, whatever they are at."""
+        """Returns jobs whose end has come; they have to be ended now."""
         over = [job for job, shown in self.jobs.items() if now >= shown.until]
         for job in over:
             del self.jobs[job]
@@ -116,11 +132,12 @@
         return over
 
     def in_use(self, feature: str) -> set[int]:
+        """Returns the numbers of seats of a feature that jobs use."""
         return {shown.given.number for shown in self.jobs.values() if shown.given.feature == feature}
 
 
 def header(shown: Pass) -> str:
-    """`feature number counter use shared boot until member incarnation term version number`."""
+    """Returns `feature number counter use shared boot until member incarnation term version number`."""
     g = shown.given
     s = shown.stamp
     return " ".join(
@@ -145,7 +162,7 @@
 
 
 def read(text: str) -> Pass | None:
-    """None for what is no pass."""
+    """Parses a header; None if it is invalid."""
     from ..types import Stamp
 
     words = text.split()
--- a/indigohitch/fleet/seats/part.py
+++ b/indigohitch/fleet/seats/part.py
@@ -1,10 +1,11 @@
-"""The state machine's part `seats`: contracts, and who holds which seats.  Deterministic, no I/O.
+"""The part `seats` of the replicated state machine: contracts and holders.  Deterministic, no I/O.
 
-What holds after every entry (tests/test_seats_part.py):
+Invariants after every entry (tests/test_seats_part.py):
 - a seat has at most one holder, and its counter grows with every change of holder;
 - nothing is granted while the pool or the whole feature holds as much as is contracted: after a cut the seats
-  held only become fewer until they fit;
-- only the holder's return, or the word that its incarnation is gone, frees a seat."""
+held only become fewer until they fit;
+- only the holder's return, or the end of its incarnation, frees a seat.
+"""
 
 from __future__ import annotations
 
@@ -16,71 +17,11 @@
 from ..interfaces import EntryContext
 from ..membership.roster import announce_change
 from .contract import Contract, FeatureRow, Grant, Recall, Return, SeatsRow, Share, Terms
-
-
-class Feature:
-    def __init__(self, terms: Terms) -> None:
-        self.take(terms)
-        self.counters: list[int] = []
-        self.free: list[int] = []  # numbers, ascending
-        self.shares: dict[tuple[str, str, int], Share] = {}  # by pool, name, incarnation
-
-    def take(self, terms: Terms) -> None:
-        self.terms = terms
-        self.pools = terms.pools()
-
-    def held(self, pool: str | None = None) -> int:
-        return sum(len(s.seats) for s in self.shares.values() if pool is None or s.pool == pool)
-
-    def by_member(self) -> dict[str, int]:
-        """Seats held, of all pools and incarnations."""
-        found: dict[str, int] = {}
-        for share in self.shares.values():
-            found[share.name] = found.get(share.name, 0) + len(share.seats)
-        return found
-
-    def over(self) -> int:
-        """Seats held beyond the contract: it is in force once this is 0."""
-        return max(0, self.held() - self.terms.seats)
-
-    def room(self, pool: str) -> int:
-        """Seats that may be granted of it now."""
-        limit = self.pools.get(pool, 0)
-        return max(0, min(limit - self.held(pool), self.terms.seats - self.held(), len(self.free)))
-
-    def grow(self) -> None:
-        for number in range(len(self.counters), self.terms.seats):
-            self.counters.append(0)
-            self.free.append(number)
-
-    def drop(self, share: Share, number: int) -> None:
-        share.seats.remove(number)
-        share.debt = max(0, share.debt - 1)
-        self.counters[number] += 1
-        insort(self.free, number)
-        if not share.seats:
-            del self.shares[share.pool, share.name, share.incarnation]
-
-    def settle(self, pool: str, due: int) -> None:
-        """Debts, so that what stays is what the contract has: always of the member that keeps most, the first
-        by name among equals, so that a cut levels shares; and back in the other order when it has more."""
-        shares = sorted(
-            (s for s in self.shares.values() if s.pool == pool), key=lambda s: (s.name, s.incarnation)
-        )
-        excess = sum(s.net for s in shares) - self.pools.get(pool, 0)
-        while excess > 0:
-            share = max(shares, key=lambda s: s.net)
-            share.due = share.due if share.debt else due
-            share.debt += 1
-            excess -= 1
-        while excess < 0 and any(s.debt for s in shares):
-            share = min((s for s in shares if s.debt), key=lambda s: s.net)
-            share.debt -= 1
-            excess += 1
+from .feature import Feature
 
 
 class Seats:
-    """StateMachinePart."""
+    """The state machine's part `seats`."""
 
     name = "seats"
     kinds = {"contract": Contract, "grant": Grant, "recall": Recall, "return": Return}
@@ -91,7 +32,8 @@
         self.features: dict[str, Feature] = {}
         self.gone: dict[str, int] = {}  # by member: the last incarnation that surely holds nothing
 
-    def apply(self, at: EntryContext, word: str, body) -> object:
+    def apply(self, at: EntryContext, word: str, body: Contract | Grant | Recall | Return) -> object:
+        """Applies an entry; raises InvalidRequestError."""
         match word:
             case "contract":
                 return self.on_contract(at, body)
@@ -104,14 +46,17 @@
         raise ValueError(f"no word of this part: {word}")
 
     def share(self, feature: str, pool: str, name: str, incarnation: int) -> Share | None:
+        """Returns a member's share of a pool."""
         found = self.features.get(feature)
         return found.shares.get((pool, name, incarnation)) if found is not None else None
 
     # ---- entries -----------------------------------------------------------------------------------
 
     def on_contract(self, at: EntryContext, body: Contract) -> int:
-        """Returns the edition that stands.  Raises Unfit for an older one, and for another of the same
-        number."""
+        """Returns the edition in force.
+
+        Raises InvalidRequestError for an older one, and for a different one of the same number.
+        """
         named = {terms.feature: terms for terms in body.terms}
         if body.edition < self.edition:
             raise InvalidRequestError(f"edition {body.edition} of the contracts is older than {self.edition}")
@@ -143,6 +88,7 @@
         return self.edition
 
     def on_grant(self, at: EntryContext, body: Grant) -> list[tuple[int, int]]:
+        """Returns (number, counter) of the granted seats; raises InvalidRequestError."""
         found = self.found(body.feature)
         if body.incarnation <= self.gone.get(body.member, 0):
             raise InvalidRequestError(f"{body.member} {body.incarnation} is gone")
@@ -161,7 +107,7 @@
         return [(number, found.counters[number]) for number in given]
 
     def on_recall(self, at: EntryContext, body: Recall) -> int:
-        """Returns the whole debt."""
+        """Returns the whole debt; raises InvalidRequestError."""
         found = self.found(body.feature)
         share = found.shares.get((body.pool, body.member, body.incarnation))
         if share is None or not 0 < body.count <= share.net:
@@ -174,7 +120,10 @@
         return share.debt
 
     def on_return(self, at: EntryContext, body: Return) -> int:
-        """Returns how many were taken; those not held any more are passed over, so that it may come twice."""
+        """Returns how many seats were freed.
+
+        Seats no longer held are skipped, so that a return may be repeated.
+        """
         found = self.found(body.feature)
         taken = 0
         share = found.shares.get((body.pool, at.proposer, at.incarnation))
@@ -185,11 +134,13 @@
         return taken
 
     def found(self, feature: str) -> Feature:
+        """Returns a feature; raises InvalidRequestError if it has no contract."""
         if feature not in self.features:
             raise InvalidRequestError(f"no contract on {feature}")
         return self.features[feature]
 
     def on_member_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
+        """Frees the seats of an incarnation that has surely ended."""
         self.gone[name] = max(incarnation, self.gone.get(name, 0))
         for feature in self.features.values():
             for share in [
@@ -201,6 +152,7 @@
     # ---- as a whole --------------------------------------------------------------------------------
 
     def row(self) -> SeatsRow:
+        """Returns the state for a snapshot."""
         return SeatsRow(
             self.edition,
             [
@@ -215,6 +167,7 @@
         )
 
     def restore(self, row: bytes) -> None:
+        """Replaces the state by that of a snapshot; raises InvalidDataError."""
         try:
             found = msgspec.msgpack.decode(row, type=SeatsRow)
         except msgspec.MsgspecError as bad:
--- a/indigohitch/fleet/seats/pool.py
+++ b/indigohitch/fleet/seats/pool.py
@@ -4,7 +4,8 @@
 that waits longest among those with less than their fair part (an equal part of the seats held, at least
 one). So who comes again within that time and has less than its part gets one of the next seats that fall
 idle: at the latest when the jobs that are out now are over, all of which end with the lease
-(docs/seats.md)."""
+(docs/seats.md).
+"""
 
 from __future__ import annotations
 
@@ -30,6 +31,8 @@
 
 @dataclass(slots=True, eq=False)
 class Seat:
+    """A seat that this member holds."""
+
     number: int
     counter: int
     uses: int = 0
@@ -38,7 +41,7 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """A refused tenant's place."""
+    """The place of a refused tenant in the queue."""
 
     since: int
     until: int
@@ -46,11 +49,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Demand:
+    """The demand that a member reports for a pool."""
+
     used: int  # seats in use on average in the last window, rounded up
     missed: int  # asks that found none
 
 
 class SeatPool:
+    """The seats of one pool, with assignments and waiting tenants."""
+
     def __init__(self, feature: str, place_kept: int) -> None:
         self.feature = feature
         self.place_kept = place_kept
@@ -72,6 +79,7 @@
 
     @property
     def usable(self) -> int:
+        """Seats that are not owed."""
         return max(0, len(self.seats) + len(self.returning) - self.debt)
 
     def sync(self, share: Share | None, counters: list[int]) -> None:
@@ -133,6 +141,7 @@
             self.waiting[tenant] = Waiting(now, until)
 
     def assign(self, now: int, key: str, tenant: str) -> Assignment:
+        """Assigns an idle seat."""
         self.count(now)
         seat = self.idle.pop()
         seat.uses += 1
@@ -147,6 +156,7 @@
         return assignment
 
     def unassign(self, now: int, assignment: Assignment) -> None:
+        """Frees an assigned seat."""
         if assignment not in self.assignments:
             return
         self.count(now)
@@ -176,6 +186,7 @@
         self.at = max(self.at, now)
 
     def close_window(self, now: int) -> None:
+        """Closes the window of measurement."""
         self.count(now)
         self.mean = -(-self.area // max(1, now - self.began))
         self.area = 0
@@ -184,4 +195,5 @@
         self.missed = 0
 
     def demand(self) -> Demand:
+        """Returns the demand of the last window."""
         return Demand(self.mean, max(self.missed, self.missed_before))
--- a/indigohitch/fleet/seats/rebalancing.py
+++ b/indigohitch/fleet/seats/rebalancing.py
@@ -1,8 +1,9 @@
 """How the leader rebalances the seats of one pool over the members.  Pure.
 
-The design's own mechanism: whole seats, from the member with most idle to the one with most wanting, only for
-a positive gain, beyond a dead band, with a budget a round.  What a member should have is its part under
-max-min fairness: who wants less than an equal part gets what it wants, the others share the rest."""
+Whole seats move from the member with most idle to the one with the largest deficit, only for a positive gain,
+beyond a dead band, with a budget for each round.  The target is max-min fairness: a member that needs less
+than an equal part gets what it needs, the others share the rest.
+"""
 
 from __future__ import annotations
 
@@ -33,19 +34,26 @@
 
     @property
     def wanted(self) -> int:
-        """Who comes again and again is counted each time: it is taken to want half as much again at most, and
-        shows in the next round whether it used that."""
+        """The seats that the member needs.
+
+        A retrying client is counted each time: a member is taken to need half as much again at most, and its
+        next report shows whether it used that.
+        """
         return self.used + min(self.missed, 2 + self.used // 2)
 
 
 @dataclass(slots=True, frozen=True)
 class FairParts:
+    """Seats by member, and those that nobody needs."""
+
     parts: list[int]  # in the order of what was wanted
     unwanted: int
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
+    """Seats to grant to, or to recall from, a member."""
+
     member: MemberDemand
     count: int
 
@@ -59,7 +67,7 @@
 
 
 def fair_parts(size: int, wanted: Sequence[int], turn: int = 0) -> FairParts:
-    """Whole seats of `size`, max-min fair.  What can't be shared evenly goes to others with each turn."""
+    """Divides whole seats by max-min fairness; the remainder rotates with `turn`."""
     left = size
     level = 0
     rest = sorted(wanted)
@@ -78,8 +86,10 @@
 
 
 def rebalance(size: int, free: int, coming: int, members: Sequence[MemberDemand], turn: int = 0) -> Moves:
-    """What to grant now and what to recall in this round, of a pool of `size` with so many free seats and
-    so many that are owed and on their way back."""
+    """Returns what to grant and what to recall in this round, of a pool of `size`.
+
+    `free`: seats that nobody holds; `coming`: seats that are owed and on their way back.
+    """
     if not members:
         return Moves([], [])
     members = sorted(members, key=lambda member: member.name)
@@ -97,12 +107,14 @@
 
 
 def moves(members: Sequence[MemberDemand], counts: Sequence[int]) -> list[Move]:
+    """Returns the moves with a count above 0."""
     return [Move(member, count) for member, count in zip(members, counts, strict=True) if count]
 
 
 def recalls(
     size: int, coming: int, members: Sequence[MemberDemand], due: list[int], have: list[int]
 ) -> list[Move]:
+    """Returns the recalls of a round: from members with most beyond their dead band."""
     lacking = [d - h for d, h in zip(due, have, strict=True) if d > h]
     most = min(sum(lacking) - coming, max(1, size // BUDGET))
     starved = any(h == 0 < d for d, h in zip(due, have, strict=True))
--- a/indigohitch/fleet/seats/work.py
+++ b/indigohitch/fleet/seats/work.py
@@ -1,4 +1,4 @@
-"""Seats in one member's process: its allocator, what it returns, and what it proposes as leader."""
+"""Seats in a member's process: its allocator, its returns, and its proposals as leader."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from ...encoding.rows import Row
 from ..interfaces import ActionRecorder, ProposalRequest
 from ..types import Lease, LogEntry, Outcome
 from .allocator import Counts, SeatAllocator, SeatSettings
@@ -54,16 +55,19 @@
     # ---- of any member -----------------------------------------------------------------------------
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
+        """Updates the shares after an entry on seats or members."""
         if not entry.kind.startswith(("seats.", "members.")):
             return []
         self.allocator.sync()
         return self.returns()
 
     def restored(self, now: int) -> list[ProposalRequest]:
+        """Updates the shares after a restored snapshot."""
         self.allocator.sync()
         return self.returns()
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
+        """Runs the allocator; proposes returns and a newer contract."""
         self.allocator.turn(now, lease)
         wanted = self.returns()
         own = self.contract()
@@ -72,25 +76,28 @@
         return wanted
 
     def returns(self) -> list[ProposalRequest]:
+        """Proposes the seats to return."""
         wanted = []
         for row in self.allocator.returns():
             wanted += self.want(f"return {row.feature} {row.pool}", "seats.return", row)
         return wanted
 
-    def want(self, tag: str, kind: str, row) -> list[ProposalRequest]:
-        """One of a tag at a time: what it was for may look different once it is answered."""
+    def want(self, tag: str, kind: str, row: Row) -> list[ProposalRequest]:
+        """Returns a proposal, one of a tag at a time."""
         if tag in self.out:
             return []
         self.out.add(tag)
         return [ProposalRequest(kind, row, tag)]
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
+        """Notes the outcome of a proposal."""
         self.out.discard(tag)
         if tag == "contract" and outcome is not None:
             self.refused = outcome.rejection
         return []
 
     def report(self, now: int) -> bytes:
+        """Returns the report to the leader."""
         lease = self.allocator.lease
         wanting = []
         for (feature, name), pool in self.allocator.pools.items():
@@ -106,9 +113,11 @@
         return any(pool.assignments for pool in self.allocator.pools.values())
 
     def in_use(self, feature: str) -> int:
+        """Returns the assigned seats of a feature."""
         return sum(len(pool.assignments) for (of, _), pool in self.allocator.pools.items() if of == feature)
 
     def figures(self) -> dict:
+        """Returns plain JSON for the `status` command."""
         return {
             "edition": self.part.edition,
             "refused_contract": self.refused,
@@ -129,6 +138,7 @@
     # ---- of the leader -----------------------------------------------------------------------------
 
     def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
+        """Proposes grants and recalls as leader."""
         heard = decoded(reports)
         recalls = now >= self.next_round
         wanted = []
@@ -141,12 +151,13 @@
         return wanted
 
     def waits(self, feature: str, pool: str) -> bool:
-        """Moves of that pool are not answered yet: what is under way would be counted twice."""
+        """Returns whether moves of a pool are pending: they would be counted twice."""
         return any(tag.startswith(f"lead {feature} {pool} ") for tag in self.out)
 
     def rebalance(
         self, now: int, found: Feature, pool: str, size: int, heard: Mapping[str, Heard], recalls: bool
     ) -> list[ProposalRequest]:
+        """Proposes the moves of one pool."""
         members = [
             self.demand(now, found, pool, name, one)
             for name, one in heard.items()
@@ -166,11 +177,13 @@
     def want_move(
         self, kind: type[Grant] | type[Recall], word: str, feature: str, pool: str, move: Move
     ) -> list[ProposalRequest]:
+        """Returns the proposal of one move."""
         member = move.member
         row = kind(feature, pool, member.name, member.incarnation, move.count)
         return self.want(f"lead {feature} {pool} {word} {member.name}", f"seats.{word}", row)
 
     def demand(self, now: int, found: Feature, pool: str, name: str, heard: Heard) -> MemberDemand:
+        """Returns the demand of a member for a pool."""
         feature = found.terms.feature
         report = heard.report
         share = found.shares.get((pool, name, report.incarnation))
@@ -183,6 +196,7 @@
 
 
 def decoded(reports: Mapping[str, bytes]) -> dict[str, Heard]:
+    """Returns the valid reports by member."""
     heard: dict[str, Heard] = {}
     for name, raw in sorted(reports.items()):
         try:
@@ -195,7 +209,7 @@
 
 
 def told(counts: Counts) -> dict[str, int]:
-    """As `status` names them."""
+    """Returns the counters as `status` shows them."""
     return {
         "given": counts.given,
         "refused": counts.refused,
