--- a/indigohitch/fleet/seats/feature.py
+++ b/indigohitch/fleet/seats/feature.py
@@ -23,7 +23,7 @@
 
     def held(self, pool: str | None = None) -> int:
         """Returns the seats held, of one pool or of all."""
-        return sum(len(s.seats) for s in self.shares.values() if pool is None or s.pool == pool)
+        return sum(len(share.seats) for share in self.shares.values() if pool is None or share.pool == pool)
 
     def by_member(self) -> dict[str, int]:
         """Returns the seats held by member, of all pools and incarnations."""
@@ -63,15 +63,16 @@
         other order.
         """
         shares = sorted(
-            (s for s in self.shares.values() if s.pool == pool), key=lambda s: (s.name, s.incarnation)
+            (share for share in self.shares.values() if share.pool == pool),
+            key=lambda share: (share.name, share.incarnation),
         )
-        excess = sum(s.net for s in shares) - self.pools.get(pool, 0)
+        excess = sum(share.net for share in shares) - self.pools.get(pool, 0)
         while excess > 0:
-            share = max(shares, key=lambda s: s.net)
+            share = max(shares, key=lambda share: share.net)
             share.due = share.due if share.debt else due
             share.debt += 1
             excess -= 1
-        while excess < 0 and any(s.debt for s in shares):
-            share = min((s for s in shares if s.debt), key=lambda s: s.net)
+        while excess < 0 and any(share.debt for share in shares):
+            share = min((share for share in shares if share.debt), key=lambda share: share.net)
             share.debt -= 1
             excess += 1
--- a/indigohitch/fleet/seats/nodeclock.py
+++ b/indigohitch/fleet/seats/nodeclock.py
@@ -138,24 +138,24 @@
 
 def header(shown: Pass) -> str:
     """Returns `feature number counter use shared boot until member incarnation term version number`."""
-    g = shown.given
-    s = shown.stamp
+    given = shown.given
+    stamp = shown.stamp
     return " ".join(
         map(
             str,
             (
-                g.feature,
-                g.number,
-                g.counter,
-                g.use,
-                int(g.shared),
+                given.feature,
+                given.number,
+                given.counter,
+                given.use,
+                int(given.shared),
                 shown.boot or "-",
                 shown.until,
-                s.member,
-                s.incarnation,
-                s.term,
-                s.version,
-                s.number,
+                stamp.member,
+                stamp.incarnation,
+                stamp.term,
+                stamp.version,
+                stamp.number,
             ),
         )
     )
@@ -165,9 +165,9 @@
     """Parses a header; None if it is invalid."""
     from ..types import Stamp
 
-    words = text.split()
+    fields = text.split()
     try:
-        feature, number, counter, use, shared, boot, until, member, *stamp = words
+        feature, number, counter, use, shared, boot, until, member, *stamp = fields
         return Pass(
             Given(feature, int(number), int(counter), int(use), shared == "1"),
             "" if boot == "-" else boot,
--- a/indigohitch/fleet/seats/part.py
+++ b/indigohitch/fleet/seats/part.py
@@ -32,18 +32,18 @@
         self.features: dict[str, Feature] = {}
         self.gone: dict[str, int] = {}  # by member: the last incarnation that surely holds nothing
 
-    def apply(self, at: EntryContext, word: str, body: Contract | Grant | Recall | Return) -> object:
+    def apply(self, context: EntryContext, kind: str, body: Contract | Grant | Recall | Return) -> object:
         """Applies an entry; raises InvalidRequestError."""
-        match word:
+        match kind:
             case "contract":
-                return self.on_contract(at, body)
+                return self.on_contract(context, body)
             case "grant":
-                return self.on_grant(at, body)
+                return self.on_grant(context, body)
             case "recall":
-                return self.on_recall(at, body)
+                return self.on_recall(context, body)
             case "return":
-                return self.on_return(at, body)
-        raise ValueError(f"no word of this part: {word}")
+                return self.on_return(context, body)
+        raise ValueError(f"no word of this part: {kind}")
 
     def share(self, feature: str, pool: str, name: str, incarnation: int) -> Share | None:
         """Returns a member's share of a pool."""
@@ -52,7 +52,7 @@
 
     # ---- entries -----------------------------------------------------------------------------------
 
-    def on_contract(self, at: EntryContext, body: Contract) -> int:
+    def on_contract(self, context: EntryContext, body: Contract) -> int:
         """Returns the edition in force.
 
         Raises InvalidRequestError for an older one, and for a different one of the same number.
@@ -74,7 +74,7 @@
         cut = any(
             f.terms.seats > (named[name].seats if name in named else 0) for name, f in self.features.items()
         )
-        announce_change(self.state_machine, at, "seats", hard=cut)
+        announce_change(self.state_machine, context, "seats", hard=cut)
         for feature in sorted(named.keys() | self.features.keys()):
             found = self.features.get(feature)
             if found is None:
@@ -84,10 +84,10 @@
             found.take(named.get(feature) or Terms(feature, 0, found.terms.kind, drain=found.terms.drain))
             found.grow()
             for pool in sorted({s.pool for s in found.shares.values()}):
-                found.settle(pool, at.time + found.terms.drain)
+                found.settle(pool, context.time + found.terms.drain)
         return self.edition
 
-    def on_grant(self, at: EntryContext, body: Grant) -> list[tuple[int, int]]:
+    def on_grant(self, context: EntryContext, body: Grant) -> list[tuple[int, int]]:
         """Returns (number, counter) of the granted seats; raises InvalidRequestError."""
         found = self.found(body.feature)
         if body.incarnation <= self.gone.get(body.member, 0):
@@ -106,7 +106,7 @@
             insort(share.seats, number)
         return [(number, found.counters[number]) for number in given]
 
-    def on_recall(self, at: EntryContext, body: Recall) -> int:
+    def on_recall(self, context: EntryContext, body: Recall) -> int:
         """Returns the whole debt; raises InvalidRequestError."""
         found = self.found(body.feature)
         share = found.shares.get((body.pool, body.member, body.incarnation))
@@ -115,18 +115,18 @@
                 f"{body.member} {body.incarnation} has not {body.count} seats of {body.feature}"
             )
         if not share.debt:
-            share.due = at.time + found.terms.drain
+            share.due = context.time + found.terms.drain
         share.debt += body.count
         return share.debt
 
-    def on_return(self, at: EntryContext, body: Return) -> int:
+    def on_return(self, context: EntryContext, body: Return) -> int:
         """Returns how many seats were freed.
 
         Seats no longer held are skipped, so that a return may be repeated.
         """
         found = self.found(body.feature)
         taken = 0
-        share = found.shares.get((body.pool, at.proposer, at.incarnation))
+        share = found.shares.get((body.pool, context.proposer, context.incarnation))
         for number, counter in body.seats if share is not None else ():
             if number in share.seats and found.counters[number] == counter:
                 found.drop(share, number)
@@ -139,7 +139,7 @@
             raise InvalidRequestError(f"no contract on {feature}")
         return self.features[feature]
 
-    def on_member_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_member_lease_expired(self, context: EntryContext, name: str, incarnation: int) -> None:
         """Frees the seats of an incarnation that has surely ended."""
         self.gone[name] = max(incarnation, self.gone.get(name, 0))
         for feature in self.features.values():
--- a/indigohitch/fleet/seats/pool.py
+++ b/indigohitch/fleet/seats/pool.py
@@ -13,7 +13,7 @@
 
 from .contract import Given, Share
 
-MOST_WAITING = 256  # tenants whose places are kept: names come from outside, memory is bounded
+MAX_WAITING_TENANTS = 256  # tenants whose places are kept: names come from outside, memory is bounded
 
 
 @dataclass(slots=True, eq=False)
@@ -71,9 +71,9 @@
         self.debt = 0
         self.due = 0
         self.mean = 0  # seats assigned on average in the last window, rounded up
-        self.area = 0
-        self.began = 0
-        self.at = 0  # seats x tenths of a ms so far in this one
+        self.area = 0  # seats x tenths of a ms so far in this window
+        self.window_started_at = 0
+        self.counted_until = 0
         self.missed = 0
         self.missed_before = 0  # asks refused for want of a seat
 
@@ -84,15 +84,15 @@
 
     def sync(self, share: Share | None, counters: list[int]) -> None:
         """Takes over the share as the replicated state has it now."""
-        held = {n: counters[n] for n in share.seats} if share is not None else {}
+        counters_by_number = {n: counters[n] for n in share.seats} if share is not None else {}
         self.debt, self.due = (share.debt, share.due) if share is not None else (0, 0)
         for group in (self.seats, self.returning):
-            for number in [n for n, seat in group.items() if held.get(n) != seat.counter]:
+            for number in [n for n, seat in group.items() if counters_by_number.get(n) != seat.counter]:
                 seat = group.pop(number)
                 if seat in self.idle:
                     self.idle.remove(seat)
-        for number in sorted(held.keys() - self.seats.keys() - self.returning.keys()):
-            seat = Seat(number, held[number])
+        for number in sorted(counters_by_number.keys() - self.seats.keys() - self.returning.keys()):
+            seat = Seat(number, counters_by_number[number])
             self.seats[number] = seat
             self.idle.append(seat)
             self.missed = 0
@@ -137,7 +137,7 @@
         until = now + max(self.place_kept, 5 * back // 2)
         if tenant in self.waiting:
             self.waiting[tenant].until = until
-        elif len(self.waiting) < MOST_WAITING:
+        elif len(self.waiting) < MAX_WAITING_TENANTS:
             self.waiting[tenant] = Waiting(now, until)
 
     def assign(self, now: int, key: str, tenant: str) -> Assignment:
@@ -182,15 +182,15 @@
 
     def count(self, now: int) -> None:
         """Up to now; clocks of one process don't go back, but a due end may be counted late."""
-        self.area += len(self.assignments) * max(0, now - self.at)
-        self.at = max(self.at, now)
+        self.area += len(self.assignments) * max(0, now - self.counted_until)
+        self.counted_until = max(self.counted_until, now)
 
     def close_window(self, now: int) -> None:
         """Closes the window of measurement."""
         self.count(now)
-        self.mean = -(-self.area // max(1, now - self.began))
+        self.mean = -(-self.area // max(1, now - self.window_started_at))
         self.area = 0
-        self.began = now
+        self.window_started_at = now
         self.missed_before = self.missed
         self.missed = 0
 
--- a/indigohitch/fleet/seats/rebalancing.py
+++ b/indigohitch/fleet/seats/rebalancing.py
@@ -68,20 +68,20 @@
 
 def fair_parts(size: int, wanted: Sequence[int], turn: int = 0) -> FairParts:
     """Divides whole seats by max-min fairness; the remainder rotates with `turn`."""
-    left = size
+    remaining = size
     level = 0
     rest = sorted(wanted)
     for place, count in enumerate(rest):  # who wants less than an equal part gets what it wants
-        level = left // (len(rest) - place)
+        level = remaining // (len(rest) - place)
         if count > level:
             break
-        left = left - count
+        remaining = remaining - count
         level = count
     found = [min(count, level) for count in wanted]
-    left = size - sum(found)
-    order = sorted(range(len(wanted)), key=lambda i: (i + turn) % len(wanted))
-    for i in [i for i in order if wanted[i] > level][:left]:
-        found[i] += 1
+    remaining = size - sum(found)
+    order = sorted(range(len(wanted)), key=lambda index: (index + turn) % len(wanted))
+    for index in [index for index in order if wanted[index] > level][:remaining]:
+        found[index] += 1
     return FairParts(found, size - sum(found))
 
 
@@ -98,10 +98,10 @@
     have = [member.net for member in members]
     granted = [0] * len(members)
     for extra in (0, stock):  # first what is wanted, then an equal part of what is not
-        for i in sorted(range(len(members)), key=lambda i: have[i] - fair.parts[i]):
-            count = min(free, max(0, fair.parts[i] + extra * members[i].stocks - have[i]))
-            granted[i] += count
-            have[i] += count
+        for index in sorted(range(len(members)), key=lambda index: have[index] - fair.parts[index]):
+            count = min(free, max(0, fair.parts[index] + extra * members[index].stocks - have[index]))
+            granted[index] += count
+            have[index] += count
             free -= count
     return Moves(moves(members, granted), recalls(size, coming, members, fair.parts, have))
 
@@ -116,20 +116,20 @@
 ) -> list[Move]:
     """Returns the recalls of a round: from members with most beyond their dead band."""
     lacking = [d - h for d, h in zip(due, have, strict=True) if d > h]
-    most = min(sum(lacking) - coming, max(1, size // BUDGET))
+    max_moves = min(sum(lacking) - coming, max(1, size // BUDGET))
     starved = any(h == 0 < d for d, h in zip(due, have, strict=True))
     taken = [0] * len(members)
     bands = [BAND if member.stocks and not starved else 0 for member in members]
     # Who has most beyond its band comes first, of equals the first by name.
-    idle = [(d - h + band, i) for i, (d, h, band) in enumerate(zip(due, have, bands)) if h - d > band]
+    idle = [(d - h + band, index) for index, (d, h, band) in enumerate(zip(due, have, bands)) if h - d > band]
     heapify(idle)
-    for _ in range(max(0, most)):
+    for _ in range(max(0, max_moves)):
         if not idle:
             break
-        short, i = idle[0]
-        taken[i] += 1
+        short, index = idle[0]
+        taken[index] += 1
         if short + 1 < 0:
-            heapreplace(idle, (short + 1, i))
+            heapreplace(idle, (short + 1, index))
         else:
             heappop(idle)
     return moves(members, taken)
--- a/indigohitch/fleet/seats/work.py
+++ b/indigohitch/fleet/seats/work.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class MemberReport:
     """A member's last report, and what it wants by feature and pool."""
 
     report: Report
@@ -47,7 +47,7 @@
         self.contract = contract
         self.stocks = stocks
         self.allocator = SeatAllocator(name, part, acts, fleet_time, settings)
-        self.out: set[str] = set()  # tags of proposals that are not answered
+        self.pending_tags: set[str] = set()  # tags of proposals that are not answered
         self.next_round = 0
         self.fed: dict[tuple[str, str, str], int] = {}  # feature, pool, member: new to it until
         self.refused = ""  # why our contract was not taken
@@ -70,9 +70,9 @@
         """Runs the allocator; proposes returns and a newer contract."""
         self.allocator.turn(now, lease)
         wanted = self.returns()
-        own = self.contract()
-        if lease is not None and own is not None and own.edition > self.part.edition:
-            wanted += self.want("contract", "seats.contract", own)
+        own_contract = self.contract()
+        if lease is not None and own_contract is not None and own_contract.edition > self.part.edition:
+            wanted += self.want("contract", "seats.contract", own_contract)
         return wanted
 
     def returns(self) -> list[ProposalRequest]:
@@ -84,14 +84,14 @@
 
     def want(self, tag: str, kind: str, row: Row) -> list[ProposalRequest]:
         """Returns a proposal, one of a tag at a time."""
-        if tag in self.out:
+        if tag in self.pending_tags:
             return []
-        self.out.add(tag)
+        self.pending_tags.add(tag)
         return [ProposalRequest(kind, row, tag)]
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
         """Notes the outcome of a proposal."""
-        self.out.discard(tag)
+        self.pending_tags.discard(tag)
         if tag == "contract" and outcome is not None:
             self.refused = outcome.rejection
         return []
@@ -121,7 +121,7 @@
         return {
             "edition": self.part.edition,
             "refused_contract": self.refused,
-            "counts": told(self.allocator.counts),
+            "counts": counters_status(self.allocator.counts),
             "features": {
                 name: {
                     "seats": f.terms.seats,
@@ -139,7 +139,7 @@
 
     def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
         """Proposes grants and recalls as leader."""
-        heard = decoded(reports)
+        reports_by_member = decode_reports(reports)
         recalls = now >= self.next_round
         wanted = []
         if recalls:
@@ -147,20 +147,26 @@
         for feature, found in self.part.features.items():
             for pool, size in found.pools.items():
                 if not self.waits(feature, pool):
-                    wanted += self.rebalance(now, found, pool, size, heard, recalls)
+                    wanted += self.rebalance(now, found, pool, size, reports_by_member, recalls)
         return wanted
 
     def waits(self, feature: str, pool: str) -> bool:
         """Returns whether moves of a pool are pending: they would be counted twice."""
-        return any(tag.startswith(f"lead {feature} {pool} ") for tag in self.out)
+        return any(tag.startswith(f"lead {feature} {pool} ") for tag in self.pending_tags)
 
     def rebalance(
-        self, now: int, found: Feature, pool: str, size: int, heard: Mapping[str, Heard], recalls: bool
+        self,
+        now: int,
+        found: Feature,
+        pool: str,
+        size: int,
+        reports_by_member: Mapping[str, MemberReport],
+        recalls: bool,
     ) -> list[ProposalRequest]:
         """Proposes the moves of one pool."""
         members = [
             self.demand(now, found, pool, name, one)
-            for name, one in heard.items()
+            for name, one in reports_by_member.items()
             if one.report.incarnation > self.part.gone.get(name, 0)
         ]
         coming = sum(share.debt for share in found.shares.values() if share.pool == pool)
@@ -175,40 +181,42 @@
         return wanted
 
     def want_move(
-        self, kind: type[Grant] | type[Recall], word: str, feature: str, pool: str, move: Move
+        self, kind: type[Grant] | type[Recall], action: str, feature: str, pool: str, move: Move
     ) -> list[ProposalRequest]:
         """Returns the proposal of one move."""
         member = move.member
         row = kind(feature, pool, member.name, member.incarnation, move.count)
-        return self.want(f"lead {feature} {pool} {word} {member.name}", f"seats.{word}", row)
+        return self.want(f"lead {feature} {pool} {action} {member.name}", f"seats.{action}", row)
 
-    def demand(self, now: int, found: Feature, pool: str, name: str, heard: Heard) -> MemberDemand:
+    def demand(
+        self, now: int, found: Feature, pool: str, name: str, reports_by_member: MemberReport
+    ) -> MemberDemand:
         """Returns the demand of a member for a pool."""
         feature = found.terms.feature
-        report = heard.report
+        report = reports_by_member.report
         share = found.shares.get((pool, name, report.incarnation))
         net = share.net if share is not None else 0
-        wanting = heard.wanting.get((feature, pool))
+        wanting = reports_by_member.wanting.get((feature, pool))
         used, missed = (wanting.used, wanting.missed) if wanting is not None else (0, 0)
         if now < self.fed.get((feature, pool, name), 0):
             used = max(used, net)
         return MemberDemand(name, report.incarnation, net, used, missed, report.stocks)
 
 
-def decoded(reports: Mapping[str, bytes]) -> dict[str, Heard]:
+def decode_reports(reports: Mapping[str, bytes]) -> dict[str, MemberReport]:
     """Returns the valid reports by member."""
-    heard: dict[str, Heard] = {}
+    reports_by_member: dict[str, MemberReport] = {}
     for name, raw in sorted(reports.items()):
         try:
             report = msgspec.msgpack.decode(raw, type=Report)
         except msgspec.MsgspecError:
             continue  # of a version that tells it otherwise: no grants to it
         wanting = {(one.feature, one.pool): one for one in report.wanting}
-        heard[name] = Heard(report, wanting)
-    return heard
+        reports_by_member[name] = MemberReport(report, wanting)
+    return reports_by_member
 
 
-def told(counts: Counts) -> dict[str, int]:
+def counters_status(counts: Counts) -> dict[str, int]:
     """Returns the counters as `status` shows them."""
     return {
         "given": counts.given,
