--- a/indigohitch/upgradable_parts.py
+++ b/indigohitch/upgradable_parts.py
@@ -33,3 +33,14 @@
     SERVING = "serving"
     ENDING = "ending"  # accepts no connections; work in flight is finished, for a limited time
     ENDED = "ended"
+
+
+def upgrade_refusal(phase: ProcessPhase, is_under_way: bool, follows: bool) -> str:
+    """Returns why no upgrade can start now, empty where it can; `follows`: a predecessor still drains."""
+    if is_under_way:
+        return "an upgrade is under way"
+    if follows:
+        return "the process before this one still drains"
+    if phase is not ProcessPhase.SERVING:
+        return f"the program is {phase.value}"
+    return ""
--- a/indigohitch/upgradable_process.py
+++ b/indigohitch/upgradable_process.py
@@ -18,7 +18,7 @@
 from .pid_file import PidFile
 from .process import Process
 from .state_file import StateFile
-from .upgradable_parts import Companion, ProcessPhase
+from .upgradable_parts import Companion, ProcessPhase, upgrade_refusal
 from .upgrade.handover_participant import HandoverParticipant
 from .upgrade.phases import Phase as Handing
 from .upgrade.predecessor_driver import PredecessorDriver
@@ -154,8 +154,6 @@
         self.code = code
         self.become(ProcessPhase.ENDED)
 
-    # ---- signals and people ------------------------------------------------------------------------
-
     def on_signal(self, number: int) -> None:
         if number == signal.SIGUSR1:
             self.log.counters()
@@ -197,14 +195,8 @@
 
     def upgrade(self, answer: Callable[[dict], None]) -> None:
         follows = self.successor_driver is not None and not self.successor_driver.over
-        if self.phase is not ProcessPhase.SERVING or self.predecessor_driver.under_way or follows:
-            why = (
-                "an upgrade is under way"
-                if self.predecessor_driver.under_way
-                else "the process before this one still drains"
-                if follows
-                else f"the program is {self.phase.value}"
-            )
+        why = upgrade_refusal(self.phase, self.predecessor_driver.under_way, follows)
+        if why:
             self.log.count("upgrades_not_now")
             answer({"result": "not now", "error": why})
             return
@@ -217,8 +209,6 @@
         for answer in askers:
             answer(told if told["result"] == "upgraded" else told | {"error": told["result"]})
 
-    # ---- the end -----------------------------------------------------------------------------------
-
     @property
     def is_handed_over(self) -> bool:
         """Another process is the service."""
--- a/indigohitch/upgrade/predecessor.py
+++ b/indigohitch/upgrade/predecessor.py
@@ -1,11 +1,15 @@
-"""The old process' machine: whether it accepts, and what it does next.  No I/O; the rules: phases.py."""
+"""The state machine of the old process of an upgrade.  No I/O; phases.py states the rules."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
+
 from .phases import Act, Phase
 
 
 class Predecessor:
+    """Decides whether the old process accepts connections, and what it does next."""
+
     WAITS = {
         Phase.OFFERED: "start",
         Phase.SETTLING: "settle",
@@ -20,9 +24,12 @@
     def __init__(self) -> None:
         self.phase = Phase.SERVING
         self.result = ""  # of the last upgrade: "upgraded", or why not
-        self.frozen = self.ending = False
+        self.frozen = False
+        self.ending = False
         # Of the draining: stood by long enough; nothing left in hand; the new one was told to end.
-        self.watched = self.drained = self.left = False
+        self.watched = False
+        self.drained = False
+        self.left = False
         self.late = False  # while it is reclaimed, the new one says that it accepts
 
     @property
@@ -32,76 +39,112 @@
 
     @property
     def accepting(self) -> bool:
+        """Whether this process accepts connections."""
         return self.phase is Phase.SERVING or self.phase in self.BEFORE_COMMIT
 
     def step(self, event: str, why: str = "") -> list[Act]:
-        return getattr(self, f"on_{event}")(why)
+        """Handles an event; returns what the process has to do, in order.  Raises KeyError."""
+        return self._handlers()[event](why)
+
+    def _handlers(self) -> dict[str, Callable[[str], list[Act]]]:
+        """Returns the handler of each event; the names of events are shown in the log."""
+        return {
+            "asked": self.on_asked,
+            "told_to_end": self.on_told_to_end,
+            "hello": self.on_hello,
+            "settled": self.on_settled,
+            "restored": self.on_restored,
+            "proven": self.on_proven,
+            "accepting": self.on_accepting,
+            "drained": self.on_drained,
+            "watched": self.on_watched,
+            "refused": self.on_refused,
+            "eof": self.on_eof,
+            "broken": self.on_broken,
+            "deadline": self.on_deadline,
+            "died": self.on_died,
+        }
 
     # ---- asked by people
 
     def on_asked(self, why: str) -> list[Act]:
-        """Only one at a time: a second one that asks is told so by who drives this."""
+        """Starts an upgrade; there is one at a time, and the driver refuses a second."""
         if self.phase is not Phase.SERVING or self.ending:
             return []
-        self.phase, self.result = Phase.OFFERED, ""
+        self.phase = Phase.OFFERED
+        self.result = ""
         return [Act.SPAWN]
 
     def on_told_to_end(self, why: str) -> list[Act]:
-        """SIGTERM.  Before the word has gone out the upgrade is called off and this process ends as always;
-        later it ends anyway, and the new one is the service."""
+        """Handles SIGTERM.
+
+        Before the commit the upgrade is called off and this process ends as usual; after it this process
+        ends anyway, and the new one serves.
+        """
         if self.phase in (Phase.COMMITTED, Phase.RECLAIMING, Phase.DRAINING):
-            # Once it is known who accepts.  Both may have been told: then neither goes on.
+            # Once it is known who accepts.  If both were signalled, neither goes on.
             self.ending = True
             return []
         if self.phase is Phase.ENDED:
             return []
-        acts = self.called_off("told to end") if self.phase in self.BEFORE_COMMIT else []
+        acts = self.call_off("told to end") if self.phase in self.BEFORE_COMMIT else []
         self.ending = True
         return [*acts, Act.END]
 
     # ---- the way through
 
     def on_hello(self, why: str) -> list[Act]:
+        """The new process reads this protocol and schema."""
         if self.phase is not Phase.OFFERED:
             return []
         self.phase = Phase.SETTLING
         return [Act.SETTLE]
 
     def on_settled(self, why: str) -> list[Act]:
+        """No call is in flight that the state can not hold."""
         if self.phase is not Phase.SETTLING:
             return []
-        self.phase, self.frozen = Phase.GIVING, True
+        self.phase = Phase.GIVING
+        self.frozen = True
         return [Act.GIVE]
 
     def on_restored(self, why: str) -> list[Act]:
+        """The new process holds the same state."""
         if self.phase is Phase.GIVING:
             self.phase = Phase.RESTORED
         return []
 
     def on_proven(self, why: str) -> list[Act]:
+        """The new process has shown that it works: the handover is committed."""
         if self.phase is not Phase.RESTORED:
             return []
         self.phase = Phase.COMMITTED
         return [Act.COMMIT]
 
     def on_accepting(self, why: str) -> list[Act]:
+        """The new process accepts connections."""
         self.late |= self.phase is Phase.RECLAIMING
         if self.phase is not Phase.COMMITTED:
             return []
-        self.phase, self.result = Phase.DRAINING, "upgraded"
-        self.watched = self.drained = self.left = False
+        self.phase = Phase.DRAINING
+        self.result = "upgraded"
+        self.watched = False
+        self.drained = False
+        self.left = False
         return [Act.RELEASE, Act.REPORT, Act.DRAIN]
 
     def on_drained(self, why: str) -> list[Act]:
+        """No connection or call is left in this process."""
         self.drained |= self.phase is Phase.DRAINING
-        return self.done()
+        return self.finish_draining()
 
     def on_watched(self, why: str) -> list[Act]:
-        """The new one has served for as long as this one stands by."""
+        """The new process has served for the time that this one monitors it."""
         self.watched |= self.phase is Phase.DRAINING
-        return self.done()
+        return self.finish_draining()
 
-    def done(self) -> list[Act]:
+    def finish_draining(self) -> list[Act]:
+        """Ends this process once it is drained and the new one has been monitored."""
         if self.phase is not Phase.DRAINING or not (self.watched and self.drained):
             return []
         self.phase = Phase.ENDED
@@ -109,37 +152,45 @@
 
     # ---- what goes wrong
 
-    def called_off(self, why: str) -> list[Act]:
+    def call_off(self, why: str) -> list[Act]:
+        """Ends the upgrade before the commit; this process serves."""
         acts = [Act.CALL_OFF, Act.KILL, Act.REPORT]
-        self.phase, self.result = Phase.SERVING, why
+        self.phase = Phase.SERVING
+        self.result = why
         if self.frozen:
             self.frozen = False
             acts.append(Act.THAW)
         return acts
 
     def on_refused(self, why: str) -> list[Act]:
-        """The new one will not be; by the rules it ends now, and it never accepted.  Or it was the service
-        and was told to end: then this one is not to go on in its place."""
+        """The new process ends.
+
+        Before the commit it never accepted.  While it serves it was signalled to end: then this process
+        does not replace it.
+        """
         if self.phase in self.BEFORE_COMMIT:
-            return self.called_off(why)
+            return self.call_off(why)
         if self.phase is Phase.DRAINING:
-            self.watched = self.left = True
-            return self.done()
+            self.watched = True
+            self.left = True
+            return self.finish_draining()
         self.ending |= self.phase is Phase.RECLAIMING and self.late
         return self.reclaim(why)
 
     def on_eof(self, why: str) -> list[Act]:
+        """The channel has ended."""
         if self.phase in self.BEFORE_COMMIT:
-            return self.called_off(why or "the channel ended")
+            return self.call_off(why or "the channel ended")
         return self.reclaim(why or "the channel ended")
 
     def on_broken(self, why: str) -> list[Act]:
-        """What came over the channel can't be read."""
+        """The data of the channel is invalid."""
         return self.on_eof(why)
 
     def on_deadline(self, why: str) -> list[Act]:
+        """The phase has lasted for its timeout."""
         if self.phase in self.BEFORE_COMMIT:
-            return self.called_off(f"no word in time while {self.phase.value}")
+            return self.call_off(f"no word in time while {self.phase.value}")
         if self.phase is Phase.DRAINING:
             # What is in hand outlived the bound; the new one has served for longer than that.
             self.phase = Phase.ENDED
@@ -149,20 +200,24 @@
         return self.reclaim("no word in time after the commit")
 
     def reclaim(self, why: str) -> list[Act]:
-        """After the word it may accept already: only its death makes room."""
+        """Kills the new process, which may accept already, before this one accepts again."""
         if self.phase is not Phase.COMMITTED:
             return []
-        self.phase, self.result, self.late = Phase.RECLAIMING, why, False
+        self.phase = Phase.RECLAIMING
+        self.result = why
+        self.late = False
         return [Act.KILL]
 
     def on_died(self, why: str) -> list[Act]:
+        """The new process is dead."""
         why = why or "the new process died"
         if self.phase in self.BEFORE_COMMIT:
-            return self.called_off(why)
+            return self.call_off(why)
         if self.phase in (Phase.COMMITTED, Phase.RECLAIMING, Phase.DRAINING) and not self.left:
             late = self.phase is Phase.DRAINING
             self.result = self.result if self.phase is Phase.RECLAIMING else why
-            self.phase, self.frozen = Phase.SERVING, False
+            self.phase = Phase.SERVING
+            self.frozen = False
             acts = [Act.RECLAIM, Act.THAW] + ([] if late else [Act.REPORT])
             return acts + ([Act.END] if self.ending else [])
         return []
--- a/indigohitch/upgrade/successor_driver.py
+++ b/indigohitch/upgrade/successor_driver.py
@@ -14,7 +14,7 @@
 from . import snapshot as shots
 from .channel import Channel
 from .handover_participant import HandoverParticipant, PassedConnection
-from .phases import Phase
+from .phases import Act, Phase
 from .process_launch import ProcessWatch
 from .successor import Successor
 
@@ -71,10 +71,23 @@
             if machine.wait is not None:
                 self.deadline = self.loop.call_after(self.ORPHAN, lambda: self.step("deadline"))
         for act in acts:
-            getattr(self, f"do_{act.value}")()
+            self._actions()[act]()
         if machine.phase is Phase.SERVING and was is not Phase.SERVING:
             self.close()
 
+    def _actions(self) -> dict[Act, Callable[[], None]]:
+        """Returns what carries out each act of the machine."""
+        return {
+            Act.HELLO: self.do_hello,
+            Act.RESTORE: self.do_restore,
+            Act.PROVE: self.do_prove,
+            Act.ACCEPT: self.do_accept,
+            Act.BEGIN: self.do_begin,
+            Act.REFUSE: self.do_refuse,
+            Act.LEAVE: self.do_leave,
+            Act.END: self.do_end,
+        }
+
     # ---- what is heard -----------------------------------------------------------------------------
 
     def on_message(self, word: messages.Message, descriptors: list[int]) -> None:
--- a/tests/test_upgrade_crossings.py
+++ b/tests/test_upgrade_crossings.py
@@ -148,10 +148,10 @@
     [
         (
             "on_refused",
-            lambda self, why: self.called_off(why) if self.phase in self.BEFORE_COMMIT else self.reclaim(why),
+            lambda self, why: self.call_off(why) if self.phase in self.BEFORE_COMMIT else self.reclaim(why),
         ),  # one that goes on in the place of a service told to end
         ("on_told_to_end", lambda self, why: [Act.END]),
-        ("on_died", lambda self, why: self.called_off(why) if self.phase in self.BEFORE_COMMIT else []),
+        ("on_died", lambda self, why: self.call_off(why) if self.phase in self.BEFORE_COMMIT else []),
     ],
 )
 def test_a_giver_that_is_wrong_in_one_crossing_is_found(name, broken, monkeypatch):
