--- a/indigohitch/fleet/seats/allocator.py
+++ b/indigohitch/fleet/seats/allocator.py
@@ -20,7 +20,7 @@
 from .pool import Assignment, SeatPool
 
 WINDOW = 10_000  # what was used on average in the last of these, a second, is what is wanted
-LEAST = 100  # nothing is allocated for less than 10 ms: it would be over on its way
+MIN_ALLOCATION = 100  # nothing is allocated for less than 10 ms: it would be over on its way
 SWEPT = 256  # expiries in the heap before those of jobs that are over are looked for
 
 
@@ -132,7 +132,7 @@
             early = terms.since - fleet if 0 < fleet < terms.since else 0
             return self.refuse("the contract does not run", early)
         until = self.latest_end(now, terms, fleet, longest)
-        if until - now < LEAST:
+        if until - now < MIN_ALLOCATION:
             self.counts.no_lease += 1
             return NoSeat("no lease", self.settings.come_back)
         assignment = self.assign(now, found, tenant, key, fleet, back)
@@ -205,10 +205,10 @@
 
     def returns(self) -> list[Return]:
         """Returns the seats that are owed and idle, or whose return is not yet applied."""
-        out = []
+        rows = []
         for (feature, name), pool in self.pools.items():
             pool.set_aside_owed()
             if pool.returning:
                 seats = tuple((seat.number, seat.counter) for seat in pool.returning.values())
-                out.append(Return(feature, name, seats))
-        return out
+                rows.append(Return(feature, name, seats))
+        return rows
