--- a/benchmarks/capacitykit/leases_cell.py
+++ b/benchmarks/capacitykit/leases_cell.py
@@ -66,7 +66,9 @@
         while out:
             reads = [one.number for one in out if isinstance(one, ReadFirst)]
             answers += [KINDS.frame(one.word) for one in out if isinstance(one, Answer)]
-            out = [more for number in reads for more in self.membership.on_read_confirmed(self.now, number, True)]
+            out = [
+                more for number in reads for more in self.membership.on_read_confirmed(self.now, number, True)
+            ]
         if len(answers) != len(self.names):
             raise RuntimeError(f"{len(answers)} of {len(self.names)} renewals were answered")
         return answers
--- a/indigohitch/logic/reconciler.py
+++ b/indigohitch/logic/reconciler.py
@@ -1,169 +1,252 @@
-"""What is wanted against what is out: the difference as orders, in the channel's room."""
+"""Orders that turn the stored routes into the wanted ones, within the free capacity of the channel."""
+
+from dataclasses import dataclass, field
 
 from .. import interface
 from .ownership_transfer import in_steps
 from .state import DEPARTING_STATES, Backend, CoordinatorState, Slice
 
+ADMISSION_STEPS = 5  # admission ratios are multiples of a fifth: fewer updates
+MIN_ORDINARY_CHANGES = 6  # per update, also where a third of the ordinary changes is less
+RETRY_AFTER_PROOF = 1  # retry level: one retry after proof that the first attempt never ran
+
+
+@dataclass(slots=True)
+class Update:
+    """The changes that go out together, in the order in which they get room."""
 
-def wanted_level(slice_: Slice) -> float:
-    return (
-        round(5 * min((backend.admission_ratio for backend in slice_.owners()), default=1.0)) / 5
-    )  # in fifths: fewer lines
+    changed: list[Slice] = field(default_factory=list)  # routes
+    trimmed: list[Slice] = field(default_factory=list)  # admission ratios
+    announces_retries: bool = False  # some proxy does not know the retry level
+    urgent: bool = False
+    readmitted: list[Backend] = field(default_factory=list)  # ready again
 
 
-def wanted(slice_: Slice) -> dict[Backend, float]:
+def wanted_ratio(slice_: Slice) -> float:
+    """Return the lowest admission ratio of the owners, rounded to a step."""
+    lowest = min((backend.admission_ratio for backend in slice_.owners()), default=1.0)
+    return round(ADMISSION_STEPS * lowest) / ADMISSION_STEPS
+
+
+def wanted_routes(slice_: Slice) -> dict[Backend, float]:
+    """Return the routes by the assignments, all of the same weight."""
     return dict.fromkeys(slice_.owners(), 1.0)
 
 
-def pressed(slice_: Slice) -> int | None:
-    """Since when it is closed, has no line, or one at a backend that leaves or too many at a cold one."""
+def urgent_since(slice_: Slice) -> int | None:
+    """Return since when a change is urgent; None: it is not.
+
+    Urgent are a closed slice, one without a route, and a route to a departing backend or to a cold one
+    that is no longer an owner.
+    """
     if slice_.closed_methods is not None:
         return slice_.owned_since
+    owners = slice_.owners()
     return min(
         (
             max(backend.notified_at, slice_.owned_since)
             for backend in slice_.stored_routes
-            if backend.state in DEPARTING_STATES
-            or backend.warmup_fraction < 1
-            and backend not in slice_.owners()
+            if backend.state in DEPARTING_STATES or backend.warmup_fraction < 1 and backend not in owners
         ),
         default=None if slice_.stored_routes else slice_.owned_since,
     )
 
 
 def emit(state: CoordinatorState) -> None:
-    """What should be out, held or timed against what is: the difference, its urgent part first."""
+    """Order the timer, the requests for lists and probes, and the update that is due."""
+    _emit_requests(state)
+    update = _due_update(state)
+    if update.urgent or update.changed or update.announces_retries or update.trimmed:
+        push(state, update)
+
+
+def _emit_requests(state: CoordinatorState) -> None:
+    """Order the timer of the next beat, a pending subscription and probes."""
     if state.timer_due_at != state.next_beat_at:
         state.timer_due_at = state.next_beat_at
         state.orders.append(interface.SetTimer(state.timer_due_at, "beat"))
-    state.orders += [interface.WatchBackends(True)] * state.subscribe_pending
+    if state.subscribe_pending:
+        state.orders.append(interface.WatchBackends(True))
     for backend in state.probe_targets:
         backend.probe_sent_at = state.now
         state.orders.append(interface.ProbeBackend(backend.id))
-    state.subscribe_pending, state.probe_targets = False, []
-    must, ailing, ordinary = [], [], []
-    for slice_ in state.slices.values():
-        if (wanted(slice_) != slice_.stored_routes or slice_.closed_methods is not None) and delta(
-            state, slice_
-        ):
-            ails = any(
-                backend.is_suspect for backend in slice_.stored_routes if backend not in slice_.owners()
-            )
-            (must if pressed(slice_) is not None else ailing if ails else ordinary).append(slice_)
-    must.sort(key=pressed)
-    state.has_pending_routes = bool(must) or any(
-        slice_.closed_methods is not None for slice_ in state.slices.values()
-    )
-    # A level of 1 lets all in as a share; where levels are rates it would not, and none is set.
-    fresh = state.settings.get("admission") != "rate" and any(
-        p not in state.levels_sent for p in state.proxies
-    )
-    ordinary.sort(key=lambda slice_: -max(backend.utilization() for backend in slice_.stored_routes))
-    many = len(ordinary) if state.is_failing() else max(6, len(ordinary) // 3)  # a third each second beat
-    back = [
-        backend
-        for backend in state.backends.values()
-        if backend in state.ejected and backend.state == "ready"
-    ]
-    urgent = bool(must or back)
-    turn, trim = (
-        (
-            ordinary[:many],
-            [slice_ for slice_ in state.slices.values() if wanted_level(slice_) != slice_.admission_ratio],
-        )
-        if not urgent and (state.beat_count % 2 == 0 or ailing)
-        else ([], [])
-    )
-    if urgent or ailing or turn or fresh or trim:
-        push(state, must + ailing + turn, trim, fresh, urgent, back)
-
-
-def delta(state: CoordinatorState, slice_: Slice) -> list[interface.Order]:
-    want = wanted(slice_)
-    return in_steps(
-        state,
-        slice_,
-        [
-            interface.SetRoute(slice_.number, backend.id, w)
-            for backend, w in want.items()
-            if slice_.stored_routes.get(backend) != w
-        ]
-        + [
-            interface.SetRoute(slice_.number, backend.id, 0.0)
-            for backend in slice_.stored_routes
-            if backend not in want
-        ],
-    )
+    state.subscribe_pending = False
+    state.probe_targets = []
+
+
+def _due_update(state: CoordinatorState) -> Update:
+    """Collect what should go out now: urgent changes at once, ordinary ones each second beat."""
+    slices = state.slices.values()
+    urgent: list[Slice] = []
+    suspect: list[Slice] = []  # a former owner is suspect
+    ordinary: list[Slice] = []
+    for slice_ in slices:
+        if not _has_orders(state, slice_):
+            continue
+        if urgent_since(slice_) is not None:
+            urgent.append(slice_)
+        elif _leaves_suspect(slice_):
+            suspect.append(slice_)
+        else:
+            ordinary.append(slice_)
+    urgent.sort(key=urgent_since)
+    state.has_pending_routes = bool(urgent) or any(s.closed_methods is not None for s in slices)
+    update = Update()
+    update.announces_retries = _must_announce_retries(state)
+    update.readmitted = [b for b in state.backends.values() if b in state.ejected and b.state == "ready"]
+    update.urgent = bool(urgent or update.readmitted)
+    update.changed = urgent + suspect
+    if not update.urgent and (state.beat_count % 2 == 0 or suspect):
+        ordinary.sort(key=_busiest_first)
+        third = max(MIN_ORDINARY_CHANGES, len(ordinary) // 3)
+        update.changed += ordinary if state.is_failing() else ordinary[:third]
+        update.trimmed = [s for s in slices if wanted_ratio(s) != s.admission_ratio]
+    return update
+
+
+def _has_orders(state: CoordinatorState, slice_: Slice) -> bool:
+    """Return whether something may be ordered for the slice now."""
+    differs = wanted_routes(slice_) != slice_.stored_routes
+    return (differs or slice_.closed_methods is not None) and bool(route_changes(state, slice_))
+
+
+def _leaves_suspect(slice_: Slice) -> bool:
+    """Return whether a route to a suspect backend is no longer wanted."""
+    owners = slice_.owners()
+    return any(backend.is_suspect for backend in slice_.stored_routes if backend not in owners)
+
 
+def _busiest_first(slice_: Slice) -> float:
+    """Sort key: the highest utilization of a stored owner comes first."""
+    return -max(backend.utilization() for backend in slice_.stored_routes)
 
-def push(
-    state: CoordinatorState,
-    changed: list[Slice],
-    trimmed: list[Slice],
-    levels: bool,
-    urgent: bool,
-    back: list[Backend],
-) -> None:
-    deltas = [delta(state, slice_) for slice_ in changed]
-    need = sum(map(len, deltas)) + len(trimmed) + len(back)
-    room = state.channel.free_capacity(state.now, len(state.proxies), urgent, need, state.is_failing()) - len(
-        back
+
+def _must_announce_retries(state: CoordinatorState) -> bool:
+    """Return whether a proxy lacks the retry level.
+
+    Its order carries an admission ratio of 1, which admits all only where ratios are shares and not rates.
+    """
+    if state.settings.get("admission") == "rate":
+        return False
+    return any(proxy not in state.levels_sent for proxy in state.proxies)
+
+
+def route_changes(state: CoordinatorState, slice_: Slice) -> list[interface.Order]:
+    """Return the orders that may go now towards the wanted routes of a slice."""
+    wanted = wanted_routes(slice_)
+    stored = slice_.stored_routes
+    orders: list[interface.Order] = []
+    for backend, weight in wanted.items():
+        if stored.get(backend) != weight:
+            orders.append(interface.SetRoute(slice_.number, backend.id, weight))
+    for backend in stored:
+        if backend not in wanted:
+            orders.append(interface.SetRoute(slice_.number, backend.id, 0.0))
+    return in_steps(state, slice_, orders)
+
+
+def push(state: CoordinatorState, update: Update) -> None:
+    """Order as much of the update as the channel takes now, and a marker after it."""
+    changes = [route_changes(state, slice_) for slice_ in update.changed]
+    readmitted = len(update.readmitted)
+    need = sum(map(len, changes)) + len(update.trimmed) + readmitted
+    capacity = state.channel.free_capacity(
+        state.now, len(state.proxies), update.urgent, need, state.is_failing()
     )
-    if room <= 0:
+    capacity -= readmitted
+    if capacity <= 0:
         return
-    state.orders += [interface.EjectBackend(backend.id, False) for backend in back]
-    state.ejected.difference_update(back)
-    state.readmitted.update(back)
-    if levels:
-        state.orders.append(
-            interface.SetAdmission(interface.ALL_TABLES, (), 1.0, 1)
-        )  # further tries after proof only
+    _readmit(state, update.readmitted)
+    if update.announces_retries:
+        state.orders.append(interface.SetAdmission(interface.ALL_TABLES, (), 1.0, RETRY_AFTER_PROOF))
         state.levels_sent = set(state.proxies)
-    # Where lines at a drain can't be out within its grace, its backend is shut out, one line each.
-    over = (
+    late = _late_departing(state, update.changed, need)
+    sent = 0
+    postponed: set[Backend] = set()  # have a route that does not go out now
+    closed: list[Slice] = []
+    for slice_, orders in zip(update.changed, changes):
+        if sent + len(orders) > capacity - len(late):
+            postponed.update(slice_.stored_routes)
+            continue
+        state.orders += orders
+        sent += len(orders)
+        if _apply(state, slice_, orders):
+            closed.append(slice_)
+    ejected = [backend for backend in late if backend in postponed][: capacity - sent]
+    _eject(state, ejected)
+    trimmed = _trim(state, update.trimmed, capacity - sent - len(ejected))
+    sent += readmitted + len(ejected) + trimmed
+    marker = state.channel.send(state.now, sent, state.proxies)
+    state.orders.append(interface.UpdateMarker(marker, False))
+    for slice_ in closed:
+        slice_.closing_marker = marker
+
+
+def _readmit(state: CoordinatorState, backends: list[Backend]) -> None:
+    """Order the end of the ejection of these."""
+    state.orders += [interface.EjectBackend(backend.id, False) for backend in backends]
+    state.ejected.difference_update(backends)
+    state.readmitted.update(backends)
+
+
+def _eject(state: CoordinatorState, backends: list[Backend]) -> None:
+    """Order the ejection of these from all tables."""
+    state.orders += [interface.EjectBackend(backend.id, True) for backend in backends]
+    state.ejected = state.ejected.union(backends)
+    state.readmitted = state.readmitted.difference(backends)
+
+
+def _late_departing(state: CoordinatorState, slices: list[Slice], need: int) -> list[Backend]:
+    """Return departing backends whose routes can't all be removed within the drain grace, each once.
+
+    One order ejects such a backend from all tables.
+    """
+    latest_notice = (
         state.now
         + (state.channel.backlog + need * len(state.proxies)) / state.channel.pace()
         + state.settings.get("transit_most", 0)
         - state.settings.get("drain_grace", interface.SECOND)
     )
-    shut = {
+    known = state.ejected - state.readmitted
+    late = {
         backend: None
-        for slice_ in changed
+        for slice_ in slices
         for backend in slice_.stored_routes
         if backend.state in DEPARTING_STATES
-        and backend not in state.ejected - state.readmitted
-        and over > max(backend.notified_at, slice_.owned_since)
+        and backend not in known
+        and latest_notice > max(backend.notified_at, slice_.owned_since)
     }
-    lines, left, closed = 0, set(), []
-    for slice_, change in zip(changed, deltas):
-        if lines + len(change) <= room - len(shut):
-            state.orders += change
-            lines += len(change)
-            if (
-                wanted(slice_) != slice_.stored_routes
-                and state.settings.get("exclusive")
-                and slice_.stored_routes
-                and len(change) == 1
-            ):
-                slice_.closed_methods, slice_.closed_at, slice_.quiet_since = (
-                    getattr(change[0], "methods", ()),
-                    state.now,
-                    0,
-                )
-                closed.append(slice_)
-            else:
-                slice_.stored_routes, slice_.closed_methods = wanted(slice_), None
-        else:
-            left.update(slice_.stored_routes)
-    shut = [backend for backend in shut if backend in left][: room - lines]
-    state.orders += [interface.EjectBackend(backend.id, True) for backend in shut]
-    state.ejected, state.readmitted = state.ejected.union(shut), state.readmitted.difference(shut)
-    for slice_ in (
-        trimmed := [slice_ for slice_ in trimmed if slice_.closed_methods is None][: room - lines - len(shut)]
-    ):
-        slice_.admission_ratio = wanted_level(slice_)
-        state.orders.append(interface.SetAdmission(slice_.number, (), slice_.admission_ratio, 1))
-    lines += len(back) + len(shut) + len(trimmed)
-    state.orders.append(interface.UpdateMarker(state.channel.send(state.now, lines, state.proxies), False))
-    for slice_ in closed:
-        slice_.closing_marker = state.channel.last_marker
+    return list(late)
+
+
+def _apply(state: CoordinatorState, slice_: Slice, orders: list[interface.Order]) -> bool:
+    """Take the orders into the state; returns whether they only close the slice for a change of owner."""
+    wanted = wanted_routes(slice_)
+    closes = (
+        wanted != slice_.stored_routes
+        and state.settings.get("exclusive")
+        and slice_.stored_routes
+        and len(orders) == 1
+    )
+    if not closes:
+        slice_.stored_routes = wanted
+        slice_.closed_methods = None
+        return False
+    match orders[0]:
+        case interface.SetAdmission(_, methods):
+            slice_.closed_methods = methods
+        case _:  # its only route was removed: closed to all
+            slice_.closed_methods = ()
+    slice_.closed_at = state.now
+    slice_.quiet_since = 0
+    return True
+
+
+def _trim(state: CoordinatorState, slices: list[Slice], capacity: int) -> int:
+    """Order the admission ratios of the slices that are not closed; returns how many."""
+    trimmed = [slice_ for slice_ in slices if slice_.closed_methods is None][:capacity]
+    for slice_ in trimmed:
+        slice_.admission_ratio = wanted_ratio(slice_)
+        order = interface.SetAdmission(slice_.number, (), slice_.admission_ratio, RETRY_AFTER_PROOF)
+        state.orders.append(order)
+    return len(trimmed)
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -173,7 +173,7 @@
         front.start()
         if not restored:
             return
-        if not front.coordinator.next_beat:  # it broke as the state was taken, and has heard nothing since
+        if not front.coordinator.next_beat_at:  # it broke as the state was taken, and has heard nothing since
             front._tell_all()
         self.timer_again()
         if self.state.watching:
--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -36,7 +36,9 @@
     def apply(self, at, word, body):
         if word == "alter":
             self.state_machine.parts["members"].add_change(at, "contract", body.hard, SECOND)
-        elif body.what in self.held or self.state_machine.parts["members"].ineligibility(at.proposer, at.incarnation):
+        elif body.what in self.held or self.state_machine.parts["members"].ineligibility(
+            at.proposer, at.incarnation
+        ):
             raise InvalidRequestError("held")
         else:
             self.held[body.what] = (at.proposer, at.incarnation)
--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -133,7 +133,9 @@
                     self.send(member, self.members[to], word)
                 case ReadFirst(number) if member is self.leader and self.leading(member):
                     if member.state_machine.index == len(self.log):
-                        self.carry(member, member.membership.on_read_confirmed(member.now(self.time), number, True))
+                        self.carry(
+                            member, member.membership.on_read_confirmed(member.now(self.time), number, True)
+                        )
 
     def act(self, member, now):
         things = member.state_machine.parts["things"].held
--- a/tests/test_crossing_reload.py
+++ b/tests/test_crossing_reload.py
@@ -169,7 +169,7 @@
             front.probes.most,
             front.probes.path,
             relay.methods,
-            relay.bounds.pace.most,
+            relay.bounds.pace.max_messages,
             relay.bounds.pace.window,
             hub.most,
             known,
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -160,7 +160,7 @@
         tuple(front.out),
         front.log.counts["decision_rounds"],
         front.gathering.gap,
-        front.relay.bounds.pace.most,
+        front.relay.bounds.pace.max_messages,
         front.relay.bounds.pace.window,
         sorted(front.known.methods),
         sorted(front.known.zones),
