--- a/indigohitch/fleet/membership/incarnations.py
+++ b/indigohitch/fleet/membership/incarnations.py
@@ -60,7 +60,7 @@
             join.name, incarnation, join.votes, at.index, since=at.index
         )
         for part in listeners(parts, MemberJoinedListener):
-            part.member_joined(at, join.name, incarnation)
+            part.on_member_joined(at, join.name, incarnation)
         return incarnation
 
     def _evict_earlier(self, parts: Parts, at: EntryContext, name: str) -> None:
@@ -76,7 +76,7 @@
             member.since = at.index
             member.why = why
             for part in listeners(parts, MemberEvictedListener):
-                part.member_shut_out(at, member.name, member.incarnation)
+                part.on_member_evicted(at, member.name, member.incarnation)
         elif member.life is MemberState.COMPARED:
             member.why = why
             self.expire(parts, at, member)
@@ -86,8 +86,8 @@
         member.life = MemberState.LEASE_EXPIRED
         member.since = at.index
         for part in listeners(parts, LeaseEndedListener):
-            part.member_ended(at, member.name, member.incarnation, when)
+            part.on_member_lease_ended(at, member.name, member.incarnation, when)
         for part in listeners(parts, LeaseExpiredListener):
-            part.member_gone(at, member.name, member.incarnation)
+            part.on_member_lease_expired(at, member.name, member.incarnation)
         if member.incarnation < self.highest[member.name]:  # `status` shows the last one of each name
             del self.members[member.name, member.incarnation]
