--- a/indigohitch/interface.py
+++ b/indigohitch/interface.py
@@ -1,8 +1,8 @@
-"""What the decision module hears and what it orders, free of any wire.
+"""The events that the decision module takes and the orders it returns, independent of any wire.
 
-Times and spans are whole tenths of a millisecond.  Backends, proxies and slices are named by the
-ids that the front uses; the module turns them into objects of its own.  A front hands events of one
-moment to `Coordinator.handle` and sends what it returns, in order.
+Times and durations are ints of ticks; a tick is a tenth of a millisecond.  Backends, proxies and slices are
+named by the ids that the front uses; the module turns them into objects of its own.  A front hands the events
+of one moment to `Coordinator.handle` and sends what it returns, in order.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     deadline: int
     criticality: float
     repeat: str  # "idempotent", "tokened" or "non_idempotent"
-    dedup_scope: str  # tokened: who drops a repeat: "all", "zone" or "cell"
+    dedup_scope: str  # tokened: who drops a duplicate: "all", "zone" or "cell"
     memory_span: int  # tokened: for how long
 
 
@@ -43,8 +43,11 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendList:
-    """News of the backends: `scope` is "changes", "full", "remembered" (full, maybe stale) or
-    "failed" (a call or the subscription broke; nothing in it)."""
+    """A list of backends, or changes of it.
+
+    `scope` is "changes", "full", "remembered" (full, maybe stale) or "failed" (a call or the subscription
+    broke; no entries).
+    """
 
     scope: str
     version: int
@@ -53,6 +56,8 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
+    """The outcome of a health probe."""
+
     backend: str
     outcome: str  # "ok", "error", "full", "timeout", "connect_failed", "reset"
     duration: int
@@ -83,8 +88,11 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendTraffic:
-    """What the joined proxies of a zone met at a backend.  `load` holds the newest load report by
-    name: held, queued, busy (share of the cores), service_time, ok_rate, failure_rate."""
+    """Attempts by the joined proxies of a zone at a backend.
+
+    `load` holds the newest load report by name: held, queued, busy (share of the cores), service_time,
+    ok_rate, failure_rate.
+    """
 
     zone: str
     backend: str
@@ -97,6 +105,8 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyJoined:
+    """A proxy has joined."""
+
     proxy: int
     zone: str
     request_rate: float
@@ -105,11 +115,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyLeft:
+    """A proxy has left."""
+
     proxy: int
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateAcknowledged:
+    """A proxy has applied all orders up to a marker."""
+
     proxy: int
     marker: int
     duration: int
@@ -117,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SliceOwnership:
-    """A slice comes into (or leaves) this coordinator's charge; its stored lines follow."""
+    """This coordinator becomes the owner of a slice, or no longer is; its stored routes follow."""
 
     slice: int
     is_owned: bool
@@ -125,6 +139,8 @@
 
 @dataclass(slots=True, frozen=True)
 class StoredRoute:
+    """A route of a slice as the store holds it."""
+
     slice: int
     backend: str
     weight: float
@@ -132,12 +148,16 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
+    """A message of another coordinator."""
+
     peer: int
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
+    """A timer of this tag is due."""
+
     tag: str
 
 
@@ -158,12 +178,12 @@
 
 # ---- orders -------------------------------------------------------------------------------------
 
-ALL_TABLES = 65535  # a SetLevel for every table of this coordinator
+ALL_TABLES = 65535  # a SetAdmission for every table of this coordinator
 
 
 @dataclass(slots=True, frozen=True)
 class SetRoute:
-    """One line of a table; weight 0 removes it."""
+    """Set a route of a table; weight 0 removes it."""
 
     table: int
     backend: str
@@ -172,13 +192,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ClearTable:
+    """Remove all routes of a table."""
+
     table: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetAdmission:
-    """How much of some methods (places in `methods`; none: all) is let in, and further tries:
-    0 none, 1 one after proof that the first never ran, 2 one after any failure, 3 two."""
+    """Set the share of some methods that is admitted, and their retries.
+
+    `methods` are indexes of the settings' methods; none: all.  `retry_level`: 0 no retry, 1 one after proof
+    that the first attempt never ran, 2 one after any failure, 3 two.
+    """
 
     table: int
     methods: tuple[int, ...]
@@ -188,13 +213,15 @@
 
 @dataclass(slots=True, frozen=True)
 class EjectBackend:
+    """Eject a backend from all tables, or end its ejection."""
+
     backend: str
     ejected: bool
 
 
 @dataclass(slots=True, frozen=True)
 class BindTable:
-    """Deployments without slices: give a proxy a table for some methods (none: all)."""
+    """Give a proxy a table for some methods (none: all); for deployments without slices."""
 
     proxy: int
     table: int
@@ -203,7 +230,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateMarker:
-    """Ask the proxies reached by these orders (or all) to say when they have applied them."""
+    """Request an acknowledgement from the proxies that these orders reach, or from all."""
 
     marker: int
     to_all_proxies: bool
@@ -211,33 +238,43 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeBackend:
+    """Send a health probe."""
+
     backend: str
 
 
 @dataclass(slots=True, frozen=True)
 class SendToPeer:
+    """Send a message to another coordinator."""
+
     peer: int  # -1: all
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class WatchBackends:
+    """Subscribe to the list of backends, or end the subscription."""
+
     enabled: bool
 
 
 @dataclass(slots=True, frozen=True)
 class FetchBackends:
-    pass
+    """Request the full list of backends once."""
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
+    """Fire a timer at a time."""
+
     due_at: int
     tag: str
 
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
+    """Write a text to the log."""
+
     text: str
 
 
--- a/indigohitch/logic/reconciler.py
+++ b/indigohitch/logic/reconciler.py
@@ -197,10 +197,7 @@
 
 
 def _late_departing(state: CoordinatorState, slices: list[Slice], need: int) -> list[Backend]:
-    """Return departing backends whose routes can't all be removed within the drain grace, each once.
-
-    One order ejects such a backend from all tables.
-    """
+    """Return departing backends whose routes can't all be removed within the drain grace, each once."""
     latest_notice = (
         state.now
         + (state.channel.backlog + need * len(state.proxies)) / state.channel.pace()
@@ -247,6 +244,6 @@
     trimmed = [slice_ for slice_ in slices if slice_.closed_methods is None][:capacity]
     for slice_ in trimmed:
         slice_.admission_ratio = wanted_ratio(slice_)
-        order = interface.SetAdmission(slice_.number, (), slice_.admission_ratio, RETRY_AFTER_PROOF)
-        state.orders.append(order)
+        ratio = slice_.admission_ratio
+        state.orders.append(interface.SetAdmission(slice_.number, (), ratio, RETRY_AFTER_PROOF))
     return len(trimmed)
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -102,7 +102,7 @@
 
     def hand(one, now, events):
         made = letters(one.handle(now, events))
-        again = thaw(freeze(one), boots[boots.index(one.boot)])
+        again = thaw(freeze(one), boots[boots.index(one.settings)])
         one.__dict__.update(again.__dict__)
         return made
 
