--- a/indigohitch/fleet/distribution/resource_store.py
+++ b/indigohitch/fleet/distribution/resource_store.py
@@ -1,8 +1,9 @@
-"""What a distributor holds: services with their resources, the version each was last changed at, and what was
-removed.  Deterministic, no I/O.
+"""The resources of a distributor, with the version of each change and of removals.
 
-Removed keys are remembered up to a bound; who holds a version from before what is remembered gets the service
-whole.  What goes out is encoded once and shared by all subscribers until the service changes again."""
+Deterministic, no I/O.  Removed keys are remembered up to a bound; a subscriber whose version is older than
+what is remembered gets the whole service.  Changes are encoded once and shared by all subscribers until the
+service changes again.
+"""
 
 from __future__ import annotations
 
@@ -34,14 +35,19 @@
 
 
 class ResourceStoreRow(Row):
+    """All services in a snapshot."""
+
     version: Version = NO_VERSION
     floor: Version = NO_VERSION
     services: list[ServiceRow] = []
 
 
 class StoredService:
-    """`changed` and `removed`: versions by key, the last change last.  `floor`: of the newest removed key
-    that is not remembered."""
+    """One service with its history.
+
+    `changed` and `removed`: versions by key, the last change last.  `floor`: version of the newest removed
+    key that is forgotten.
+    """
 
     __slots__ = ("content", "changed", "removed", "floor", "version", "encoded")
 
@@ -54,7 +60,7 @@
         self.encoded: dict[tuple[int, int], msgspec.Raw] = {}
 
     def apply(self, version: Version, resources: Iterable[Resource], keys: Iterable[str]) -> bool:
-        """False: nothing is another than it was."""
+        """Applies changes; returns whether anything differs."""
         bodies = self.content.bodies
         changed = [each for each in resources if bodies.get(each.key) != each.body]
         removed = [key for key in dict.fromkeys(keys) if key in bodies]
@@ -74,22 +80,26 @@
         return True
 
     def forget(self) -> None:
+        """Forgets the oldest removed keys beyond the bound."""
         while len(self.removed) > MAX_REMOVED_KEYS + len(self.changed):
             oldest = next(iter(self.removed))
             self.floor = max(self.floor, self.removed.pop(oldest))
 
     def since(self, version: Version) -> tuple[list[str], list[str]]:
-        """Keys changed and keys removed after it."""
+        """Returns the keys changed and the keys removed after that version."""
         return keys_changed_after(self.changed, version), keys_changed_after(self.removed, version)
 
     def change(self, since: Version | None) -> msgspec.Raw:
-        """From what was held at that version, or whole where it is None, forgotten, or whole is less."""
+        """Returns the encoded change since that version.
+
+        It is the whole service if the version is None or forgotten, or if that is shorter.
+        """
         bodies = self.content.bodies
         whole = since is None or since < self.floor or since == NO_VERSION
         changed, removed = ([], []) if whole else self.since(since)
         whole = whole or len(changed) + len(removed) > len(bodies)
-        known = (-1, -1) if whole else (len(changed), len(removed))
-        if known not in self.encoded:
+        cache_key = (-1, -1) if whole else (len(changed), len(removed))
+        if cache_key not in self.encoded:
             keys = sorted(bodies) if whole else changed
             row = ServiceChange(
                 self.content.service,
@@ -98,21 +108,23 @@
                 () if whole else tuple(removed),
                 self.content.digest,
             )
-            self.encoded[known] = msgspec.Raw(msgspec.msgpack.encode(row))
-        return self.encoded[known]
+            self.encoded[cache_key] = msgspec.Raw(msgspec.msgpack.encode(row))
+        return self.encoded[cache_key]
 
 
 def keys_changed_after(versions: Mapping[str, Version], than: Version) -> list[str]:
-    """Keys of later changes; `versions` is in the order of change."""
+    """Returns keys of later changes; `versions` is in the order of change."""
     return [key for key, _ in takewhile(lambda item: item[1] > than, reversed(versions.items()))]
 
 
 class ResourceStore:
+    """All services, by name."""
+
     def __init__(self) -> None:
         self.version = NO_VERSION  # of the last entry that changed anything
-        self.floor = NO_VERSION  # what became of services that are not known is forgotten up to here
+        self.floor = NO_VERSION  # history of unknown services is forgotten up to here
         self.services: dict[ServiceName, StoredService] = {}
-        self.empty: dict[ServiceName, None] = {}  # in the order in which they became so
+        self.empty_services: dict[ServiceName, None] = {}  # in the order in which they became so
         self.history: list[Version] = []  # recent versions, ascending; not part of the replicated state
 
     def apply(
@@ -121,10 +133,12 @@
         changed: Mapping[ServiceName, Iterable[Resource]],
         removed: Mapping[ServiceName, Iterable[str]],
     ) -> tuple[ServiceName, ...]:
-        """Returns the services whose content is another now."""
+        """Applies the changes of one entry; returns the services whose content differs now."""
         names = list(dict.fromkeys([*changed, *removed]))
         touched = [
-            name for name in names if self.touch(name, version, changed.get(name, ()), removed.get(name, ()))
+            name
+            for name in names
+            if self.apply_to_service(name, version, changed.get(name, ()), removed.get(name, ()))
         ]
         if touched:
             self.version = version
@@ -133,68 +147,77 @@
                 del self.history[:MAX_VERSION_HISTORY]
         return tuple(touched)
 
-    def touch(
+    def apply_to_service(
         self, name: ServiceName, version: Version, resources: Iterable[Resource], keys: Iterable[str]
     ) -> bool:
+        """Applies changes to one service; returns whether its content differs now."""
         service = self.services.get(name)
         if service is None:
             service = StoredService(name, self.floor)
         if not service.apply(version, resources, keys):
             return False
         self.services[name] = service
-        self.empty.pop(name, None)
+        self.empty_services.pop(name, None)
         if not service.content.bodies:
-            self.empty[name] = None
+            self.empty_services[name] = None
             self.forget()
         return True
 
     def forget(self) -> None:
-        while len(self.empty) > MAX_EMPTY_SERVICES:
-            oldest = next(iter(self.empty))
-            del self.empty[oldest]
+        """Forgets the services that have been empty longest, beyond the bound."""
+        while len(self.empty_services) > MAX_EMPTY_SERVICES:
+            oldest = next(iter(self.empty_services))
+            del self.empty_services[oldest]
             self.floor = max(self.floor, self.services.pop(oldest).version)
 
-    # ---- what subscriptions ask --------------------------------------------------------------------
+    # ---- queries -----------------------------------------------------------------------------------
 
     def content(self, name: ServiceName) -> ServiceContent:
+        """Returns the content of a service; an unknown one is empty."""
         service = self.services.get(name)
         return service.content if service is not None else ServiceContent(name)
 
     def resources(self, name: ServiceName) -> Mapping[str, bytes]:
+        """Returns the bodies of a service by key."""
         return self.content(name).bodies
 
     def digest(self, name: ServiceName) -> bytes:
+        """Returns the digest of a service."""
         return self.content(name).digest
 
     def changed_at(self, name: ServiceName) -> Version:
-        """The last change of the service; of one that is not known, the last that it may have had."""
+        """Returns the version of the last change; for an unknown service the last possible one."""
         service = self.services.get(name)
         return service.version if service is not None else self.floor
 
     def change(self, name: ServiceName, since: Version | None) -> msgspec.Raw:
-        """The msgpack of a `ServiceChange`; `since` None: whole."""
+        """Returns the msgpack of a `ServiceChange`; `since` None: the whole service."""
         service = self.services.get(name)
         return (service if service is not None else StoredService(name, self.floor)).change(since)
 
     def before(self, version: Version) -> Version | None:
-        """The last version before that one; None: it is not remembered."""
-        place = bisect_left(self.history, version)
-        return self.history[place - 1] if place else None
+        """Returns the last version before that one; None: it is not remembered."""
+        position = bisect_left(self.history, version)
+        return self.history[position - 1] if position else None
 
     def after(self, version: Version) -> Version:
-        """The first remembered version after that one, or the least that there could be."""
-        place = bisect_right(self.history, version)
-        if place < len(self.history):
-            return self.history[place]
+        """Returns the first remembered version after that one, or the least possible."""
+        position = bisect_right(self.history, version)
+        if position < len(self.history):
+            return self.history[position]
         return Version(version.term, version.index + 1)
 
     # ---- as a whole --------------------------------------------------------------------------------
 
     def row(self) -> ResourceStoreRow:
+        """Returns the state for a snapshot."""
         services = [
             ServiceRow(
                 name,
-                [(key, service.content.bodies[key], at) for key, at in service.changed.items()],
+                [
+                    (key, service.content.bodies[key], changed_at)
+                    for key, changed_at in service.changed.items()
+                ],
                 list(service.removed.items()),
                 service.floor,
             )
@@ -203,13 +226,18 @@
         return ResourceStoreRow(self.version, self.floor, services)
 
     def restore(self, row: ResourceStoreRow) -> None:
-        self.version, self.floor = row.version, row.floor
-        self.services, self.empty, self.history = {}, {}, [row.version]
+        """Replaces the state by that of a snapshot."""
+        self.version = row.version
+        self.floor = row.floor
+        self.services = {}
+        self.empty_services = {}
+        self.history = [row.version]
         for each in row.services:
-            service = self.services[each.service] = StoredService(each.service, each.floor)
+            service = StoredService(each.service, each.floor)
+            self.services[each.service] = service
             service.content = ServiceContent(each.service, {key: body for key, body, _ in each.resources})
-            service.changed = {key: at for key, _, at in each.resources}
+            service.changed = {key: changed_at for key, _, changed_at in each.resources}
             service.removed = dict(each.removed)
             service.version = max([*service.changed.values(), *service.removed.values()])
             if not service.changed:
-                self.empty[each.service] = None
+                self.empty_services[each.service] = None
