--- a/indigohitch/cli.py
+++ b/indigohitch/cli.py
@@ -1,5 +1,8 @@
-"""The command line.  Each command imports what it needs, no more: a coordinator on 32 MB starts through
-`python -m indigohitch` without this file."""
+"""The command line.
+
+Each command imports only what it needs; a coordinator on 32 MB starts through `python -m indigohitch` without
+this module.
+"""
 
 from __future__ import annotations
 
@@ -10,38 +13,42 @@
 from .errors import REMEDIES, DirectorError
 
 
-class Lazy(click.Group):
-    """`load` needs libraries that a coordinator does without: imported once it is asked for.  Here alone a
-    command's trouble is shown: what happened, where, and what to do."""
+class LazyGroup(click.Group):
+    """Imports `load`, whose libraries a coordinator does not need, on demand; shows errors of commands."""
 
-    def list_commands(self, ctx):
+    def list_commands(self, ctx: click.Context) -> list[str]:
+        """Returns the names of all commands."""
         return sorted([*super().list_commands(ctx), "load"])
 
-    def get_command(self, ctx, name):
+    def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
+        """Returns the command of this name; imports that of `load`."""
         if name != "load":
             return super().get_command(ctx, name)
         from .load.command import load
 
         return load
 
-    def invoke(self, ctx):
+    def invoke(self, ctx: click.Context) -> object:
+        """Runs the command; an error is printed with its remedy, and the exit code is 1."""
         try:
             return super().invoke(ctx)
-        except (DirectorError, OSError) as bad:
-            click.echo(shown(bad), err=True)
+        except (DirectorError, OSError) as error:
+            click.echo(error_text(error), err=True)
             sys.exit(1)
 
 
-def shown(bad: DirectorError | OSError) -> str:
-    if isinstance(bad, DirectorError):
-        what, remedy = bad.text(), bad.remedy
+def error_text(error: DirectorError | OSError) -> str:
+    """Returns what happened and where, and on a second line the remedy, if one is known."""
+    if isinstance(error, DirectorError):
+        what = error.text()
+        remedy = error.remedy
     else:
-        what = f"{bad.filename}: {bad.strerror}" if bad.filename and bad.strerror else str(bad)
-        remedy = REMEDIES.get(bad.errno, "")
+        what = f"{error.filename}: {error.strerror}" if error.filename and error.strerror else str(error)
+        remedy = REMEDIES.get(error.errno, "")
     return what + (f"\n  {remedy}" if remedy else "")
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="indigohitch", prog_name="indigohitch")
 def main() -> None:
     """A traffic director for a fleet of sidecars."""
@@ -80,23 +87,23 @@
         from .config.lines import ConfigError
         from .fleet.batches.contract import mistakes
 
-        if found := [one for part in text.fleet.parts["batches"] for one in mistakes(part)]:
+        if found := [mistake for part in text.fleet.parts["batches"] for mistake in mistakes(part)]:
             raise ConfigError(file, found)
     if text.pools:
-        said = (
+        summary = (
             f"{len(text.routes.all)} routes, {len(text.rpcs)} RPCs, {len(text.pools)} pools, "
             f"{sum(len(p.servers) for p in text.pools.values())} servers"
         )
     else:
-        said = "a coordinator's"
+        summary = "a coordinator's"
     if text.fleet is not None and text.fleet.services:
-        said = (
+        summary = (
             f"{text.fleet.me} subscribes to {len(text.fleet.services)} services of fleet {text.fleet.name} "
             f"at {len(text.fleet.distributors)} distributors"
         )
     elif text.fleet is not None:
-        said += f"; {text.fleet.me} of fleet {text.fleet.name}, {len(text.fleet.members)} members"
-    click.echo(f"{file}: {said}")
+        summary += f"; {text.fleet.me} of fleet {text.fleet.name}, {len(text.fleet.members)} members"
+    click.echo(f"{file}: {summary}")
 
 
 @main.command("stand-in")
@@ -126,24 +133,25 @@
 @click.option("--wait", default=60.0, help="Seconds until no answer is taken for one.", show_default=True)
 def upgrade(file: str, wait: float) -> None:
     """Let the program of FILE replace itself by its program on disk as it is now."""
-    tell(asked(file, "upgrade", wait))
+    print_response(run_command(file, "upgrade", wait))
 
 
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def status(file: str) -> None:
     """What the program of FILE does now."""
-    tell(asked(file, "status", 5.0))
+    print_response(run_command(file, "status", 5.0))
 
 
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def snapshot(file: str) -> None:
     """Let the program of FILE write its state to the path in its line `state`."""
-    tell(asked(file, "snapshot", 30.0))
+    print_response(run_command(file, "snapshot", 30.0))
 
 
-def asked(file: str, what: str, wait: float) -> dict:
+def run_command(file: str, what: str, wait: float) -> dict:
+    """Sends a command to the running program of the file.  Raises DirectorError, OSError."""
     from .config import either
     from .control import send_command
     from .errors import InvalidRequestError, UnavailableError
@@ -161,8 +169,9 @@
         ) from None
 
 
-def tell(found: dict) -> None:
+def print_response(response: dict) -> None:
+    """Prints the response as JSON and exits: 1 where it has an error, else 0."""
     import orjson
 
-    click.echo(orjson.dumps(found, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS).decode())
-    sys.exit(1 if "error" in found else 0)
+    click.echo(orjson.dumps(response, option=orjson.OPT_INDENT_2 | orjson.OPT_SORT_KEYS).decode())
+    sys.exit(1 if "error" in response else 0)
