--- a/indigohitch/fleet/seats/pool.py
+++ b/indigohitch/fleet/seats/pool.py
@@ -4,7 +4,8 @@
 that waits longest among those with less than their fair part (an equal part of the seats held, at least
 one). So who comes again within that time and has less than its part gets one of the next seats that fall
 idle: at the latest when the jobs that are out now are over, all of which end with the lease
-(docs/seats.md)."""
+(docs/seats.md).
+"""
 
 from __future__ import annotations
 
@@ -12,7 +13,7 @@
 
 from .contract import Given, Share
 
-MOST_WAITING = 256  # tenants whose places are kept: names come from outside, memory is bounded
+MAX_WAITING_TENANTS = 256  # tenants whose places are kept: names come from outside, memory is bounded
 
 
 @dataclass(slots=True, eq=False)
@@ -30,6 +31,8 @@
 
 @dataclass(slots=True, eq=False)
 class Seat:
+    """A seat that this member holds."""
+
     number: int
     counter: int
     uses: int = 0
@@ -38,7 +41,7 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """A refused tenant's place."""
+    """The place of a refused tenant in the queue."""
 
     since: int
     until: int
@@ -46,11 +49,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Demand:
+    """The demand that a member reports for a pool."""
+
     used: int  # seats in use on average in the last window, rounded up
     missed: int  # asks that found none
 
 
 class SeatPool:
+    """The seats of one pool, with assignments and waiting tenants."""
+
     def __init__(self, feature: str, place_kept: int) -> None:
         self.feature = feature
         self.place_kept = place_kept
@@ -64,27 +71,28 @@
         self.debt = 0
         self.due = 0
         self.mean = 0  # seats assigned on average in the last window, rounded up
-        self.area = 0
-        self.began = 0
-        self.at = 0  # seats x tenths of a ms so far in this one
+        self.area = 0  # seats x tenths of a ms so far in this window
+        self.window_started_at = 0
+        self.counted_until = 0
         self.missed = 0
         self.missed_before = 0  # asks refused for want of a seat
 
     @property
     def usable(self) -> int:
+        """Seats that are not owed."""
         return max(0, len(self.seats) + len(self.returning) - self.debt)
 
     def sync(self, share: Share | None, counters: list[int]) -> None:
         """Takes over the share as the replicated state has it now."""
-        held = {n: counters[n] for n in share.seats} if share is not None else {}
+        counters_by_number = {n: counters[n] for n in share.seats} if share is not None else {}
         self.debt, self.due = (share.debt, share.due) if share is not None else (0, 0)
         for group in (self.seats, self.returning):
-            for number in [n for n, seat in group.items() if held.get(n) != seat.counter]:
+            for number in [n for n, seat in group.items() if counters_by_number.get(n) != seat.counter]:
                 seat = group.pop(number)
                 if seat in self.idle:
                     self.idle.remove(seat)
-        for number in sorted(held.keys() - self.seats.keys() - self.returning.keys()):
-            seat = Seat(number, held[number])
+        for number in sorted(counters_by_number.keys() - self.seats.keys() - self.returning.keys()):
+            seat = Seat(number, counters_by_number[number])
             self.seats[number] = seat
             self.idle.append(seat)
             self.missed = 0
@@ -129,10 +137,11 @@
         until = now + max(self.place_kept, 5 * back // 2)
         if tenant in self.waiting:
             self.waiting[tenant].until = until
-        elif len(self.waiting) < MOST_WAITING:
+        elif len(self.waiting) < MAX_WAITING_TENANTS:
             self.waiting[tenant] = Waiting(now, until)
 
     def assign(self, now: int, key: str, tenant: str) -> Assignment:
+        """Assigns an idle seat."""
         self.count(now)
         seat = self.idle.pop()
         seat.uses += 1
@@ -147,6 +156,7 @@
         return assignment
 
     def unassign(self, now: int, assignment: Assignment) -> None:
+        """Frees an assigned seat."""
         if assignment not in self.assignments:
             return
         self.count(now)
@@ -172,16 +182,18 @@
 
     def count(self, now: int) -> None:
         """Up to now; clocks of one process don't go back, but a due end may be counted late."""
-        self.area += len(self.assignments) * max(0, now - self.at)
-        self.at = max(self.at, now)
+        self.area += len(self.assignments) * max(0, now - self.counted_until)
+        self.counted_until = max(self.counted_until, now)
 
     def close_window(self, now: int) -> None:
+        """Closes the window of measurement."""
         self.count(now)
-        self.mean = -(-self.area // max(1, now - self.began))
+        self.mean = -(-self.area // max(1, now - self.window_started_at))
         self.area = 0
-        self.began = now
+        self.window_started_at = now
         self.missed_before = self.missed
         self.missed = 0
 
     def demand(self) -> Demand:
+        """Returns the demand of the last window."""
         return Demand(self.mean, max(self.missed, self.missed_before))
--- a/indigohitch/fleet/seats/rebalancing.py
+++ b/indigohitch/fleet/seats/rebalancing.py
@@ -1,8 +1,9 @@
 """How the leader rebalances the seats of one pool over the members.  Pure.
 
-The design's own mechanism: whole seats, from the member with most idle to the one with most wanting, only for
-a positive gain, beyond a dead band, with a budget a round.  What a member should have is its part under
-max-min fairness: who wants less than an equal part gets what it wants, the others share the rest."""
+Whole seats move from the member with most idle to the one with the largest deficit, only for a positive gain,
+beyond a dead band, with a budget for each round.  The target is max-min fairness: a member that needs less
+than an equal part gets what it needs, the others share the rest.
+"""
 
 from __future__ import annotations
 
@@ -33,19 +34,26 @@
 
     @property
     def wanted(self) -> int:
-        """Who comes again and again is counted each time: it is taken to want half as much again at most, and
-        shows in the next round whether it used that."""
+        """The seats that the member needs.
+
+        A retrying client is counted each time: a member is taken to need half as much again at most, and its
+        next report shows whether it used that.
+        """
         return self.used + min(self.missed, 2 + self.used // 2)
 
 
 @dataclass(slots=True, frozen=True)
 class FairParts:
+    """Seats by member, and those that nobody needs."""
+
     parts: list[int]  # in the order of what was wanted
     unwanted: int
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
+    """Seats to grant to, or to recall from, a member."""
+
     member: MemberDemand
     count: int
 
@@ -59,27 +67,29 @@
 
 
 def fair_parts(size: int, wanted: Sequence[int], turn: int = 0) -> FairParts:
-    """Whole seats of `size`, max-min fair.  What can't be shared evenly goes to others with each turn."""
-    left = size
+    """Divides whole seats by max-min fairness; the remainder rotates with `turn`."""
+    remaining = size
     level = 0
     rest = sorted(wanted)
     for place, count in enumerate(rest):  # who wants less than an equal part gets what it wants
-        level = left // (len(rest) - place)
+        level = remaining // (len(rest) - place)
         if count > level:
             break
-        left = left - count
+        remaining = remaining - count
         level = count
     found = [min(count, level) for count in wanted]
-    left = size - sum(found)
-    order = sorted(range(len(wanted)), key=lambda i: (i + turn) % len(wanted))
-    for i in [i for i in order if wanted[i] > level][:left]:
-        found[i] += 1
+    remaining = size - sum(found)
+    order = sorted(range(len(wanted)), key=lambda index: (index + turn) % len(wanted))
+    for index in [index for index in order if wanted[index] > level][:remaining]:
+        found[index] += 1
     return FairParts(found, size - sum(found))
 
 
 def rebalance(size: int, free: int, coming: int, members: Sequence[MemberDemand], turn: int = 0) -> Moves:
-    """What to grant now and what to recall in this round, of a pool of `size` with so many free seats and
-    so many that are owed and on their way back."""
+    """Returns what to grant and what to recall in this round, of a pool of `size`.
+
+    `free`: seats that nobody holds; `coming`: seats that are owed and on their way back.
+    """
     if not members:
         return Moves([], [])
     members = sorted(members, key=lambda member: member.name)
@@ -88,36 +98,38 @@
     have = [member.net for member in members]
     granted = [0] * len(members)
     for extra in (0, stock):  # first what is wanted, then an equal part of what is not
-        for i in sorted(range(len(members)), key=lambda i: have[i] - fair.parts[i]):
-            count = min(free, max(0, fair.parts[i] + extra * members[i].stocks - have[i]))
-            granted[i] += count
-            have[i] += count
+        for index in sorted(range(len(members)), key=lambda index: have[index] - fair.parts[index]):
+            count = min(free, max(0, fair.parts[index] + extra * members[index].stocks - have[index]))
+            granted[index] += count
+            have[index] += count
             free -= count
     return Moves(moves(members, granted), recalls(size, coming, members, fair.parts, have))
 
 
 def moves(members: Sequence[MemberDemand], counts: Sequence[int]) -> list[Move]:
+    """Returns the moves with a count above 0."""
     return [Move(member, count) for member, count in zip(members, counts, strict=True) if count]
 
 
 def recalls(
     size: int, coming: int, members: Sequence[MemberDemand], due: list[int], have: list[int]
 ) -> list[Move]:
+    """Returns the recalls of a round: from members with most beyond their dead band."""
     lacking = [d - h for d, h in zip(due, have, strict=True) if d > h]
-    most = min(sum(lacking) - coming, max(1, size // BUDGET))
+    max_moves = min(sum(lacking) - coming, max(1, size // BUDGET))
     starved = any(h == 0 < d for d, h in zip(due, have, strict=True))
     taken = [0] * len(members)
     bands = [BAND if member.stocks and not starved else 0 for member in members]
     # Who has most beyond its band comes first, of equals the first by name.
-    idle = [(d - h + band, i) for i, (d, h, band) in enumerate(zip(due, have, bands)) if h - d > band]
+    idle = [(d - h + band, index) for index, (d, h, band) in enumerate(zip(due, have, bands)) if h - d > band]
     heapify(idle)
-    for _ in range(max(0, most)):
+    for _ in range(max(0, max_moves)):
         if not idle:
             break
-        short, i = idle[0]
-        taken[i] += 1
+        short, index = idle[0]
+        taken[index] += 1
         if short + 1 < 0:
-            heapreplace(idle, (short + 1, i))
+            heapreplace(idle, (short + 1, index))
         else:
             heappop(idle)
     return moves(members, taken)
