--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -102,7 +102,7 @@
 
     def hand(one, now, events):
         made = letters(one.handle(now, events))
-        again = thaw(freeze(one), boots[boots.index(one.boot)])
+        again = thaw(freeze(one), boots[boots.index(one.settings)])
         one.__dict__.update(again.__dict__)
         return made
 
@@ -160,7 +160,7 @@
         tuple(front.out),
         front.log.counts["decision_rounds"],
         front.gathering.gap,
-        front.relay.bounds.pace.most,
+        front.relay.bounds.pace.max_messages,
         front.relay.bounds.pace.window,
         sorted(front.known.methods),
         sorted(front.known.zones),
