--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -1,5 +1,7 @@
-"""A coordinator that can be upgraded: the platform's front with an operator's file beside the platform's
-configuration.  For installations that allow a control socket and a second process for a moment."""
+"""A coordinator that can be upgraded: the front of the platform, with an operator's file.
+
+For installations that allow a control socket and, during an upgrade, a second process.
+"""
 
 from __future__ import annotations
 
@@ -21,12 +23,18 @@
 
 
 class CoordinatorProcess(UpgradableProcess):
+    """The process of a coordinator that an operator's file configures."""
+
     def __init__(self, environ: MutableMapping[str, str], text: Text, follows: bool) -> None:
-        self.environ, self.source, self.fleet, self.follows = environ, text.source, text.fleet, follows
-        self.decided = False  # while it ends: on all that was told before
+        self.environ = environ
+        self.source = text.source
+        self.fleet = text.fleet
+        self.follows = follows
+        self.decided = False  # while it ends: the module has handled all earlier events
         super().__init__(environ.get("BALANCER_NAME", ""), text.single, text.waits)
 
     def make_participant(self) -> HandoverParticipant:
+        """Builds what is handed over, with the companion that the file names."""
         side = CoordinatorHandover(
             None, self.make, self.control_listener, self.take_over_control, self.reload
         )
@@ -39,6 +47,7 @@
         return node_companion(self, side, self.fleet, False, self.follows)
 
     def subscriber_side(self, side: HandoverParticipant) -> HandoverParticipant:
+        """Adds the subscription to what is handed over."""
         from .fleet.node.subscriber_process import SubscriberSide, Subscription
 
         if self.companion is None:
@@ -46,6 +55,7 @@
         return SubscriberSide(side, self.companion)
 
     def subscribed_backends(self, tell: ListCallback) -> BackendSource:
+        """Returns the source of backends that the subscription feeds."""
         from .backend_subscription.source import SubscribedBackends
 
         source = SubscribedBackends(self.log, self.companion.resources, tell)
@@ -53,6 +63,7 @@
         return source
 
     def make(self, listening: socket.socket | None) -> Front:
+        """Builds the front, on a listening socket if one is passed on."""
         subscribes = self.fleet is not None and self.fleet.services
         front = Front(
             self.loop,
@@ -68,17 +79,21 @@
         return front
 
     def turn(self) -> None:
+        """Lets the module handle the events of this turn of the loop."""
         if self.side.front is not None:
             gathering = self.side.front.gathering
             gathering.turn()
             self.decided = self.phase is ProcessPhase.ENDING and (self.decided or not gathering.events)
 
     def without_state(self) -> None:
+        """Discards a state whose restoring failed half way."""
         if self.side.front is not None:
             self.side.front.close()
-        self.side = self.predecessor_driver.side = self.make_participant()
+        self.side = self.make_participant()
+        self.predecessor_driver.side = self.side
 
     def extra_status(self) -> dict:
+        """Returns the keys of a coordinator for `status`."""
         front = self.side.front
         return {
             "proxies": len(front.store_mirror.proxies),
@@ -88,9 +103,11 @@
         }
 
     def read_operator_file(self) -> Text:
+        """Raises ConfigError, OSError."""
         return operator_file.load(self.source)
 
     def reload(self) -> None:
+        """Reads configuration and file again; a mistake in them changes nothing."""
         reload_front(self, self.environ, lambda: self.side.front, self.file_is_newer)
         if self.companion is not None:
             try:
@@ -99,19 +116,21 @@
                 self.log.warning("reload_failed", **error_fields(bad))
 
     def file_is_newer(self) -> None:
-        """Than what the variable said at the start, also for who follows."""
+        """Drops the value of the variable, also for the next process: the file is newer."""
         self.environ.pop("BALANCER_DISCOVERY", None)
 
     def is_done(self) -> bool:
+        """Whether all events are handled and no call is in flight."""
         return self.decided and self.side.front.relay.idle
 
     def close(self) -> None:
+        """Closes the front."""
         if self.side.front is not None:
             self.side.front.close()
 
 
 def run_headless(text: Text) -> int:
-    """A subscriber or a member as a process of its own; a member's imports would cost a subscriber 3 MB."""
+    """Runs a subscriber or a member without a front; a member's imports would cost a subscriber 3 MB."""
     if text.fleet.services:
         from .fleet.node import subscriber_process
 
@@ -122,7 +141,7 @@
 
 
 def main(file: str) -> int:
-    """Raises Mistakes, OSError."""
+    """Runs a coordinator as the file says; returns the exit code.  Raises ConfigError, OSError."""
     text = operator_file.load(file)
     if text.fleet is not None and "BALANCER_CONFIG" not in os.environ:
         return run_headless(text)
