--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_crossing_lists_program.py
@@ -83,7 +83,7 @@
                 front.gathering.turn()
 
     front = made()
-    until(lambda: front.coordinator.list_fresh, front)
+    until(lambda: front.coordinator.is_list_current, front)
     platform.change("b1", "DRAINING")
     until(lambda: front.discovery.version == platform.version)  # the module is not asked meanwhile
     old, states = CoordinatorHandover(front, made, lambda: None, None, None), []
