--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -62,7 +62,7 @@
         if self.fleet is not None and not subscribes:
             from .fleet.audit.orders import stamped
 
-            front.relay.allowed = stamped(self.clock, lambda: self.beside.node)
+            front.relay.is_allowed = stamped(self.clock, lambda: self.beside.node)
         return front
 
     def turn(self) -> None:
@@ -80,9 +80,9 @@
         front = self.side.front
         return {
             "proxies": len(front.store_mirror.proxies),
-            "slices": len(front.store_mirror.stood),
-            "calls_waiting": len(front.relay.waiting),
-            "relay_watch_started": front.store_mirror.begun,
+            "slices": len(front.store_mirror.tables),
+            "calls_waiting": len(front.relay.pending_calls),
+            "relay_watch_started": front.store_mirror.has_started,
         }
 
     def file_now(self) -> Text:
--- a/indigohitch/fleet/audit/orders.py
+++ b/indigohitch/fleet/audit/orders.py
@@ -22,7 +22,7 @@
 
 
 def stamped(clock: Clock, node: Callable[[], Node | None]) -> Callable[[str], bool]:
-    """For Relay.allowed."""
+    """For Relay.is_allowed."""
 
     def allowed(orders: str) -> bool:
         one = node()
--- a/indigohitch/platform_protocol/call_codec.py
+++ b/indigohitch/platform_protocol/call_codec.py
@@ -9,20 +9,20 @@
 from .. import interface as face
 from ..net.http_exchange import HttpResponse
 
-BYTES = 60_000  # of orders that a call may carry, says the protocol
-FORM = "application/x-www-form-urlencoded"
-NO_CALL = {
+MAX_CALL_BYTES = 60_000  # of orders that a call may carry, says the protocol
+FORM_CONTENT_TYPE = "application/x-www-form-urlencoded"
+UNSUPPORTED_ORDERS = {
     face.BindTable: "Bind",
     face.SendToPeer: "TellPeer",
 }  # orders without a word; the log's names for them
 
 
-def form(orders: str) -> bytes:
+def encode_form(orders: str) -> bytes:
     """A call's body; `orders` in the relay's words, in turn."""
     return urlencode({"Action": "CommitChanges", "orders": orders}).encode("ascii")
 
 
-def encode(order: face.Order, methods: Sequence[str]) -> str:
+def encode_order(order: face.Order, methods: Sequence[str]) -> str:
     """An order in the relay's words."""
     match order:
         case face.SetRoute(table, backend, weight):
@@ -39,7 +39,7 @@
     raise TypeError(f"not an order for the relay: {order}")
 
 
-def key(order: face.Order) -> tuple:
+def order_key(order: face.Order) -> tuple:
     """What an order sets: a later one of the same key makes it void."""
     match order:
         case face.SetRoute(table, backend, _):
@@ -53,7 +53,7 @@
     return ("mark",)
 
 
-def merge(orders: Sequence[face.Order]) -> list[face.Order]:
+def merge_orders(orders: Sequence[face.Order]) -> list[face.Order]:
     """The same end with no order that a later one makes void.  Lines of a table stand together, at the place
     of the last: where they go in several calls, no table is without a line in between."""
     last: dict[tuple, face.Order] = {}
@@ -65,29 +65,29 @@
             lines.pop(order.table, None)
         if isinstance(order, face.SetRoute):
             before = lines.setdefault(order.table, {})
-            before.pop(key(order), None)
+            before.pop(order_key(order), None)
             for old in before:
                 last[old] = last.pop(old)
-            before[key(order)] = None
-        last.pop(key(order), None)
-        last[key(order)] = order
+            before[order_key(order)] = None
+        last.pop(order_key(order), None)
+        last[order_key(order)] = order
     return list(last.values())
 
 
-def pieces(orders: Sequence[face.Order], methods: Sequence[str]) -> Iterator[list[face.Order]]:
+def split_by_size(orders: Sequence[face.Order], methods: Sequence[str]) -> Iterator[list[face.Order]]:
     """One reply of the module: a call of its own, or several where it is too long for one."""
-    call, room = [], BYTES + 1
+    call, room = [], MAX_CALL_BYTES + 1
     for order in orders:
-        size = len(encode(order, methods)) + 1
+        size = len(encode_order(order, methods)) + 1
         if room < size:
             yield call
-            call, room = [], BYTES + 1
+            call, room = [], MAX_CALL_BYTES + 1
         call.append(order)
         room -= size
     yield call
 
 
-def cut(orders: Sequence[face.Order], most: int) -> int:
+def split_index(orders: Sequence[face.Order], most: int) -> int:
     """How many of the orders make a call of at most `most`, one at least; lines of a table stay together."""
     at = most = max(1, most)
     if most >= len(orders):
@@ -103,7 +103,7 @@
     )
 
 
-def read_answer(answer: HttpResponse) -> int | str:
+def parse_response(answer: HttpResponse) -> int | str:
     """How many orders were taken, or the name of the error; ValueError: nothing that can be read."""
     if answer.outcome != "answered":
         raise ValueError(answer.outcome)
--- a/indigohitch/platform_protocol/call_log.py
+++ b/indigohitch/platform_protocol/call_log.py
@@ -24,20 +24,20 @@
 
     def __init__(self, log: Log) -> None:
         self.log = log
-        self.number = self.tries = 0
+        self.number = self.attempts = 0
 
-    def begin(self) -> None:
+    def start_call(self) -> None:
         """The orders at the head of the queue are other ones than those last sent."""
         self.number += 1
-        self.tries = 0
+        self.attempts = 0
 
-    def sent(self, orders: Sequence[face.Order], lines: int, found: ChannelOccupancy) -> None:
+    def log_sent(self, orders: Sequence[face.Order], lines: int, found: ChannelOccupancy) -> None:
         """A call goes out with so many lines to all proxies."""
-        self.tries += 1
+        self.attempts += 1
         self.log.event(
             "relay_call_sent",
             call=self.number,
-            tries=self.tries,
+            tries=self.attempts,
             orders=len(orders),
             lines=lines,
             messages=found.messages,
@@ -45,7 +45,7 @@
             calls=found.waiting,
         )
 
-    def held(self, event: str, found: ChannelOccupancy, for_tenths: int, **fields) -> None:
+    def log_waiting(self, event: str, found: ChannelOccupancy, for_tenths: int, **fields) -> None:
         """The call at the head of the queue waits for the bound that `event` names."""
         self.log.warning(
             event,
@@ -57,17 +57,17 @@
             **fields,
         )
 
-    def unclear(self, why: str, orders: Sequence[face.Order], answer: HttpResponse) -> None:
+    def log_unresolved(self, why: str, orders: Sequence[face.Order], answer: HttpResponse) -> None:
         """Whether the call was carried out is not known."""
         self.log.warning(
             "relay_call_unresolved",
             call=self.number,
             why=why,
             orders=len(orders),
-            tries=self.tries,
+            tries=self.attempts,
             after_ms=answer.duration / 10,
         )
 
-    def stands(self, count: int, by: str) -> None:
+    def log_applied(self, count: int, by: str) -> None:
         """So many orders of the call stand, as the answer, a mark or the store's tables tell."""
-        self.log.event("relay_call_applied", call=self.number, tries=self.tries, orders=count, by=by)
+        self.log.event("relay_call_applied", call=self.number, tries=self.attempts, orders=count, by=by)
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -15,7 +15,7 @@
 from ..net.http_client import HttpClient
 from ..net.http_exchange import HttpResponse
 from ..net.loop import Deadline, EventLoop
-from .call_codec import FORM, encode, form
+from .call_codec import FORM_CONTENT_TYPE, encode_form, encode_order
 from .call_log import CallLog
 from .call_resolution import CallOutcome
 from .channel_backlog import ChannelBacklog
@@ -26,10 +26,10 @@
 
 
 class CallQueue:
-    SPAN = SECOND // 5  # for an answer that comes within 50 ms or not at all
-    CONNECT = SECOND // 4  # on one network a connect takes a few ms
-    IDLE = SECOND  # the relay closes what stands idle, some day sooner than it says
-    MARGIN = SECOND // 2  # by which one call may take longer to the relay than the next
+    RESPONSE_TIMEOUT = SECOND // 5  # for an answer that comes within 50 ms or not at all
+    CONNECT_TIMEOUT = SECOND // 4  # on one network a connect takes a few ms
+    IDLE_TIMEOUT = SECOND  # the relay closes what stands idle, some day sooner than it says
+    TRANSIT_MARGIN = SECOND // 2  # by which one call may take longer to the relay than the next
 
     def __init__(
         self,
@@ -44,34 +44,36 @@
         """A proxy may get `most` messages (0: any number) within `over`; `backlog` bounds their lines."""
         self.loop, self.log, self.methods = loop, log, methods
         self.outbox, self.backlog = Outbox(log, methods, backlog), backlog
-        self.told = CallLog(log)
-        self.bounds = ChannelLimits(
-            self.outbox, MessageRateLimit(most, over + self.MARGIN), backlog, self.told
+        self.call_log = CallLog(log)
+        self.channel_limits = ChannelLimits(
+            self.outbox, MessageRateLimit(most, over + self.TRANSIT_MARGIN), backlog, self.call_log
         )
-        self.first = InFlightCall(loop, self._found)
-        self.guard = InvariantChecker(log, most, over, backlog)
-        self.failing: Callable[[str], None] = lambda outcome: None  # a call broke, and how
-        self.stands: Callable[[list[face.Order]], None] = lambda orders: None  # what becomes of orders
-        self.dropped: Callable[[list[face.Order]], None] = lambda orders: None
+        self.in_flight_call = InFlightCall(loop, self._on_outcome)
+        self.invariants = InvariantChecker(log, most, over, backlog)
+        self.on_call_failed: Callable[[str], None] = lambda outcome: None  # a call broke, and how
+        self.on_applied: Callable[[list[face.Order]], None] = lambda orders: None  # what becomes of orders
+        self.on_dropped: Callable[[list[face.Order]], None] = lambda orders: None
         # Set from outside where others must know who ordered what: asked with the orders of each call right
         # before it goes; False: it may not.
-        self.allowed: Callable[[str], bool] | None = None
-        self.doubted: Callable[[], None] = lambda: None  # a dropped call may stand: read what does
-        self.client = HttpClient(loop, to, self.CONNECT, self.IDLE)
+        self.is_allowed: Callable[[str], bool] | None = None
+        self.on_unresolved_drop: Callable[[], None] = lambda: None  # a dropped call may stand: read what does
+        self.client = HttpClient(loop, to, self.CONNECT_TIMEOUT, self.IDLE_TIMEOUT)
         self.idle = True
-        self.held = self.out = False  # no call begins; one has gone and nothing is known of it yet
-        self.bounded = False  # the next one waits for the bounds of the channel
-        self.due: Deadline | None = None  # when the next one is to begin, where that waits
+        self.is_paused = self.awaiting_response = (
+            False  # no call begins; one has gone and nothing is known of it yet
+        )
+        self.waits_for_capacity = False  # the next one waits for the bounds of the channel
+        self.next_call_timer: Deadline | None = None  # when the next one is to begin, where that waits
 
     @property
-    def waiting(self) -> deque[list[face.Order]]:
+    def pending_calls(self) -> deque[list[face.Order]]:
         """Calls that do not stand yet, in turn; the first may be out."""
         return self.outbox.calls
 
     @property
-    def written(self) -> deque[int]:
+    def sent_at(self) -> deque[int]:
         """When calls went out that the proxies may have heard of."""
-        return self.bounds.pace.sent
+        return self.channel_limits.message_rate.sent
 
     def restore(
         self,
@@ -81,8 +83,8 @@
         maybe: Sequence[face.Order],
     ) -> None:
         """As another process held them."""
-        self.outbox.calls, self.bounds.pace.sent = deque(waiting), deque(written)
-        self.first.failures, self.first.maybe = failures, dict.fromkeys(maybe)
+        self.outbox.calls, self.channel_limits.message_rate.sent = deque(waiting), deque(written)
+        self.in_flight_call.failures, self.in_flight_call.unresolved_orders = failures, dict.fromkeys(maybe)
         self.idle = not waiting
 
     def pending(self) -> list[face.Order]:
@@ -94,121 +96,129 @@
         if to == self.client.to:
             return False
         self.client.retire()
-        self.client = HttpClient(self.loop, to, self.CONNECT, self.IDLE)
-        self.first.inquiry.drop()
-        if self.first.in_doubt and not self.out:
-            self._call()  # what is in doubt stays so, and is looked up there
+        self.client = HttpClient(self.loop, to, self.CONNECT_TIMEOUT, self.IDLE_TIMEOUT)
+        self.in_flight_call.outcome_query.drop()
+        if self.in_flight_call.is_unresolved and not self.awaiting_response:
+            self._start_next_call()  # what is in doubt stays so, and is looked up there
         return True
 
     def order(self, orders: list[face.Order], joins: bool = False) -> None:
         """`joins`: these are no reply of the module, and may go with others of their kind."""
         self.outbox.add(orders, joins)
-        if self.idle or self.bounded:  # merged or not: one reply may be more calls than may wait
-            self._call()
+        if self.idle or self.waits_for_capacity:  # merged or not: one reply may be more calls than may wait
+            self._start_next_call()
 
     def reconsider(self) -> None:
         """What waits for the bounds may have become urgent by what the module has heard."""
-        if self.bounded:
-            self._call()
+        if self.waits_for_capacity:
+            self._start_next_call()
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """While it is on no call begins; one that is out comes to its end."""
-        self.held = on
-        if not on and not self.out and self.due is None and self.waiting:
-            self._call()
+        self.is_paused = on
+        if not on and not self.awaiting_response and self.next_call_timer is None and self.pending_calls:
+            self._start_next_call()
 
     # ---- a call begins -----------------------------------------------------------------------------
 
-    def _call(self) -> None:
+    def _start_next_call(self) -> None:
         self._wait_until(None)
-        self.bounded = False
-        self.idle = not self.waiting
-        if self.idle or self.held:
+        self.waits_for_capacity = False
+        self.idle = not self.pending_calls
+        if self.idle or self.is_paused:
             return
-        if self.first.in_doubt and not self.first.may_repeat:
-            self.first.inquire(self.client.to, self.waiting[0])
-            self._wait_until(self.first.repeat_at(in_reach=False), self._repeat)
+        if self.in_flight_call.is_unresolved and not self.in_flight_call.may_retry:
+            self.in_flight_call.query_outcome(self.client.to, self.pending_calls[0])
+            self._wait_until(self.in_flight_call.retry_at(in_reach=False), self._retry_unresolved)
             return
-        if len(self.waiting) > 1 and (self.bounds.pace.most or self.guard.late_lines(self.waiting[0])):
-            self._gather()
-        if not self._without_late_lines() or self._must_wait():
+        if len(self.pending_calls) > 1 and (
+            self.channel_limits.message_rate.most or self.invariants.late_routes(self.pending_calls[0])
+        ):
+            self._batch_calls()
+        if not self._remove_late_routes() or self._must_wait():
             return
-        orders = ";".join(encode(order, self.methods) for order in self.waiting[0])
-        if self.allowed is None or self.allowed(orders):
+        orders = ";".join(encode_order(order, self.methods) for order in self.pending_calls[0])
+        if self.is_allowed is None or self.is_allowed(orders):
             self._send(orders)
         else:
-            self._not_allowed()
+            self._drop_blocked_orders()
 
-    def _without_late_lines(self) -> bool:
+    def _remove_late_routes(self) -> bool:
         """Takes what would break the rule on drains out of a call that has not gone; whether any is left."""
-        late = [] if self.first.in_doubt else self.guard.late_lines(self.waiting[0])
+        late = [] if self.in_flight_call.is_unresolved else self.invariants.late_routes(self.pending_calls[0])
         if late:
-            self.guard.refused(late)
+            self.invariants.report_late_routes(late)
             self.outbox.leave_out(late)
-            self.dropped(late)
-            if not self.waiting[0]:
-                self.waiting.popleft()
-                self._call()
+            self.on_dropped(late)
+            if not self.pending_calls[0]:
+                self.pending_calls.popleft()
+                self._start_next_call()
                 return False
         return True
 
     def _wait_until(self, when: int | None, then: Callable[[], None] | None = None) -> None:
         """The one due time; None: nothing is waited for."""
-        if self.due is not None:
-            self.due.cancel()
-        self.due = None if when is None else self.loop.at(when, then or self._call)
+        if self.next_call_timer is not None:
+            self.next_call_timer.cancel()
+        self.next_call_timer = None if when is None else self.loop.at(when, then or self._start_next_call)
 
-    def _gather(self) -> None:
+    def _batch_calls(self) -> None:
         """All that waits goes as one, also what is in doubt: each call is a message to every proxy."""
-        if self.first.in_doubt:
-            self.first.joined_by_later(self.waiting[0])
+        if self.in_flight_call.is_unresolved:
+            self.in_flight_call.merge_into_later_call(self.pending_calls[0])
         self.outbox.gather()
 
     def _must_wait(self) -> bool:
         """Whether the bounds of the channel keep the first call back."""
         now = self.loop.clock.now()
-        when = self.bounds.free_at(now, self.first.in_doubt)
-        self.bounded = when > now
-        if self.bounded:
+        when = self.channel_limits.free_at(now, self.in_flight_call.is_unresolved)
+        self.waits_for_capacity = when > now
+        if self.waits_for_capacity:
             self._wait_until(when)
-            if self.first.in_doubt:  # what stands in the store tells sooner whether it goes again at all
-                self.first.inquire(self.client.to, self.waiting[0], until_known=True)
-        return self.bounded
+            if (
+                self.in_flight_call.is_unresolved
+            ):  # what stands in the store tells sooner whether it goes again at all
+                self.in_flight_call.query_outcome(self.client.to, self.pending_calls[0], until_known=True)
+        return self.waits_for_capacity
 
     def _send(self, orders: str) -> None:
         now = self.loop.clock.now()
-        tried_at = self.first.went if self.first.in_doubt else None
-        lines = self.backlog.size(self.waiting[0])
-        if not self.guard.sending(now, Attempt(self.waiting[0], lines, tried_at, self.out)):
-            self._wait_until(now + self.guard.AGAIN)
+        previous_sent_at = self.in_flight_call.sent_at if self.in_flight_call.is_unresolved else None
+        lines = self.backlog.size(self.pending_calls[0])
+        if not self.invariants.check_send(
+            now, Attempt(self.pending_calls[0], lines, previous_sent_at, self.awaiting_response)
+        ):
+            self._wait_until(now + self.invariants.RETRY_DELAY)
             return
-        self.guard.sent(now)
-        if self.first.sending(self.waiting[0]):
-            self.bounds.copies = []
-            self.told.begin()
-        self.bounds.went(self.first.went)
+        self.invariants.record_send(now)
+        if self.in_flight_call.record_send(self.pending_calls[0]):
+            self.channel_limits.sent_copies = []
+            self.call_log.start_call()
+        self.channel_limits.record_send(self.in_flight_call.sent_at)
         self.log.count("relay_calls")
-        self.out = True
-        self.client.request("POST", "/", self.SPAN, self._answered, form(orders), FORM)
+        self.awaiting_response = True
+        self.client.request(
+            "POST", "/", self.RESPONSE_TIMEOUT, self._on_response, encode_form(orders), FORM_CONTENT_TYPE
+        )
 
-    def _not_allowed(self) -> None:
+    def _drop_blocked_orders(self) -> None:
         """What was decided before is void by the time that it may: the module is told what stands then."""
         void = self.pending()
         self.log.count("orders_blocked", len(void))
-        self.waiting.clear()
+        self.pending_calls.clear()
         self.idle = True
-        self._drop(void)
+        self._drop_orders(void)
 
     # ---- what relay.py says ------------------------------------------------------------------------
 
-    def _answered(self, answer: HttpResponse) -> None:
+    def _on_response(self, answer: HttpResponse) -> None:
         raise NotImplementedError
 
-    def _found(self, effect: CallOutcome, proved: int) -> None:
+    def _on_outcome(self, effect: CallOutcome, proved: int) -> None:
         raise NotImplementedError
 
-    def _repeat(self) -> None:
+    def _retry_unresolved(self) -> None:
         raise NotImplementedError
 
-    def _drop(self, orders: list[face.Order]) -> None:
+    def _drop_orders(self, orders: list[face.Order]) -> None:
         raise NotImplementedError
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -26,33 +26,33 @@
     A mark that an earlier call had, as after a module that began anew, shows nothing."""
 
     def __init__(self) -> None:
-        self.used: deque[int] = deque(maxlen=256)
+        self.used_markers: deque[int] = deque(maxlen=256)
         self.orders: Sequence[face.Order] | None = None  # of the call in question
-        self.mark, self.shown = -1, False
+        self.marker, self.is_confirmed = -1, False
 
-    def begin(self, orders: Sequence[face.Order]) -> bool:
+    def start(self, orders: Sequence[face.Order]) -> bool:
         """These are in question from here on; whether they were not before."""
         if orders is self.orders:
             return False
         self.orders = orders
-        self.mark, self.shown = -1, False
+        self.marker, self.is_confirmed = -1, False
         last = orders[-1]
-        if isinstance(last, face.UpdateMarker) and last.mark not in self.used:
-            self.mark = last.mark
-            self.used.append(last.mark)
+        if isinstance(last, face.UpdateMarker) and last.mark not in self.used_markers:
+            self.marker = last.mark
+            self.used_markers.append(last.mark)
         return True
 
-    def answered(self, mark: int) -> bool:
+    def acknowledge(self, mark: int) -> bool:
         """Whether this mark shows it."""
-        self.shown |= mark == self.mark
-        return mark == self.mark
+        self.is_confirmed |= mark == self.marker
+        return mark == self.marker
 
 
 class CallOutcome(Enum):
     """What became of a call; the log tells the value."""
 
-    NONE = "none"  # it was not carried out
-    STANDS = "stands"  # up to the last order that shows
+    NOT_APPLIED = "none"  # it was not carried out
+    APPLIED = "stands"  # up to the last order that shows
     UNKNOWN = "unknown"
 
 
@@ -78,14 +78,14 @@
         """`maybe`: orders that went before, of which nobody knows; `orders` make up for them."""
         changed = {
             n: stored_tables.StoredTable(dict(stood[n].lines))
-            for n in stored_tables.touched(orders)
+            for n in stored_tables.changed_tables(orders)
             if n in stood
         }
         earlier = {n: set(table.lines.items()) for n, table in changed.items()}
         for order in maybe:
             if isinstance(order, face.SetRoute) and order.weight and order.table in earlier:
                 earlier[order.table].add((order.backend, order.weight))
-        stored_tables.carry_out(changed, orders)
+        stored_tables.apply_orders(changed, orders)
         ends = {order.table: at for at, order in enumerate(orders, 1) if isinstance(order, face.SetRoute)}
         signs = []
         for number, end in ends.items():
@@ -102,103 +102,111 @@
         self._found: dict[int, bool] = {}  # by table: whether it is as after
 
     @property
-    def any(self) -> bool:
+    def can_decide(self) -> bool:
         """Whether the tables can tell."""
         return self._first is not None
 
     @property
-    def proved(self) -> int:
+    def applied_count(self) -> int:
         """How many orders stand where the effect is `STANDS`.  The relay stops at an order that it can't use;
         a mark is none, so one right behind those that stand was taken with them."""
         return self._end
 
-    def line(self, table: int, backend: str, weight: float) -> None:
+    def add_route(self, table: int, backend: str, weight: float) -> None:
         """A line that stands."""
         for sign in filter(None, (self._first, self._last)):
             if table == sign.table and (backend, weight) in sign.before | sign.after:
                 self._found[table] = (backend, weight) in sign.after
 
     @property
-    def effect(self) -> CallOutcome:
-        if not self.any:
+    def outcome(self) -> CallOutcome:
+        if not self.can_decide:
             return CallOutcome.UNKNOWN
         first, last = self._found.get(self._first.table), self._found.get(self._last.table)
         if first and last:
-            return CallOutcome.STANDS
-        return CallOutcome.NONE if first is False and last is False else CallOutcome.UNKNOWN
+            return CallOutcome.APPLIED
+        return CallOutcome.NOT_APPLIED if first is False and last is False else CallOutcome.UNKNOWN
 
 
 class OutcomeQuery:
     """Reads from a stream of its own what stands, again and again until that tells or it is dropped."""
 
-    WITHIN = SECOND // 20  # a call is carried out by then, counted from when it went, or never
-    CONNECT = SECOND // 4
-    SPAN = SECOND // 4  # for a whole start of the news, which takes a few ms
-    AGAIN = SECOND // 10
-    DOUBLINGS = 3  # of that wait, where what was read did not tell
+    SETTLE_TIME = SECOND // 20  # a call is carried out by then, counted from when it went, or never
+    CONNECT_TIMEOUT = SECOND // 4
+    READ_TIMEOUT = SECOND // 4  # for a whole start of the news, which takes a few ms
+    RETRY_DELAY = SECOND // 10
+    MAX_DELAY_DOUBLINGS = 3  # of that wait, where what was read did not tell
 
     def __init__(self, loop: EventLoop, told: Callable[[CallOutcome, int], None]) -> None:
         """`told` hears the effect, and how many orders are proved to stand by it."""
-        self.loop, self.told = loop, told
+        self.loop, self.on_outcome = loop, told
         self.to: tuple[str, int] | None = None
         self.evidence: TableEvidence | None = None  # while one is open
         self.until_known = False
-        self.due: Deadline | None = None
+        self.timer: Deadline | None = None
         self.exchange: HttpExchange | None = None
-        self.heard = False  # in this try: the relay is in reach
-        self.read_in_vain = 0  # tries that were answered and did not tell
+        self.has_received = False  # in this try: the relay is in reach
+        self.inconclusive_reads = 0  # tries that were answered and did not tell
 
-    def open(self, to: tuple[str, int], went: int, evidence: TableEvidence, until_known: bool) -> None:
+    def start(self, to: tuple[str, int], went: int, evidence: TableEvidence, until_known: bool) -> None:
         """Into a call that went at `went`; one that is open goes on.  An effect that stays unknown is told
         once the relay has shown to be in reach, or never where it is asked `until_known`."""
         self.until_known = until_known
         if self.evidence is None:
-            self.to, self.evidence, self.read_in_vain = to, evidence, 0
-            self.due = self.loop.at(max(self.loop.clock.now(), went + self.WITHIN), self._ask)
-
-    def _ask(self) -> None:
-        self.heard = False
-        stream = EventStream(self._said, lambda: None)
-        self.due = self.loop.after(self.SPAN, self._again)
-        self.exchange = HttpClient(self.loop, self.to, self.CONNECT).request(
-            "GET", "/stream", self.SPAN, self._ended, stream=lambda part: self._part(stream, part)
+            self.to, self.evidence, self.inconclusive_reads = to, evidence, 0
+            self.timer = self.loop.at(
+                max(self.loop.clock.now(), went + self.SETTLE_TIME), self._request_stream
+            )
+
+    def _request_stream(self) -> None:
+        self.has_received = False
+        stream = EventStream(self._on_event, lambda: None)
+        self.timer = self.loop.after(self.READ_TIMEOUT, self._retry_later)
+        self.exchange = HttpClient(self.loop, self.to, self.CONNECT_TIMEOUT).request(
+            "GET",
+            "/stream",
+            self.READ_TIMEOUT,
+            self._on_stream_end,
+            stream=lambda part: self._on_data(stream, part),
         )
 
-    def _part(self, stream: EventStream, part: bytes) -> None:
+    def _on_data(self, stream: EventStream, part: bytes) -> None:
         try:
             stream.feed(part)
         except ValueError:  # what can't be read tells nothing; the next one may
-            self._again()
+            self._retry_later()
             return
-        self.heard = True
-        effect, proved = self.evidence.effect, self.evidence.proved
+        self.has_received = True
+        effect, proved = self.evidence.outcome, self.evidence.applied_count
         if effect is not CallOutcome.UNKNOWN:
             self.drop()
-            self.told(effect, proved)
-        elif not self.evidence.any:
-            self._again()  # there is nothing to wait for
+            self.on_outcome(effect, proved)
+        elif not self.evidence.can_decide:
+            self._retry_later()  # there is nothing to wait for
 
-    def _said(self, kind: str, data: str) -> None:
+    def _on_event(self, kind: str, data: str) -> None:
         if kind != "entry":
             return
         match parse_relay_event(kind, data):
             case face.StoredRoute(table, backend, weight):
-                self.evidence.line(table, backend, weight)
+                self.evidence.add_route(table, backend, weight)
 
-    def _ended(self, answer: HttpResponse) -> None:
-        self._again()
+    def _on_stream_end(self, answer: HttpResponse) -> None:
+        self._retry_later()
 
-    def _again(self) -> None:
+    def _retry_later(self) -> None:
         self._close()
-        if self.heard and not self.until_known:
+        if self.has_received and not self.until_known:
             self.evidence = None
-            self.told(CallOutcome.UNKNOWN, 0)
+            self.on_outcome(CallOutcome.UNKNOWN, 0)
             return
-        self.read_in_vain += self.heard
-        self.due = self.loop.after(self.AGAIN << min(self.read_in_vain, self.DOUBLINGS), self._ask)
+        self.inconclusive_reads += self.has_received
+        self.timer = self.loop.after(
+            self.RETRY_DELAY << min(self.inconclusive_reads, self.MAX_DELAY_DOUBLINGS), self._request_stream
+        )
 
     def _close(self) -> None:
-        self.due.cancel()
+        self.timer.cancel()
         if self.exchange is not None:
             self.exchange.drop()
             self.exchange = None
--- a/indigohitch/platform_protocol/channel_backlog.py
+++ b/indigohitch/platform_protocol/channel_backlog.py
@@ -10,20 +10,20 @@
 
 from .. import interface as face
 from ..net.clock import SECOND
-from .call_codec import cut
+from .call_codec import split_index
 
 
 @dataclass(slots=True, eq=False)
 class SentCall:
     """A call that may lie in the channel."""
 
-    each: int  # lines to each proxy
-    mark: int | None
-    waiting: set[int]  # proxies that have not taken it
+    lines_per_proxy: int  # lines to each proxy
+    marker: int | None
+    pending_proxies: set[int]  # proxies that have not taken it
 
     @property
     def lines(self) -> int:
-        return self.each * len(self.waiting)
+        return self.lines_per_proxy * len(self.pending_proxies)
 
 
 class ChannelBacklog:
@@ -36,58 +36,66 @@
         self, most: float, pace: float, head: int = 0, proxies: Callable[[], Collection[int]] = tuple
     ) -> None:
         """Each call goes to all `proxies`, with `head` lines of its own."""
-        self.most, self.pace = most, pace
-        self.head, self.proxies = head, proxies
+        self.max_lines, self.drain_rate = most, pace
+        self.overhead_lines, self.proxies = head, proxies
         self.calls: list[SentCall] = []  # in the order in which they went
-        self.lines, self.at = 0.0, 0  # that may wait, and when
+        self.lines, self.updated_at = 0.0, 0  # that may wait, and when
 
     def size(self, orders: Sequence[face.Order]) -> int:
         """Lines of a call to all proxies."""
-        return (len(orders) + self.head) * len(self.proxies())
+        return (len(orders) + self.overhead_lines) * len(self.proxies())
 
-    def cut(self, orders: Sequence[face.Order]) -> int:
+    def split_index(self, orders: Sequence[face.Order]) -> int:
         """How many of the orders may go in one call."""
         many = len(self.proxies())
-        return cut(orders, int(self.most / many) - self.head) if self.most and many else len(orders)
+        return (
+            split_index(orders, int(self.max_lines / many) - self.overhead_lines)
+            if self.max_lines and many
+            else len(orders)
+        )
 
-    def sent(self, now: int, orders: Sequence[face.Order]) -> SentCall:
+    def record_send(self, now: int, orders: Sequence[face.Order]) -> SentCall:
         self._drain(now)
         last = orders[-1]
         mark = last.mark if isinstance(last, face.UpdateMarker) else None
-        call = SentCall(len(orders) + self.head, mark, set(self.proxies()))
+        call = SentCall(len(orders) + self.overhead_lines, mark, set(self.proxies()))
         self.calls.append(call)
         self.lines += call.lines
         return call
 
-    def taken_back(self, call: SentCall) -> None:
+    def revert_send(self, call: SentCall) -> None:
         """It was surely not carried out."""
         if call in self.calls:
             self.calls.remove(call)
             self.lines = max(0.0, self.lines - call.lines)
 
-    def answered(self, proxy: int, mark: int) -> None:
+    def acknowledge(self, proxy: int, mark: int) -> None:
         """Messages arrive in order: what went to that proxy up to this mark has left.  A call that went twice
         may be answered twice, and the second copy waits still at the first answer."""
-        ends = [at for at, call in enumerate(self.calls, 1) if call.mark == mark and proxy in call.waiting]
+        ends = [
+            at
+            for at, call in enumerate(self.calls, 1)
+            if call.marker == mark and proxy in call.pending_proxies
+        ]
         for call in self.calls[: ends[0]] if ends else ():
-            call.waiting.discard(proxy)
+            call.pending_proxies.discard(proxy)
 
-    def left(self, proxy: int) -> None:
+    def remove_proxy(self, proxy: int) -> None:
         """Nothing waits for it now."""
         for call in self.calls:
-            call.waiting.discard(proxy)
+            call.pending_proxies.discard(proxy)
 
     def fits_at(self, now: int, lines: int) -> int:
         """From when on so many lines more may wait, where no mark makes room sooner; what is too many alone,
         once none does."""
         self._drain(now)
-        over = self.lines - max(0.0, self.most - lines)
-        if not self.most or not self.pace or over <= 0:
+        over = self.lines - max(0.0, self.max_lines - lines)
+        if not self.max_lines or not self.drain_rate or over <= 0:
             return now
-        return now + int(over * SECOND / self.pace) + 1
+        return now + int(over * SECOND / self.drain_rate) + 1
 
     def _drain(self, now: int) -> None:
-        self.calls = [call for call in self.calls if call.waiting]
-        left = self.lines - (now - self.at) * self.pace / SECOND
+        self.calls = [call for call in self.calls if call.pending_proxies]
+        left = self.lines - (now - self.updated_at) * self.drain_rate / SECOND
         self.lines = max(0.0, min(left, sum(call.lines for call in self.calls)))
-        self.at = now
+        self.updated_at = now
--- a/indigohitch/platform_protocol/channel_limits.py
+++ b/indigohitch/platform_protocol/channel_limits.py
@@ -12,30 +12,32 @@
     def __init__(
         self, outbox: Outbox, pace: MessageRateLimit, backlog: ChannelBacklog, told: CallLog
     ) -> None:
-        self.outbox, self.pace, self.backlog, self.told = outbox, pace, backlog, told
-        self.copies: list[SentCall] = []  # the first call, each time that it went
-        self.wanting = 0  # lines of the first call, while it waits for room in the channel
+        self.outbox, self.message_rate, self.backlog, self.call_log = outbox, pace, backlog, told
+        self.sent_copies: list[SentCall] = []  # the first call, each time that it went
+        self.blocked_lines = 0  # lines of the first call, while it waits for room in the channel
 
     def free_at(self, now: int, in_doubt: bool) -> int:
         """From when on the first call may go; one that is not `in_doubt` is cut to what may go sooner."""
-        self.wanting = 0
+        self.blocked_lines = 0
         if not in_doubt:
             self.outbox.cut_to_the_channel()
         size = self.backlog.size(self.outbox.calls[0])
         if not in_doubt and self.backlog.fits_at(now, size) > now and self.outbox.any_urgent_waits():
-            size = self._urgent_part()
-        free = self.pace.free_at(now, self.outbox.any_urgent())
+            size = self._split_urgent_part()
+        free = self.message_rate.free_at(now, self.outbox.any_urgent())
         fits = self.backlog.fits_at(now, size)
         if free > now:
-            self.told.held("call_rate_limited", self.occupancy(), free - now)
+            self.call_log.log_waiting("call_rate_limited", self.occupancy(), free - now)
         if fits > now:
             # The module counts a call once, from when it ordered it: what went may lie in the channel twice,
             # and what had to wait for the relay has not begun to leave.
-            self.wanting = size
-            self.told.held("call_waits_for_channel_capacity", self.occupancy(), fits - now, lines=size)
+            self.blocked_lines = size
+            self.call_log.log_waiting(
+                "call_waits_for_channel_capacity", self.occupancy(), fits - now, lines=size
+            )
         return max(free, fits)
 
-    def _urgent_part(self) -> int:
+    def _split_urgent_part(self) -> int:
         """The first call without what may wait for room in the channel; the lines of it."""
         self.outbox.gather()
         self.outbox.cut_to_the_channel()
@@ -44,28 +46,30 @@
             self.outbox.cut(leading)
         return self.backlog.size(self.outbox.calls[0])
 
-    def has_room(self, now: int) -> bool:
+    def has_capacity(self, now: int) -> bool:
         """Whether a call that waits for room in the channel has it now."""
-        return bool(self.wanting) and self.backlog.fits_at(now, self.wanting) <= now
+        return bool(self.blocked_lines) and self.backlog.fits_at(now, self.blocked_lines) <= now
 
-    def went(self, now: int) -> None:
+    def record_send(self, now: int) -> None:
         """The first call goes out."""
         orders = self.outbox.calls[0]
-        self.told.sent(orders, self.backlog.size(orders), self.occupancy())
-        self.pace.went(now)
-        self.copies.append(self.backlog.sent(now, orders))
+        self.call_log.log_sent(orders, self.backlog.size(orders), self.occupancy())
+        self.message_rate.went(now)
+        self.sent_copies.append(self.backlog.record_send(now, orders))
 
-    def last_not_carried_out(self) -> None:
+    def revert_last_send(self) -> None:
         """What went last surely came to nothing."""
-        self.pace.taken_back()
-        self.backlog.taken_back(self.copies.pop())
+        self.message_rate.taken_back()
+        self.backlog.revert_send(self.sent_copies.pop())
 
-    def none_carried_out(self) -> int:
+    def revert_all_sends(self) -> int:
         """Nor did any of the same orders before; how many times they had gone."""
-        many = min(len(self.copies), len(self.pace.sent))
+        many = min(len(self.sent_copies), len(self.message_rate.sent))
         for _ in range(many):
-            self.last_not_carried_out()
+            self.revert_last_send()
         return many
 
     def occupancy(self) -> ChannelOccupancy:
-        return ChannelOccupancy(len(self.pace.sent), round(self.backlog.lines), len(self.outbox.calls))
+        return ChannelOccupancy(
+            len(self.message_rate.sent), round(self.backlog.lines), len(self.outbox.calls)
+        )
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -20,7 +20,7 @@
 from .backend_list_log import log_list
 from .backend_source import BackendSource, ListCallback
 from .backend_start_times import BackendStartTimes
-from .call_codec import NO_CALL
+from .call_codec import UNSUPPORTED_ORDERS
 from .channel_backlog import ChannelBacklog
 from .discovery import Discovery, parse_backend_list
 from .drain_monitor import DrainMonitor
@@ -80,28 +80,30 @@
             ),
         )
         self.store_mirror = StoreMirror(loop, log, self.hear_news, self.relay.pending, self._order_more)
-        self.relay.stands, self.relay.dropped = self._stand, self.store_mirror.dropped
+        self.relay.on_applied, self.relay.on_dropped = self._stand, self.store_mirror.on_dropped
         self.drain_monitor = DrainMonitor(
             loop,
             log,
             self._figure("drain_grace"),
-            lambda: self.store_mirror.stood,
-            lambda: len(self.relay.waiting),
+            lambda: self.store_mirror.tables,
+            lambda: len(self.relay.pending_calls),
             not self.boot.get("dropped_stay_open"),
         )
-        self.store_mirror.given, self.store_mirror.broken_off = (
-            self.drain_monitor.slice_given,
-            self.drain_monitor.news_lost,
+        self.store_mirror.on_slice_acquired, self.store_mirror.on_watch_broken = (
+            self.drain_monitor.on_slice_acquired,
+            self.drain_monitor.on_watch_lost,
         )
-        self.relay.failing = self.drain_monitor.relay_failed
-        self.relay.guard.begun = lambda: self.store_mirror.begun or bool(self.store_mirror.stood)
-        self.relay.guard.too_late = self.drain_monitor.grace_over
+        self.relay.on_call_failed = self.drain_monitor.on_call_failed
+        self.relay.invariants.has_stored_state = lambda: (
+            self.store_mirror.has_started or bool(self.store_mirror.tables)
+        )
+        self.relay.invariants.is_grace_over = self.drain_monitor.is_grace_over
         self.news = RelayWatch(loop, log, store, self.store_mirror)
-        self.relay.first.stood = lambda: self.store_mirror.stood
+        self.relay.in_flight_call.read_stored_tables = lambda: self.store_mirror.tables
         self.relay.outbox.urgent = lambda orders: urgent_tables(
-            self.coordinator, orders, self.store_mirror.stood
+            self.coordinator, orders, self.store_mirror.tables
         )
-        self.relay.doubted = self.news.anew
+        self.relay.on_unresolved_drop = self.news.anew
         zones, slices = self.boot.get("zones"), self.boot.get("slices")
         self.known = KnownNames(
             frozenset(zones if zones is not None else (e.zone for e in known.entries)),
@@ -185,7 +187,7 @@
     def _tell_all(self) -> None:
         self.anew = False
         self.hear(face.BackendList("remembered", self.discovery.version, tuple(self.listed.values())))
-        self.store_mirror.tell_all()
+        self.store_mirror.report_all()
 
     def _carry(self, orders: list[face.Order]) -> None:
         call = []
@@ -210,7 +212,9 @@
                 case face.LogMessage(text):
                     self.log.event("decision", text=text)
                 case _:  # Bind, TellPeer: the protocol has no word for them
-                    self.log.warning("order_without_a_call", order=NO_CALL.get(type(order), "unknown"))
+                    self.log.warning(
+                        "order_without_a_call", order=UNSUPPORTED_ORDERS.get(type(order), "unknown")
+                    )
         if call:
             self.log.count("orders", len(call))
             self.relay.order(call)
@@ -222,8 +226,8 @@
         self.relay.order(orders, joins=True)
 
     def _stand(self, orders: list[face.Order]) -> None:
-        self.store_mirror.stands(orders)
-        self.drain_monitor.stands(orders)
+        self.store_mirror.apply(orders)
+        self.drain_monitor.on_applied(orders)
 
     # ---- news --------------------------------------------------------------------------------------
 
@@ -231,9 +235,9 @@
         for event in events:
             match event:
                 case face.UpdateAcknowledged(proxy, mark):
-                    self.relay.answered_mark(proxy, mark)
+                    self.relay.acknowledge_marker(proxy, mark)
                 case face.ProxyLeft(proxy):
-                    self.relay.proxy_left(proxy)
+                    self.relay.on_proxy_left(proxy)
         self.hear(*events)
 
     # ---- discovery ---------------------------------------------------------------------------------
@@ -253,7 +257,7 @@
                 del self.listed[entry.backend], self.addresses[entry.backend]
         for id in [id for id in self.heard_of if id not in self.listed][: -self.GONE]:
             del self.heard_of[id]
-        self.drain_monitor.listed(news)
+        self.drain_monitor.on_backend_list(news)
         self.hear(news)
 
     def close(self) -> None:
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -21,9 +21,9 @@
         list(front.heard_of),
         front.discovery.version,
         front.discovery.watching,
-        [[list(event_codec.pack(order)) for order in call] for call in relay.waiting],
-        list(relay.written),
-        relay.first.failures,
+        [[list(event_codec.pack(order)) for order in call] for call in relay.pending_calls],
+        list(relay.sent_at),
+        relay.in_flight_call.failures,
         [list(event_codec.pack(joined)) for joined in holdings.proxies.values()],
         [
             shots.StoredTableRow(
@@ -31,12 +31,12 @@
                 [(b, float(w)) for b, w in table.lines.items()],
                 None if table.level is None else list(event_codec.pack(table.level)),
             )
-            for number, table in holdings.stood.items()
+            for number, table in holdings.tables.items()
         ],
-        holdings.begun,
-        sorted(holdings.lost),
+        holdings.has_started,
+        sorted(holdings.dropped_tables),
         [b.id for b in front.coordinator.backends.values() if b.probe_out],
-        [list(event_codec.pack(order)) for order in relay.first.maybe],
+        [list(event_codec.pack(order)) for order in relay.in_flight_call.unresolved_orders],
         [(backend, start.told, start.at) for backend, start in front.starts.known.items()],
         front.starts.heard,
     )
@@ -53,25 +53,25 @@
     front.heard_of.update(dict.fromkeys(state.heard_of))  # the reader of lines holds the same dict
     front.discovery.restore(state.version)
     relay, holdings = front.relay, front.store_mirror
-    relay.held = True
+    relay.is_paused = True
     waiting = [[event_codec.unpack(order) for order in call] for call in state.waiting]
     relay.restore(
         waiting, state.written, state.failures, [event_codec.unpack(order) for order in state.maybe]
     )
     _restore_backlog(front)
     holdings.proxies = {joined.proxy: joined for joined in map(event_codec.unpack, state.proxies)}
-    holdings.stood = {
+    holdings.tables = {
         row.number: stored_tables.StoredTable(dict(row.lines), row.level and event_codec.unpack(row.level))
         for row in state.stood
     }
-    holdings.begun, holdings.lost = state.begun, set(state.lost)
+    holdings.has_started, holdings.dropped_tables = state.begun, set(state.lost)
 
 
 def _restore_backlog(front: Front) -> None:
     """What the module has ordered and proxies have not answered lies in the channel, but for calls that have
     yet to go.  One in doubt may."""
     relay, channel = front.relay, front.coordinator.channel
-    to_go = list(relay.waiting)[1 if relay.first.failures else 0 :]
+    to_go = list(relay.pending_calls)[1 if relay.in_flight_call.failures else 0 :]
     unsent = {order.mark for call in to_go for order in call if isinstance(order, face.UpdateMarker)}
     calls = [
         SentCall(each, mark, set(proxies))
@@ -79,8 +79,10 @@
         if mark not in unsent
     ]
     # All of it: the module counts lines out from when it ordered them, and a call may have gone much later.
-    relay.backlog.calls, relay.backlog.at = calls, front.loop.clock.now()
+    relay.backlog.calls, relay.backlog.updated_at = calls, front.loop.clock.now()
     relay.backlog.lines = sum(call.lines for call in calls)
-    if relay.first.failures and relay.waiting:
-        relay.first.proof.begin(relay.waiting[0])
-        relay.bounds.copies = [call for call in calls if call.mark == relay.first.proof.mark]
+    if relay.in_flight_call.failures and relay.pending_calls:
+        relay.in_flight_call.marker_evidence.start(relay.pending_calls[0])
+        relay.channel_limits.sent_copies = [
+            call for call in calls if call.marker == relay.in_flight_call.marker_evidence.marker
+        ]
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -56,10 +56,10 @@
         return callers | ({"control": control.sock} if control else {})
 
     def settle(self, on: bool) -> None:
-        self.front.relay.hold(on)
+        self.front.relay.set_paused(on)
 
     def settled(self) -> bool:
-        return not self.front.relay.out
+        return not self.front.relay.awaiting_response
 
     def urgent_waits(self) -> bool:
         """Orders that a drain needs, or a list that tells of one and that the module has not heard."""
@@ -180,6 +180,6 @@
             front.discovery.subscribe(True)
         for backend in self.state.probing:
             front.probes.send(backend, front.addresses.get(backend))
-        if front.store_mirror.lost:
-            front.store_mirror.tell_lost_soon()
-        front.relay.hold(False)
+        if front.store_mirror.dropped_tables:
+            front.store_mirror.schedule_dropped_report()
+        front.relay.set_paused(False)
--- a/indigohitch/platform_protocol/invariants.py
+++ b/indigohitch/platform_protocol/invariants.py
@@ -34,75 +34,80 @@
 
     orders: Sequence[face.Order]
     lines: int  # to all proxies
-    tried_at: int | None  # when the same went last, None: it did not
-    out: bool  # another one is out
+    previous_sent_at: int | None  # when the same went last, None: it did not
+    call_in_flight: bool  # another one is out
 
 
 class InvariantChecker:
-    TOLD = 20  # backends in one log line
-    AGAIN = SECOND // 4  # until a call that may not go is looked at again
-    SETTLED = SECOND // 20  # a call is carried out by then, counted from when it went, or never
+    MAX_LOGGED_BACKENDS = 20  # backends in one log line
+    RETRY_DELAY = SECOND // 4  # until a call that may not go is looked at again
+    SETTLE_TIME = SECOND // 20  # a call is carried out by then, counted from when it went, or never
 
     def __init__(self, log: Log, most: int, over: int, backlog: ChannelBacklog) -> None:
         """A proxy may get `most` messages (0: any number) within `over` tenths of a ms."""
-        self.log, self.most, self.over, self.backlog = log, most, over, backlog
-        self.went: deque[int] = deque()  # within the last `over`
-        self.begun: Callable[[], bool] = lambda: True  # the store has told what stands in some table
-        self.too_late: Callable[[str], bool] = lambda backend: False  # its grace is over
+        self.log, self.max_messages, self.window, self.backlog = log, most, over, backlog
+        self.sent_at: deque[int] = deque()  # within the last `over`
+        self.has_stored_state: Callable[[], bool] = lambda: True  # some table is known
+        self.is_grace_over: Callable[[str], bool] = lambda backend: False  # its grace is over
 
-    def sending(self, now: int, attempt: Attempt) -> bool:
+    def check_send(self, now: int, attempt: Attempt) -> bool:
         """Whether it may go; called right before it does, for the first time or again."""
-        while self.went and self.went[0] <= now - self.over:
-            self.went.popleft()
+        while self.sent_at and self.sent_at[0] <= now - self.window:
+            self.sent_at.popleft()
         broken = [
             invariant
             for invariant, holds in (
-                (Invariant.MESSAGES, not self.most or len(self.went) < self.most),
-                (Invariant.ONE_AT_A_TIME, not attempt.out),
-                (Invariant.REPEAT, attempt.tried_at is None or now >= attempt.tried_at + self.SETTLED),
-                (Invariant.START, self.begun() or not self._changes_tables(attempt.orders)),
+                (Invariant.MESSAGES, not self.max_messages or len(self.sent_at) < self.max_messages),
+                (Invariant.ONE_AT_A_TIME, not attempt.call_in_flight),
+                (
+                    Invariant.REPEAT,
+                    attempt.previous_sent_at is None or now >= attempt.previous_sent_at + self.SETTLE_TIME,
+                ),
+                (Invariant.START, self.has_stored_state() or not self._changes_tables(attempt.orders)),
             )
             if not holds
         ]
         for invariant in broken:
-            self._violated(invariant, orders=len(attempt.orders), messages=len(self.went))
-        if self.backlog.most and self.backlog.lines > 0 and self._too_many(attempt.lines):
-            self._violated(Invariant.LINES, lines=attempt.lines, waiting=round(self.backlog.lines))
+            self._report_violation(invariant, orders=len(attempt.orders), messages=len(self.sent_at))
+        if self.backlog.max_lines and self.backlog.lines > 0 and self._exceeds_backlog(attempt.lines):
+            self._report_violation(Invariant.LINES, lines=attempt.lines, waiting=round(self.backlog.lines))
         return not broken
 
-    def _too_many(self, lines: int) -> bool:
-        return self.backlog.lines + lines > self.backlog.most and lines <= self.backlog.most
+    def _exceeds_backlog(self, lines: int) -> bool:
+        return self.backlog.lines + lines > self.backlog.max_lines and lines <= self.backlog.max_lines
 
     @staticmethod
     def _changes_tables(orders: Sequence[face.Order]) -> bool:
         return any(isinstance(order, (face.SetRoute, face.ClearTable)) for order in orders)
 
-    def sent(self, now: int) -> None:
-        self.went.append(now)
+    def record_send(self, now: int) -> None:
+        self.sent_at.append(now)
 
-    def not_carried_out(self) -> None:
+    def revert_send(self) -> None:
         """What went last surely came to nothing."""
-        if self.went:
-            self.went.pop()
+        if self.sent_at:
+            self.sent_at.pop()
 
-    def late_lines(self, orders: Sequence[face.Order]) -> list[face.Order]:
+    def late_routes(self, orders: Sequence[face.Order]) -> list[face.Order]:
         """The lines among these that would be set at a backend whose grace is over."""
         return [
             order
             for order in orders
-            if isinstance(order, face.SetRoute) and order.weight > 0 and self.too_late(order.backend)
+            if isinstance(order, face.SetRoute) and order.weight > 0 and self.is_grace_over(order.backend)
         ]
 
-    def refused(self, late: Sequence[face.Order]) -> None:
+    def report_late_routes(self, late: Sequence[face.Order]) -> None:
         """These lines do not go, as they would break the rule on drains."""
-        self._violated(Invariant.LEAVING, backends=sorted({order.backend for order in late})[: self.TOLD])
+        self._report_violation(
+            Invariant.LEAVING, backends=sorted({order.backend for order in late})[: self.MAX_LOGGED_BACKENDS]
+        )
 
-    def ending(self, urgent: int, waiting: int) -> None:
+    def report_exit(self, urgent: int, waiting: int) -> None:
         """The process ends with so many orders waiting, and so many of them with a time limit.  No rule is
         broken by it, as proxies go elsewhere once it was told to end; whoever comes next has to know."""
         if waiting:
             self.log.event("exited_with_pending_orders", urgent=urgent, orders=waiting)
 
-    def _violated(self, invariant: Invariant, **fields) -> None:
+    def _report_violation(self, invariant: Invariant, **fields) -> None:
         self.log.count(f"invariant_{invariant.value}")
         self.log.warning("invariant_violated", invariant=invariant.value, **fields)
--- a/indigohitch/platform_protocol/outbox.py
+++ b/indigohitch/platform_protocol/outbox.py
@@ -8,7 +8,7 @@
 from .. import interface as face
 from ..log import Log
 from ..logic.call_scheduling import is_urgent, urgent_orders_first
-from .call_codec import merge, pieces
+from .call_codec import merge_orders, split_by_size
 from .channel_backlog import ChannelBacklog
 
 
@@ -33,20 +33,20 @@
         """`joins`: they may be a part of the last call that waits, where that is no reply of the module."""
         if joins and len(self.calls) > 1 and not isinstance(self.calls[-1][-1], face.UpdateMarker):
             orders = [*self.calls.pop(), *orders]
-        self.calls += pieces(orders, self.methods)
+        self.calls += split_by_size(orders, self.methods)
         if len(self.calls) > 1 + self.WAITING:
             # The relay is out of reach: what waits is bounded by what there is to set, nothing is lost.
             out, later = self.calls.popleft(), self.pending()
-            self.calls = deque([out, *pieces(merge(later), self.methods)])
+            self.calls = deque([out, *split_by_size(merge_orders(later), self.methods)])
             self.log.warning("calls_merged", orders=len(later))
 
     def gather(self) -> None:
         """Make as few calls of all that waits as can be, with what is urgent in the first."""
-        orders = merge(self.pending())
+        orders = merge_orders(self.pending())
         orders = urgent_orders_first(orders, self.urgent(orders))
         if len(self.calls) > 1:
             self.log.count("calls_batched", len(self.calls))
-        self.calls = deque(pieces(orders, self.methods))
+        self.calls = deque(split_by_size(orders, self.methods))
 
     def any_urgent_waits(self) -> bool:
         """Whether any call has orders that are urgent."""
@@ -73,7 +73,7 @@
     def cut_to_the_channel(self) -> None:
         """One with more lines than may wait, as by merging or by proxies that joined, goes in parts."""
         orders = self.calls[0]
-        if (at := self.backlog.cut(orders)) < len(orders):
+        if (at := self.backlog.split_index(orders)) < len(orders):
             self.log.count("calls_split_to_channel")
             self.cut(at)
 
--- a/indigohitch/platform_protocol/relay_watch.py
+++ b/indigohitch/platform_protocol/relay_watch.py
@@ -18,11 +18,11 @@
 class RelayWatchListener(Protocol):
     """What becomes of the news."""
 
-    def news_asked(self) -> None: ...
-    def news_opening(self) -> None: ...
-    def news(self, event: face.Event) -> None: ...
-    def news_alive(self) -> None: ...
-    def news_lost(self) -> None: ...
+    def on_watch_requested(self) -> None: ...
+    def on_watch_opened(self) -> None: ...
+    def on_relay_event(self, event: face.Event) -> None: ...
+    def on_keepalive(self) -> None: ...
+    def on_watch_lost(self) -> None: ...
 
 
 class EventStream:
@@ -72,14 +72,14 @@
     def __init__(self, loop: EventLoop, log: Log, to: tuple[str, int], hearer: RelayWatchListener) -> None:
         self.loop, self.log, self.hearer = loop, log, hearer
         self.client = HttpClient(loop, to, self.CONNECT)
-        self.stream = EventStream(self._said, hearer.news_alive)
+        self.stream = EventStream(self._said, hearer.on_keepalive)
         self.current: HttpExchange | None = None  # the stream that tells
         self.coming: HttpExchange | None = None  # one asked for, that has told nothing yet
         self.again: Deadline | None = None
 
     def open(self) -> None:
         self.again = None
-        self.hearer.news_asked()
+        self.hearer.on_watch_requested()
         self.coming = exchange = self.client.request(
             "GET",
             "/stream",
@@ -112,8 +112,8 @@
                 if self.current is not None:
                     self.current.drop()
             self.current, self.coming = exchange, None
-            self.stream = EventStream(self._said, self.hearer.news_alive)
-            self.hearer.news_opening()
+            self.stream = EventStream(self._said, self.hearer.on_keepalive)
+            self.hearer.on_watch_opened()
         try:
             self.stream.feed(part)
         except ValueError as bad:  # UnicodeDecodeError and words.Unreadable are of its kind
@@ -126,7 +126,7 @@
             self.log.warning("relay_event_unknown_kind", kind=kind[:40])
             return
         self.log.count(f"relay_event_{kind}")
-        self.hearer.news(event)
+        self.hearer.on_relay_event(event)
 
     def _ended(self, exchange: HttpExchange, answer: HttpResponse) -> None:
         self.log.warning(
@@ -134,7 +134,7 @@
         )
         if exchange is self.current:
             self.current = None
-            self.hearer.news_lost()
+            self.hearer.on_watch_lost()
         else:
             self.coming = None
         if self.coming is None and self.again is None:
--- a/indigohitch/platform_protocol/stored_tables.py
+++ b/indigohitch/platform_protocol/stored_tables.py
@@ -18,7 +18,7 @@
 StoredTables = dict[int, StoredTable]
 
 
-def carry_out(tables: StoredTables, orders: Iterable[face.Order]) -> None:
+def apply_orders(tables: StoredTables, orders: Iterable[face.Order]) -> None:
     """What these orders make of the tables; an order for a slice not in charge changes nothing."""
     for order in orders:
         table = tables.get(getattr(order, "table", face.ALL_TABLES))
@@ -34,15 +34,15 @@
             table.level = order
 
 
-def copy(tables: StoredTables) -> StoredTables:
+def copy_tables(tables: StoredTables) -> StoredTables:
     return {number: StoredTable(dict(table.lines), table.level) for number, table in tables.items()}
 
 
-def touched(orders: Iterable[face.Order]) -> set[int]:
+def changed_tables(orders: Iterable[face.Order]) -> set[int]:
     return {o.table for o in orders if isinstance(o, (face.SetRoute, face.ClearTable, face.SetAdmission))}
 
 
-def given(number: int, table: StoredTable) -> list[face.Event]:
+def ownership_events(number: int, table: StoredTable) -> list[face.Event]:
     """A slice with its lines, as the module hears of it."""
     return [
         face.SliceOwnership(number, True),
@@ -50,7 +50,7 @@
     ]
 
 
-def levels_reset(numbers: Iterable[int], tables: StoredTables) -> list[face.Order]:
+def admission_resets(numbers: Iterable[int], tables: StoredTables) -> list[face.Order]:
     """A slice given comes without a level: where one stands, this makes it true."""
     return [
         replace(tables[n].level, methods=(), level=1.0)
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -117,7 +117,7 @@
                 self.decided |= not self.front.gathering.events
                 if self.decided and self.front.relay.idle:
                     self.end()
-            if self.phase is Phase.LISTENING and self.front.store_mirror.begun:
+            if self.phase is Phase.LISTENING and self.front.store_mirror.has_started:
                 self.become(Phase.SERVING)
         self.log.counters()
         return 0
--- a/proofs/soakkit/broken.py
+++ b/proofs/soakkit/broken.py
@@ -10,10 +10,10 @@
     from indigohitch.platform_protocol import in_flight_call, invariants
 
     if name == "repeats":
-        in_flight_call.InFlightCall.inquire = lambda self, *words, **more: None
-        in_flight_call.InFlightCall.repeat_at = lambda self, in_reach: self.loop.clock.now() + 200
+        in_flight_call.InFlightCall.query_outcome = lambda self, *words, **more: None
+        in_flight_call.InFlightCall.retry_at = lambda self, in_reach: self.loop.clock.now() + 200
         rate_limit.MessageRateLimit.free_at = _bare_count
-        invariants.InvariantChecker.SETTLED = 0
+        invariants.InvariantChecker.SETTLE_TIME = 0
     elif name:
         raise ValueError(f"no guard of that name: {name!r}")
 
--- a/proofs/soakkit/truth.py
+++ b/proofs/soakkit/truth.py
@@ -52,7 +52,7 @@
 
     def begin_limits(self) -> None:
         """Of all slices and proxies, from now on."""
-        self.since = self.time.at(self.loop.clock.now())
+        self.since = self.time.elapsed(self.loop.clock.now())
         self.bare.clear()
         self.open_drains.clear()
 
@@ -120,7 +120,7 @@
             return
         now = self.loop.clock.now()
         if self.leaving[backend] is None:
-            self.leaving[backend] = self.time.at(now)
+            self.leaving[backend] = self.time.elapsed(now)
             self.open_drains[backend] = now
 
     def ready(self) -> list[str]:
@@ -155,7 +155,7 @@
         told = self.leaving[backend]
         if told is None:
             return
-        passed = (self.time.at(now) - max(told, self.since)) / SECOND
+        passed = (self.time.elapsed(now) - max(told, self.since)) / SECOND
         if passed > settings.GRACE + self.SLACK:
             self.violated("drain", (number, backend), f"slice {number} at {backend}, {passed:.2f} s")
 
@@ -163,7 +163,7 @@
         if usable:
             self.bare.pop(number, None)
             return
-        time = self.time.at(now)
+        time = self.time.elapsed(now)
         since = self.bare.setdefault(number, time)
         warm = any(self.warm_since.get(backend, 0) <= now for backend in self.ready())
         if warm and (time - since) / SECOND > settings.BARE + self.SLACK:
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -86,9 +86,9 @@
 def _invariants(log: Kept) -> None:
     guard = InvariantChecker(log, 1, 1, SimpleNamespace(most=0, lines=0))
     for invariant in Invariant:
-        guard._violated(invariant, orders=1)
-    guard.refused([face.SetRoute(1, "b2", 1.0), face.SetRoute(2, "b1", 1.0)])
-    guard.ending(1, 2)
+        guard._report_violation(invariant, orders=1)
+    guard.report_late_routes([face.SetRoute(1, "b2", 1.0), face.SetRoute(2, "b1", 1.0)])
+    guard.report_exit(1, 2)
     log.counters()
 
 
@@ -113,7 +113,7 @@
         room.relay.order([face.SetRoute(1, "b0", 0.0), face.SetRoute(1, "b1", 2.0)])
         calls = log.counts["relay_calls"]
         room.answer("reset")
-        room.until(lambda: log.counts["relay_calls"] > calls or not room.relay.waiting)
+        room.until(lambda: log.counts["relay_calls"] > calls or not room.relay.pending_calls)
         room.loop.close()
 
 
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -15,7 +15,12 @@
 from indigohitch.net.http_exchange import HttpResponse
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol import call_queue, call_resolution, discovery, probes, relay_watch
-from indigohitch.platform_protocol.call_codec import FORM, encode, form, read_answer
+from indigohitch.platform_protocol.call_codec import (
+    FORM_CONTENT_TYPE,
+    encode_form,
+    encode_order,
+    parse_response,
+)
 from indigohitch.platform_protocol.call_resolution import OutcomeQuery, TableEvidence
 from indigohitch.platform_protocol.relay_watch import EventStream, parse_relay_event
 from listroom import Hands
@@ -64,15 +69,17 @@
 
 def call(given: list) -> dict:
     """Orders as the body of a call to the relay, and as the request that carries it."""
-    body = form(";".join(encode(order(one), METHODS) for one in given))
-    request = http_form("POST", "/", "127.0.0.1:7070", body, FORM)
+    body = encode_form(";".join(encode_order(order(one), METHODS) for one in given))
+    request = http_form("POST", "/", "127.0.0.1:7070", body, FORM_CONTENT_TYPE)
     return {"body": body.decode("latin-1"), "request": request.decode("latin-1")}
 
 
 def answer(given: dict) -> dict:
     """What the relay's answer says."""
     try:
-        said = read_answer(HttpResponse(given["outcome"], given["status"], given["body"].encode("latin-1")))
+        said = parse_response(
+            HttpResponse(given["outcome"], given["status"], given["body"].encode("latin-1"))
+        )
     except ValueError:
         return {"refused": True}
     return {"taken": said} if isinstance(said, int) else {"error": said}
@@ -154,7 +161,7 @@
 
 def _news(_: list[str]) -> list[dict]:
     with Desk(relay_watch) as desk:
-        hearer = SimpleNamespace(news_asked=lambda: None, news_alive=lambda: None)
+        hearer = SimpleNamespace(on_watch_requested=lambda: None, on_keepalive=lambda: None)
         relay_watch.RelayWatch(desk.loop, desk.log, TO, hearer).open()
         return Recorder.asked
 
@@ -162,7 +169,7 @@
 def _inquiry(_: list[str]) -> list[dict]:
     with Desk(call_resolution) as desk:
         inquiry = OutcomeQuery(desk.loop, lambda effect, proved: None)
-        inquiry.open(TO, desk.loop.clock.now() - SECOND, TableEvidence({}, []), False)
+        inquiry.start(TO, desk.loop.clock.now() - SECOND, TableEvidence({}, []), False)
         desk.loop.turn()
         return Recorder.asked
 
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -64,12 +64,12 @@
             ),
         )
         self.stand, self.void = [], []
-        self.relay.stands, self.relay.dropped = self.stands, self.void.extend
-        self.relay.first.stood = lambda: self.stood
+        self.relay.on_applied, self.relay.on_dropped = self.stands, self.void.extend
+        self.relay.in_flight_call.read_stored_tables = lambda: self.stood
 
     def stands(self, orders):
         self.stand += orders
-        stored_tables.carry_out(self.stood, orders)
+        stored_tables.apply_orders(self.stood, orders)
 
     def fail(self, broken):
         raise broken
@@ -79,7 +79,7 @@
 
     def out(self):
         """The call that is out, and who hears of it."""
-        assert self.relay.out
+        assert self.relay.awaiting_response
         return self.relay.client.asked[-1]
 
     def answer(self, outcome="answered", taken=1, code=""):
@@ -99,7 +99,7 @@
 
     def until_out(self):
         """A call in doubt is looked up, and goes again where the store does not tell."""
-        self.until(lambda: self.relay.out)
+        self.until(lambda: self.relay.awaiting_response)
 
     def go(self, span=0):
         self.clock.by += span
@@ -118,9 +118,9 @@
     def carried_out(self):
         """The call that is out is."""
         self.drain()
-        orders = self.room.relay.waiting[0]
-        stored_tables.carry_out(self.room.store, orders)
-        lines = (len(orders) + self.room.relay.backlog.head) * self.room.proxies
+        orders = self.room.relay.pending_calls[0]
+        stored_tables.apply_orders(self.room.store, orders)
+        lines = (len(orders) + self.room.relay.backlog.overhead_lines) * self.room.proxies
         self.calls.append([lines, orders[-1].mark if isinstance(orders[-1], face.UpdateMarker) else None])
         self.most = max(self.most, sum(lines for lines, _ in self.calls))
 
@@ -134,4 +134,4 @@
             if not self.calls[0][0]:
                 _, mark = self.calls.pop(0)
                 for proxy in range(self.room.proxies if self.marks_told and mark is not None else 0):
-                    self.room.relay.answered_mark(proxy, mark)
+                    self.room.relay.acknowledge_marker(proxy, mark)
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_gate.py
@@ -47,14 +47,14 @@
     )
     went, void, may = [], [], False
     relay.client.request = lambda *words: went.append(words[4])
-    relay.dropped = void.extend
-    relay.allowed = lambda orders: may and orders.startswith("put,3,b1")
+    relay.on_dropped = void.extend
+    relay.is_allowed = lambda orders: may and orders.startswith("put,3,b1")
     first, second = face.SetRoute(3, "b1", 1.0), face.SetRoute(4, "b2", 1.0)
-    relay.hold(True)
+    relay.set_paused(True)
     relay.order([first])
     relay.order([second])
-    relay.hold(False)
-    assert void == [first, second] and relay.idle and not relay.waiting and not went
+    relay.set_paused(False)
+    assert void == [first, second] and relay.idle and not relay.pending_calls and not went
     may = True
     relay.order([first])
-    assert len(went) == 1 and b"put%2C3%2Cb1" in went[0] and relay.waiting
+    assert len(went) == 1 and b"put%2C3%2Cb1" in went[0] and relay.pending_calls
--- a/tests/test_crossing_backlog.py
+++ b/tests/test_crossing_backlog.py
@@ -4,7 +4,7 @@
 
 from indigohitch import interface as face
 from indigohitch.net.clock import SECOND
-from indigohitch.platform_protocol.call_codec import cut, merge
+from indigohitch.platform_protocol.call_codec import merge_orders, split_index
 from indigohitch.platform_protocol.channel_backlog import ChannelBacklog
 from relay_room import Channel, Room
 from stage import SETTINGS, drain, none_lost
@@ -72,16 +72,16 @@
     backlog = ChannelBacklog(most=900, pace=500, head=9, proxies=lambda: range(10))
     call = lines(61, 1)
     assert backlog.size(call) == 700
-    backlog.sent(0, call)
+    backlog.record_send(0, call)
     assert backlog.fits_at(0, 200) == 0
     assert backlog.fits_at(0, 700) == 10001  # 500 more than may wait, at 500 a second
     assert backlog.fits_at(SECOND // 2, 700) == 10001
-    again = backlog.sent(10001, call)
+    again = backlog.record_send(10001, call)
     assert backlog.fits_at(10001, 700) > 10001 + SECOND
-    backlog.taken_back(again)
+    backlog.revert_send(again)
     assert backlog.fits_at(10001, 700) == 10001
     assert backlog.fits_at(10001, 5000) == 10001 + 4000  # more than the cap alone: once nothing waits
-    assert backlog.cut(lines(100, 2)) == 81
+    assert backlog.split_index(lines(100, 2)) == 81
     assert ChannelBacklog(most=0, pace=0).fits_at(5, 10**9) == 5
 
 
@@ -89,13 +89,13 @@
     proxies = set(range(10))
     backlog = ChannelBacklog(most=900, pace=0.001, proxies=lambda: proxies)  # by itself hardly a line leaves
     for orders in (lines(20, 1), lines(30, 1), lines(10, 2)):
-        backlog.sent(0, orders)
+        backlog.record_send(0, orders)
     marks = [(3, 1, 580), (3, 7, 580), (4, 2, 520), (3, 1, 490), (3, 1, 490), (3, 2, 480)]
     for proxy, mark, left in marks:
-        backlog.answered(proxy, mark)
+        backlog.acknowledge(proxy, mark)
         assert backlog.fits_at(0, 900 - left) == 0 < backlog.fits_at(0, 901 - left)
     proxies.discard(5)
-    backlog.left(5)
+    backlog.remove_proxy(5)
     assert backlog.fits_at(0, 900 - 420) == 0 < backlog.fits_at(0, 901 - 420)
 
 
@@ -105,9 +105,9 @@
     while not room.relay.idle:
         assert room.clock.now() < end, "calls wait for ever"
         channel.drain()
-        if room.relay.out:
+        if room.relay.awaiting_response:
             channel.carried_out()
-            room.answer(taken=len(room.relay.waiting[0]))
+            room.answer(taken=len(room.relay.pending_calls[0]))
         else:
             room.go(SECOND // 100)
 
@@ -144,7 +144,7 @@
     for mark in range(1, 6):
         room.relay.order(lines(40, mark))
         for _ in range(20):
-            if room.relay.out:
+            if room.relay.awaiting_response:
                 room.answer(code="Throttling")
             room.go(SECOND // 20)
     began = room.clock.now()
@@ -160,7 +160,7 @@
     room.go(SECOND // 20)
     channel.carried_out()
     room.answer("reset")
-    while not room.relay.out:
+    while not room.relay.awaiting_response:
         room.go(SECOND // 100)
     room.proxies = 11  # by the relay, when it takes the call
     play(room, channel)
@@ -197,7 +197,7 @@
 def test_merged_lines_of_a_table_stand_together_where_the_last_one_did():
     early, late = face.SetRoute(1, "old", 0.0), face.SetRoute(1, "new", 1.0)
     other, level = face.SetRoute(2, "b1", 1.0), face.SetAdmission(1, (), 1.0, 1)
-    assert merge([early, other, late, level]) == [other, early, late, level]
-    assert merge([early, other, face.ClearTable(1), late]) == [other, face.ClearTable(1), late]
-    assert [cut([other, early, late, level], most) for most in (-3, 1, 2, 3, 4)] == [1, 1, 1, 3, 4]
-    assert cut([early, late], 1) == 1
+    assert merge_orders([early, other, late, level]) == [other, early, late, level]
+    assert merge_orders([early, other, face.ClearTable(1), late]) == [other, face.ClearTable(1), late]
+    assert [split_index([other, early, late, level], most) for most in (-3, 1, 2, 3, 4)] == [1, 1, 1, 3, 4]
+    assert split_index([early, late], 1) == 1
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -51,14 +51,14 @@
         self.store = {n: stored_tables.StoredTable({f"b{n % BACKENDS}": 1.0}) for n in range(SLICES)}
         self.queue, self.acks, self.most, self.at = [], [], 0.0, self.clock.now()
         holdings = self.front.store_mirror
-        holdings.news_asked()
-        holdings.news_opening()
+        holdings.on_watch_requested()
+        holdings.on_watch_opened()
         for proxy in range(PROXIES):
-            holdings.news(face.ProxyJoined(proxy, "east", 5.0, False))
+            holdings.on_relay_event(face.ProxyJoined(proxy, "east", 5.0, False))
         for number, table in self.store.items():
-            holdings.news(face.SliceOwnership(number, True))
-            holdings.news(face.StoredRoute(number, *next(iter(table.lines.items()))))
-        holdings.news_alive()
+            holdings.on_relay_event(face.SliceOwnership(number, True))
+            holdings.on_relay_event(face.StoredRoute(number, *next(iter(table.lines.items()))))
+        holdings.on_keepalive()
 
     def broken(self, what):
         raise what
@@ -80,7 +80,7 @@
         """A call: carried out and answered, carried out, or not."""
         how = self.chance.random()
         if how > self.faults / 2:
-            self.carry_out(list(self.front.relay.waiting[0]))
+            self.carry_out(list(self.front.relay.pending_calls[0]))
         taken = parse_qs(body.decode())["orders"][0].count(";") + 1
         said = b"<R><results><item><ok_count>%d</ok_count></item></results></R>" % taken
         answer = HttpResponse("answered", 200, said) if how > self.faults else HttpResponse("reset")
@@ -88,9 +88,9 @@
         return SimpleNamespace(drop=lambda: None)
 
     def carry_out(self, orders):
-        stored_tables.carry_out(self.store, orders)
+        stored_tables.apply_orders(self.store, orders)
         mark = next((o.mark for o in orders if isinstance(o, face.UpdateMarker)), None)
-        self.queue.append([(len(orders) + self.front.relay.backlog.head) * PROXIES, mark])
+        self.queue.append([(len(orders) + self.front.relay.backlog.overhead_lines) * PROXIES, mark])
         self.most = max(self.most, sum(lines for lines, _ in self.queue))
 
     def step(self):
@@ -108,7 +108,7 @@
         while self.acks and self.acks[0][0] <= now:
             _, mark = self.acks.pop(0)
             for proxy in range(PROXIES if mark is not None else 0):
-                self.front.store_mirror.news(face.UpdateAcknowledged(proxy, mark, 10))
+                self.front.store_mirror.on_relay_event(face.UpdateAcknowledged(proxy, mark, 10))
 
     def drain(self, some):
         """These go; until none has a line."""
--- a/tests/test_crossing_doubt.py
+++ b/tests/test_crossing_doubt.py
@@ -76,31 +76,31 @@
     def told(*lines, of=orders):
         evidence = TableEvidence(stood, of)
         for line in lines:
-            evidence.line(*line)
-        return evidence.effect
+            evidence.add_route(*line)
+        return evidence.outcome
 
-    assert TableEvidence(stood, orders).proved == 6  # the mark went with what it stands behind
+    assert TableEvidence(stood, orders).applied_count == 6  # the mark went with what it stands behind
     assert (
-        TableEvidence(stood, [*orders[:5], face.SetRoute(9, "c", 1.0), orders[5]]).proved == 5
+        TableEvidence(stood, [*orders[:5], face.SetRoute(9, "c", 1.0), orders[5]]).applied_count == 5
     )  # may be refused
     assert told() is told((1, "c", 1.0)) is told((3, "c", 1.0), (2, "b", 1.0)) is CallOutcome.UNKNOWN
-    assert told((1, "c", 1.0), (2, "b", 1.0), (2, "c", 1.0)) is CallOutcome.STANDS
-    assert told((1, "a", 1.0), (2, "a", 1.0), (2, "b", 1.0)) is CallOutcome.NONE
+    assert told((1, "c", 1.0), (2, "b", 1.0), (2, "c", 1.0)) is CallOutcome.APPLIED
+    assert told((1, "a", 1.0), (2, "a", 1.0), (2, "b", 1.0)) is CallOutcome.NOT_APPLIED
     assert told((1, "c", 1.0), (2, "a", 1.0)) is CallOutcome.UNKNOWN  # in part: an order between was refused
     assert told((1, "a", 2.0), (2, "c", 2.0)) is CallOutcome.UNKNOWN  # written by another
-    assert told((1, "c", 1.0), of=move(1, "a", "c")) is CallOutcome.STANDS
+    assert told((1, "c", 1.0), of=move(1, "a", "c")) is CallOutcome.APPLIED
     for silent in (
         [face.UpdateMarker(7, False)],
         [face.SetRoute(3, "c", 1.0)],
         [face.SetRoute(1, "a", 1.0)],
         move(9, "a", "b"),
     ):
-        assert not TableEvidence(stood, silent).any
+        assert not TableEvidence(stood, silent).can_decide
 
 
 def test_a_mark_that_an_earlier_call_had_proves_nothing():
     proof = MarkerEvidence()
-    proof.begin([face.UpdateMarker(7, False)])
-    assert not proof.answered(6) and not proof.shown and proof.answered(7) and proof.shown
-    proof.begin([face.UpdateMarker(7, False)])
-    assert not proof.answered(7) and not proof.shown
+    proof.start([face.UpdateMarker(7, False)])
+    assert not proof.acknowledge(6) and not proof.is_confirmed and proof.acknowledge(7) and proof.is_confirmed
+    proof.start([face.UpdateMarker(7, False)])
+    assert not proof.acknowledge(7) and not proof.is_confirmed
--- a/tests/test_crossing_handovers.py
+++ b/tests/test_crossing_handovers.py
@@ -30,14 +30,14 @@
             lambda: [o for call in self.calls for o in call],
             self.calls.append,
         )
-        self.store_mirror.news_asked()
-        self.store_mirror.news_opening()
+        self.store_mirror.on_watch_requested()
+        self.store_mirror.on_watch_opened()
         self.hear(*NAMED)
-        self.store_mirror.news_alive()
+        self.store_mirror.on_keepalive()
 
     def hear(self, *events):
         for event in events:
-            self.store_mirror.news(event)
+            self.store_mirror.on_relay_event(event)
 
     def order(self, *orders):
         """The module orders, and takes it for standing."""
@@ -57,7 +57,7 @@
 
     def answer(self):
         self.carried -= 1
-        self.store_mirror.stands(self.calls.pop(0))
+        self.store_mirror.apply(self.calls.pop(0))
 
     def change(self, held, lines=None):
         """Taken, or given with these lines; the news of it."""
@@ -126,20 +126,20 @@
     """Its answer: before the new stream's first byte, in its start, before and after its sign of life."""
     relay = Relay()
     relay.order(*OURS)
-    relay.store_mirror.news_lost()
-    relay.store_mirror.news_asked()
+    relay.store_mirror.on_watch_lost()
+    relay.store_mirror.on_watch_requested()
     if carried == "before the view":
         relay.carry_out()
     view = relay.change(True)
     if carried == "after the view":
         relay.carry_out()
     relay.answer() if answered == "before" else None
-    relay.store_mirror.news_opening()
+    relay.store_mirror.on_watch_opened()
     for event in view:
         relay.hear(event)
         relay.answer() if answered == "between" and event is view[0] else None
     relay.answer() if answered == "after" else None
-    relay.store_mirror.news_alive()
+    relay.store_mirror.on_keepalive()
     relay.answer() if answered == "alive" else None
     believed, stands = relay.end()
     assert believed == stands == {"b1": 1.0}
@@ -161,18 +161,18 @@
 def test_a_table_that_a_stream_left_half_told_is_not_taken_for_the_whole(end):
     """Seen: a slice of which only `owner` had come was an empty one, and got a line at another backend."""
     relay = Relay()
-    relay.store_mirror.news_asked()
-    relay.store_mirror.news_opening()
+    relay.store_mirror.on_watch_requested()
+    relay.store_mirror.on_watch_opened()
     relay.hear(NAMED[0])  # ... and its line is cut off
     if end == "lost":
-        relay.store_mirror.news_lost()
-    relay.store_mirror.news_asked()
+        relay.store_mirror.on_watch_lost()
+    relay.store_mirror.on_watch_requested()
     assert relay.told.tables == {SLICE: {"b0": 1.0}}
-    relay.store_mirror.news_opening()
+    relay.store_mirror.on_watch_opened()
     relay.store_mirror._settle()
     assert relay.told.tables == {SLICE: {"b0": 1.0}}
     relay.hear(*NAMED)
-    relay.store_mirror.news_alive()
+    relay.store_mirror.on_keepalive()
     assert relay.told.tables == {SLICE: {"b0": 1.0}} and relay.told.charges == 1
 
 
@@ -187,29 +187,29 @@
     """An earlier tenure's answers say nothing of what stands in the next."""
     relay = Relay()
     relay.order(*OURS)
-    relay.store_mirror.news_asked()
+    relay.store_mirror.on_watch_requested()
     relay.carry_out()
     relay.answer()
-    relay.store_mirror.news_opening()
+    relay.store_mirror.on_watch_opened()
     relay.hear(*relay.change(True))
     relay.hear(*relay.change(False))
     relay.hear(*relay.change(True, {"b2": 1.0}))
-    relay.store_mirror.news_alive()
+    relay.store_mirror.on_keepalive()
     believed, stands = relay.end()
     assert believed == stands == {"b2": 1.0}
 
 
 def test_orders_are_told_as_lost_only_for_slices_still_in_charge():
     relay = Relay()
-    relay.store_mirror.dropped([face.SetRoute(SLICE, "b3", 1.0), face.SetRoute(8, "b3", 1.0)])
+    relay.store_mirror.on_dropped([face.SetRoute(SLICE, "b3", 1.0), face.SetRoute(8, "b3", 1.0)])
     relay.hear(*relay.change(False))
     relay.hear(*relay.change(True, {"b2": 1.0}))
-    relay.store_mirror._tell_lost()  # between the giving and the telling of it
+    relay.store_mirror._report_dropped()  # between the giving and the telling of it
     believed, stands = relay.end()
     assert believed == stands == {"b2": 1.0} and set(relay.told.tables) == {SLICE}
-    relay.store_mirror.dropped([face.SetRoute(SLICE, "b3", 1.0)])
+    relay.store_mirror.on_dropped([face.SetRoute(SLICE, "b3", 1.0)])
     relay.hear(*relay.change(False))
-    relay.store_mirror._tell_lost()
+    relay.store_mirror._report_dropped()
     assert relay.told.tables == {}
 
 
@@ -232,8 +232,8 @@
     """Found on a day of five restarts at once: 960 slices taken back held the loop up for 2.5 s, and a drain
     told meanwhile was heard too late."""
     copied = []
-    copy = stored_tables.copy
-    monkeypatch.setattr(stored_tables, "copy", lambda all: copied.append(all) or copy(all))
+    copy = stored_tables.copy_tables
+    monkeypatch.setattr(stored_tables, "copy_tables", lambda all: copied.append(all) or copy(all))
     relay = Relay()
     relay.hear(
         *(
@@ -246,4 +246,4 @@
     given = len(copied)
     relay.hear(*(face.SliceOwnership(n, False) for n in range(10, 1010)))
     relay.hear(*(face.StoredRoute(SLICE, f"b{n}", 1.0) for n in range(100)))
-    assert len(copied) == given and set(relay.store_mirror.stood) == {SLICE}
+    assert len(copied) == given and set(relay.store_mirror.tables) == {SLICE}
--- a/tests/test_crossing_relay.py
+++ b/tests/test_crossing_relay.py
@@ -16,7 +16,7 @@
 from stage import SETTINGS
 from waiting import free_address
 
-MARGIN = calls.Relay.MARGIN
+MARGIN = calls.Relay.TRANSIT_MARGIN
 
 
 @pytest.fixture
@@ -43,14 +43,14 @@
     room.order(1)
     room.answer("reset")
     room.until_out()
-    before = list(room.relay.written)
+    before = list(room.relay.sent_at)
     assert len(before) == 2  # the call, and itself again
     room.answer(outcome, code=code)
-    assert list(room.relay.written)[: 1 + counted] == before[: 1 + counted]
+    assert list(room.relay.sent_at)[: 1 + counted] == before[: 1 + counted]
     if code not in ("Throttling", "Other") and outcome != "reset":
         return
     room.until_out()
-    assert len(room.relay.written) == 2 + counted  # and once more
+    assert len(room.relay.sent_at) == 2 + counted  # and once more
 
 
 def test_repeats_never_exceed_the_bound(monkeypatch):
@@ -58,12 +58,12 @@
     room.order(1)
     sent, outcomes = [], ["reset", "Throttling", "timeout", "connect_failed", "unreadable"] * 6
     while outcomes:
-        if not room.relay.out:
+        if not room.relay.awaiting_response:
             room.go(100)
             continue
         how = outcomes.pop(0)
         if how not in ("Throttling", "connect_failed"):
-            sent.append(room.relay.written[-1])
+            sent.append(room.relay.sent_at[-1])
         room.answer("answered" if how == "Throttling" else how, code=how if how == "Throttling" else "")
     assert len(sent) == 18
     assert min(late - early for early, late in zip(sent, sent[3:])) >= SECOND + MARGIN
@@ -88,7 +88,7 @@
     orders = [face.SetRoute(n, f"backend-{n:06}", 1.0) for n in range(30_000)]
     room.relay.order(orders)
     while not room.relay.idle:
-        room.answer(taken=len(room.relay.waiting[0]))
+        room.answer(taken=len(room.relay.pending_calls[0]))
     assert room.stand == orders
 
 
@@ -110,12 +110,12 @@
 
 def test_a_hold_while_a_call_in_doubt_waits(room):
     room.order(1)
-    room.relay.hold(True)
+    room.relay.set_paused(True)
     room.answer("timeout")
     room.go(10)
     room.order(2)
-    assert not room.relay.out  # nothing begins, and nothing is lost
-    room.relay.hold(False)
+    assert not room.relay.awaiting_response  # nothing begins, and nothing is lost
+    room.relay.set_paused(False)
     room.until_out()
     assert room.out()[0] == "put,1,b1,1.0"
     room.answer()
@@ -127,10 +127,10 @@
 def test_a_call_in_doubt_that_may_not_go_again_has_what_stands_read(room, outcome, doubts, moved):
     """It may have been carried out: to tell the module what stood before would be a guess."""
     asked = []
-    room.relay.doubted = lambda: asked.append(1)
+    room.relay.on_unresolved_drop = lambda: asked.append(1)
     room.order(1)
     room.order(2)
-    room.relay.allowed = lambda orders: False
+    room.relay.is_allowed = lambda orders: False
     room.answer(outcome)
     if moved:
         room.relay.move(("127.0.0.1", 2))
@@ -181,13 +181,13 @@
         raise AssertionError("never came true")
 
     front.start()
-    until(lambda: front.store_mirror.begun and front.relay.idle and platform.agrees())
+    until(lambda: front.store_mirror.has_started and front.relay.idle and platform.agrees())
     platform.relay_faults.append("silent done")
     front.relay.order([face.SetRoute(3, "b1", 1.0)])
     until(lambda: "b1" in platform.tables[3])
-    front.relay.allowed = lambda orders: False
+    front.relay.is_allowed = lambda orders: False
     until(lambda: log.counts["orders_blocked"])
-    assert "b1" not in front.store_mirror.stood[3].lines
-    until(lambda: "b1" in front.store_mirror.stood[3].lines)
+    assert "b1" not in front.store_mirror.tables[3].lines
+    until(lambda: "b1" in front.store_mirror.tables[3].lines)
     front.close()
     loop.close()
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -160,8 +160,8 @@
         tuple(front.out),
         front.log.counts["decision_rounds"],
         front.gathering.gap,
-        front.relay.bounds.pace.most,
-        front.relay.bounds.pace.window,
+        front.relay.channel_limits.message_rate.most,
+        front.relay.channel_limits.message_rate.window,
         sorted(front.known.methods),
         sorted(front.known.zones),
     )
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -59,9 +59,9 @@
         self.old, self.new = self.side(), self.side()
         self.old.fresh({})
         self.front = self.old.front
-        self.front.relay.hold(True)  # nothing here answers
-        self.front.store_mirror.news_asked()
-        self.front.store_mirror.news_opening()
+        self.front.relay.set_paused(True)  # nothing here answers
+        self.front.store_mirror.on_watch_requested()
+        self.front.store_mirror.on_watch_opened()
         self.news(
             face.ProxyJoined(1, "east", 5.0, True),
             face.ProxyJoined(2, "east", 5.0, True),
@@ -70,7 +70,7 @@
             face.SliceOwnership(4, True),
             face.StoredRoute(4, "b1", 1.0),
         )
-        self.front.store_mirror.news_alive()
+        self.front.store_mirror.on_keepalive()
         self.handed()
 
     def side(self):
@@ -81,7 +81,7 @@
 
     def news(self, *events):
         for event in events:
-            self.front.store_mirror.news(event)
+            self.front.store_mirror.on_relay_event(event)
 
     def handed(self):
         """What came so far goes to the module."""
@@ -131,7 +131,7 @@
     module = front.coordinator
     assert front.discovery.version == 2 and module.backends["b1"].state == "draining"
     assert set(module.proxies) == set(front.store_mirror.proxies) == {2}
-    assert set(module.slices) == set(front.store_mirror.stood) == {4, 9}
+    assert set(module.slices) == set(front.store_mirror.tables) == {4, 9}
 
 
 @pytest.mark.parametrize("went", ["answered", "reset", "not yet"])
@@ -149,21 +149,21 @@
     )
     bench.handed()
     if went != "not yet":
-        relay.hold(False)
-        for orders in list(relay.waiting)[:-1] if went == "reset" else list(relay.waiting):
+        relay.set_paused(False)
+        for orders in list(relay.pending_calls)[:-1] if went == "reset" else list(relay.pending_calls):
             asked.pop()(taken(len(orders)))
-        relay.hold(True)
+        relay.set_paused(True)
         if went == "reset":
             asked.pop()(HttpResponse("reset"))
     lines, now = relay.backlog.lines, bench.clock.now()
     relay = bench.over().relay
-    assert bool(relay.waiting) == (went != "answered")
+    assert bool(relay.pending_calls) == (went != "answered")
     # The module counts a line for the levels in each message, also where there is none.
-    spare = sum(len(call.waiting) for call in relay.backlog.calls)
+    spare = sum(len(call.pending_proxies) for call in relay.backlog.calls)
     assert lines <= relay.backlog.lines <= lines + spare and relay.backlog.fits_at(now, 0) == now
     assert (sum(call.lines for call in relay.backlog.calls) > 0) == (went != "not yet")
-    assert [call.mark for call in relay.bounds.copies] == (
-        [relay.waiting[0][-1].mark] if went == "reset" else []
+    assert [call.marker for call in relay.channel_limits.sent_copies] == (
+        [relay.pending_calls[0][-1].mark] if went == "reset" else []
     )
 
 
--- a/tests/test_drain_watch.py
+++ b/tests/test_drain_watch.py
@@ -30,7 +30,7 @@
 
     def listed(self, scope="changes", **states):
         entries = tuple(face.BackendEntry(b, state, 1.0, "east", 0, "std", 0) for b, state in states.items())
-        self.watch.listed(face.BackendList(scope, 2, entries))
+        self.watch.on_backend_list(face.BackendList(scope, 2, entries))
 
     def go(self, span):
         self.clock.by += span
@@ -84,10 +84,10 @@
     room.listed(b1="draining", b2="gone")
     room.go(SECOND)
     room.listed(b1="ready")
-    room.watch.stands([face.EjectBackend("b2", True)])
+    room.watch.on_applied([face.EjectBackend("b2", True)])
     room.go(GRACE)
     assert not room.said("drain_overdue")
-    room.watch.stands([face.EjectBackend("b2", False)])
+    room.watch.on_applied([face.EjectBackend("b2", False)])
     room.go(SECOND)
     assert room.said("drain_overdue")[0]["backend"] == "b2"
 
@@ -102,7 +102,7 @@
     """Found by the soak: all backends counted as gone, and lines there were refused."""
     room.listed(scope="failed")
     room.go(GRACE + SECOND)
-    assert not room.said("drain_overdue") and not room.watch.grace_over("b1")
+    assert not room.said("drain_overdue") and not room.watch.is_grace_over("b1")
 
 
 def test_where_gone_does_not_bind_only_draining_counts(tmp_path):
@@ -115,7 +115,7 @@
 def test_the_time_of_a_slice_begins_as_it_is_given(room):
     room.listed(b1="draining")
     room.go(GRACE - SECOND)
-    room.watch.slice_given(1)
+    room.watch.on_slice_acquired(1)
     room.go(GRACE)
     assert not room.said("drain_overdue")
     room.go(SECOND)
@@ -127,7 +127,7 @@
     room.listed(b1="draining")
     lines = room.stood.pop(1)
     room.go(GRACE)
-    room.watch.slice_given(1)
+    room.watch.on_slice_acquired(1)
     room.go(SECOND // 2)
     room.stood[1] = lines
     room.go(GRACE - SECOND)
@@ -138,8 +138,8 @@
 
 def test_time_limits_wait_while_the_relay_fails(room):
     room.listed(b1="draining")
-    room.watch.relay_failed("timeout")
-    room.watch.relay_failed("reset")
+    room.watch.on_call_failed("timeout")
+    room.watch.on_call_failed("reset")
     room.go(GRACE + SECOND)
     assert not room.said("drain_overdue")
     room.go(SECOND)
@@ -150,9 +150,9 @@
     time = PausedTime()
     time.pause(100, 50)
     time.pause(120, 60)
-    assert [time.at(now) for now in (100, 140, 180, 200)] == [100, 100, 100, 120]
+    assert [time.elapsed(now) for now in (100, 140, 180, 200)] == [100, 100, 100, 120]
     time.pause(300, 10)
-    assert time.at(400) == 310
+    assert time.elapsed(400) == 310
 
 
 def test_the_program_tells_of_lists_calls_and_drains(platform):
--- a/tests/test_golden_places.py
+++ b/tests/test_golden_places.py
@@ -82,16 +82,21 @@
         ]
         assert (front.addresses, list(front.heard_of)) == (row[2], row[3])
         assert (front.discovery.version, side.state.watching) == (row[4], row[5])
-        assert [event_codec.pack_all(call) for call in front.relay.waiting] == [
+        assert [event_codec.pack_all(call) for call in front.relay.pending_calls] == [
             [tuple(order) if order[0] != "SetLevel" else levelled(order) for order in call] for call in row[6]
         ]
-        assert (list(front.relay.written), front.relay.first.failures) == (row[7], row[8])
+        assert (list(front.relay.sent_at), front.relay.in_flight_call.failures) == (row[7], row[8])
         assert list(front.store_mirror.proxies) == [joined[1] for joined in row[9]]
         stood = {number: dict(lines) for number, lines, _ in row[10]}
-        assert {number: table.lines for number, table in front.store_mirror.stood.items()} == stood
-        assert (front.store_mirror.begun, sorted(front.store_mirror.lost)) == (row[11], row[12])
+        assert {number: table.lines for number, table in front.store_mirror.tables.items()} == stood
+        assert (front.store_mirror.has_started, sorted(front.store_mirror.dropped_tables)) == (
+            row[11],
+            row[12],
+        )
         assert side.state.probing == row[13]
-        assert [event_codec.pack(order) for order in front.relay.first.maybe] == [tuple(o) for o in row[14]]
+        assert [event_codec.pack(order) for order in front.relay.in_flight_call.unresolved_orders] == [
+            tuple(o) for o in row[14]
+        ]
         starts = [[name, start.told, start.at] for name, start in front.starts.known.items()]
         assert starts == row[15] and front.starts.heard == row[16]
     finally:
--- a/tests/test_guard.py
+++ b/tests/test_guard.py
@@ -32,19 +32,19 @@
 
 def test_a_pace_that_is_wrong_does_not_break_the_limit(monkeypatch):
     room = Room(monkeypatch, most=3, over=SECOND)
-    room.relay.bounds.pace = Careless(3, SECOND)
+    room.relay.channel_limits.message_rate = Careless(3, SECOND)
     for weight in range(1, 4):
         stand(room, weight)
     room.order(4)
-    assert not room.relay.out and counted(room) == {"invariant_message_limit": 1}
-    room.until(lambda: room.relay.out, 2 * SECOND)
+    assert not room.relay.awaiting_response and counted(room) == {"invariant_message_limit": 1}
+    room.until(lambda: room.relay.awaiting_response, 2 * SECOND)
     room.answer()
     assert [order.weight for order in room.stand] == [1.0, 2.0, 3.0, 4.0]
 
 
 def test_what_came_to_nothing_is_no_message(monkeypatch):
     room = Room(monkeypatch, most=2, over=SECOND)
-    room.relay.bounds.pace = Careless(2, SECOND)
+    room.relay.channel_limits.message_rate = Careless(2, SECOND)
     room.order(1)
     for _ in range(5):
         room.answer(code="Throttling")
@@ -58,8 +58,8 @@
     room = Room(monkeypatch)
     room.order(1)
     room.answer("reset")
-    room.relay._repeat()
-    assert not room.relay.out and counted(room) == {"invariant_repeat_too_soon": 1}
+    room.relay._retry_unresolved()
+    assert not room.relay.awaiting_response and counted(room) == {"invariant_repeat_too_soon": 1}
     room.until_out()
     assert counted(room) == {"invariant_repeat_too_soon": 1}
 
@@ -78,11 +78,11 @@
 def test_no_table_is_changed_before_the_store_has_told_what_stands(monkeypatch):
     room = Room(monkeypatch)
     begun = []
-    room.relay.guard.begun = lambda: bool(begun)
+    room.relay.invariants.has_stored_state = lambda: bool(begun)
     room.relay.order([face.SetAdmission(face.ALL_TABLES, (), 1.0, 1)])
     room.answer()
     room.order(1)
-    assert not room.relay.out and counted(room) == {"invariant_call_before_start": 1}
+    assert not room.relay.awaiting_response and counted(room) == {"invariant_call_before_start": 1}
     begun.append(True)
     room.until_out()
 
@@ -92,15 +92,15 @@
     """Ordered before its drain, as the relay was out of reach; the module has ordered the rest since."""
     room = Room(monkeypatch)
     late = set()
-    room.relay.guard.too_late = late.__contains__
+    room.relay.invariants.is_grace_over = late.__contains__
     put = [face.SetRoute(1, "b1", 1.0), face.SetRoute(1, "b2", 0.0)]
-    room.relay.hold(first == "fresh")
+    room.relay.set_paused(first == "fresh")
     room.relay.order(put)
     if first == "in doubt":
         room.answer("timeout")
     room.relay.order([face.SetRoute(1, "b3", 1.0), face.SetRoute(1, "b1", 0.0)])
     late.add("b1")
-    room.relay.hold(False)
+    room.relay.set_paused(False)
     room.until_out()
     assert room.out()[0] == "put,1,b2,0.0;put,1,b3,1.0;put,1,b1,0.0"
     assert not counted(room)  # gathered with what makes up for it: nothing was refused
@@ -108,7 +108,7 @@
 
 def test_a_line_at_a_backend_whose_grace_is_over_is_refused(monkeypatch):
     room = Room(monkeypatch)
-    room.relay.guard.too_late = lambda backend: backend == "b1"
+    room.relay.invariants.is_grace_over = lambda backend: backend == "b1"
     room.order(1)
     assert room.relay.idle and [order.backend for order in room.void] == ["b1"]
     room.relay.order([face.SetRoute(1, "b1", 1.0), face.SetRoute(2, "b2", 1.0), face.SetRoute(3, "b1", 0.0)])
@@ -122,7 +122,7 @@
     told = []
     room.log.event = lambda what, **fields: told.append((what, fields))
     room.relay.client.close = lambda: None
-    room.relay.hold(True)
+    room.relay.set_paused(True)
     room.order(1, 2)
     room.relay.order([face.SetRoute(2, "b1", 1.0)])
     room.relay.close()
@@ -146,4 +146,4 @@
     room.until_out()
     room.answer("connect_failed")
     room.go(10)
-    assert room.relay.out and not counted(room)
+    assert room.relay.awaiting_response and not counted(room)
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -91,22 +91,22 @@
             put(store, calls[done])
             done += 1
         elif done:  # and answers
-            holdings.stands([calls.pop(0)])
+            holdings.apply([calls.pop(0)])
             done -= 1
 
     for _ in range(40):
-        holdings.news_asked()
+        holdings.on_watch_requested()
         for _ in range(rng.randrange(4)):
             step()
-        holdings.news_opening()
+        holdings.on_watch_opened()
         start = [face.ProxyJoined(p, "east", 1.0, False) for p in sorted(proxies)]
         for number, lines in store.items():
-            start += stored_tables.given(number, stored_tables.StoredTable(dict(lines)))
+            start += stored_tables.ownership_events(number, stored_tables.StoredTable(dict(lines)))
         for event in start:
-            holdings.news(event)
+            holdings.on_relay_event(event)
             if rng.random() < 0.2 and not isinstance(event, face.SliceOwnership):
                 step()
-        holdings.news_alive()
+        holdings.on_keepalive()
         ahead = {number: dict(lines) for number, lines in store.items()}
         for order in calls[done:]:
             put(ahead, order)
@@ -116,7 +116,7 @@
         if rng.random() < 0.3:  # the news are broken: what changes is not told
             while calls:
                 put(store, calls[0])
-                holdings.stands([calls.pop(0)])
+                holdings.apply([calls.pop(0)])
             done, proxies = 0, {p for p in range(4) if rng.random() < 0.7}
             store.pop(rng.choice(sorted(store)))
             store.setdefault(rng.randrange(8), {})[f"b{rng.randrange(3)}"] = 1.0
@@ -128,14 +128,14 @@
     calls = []
     holdings = StoreMirror(hours, told, told.hear, list, calls.extend)
     for _ in range(3):
-        holdings.news_opening()
-        for event in stored_tables.given(4, stored_tables.StoredTable({"b1": 1.0})):
-            holdings.news(event)
-        holdings.news_alive()
+        holdings.on_watch_opened()
+        for event in stored_tables.ownership_events(4, stored_tables.StoredTable({"b1": 1.0})):
+            holdings.on_relay_event(event)
+        holdings.on_keepalive()
     assert told.charges == 1 and told.tables == {4: {"b1": 1.0}}
-    holdings.stands([face.SetAdmission(4, (), 0.6, 1)])
-    holdings.dropped([face.SetRoute(4, "b2", 1.0)])
-    holdings._tell_lost()  # told anew it comes without a level: that is made true
+    holdings.apply([face.SetAdmission(4, (), 0.6, 1)])
+    holdings.on_dropped([face.SetRoute(4, "b2", 1.0)])
+    holdings._report_dropped()  # told anew it comes without a level: that is made true
     assert told.charges == 2 and calls == [face.SetAdmission(4, (), 1.0, 1)]
 
 
@@ -147,13 +147,13 @@
     holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
 
     def begin(answered=()):
-        holdings.news_asked()
-        holdings.stands(list(answered))
-        holdings.news_opening()
+        holdings.on_watch_requested()
+        holdings.apply(list(answered))
+        holdings.on_watch_opened()
         for number in (4, 5):
-            for event in stored_tables.given(number, stored_tables.StoredTable({"b1": 1.0})):
-                holdings.news(event)
-        holdings.news_alive()
+            for event in stored_tables.ownership_events(number, stored_tables.StoredTable({"b1": 1.0})):
+                holdings.on_relay_event(event)
+        holdings.on_keepalive()
 
     begin()
     moved = [face.SetRoute(4, "b2", 1.0), face.SetRoute(4, "b1", 0.0)]
@@ -173,16 +173,16 @@
     hours.after = lambda span, action: Deadline(0, action)
     holdings = StoreMirror(hours, told, told.hear, list, lambda orders: None)
     given = []
-    holdings.given = given.append
+    holdings.on_slice_acquired = given.append
 
     def begin(**lines):
         given.clear()
-        holdings.news_asked()
-        holdings.news_opening()
+        holdings.on_watch_requested()
+        holdings.on_watch_opened()
         for number, backend in enumerate(lines.values()):
-            for event in stored_tables.given(number, stored_tables.StoredTable({backend: 1.0})):
-                holdings.news(event)
-        holdings.news_alive()
+            for event in stored_tables.ownership_events(number, stored_tables.StoredTable({backend: 1.0})):
+                holdings.on_relay_event(event)
+        holdings.on_keepalive()
 
     begin(first="b1", second="b2")
     assert set(given) == {0, 1}
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -7,7 +7,13 @@
 from indigohitch import interface as face
 from indigohitch.net.http_exchange import HttpResponse
 from indigohitch.platform_protocol import stored_tables
-from indigohitch.platform_protocol.call_codec import BYTES, encode, merge, pieces, read_answer
+from indigohitch.platform_protocol.call_codec import (
+    MAX_CALL_BYTES,
+    encode_order,
+    merge_orders,
+    parse_response,
+    split_by_size,
+)
 from indigohitch.platform_protocol.discovery import parse_backend_list
 from indigohitch.platform_protocol.messages import (
     RELAY_EVENT_PARSERS,
@@ -64,15 +70,15 @@
 def test_merged_orders_come_to_the_same(seed):
     rng = random.Random(seed)
     orders = random_orders(rng, 300)
-    merged = merge(orders)
+    merged = merge_orders(orders)
 
     def end(orders):
         found = {n: stored_tables.StoredTable({"b1": 1.0}) for n in range(4)}
-        stored_tables.carry_out(found, orders)
+        stored_tables.apply_orders(found, orders)
         return found, {o.backend: o.out for o in orders if isinstance(o, face.EjectBackend)}
 
     assert end(merged) == end(orders)
-    assert len(merged) <= 5 * 4 + 5 + 5 + 4 + 2 and merge(merged) == merged
+    assert len(merged) <= 5 * 4 + 5 + 5 + 4 + 2 and merge_orders(merged) == merged
 
 
 def test_orders_in_the_relays_words():
@@ -87,23 +93,23 @@
         (face.SetAdmission(face.ALL_TABLES, (0, 1), 1.0, 1), "gate,*,lookup+write,1.0,1"),
         (face.SetAdmission(face.ALL_TABLES, (), 1.0, 1), "gate,*,*,1.0,1"),
     ):
-        assert encode(order, methods) == said
+        assert encode_order(order, methods) == said
     with pytest.raises(TypeError):
-        encode(face.FetchBackends(), methods)
+        encode_order(face.FetchBackends(), methods)
 
 
 def test_long_replies_are_split_and_short_ones_are_not():
     orders = [face.SetRoute(n % 900, f"s-{n:08x}", 1.0) for n in range(7000)]
-    calls = list(pieces(orders, []))
+    calls = list(split_by_size(orders, []))
     assert [o for call in calls for o in call] == orders and len(calls) > 2
-    sizes = [len(";".join(encode(o, []) for o in call)) for call in calls]
-    assert max(sizes) <= BYTES and min(sizes[:-1]) > BYTES - 40
-    assert len(list(pieces(orders[:1000], []))) == 1
+    sizes = [len(";".join(encode_order(o, []) for o in call)) for call in calls]
+    assert max(sizes) <= MAX_CALL_BYTES and min(sizes[:-1]) > MAX_CALL_BYTES - 40
+    assert len(list(split_by_size(orders[:1000], []))) == 1
 
 
 def test_answers_of_the_relay():
     def said(body, status=200, outcome="answered"):
-        return read_answer(HttpResponse(outcome, status, body))
+        return parse_response(HttpResponse(outcome, status, body))
 
     count = (
         b'<?xml version="1.0"?><Response><results><item><ok_count>%s</ok_count></item></results></Response>'
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -32,23 +32,23 @@
 
 
 def answer_all(room):
-    while room.relay.out:
-        room.answer(taken=len(room.relay.waiting[0]))
+    while room.relay.awaiting_response:
+        room.answer(taken=len(room.relay.pending_calls[0]))
 
 
 def test_what_waited_goes_as_one_and_the_urgent_leads(monkeypatch):
     """In the incident it was the last of seven calls, a second apart."""
     room = limited(monkeypatch)
     room.urgent = {7}
-    room.relay.hold(True)
+    room.relay.set_paused(True)
     for table in range(1, 8):
         room.relay.order(move(table, table))
-    room.relay.hold(False)
+    room.relay.set_paused(False)
     orders, _ = room.out()
     assert tables_of(orders)[:2] == [7, 7] and sorted(set(tables_of(orders))) == list(range(1, 8))
     assert orders.endswith("fence,7,0") and orders.count("fence") == 1
     answer_all(room)
-    assert room.relay.idle and len(room.relay.written) == 1
+    assert room.relay.idle and len(room.relay.sent_at) == 1
 
 
 def test_what_can_wait_leaves_messages_to_what_is_urgent(monkeypatch):
@@ -56,7 +56,7 @@
     for table in range(1, 8):
         room.relay.order(move(table, table))
         answer_all(room)
-    assert len(room.relay.written) == 2 and room.log.counts["call_rate_limited"]
+    assert len(room.relay.sent_at) == 2 and room.log.counts["call_rate_limited"]
     room.urgent = {9}
     room.relay.order(move(9, 9))  # goes at once, and takes along what waited
     assert tables_of(room.out()[0])[:2] == [9, 9] and len(set(tables_of(room.out()[0]))) == 6
@@ -68,9 +68,9 @@
     for table in range(1, 5):
         room.relay.order(move(table, table))
         answer_all(room)
-    assert not room.relay.out and room.relay.bounded
+    assert not room.relay.awaiting_response and room.relay.waits_for_capacity
     room.relay.reconsider()
-    assert not room.relay.out
+    assert not room.relay.awaiting_response
     room.urgent = {4}
     room.relay.reconsider()
     assert sorted(tables_of(room.out()[0])) == [3, 3, 4, 4]
@@ -84,9 +84,9 @@
     room.relay.order(move(9, 2))
     room.relay.order([put(7)], joins=True)
     calls = []
-    while room.relay.out:
+    while room.relay.awaiting_response:
         calls.append(tables_of(room.out()[0]))
-        room.answer(taken=len(room.relay.waiting[0]))
+        room.answer(taken=len(room.relay.pending_calls[0]))
     assert calls == [[0, 0], [1, 2, 3, 4, 5], [9, 9], [7]]
 
 
@@ -100,7 +100,7 @@
     room.answer(taken=5)
     assert tables_of(room.out()[0]) == [3, 3]
     room.answer(taken=2)
-    assert not room.relay.out and len(room.relay.pending()) == 5
+    assert not room.relay.awaiting_response and len(room.relay.pending()) == 5
 
 
 @pytest.mark.parametrize("carried_out", [True, False])
@@ -114,12 +114,12 @@
         room.store[1] = StoredTable({"b1": 1.0})
     room.answer("timeout")
     room.relay.order([put(1, "b2"), put(1, "b1", 0.0), face.UpdateMarker(2, False)])
-    room.until(lambda: room.relay.out, 2 * SECOND)
+    room.until(lambda: room.relay.awaiting_response, 2 * SECOND)
     assert room.out()[0] == "put,1,b0,0.0;put,1,b2,1.0;put,1,b1,0.0;fence,2,0"
     # Now in doubt itself: what the first may have left says nothing of it.
     room.mute = False
     room.answer("timeout")
-    room.until(lambda: room.relay.out, 2 * SECOND)
+    room.until(lambda: room.relay.awaiting_response, 2 * SECOND)
     room.store[1] = StoredTable({"b2": 1.0})
     room.answer("timeout")
     room.until(lambda: room.relay.idle, 2 * SECOND)
@@ -131,13 +131,13 @@
     maybe = [put(1, "b"), put(1, "a", 0.0)]
     orders = [*maybe, put(2, "c"), put(2, "a", 0.0)]
     evidence = TableEvidence(stood, orders, maybe)
-    evidence.line(1, "b", 1.0)
-    assert evidence.effect is CallOutcome.UNKNOWN
-    evidence.line(2, "a", 1.0)
-    assert evidence.effect is CallOutcome.NONE
-    evidence.line(2, "c", 1.0)
-    assert evidence.effect is CallOutcome.STANDS and evidence.proved == 4
-    assert not TableEvidence(stood, maybe, maybe).any
+    evidence.add_route(1, "b", 1.0)
+    assert evidence.outcome is CallOutcome.UNKNOWN
+    evidence.add_route(2, "a", 1.0)
+    assert evidence.outcome is CallOutcome.NOT_APPLIED
+    evidence.add_route(2, "c", 1.0)
+    assert evidence.outcome is CallOutcome.APPLIED and evidence.applied_count == 4
+    assert not TableEvidence(stood, maybe, maybe).can_decide
 
 
 def test_a_silent_relay_costs_few_messages(monkeypatch):
@@ -146,12 +146,12 @@
     room.mute = True
     room.relay.order(move(1, 1))
     end = room.clock.now() + SECOND * 9 // 2
-    while room.clock.now() < end or room.relay.out:
-        if room.relay.out:
+    while room.clock.now() < end or room.relay.awaiting_response:
+        if room.relay.awaiting_response:
             room.clock.by += SECOND // 5
             room.answer("timeout")
         room.go(100)
-    assert len(room.relay.written) <= 4
+    assert len(room.relay.sent_at) <= 4
     room.urgent = {2}
     room.mute = False
     room.relay.order(move(2, 2))
@@ -164,6 +164,6 @@
     room.mute = True
     for turn in range(200):
         room.relay.order([put(turn % 5, f"b{turn % 3}"), face.UpdateMarker(turn, False)])
-        room.until(lambda: room.relay.out, 20 * SECOND)
+        room.until(lambda: room.relay.awaiting_response, 20 * SECOND)
         room.answer("timeout")
-    assert len(room.relay.first.maybe) <= 15 and len(room.relay.pending()) <= 17
+    assert len(room.relay.in_flight_call.unresolved_orders) <= 15 and len(room.relay.pending()) <= 17
