--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -67,8 +67,8 @@
     # ---- from the ledger ---------------------------------------------------------------------------
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
-        if entry.kind.startswith("distribution.") and not outcome.refused and not outcome.doubled:
-            services = msgspec.msgpack.decode(outcome.told, type=tuple[str, ...])
+        if entry.kind.startswith("distribution.") and not outcome.rejection and not outcome.is_duplicate:
+            services = msgspec.msgpack.decode(outcome.result, type=tuple[str, ...])
             if services:
                 self.connections.stepping.step(ResourcesChanged(services))
         return []
@@ -118,7 +118,7 @@
             # In a turn of its own: the entry that completes a read is told to the machine after this.
             self.reading = False
             if index is not None:
-                self.loop.after(0, lambda: self.connections.stepping.step(CaughtUp(now)))
+                self.loop.call_after(0, lambda: self.connections.stepping.step(CaughtUp(now)))
 
         if self.reading:
             return
--- a/indigohitch/fleet/node/join.py
+++ b/indigohitch/fleet/node/join.py
@@ -25,7 +25,7 @@
         if node.phase is Phase.FRESH:
             self.fresh(now)
         elif node.phase is Phase.TAKING_PART and now >= self.ask_due:
-            me, members = node.links.me, node.driver.members
+            me, members = node.links.own_id, node.driver.members
             if not cluster_bootstrap.stands(me, node.votes, members):
                 self.ask(now, me.number)
 
@@ -33,7 +33,7 @@
 
     def fresh(self, now: int) -> None:
         node, voters = self.node, self.node.listed()
-        welcomes = {name: link.welcome for name, link in node.links.peers.items()}
+        welcomes = {name: link.acceptance for name, link in node.links.peers.items()}
         way, why = cluster_bootstrap.bootstrap_mode(node.text.me, node.votes, voters, welcomes)
         if way is cluster_bootstrap.BootstrapMode.FOUND:
             node.log.event("founds", voters=list(voters))
@@ -51,7 +51,7 @@
 
     def begin(self, number: int, founders: tuple[str, ...], members: Members) -> None:
         try:
-            held = self.node.disk.found(number, founders, members)
+            held = self.node.disk.initialize(number, founders, members)
         except OSError as bad:
             self.node.log.warning("not_founded", why=str(bad), remedy="make room, or mend the disk")
             return
@@ -62,9 +62,9 @@
         self.ask_due = now + ASK
         node = self.node
         for name in node.links.peers:
-            node.links.say_to(name, JoinRequest(node.text.me, node.token, number, node.votes))
+            node.links.send_to(name, JoinRequest(node.text.me, node.token, number, node.votes))
         if node.driver.leads:
-            self.asked(node.links.me, JoinRequest(node.text.me, node.token, number, node.votes))
+            self.asked(node.links.own_id, JoinRequest(node.text.me, node.token, number, node.votes))
 
     def admitted(self, who: MemberId, word: JoinResponse) -> None:
         node = self.node
@@ -83,7 +83,7 @@
         if not node.driver.leads or listed is None or node.phase is not Phase.TAKING_PART:
             return
         machine = node.driver.machine
-        who = self.admission.who(word, machine.members, node.disk.identity.met.get(name, 0))
+        who = self.admission.who(word, machine.members, node.disk.identity.seen_numbers.get(name, 0))
         if who is None:
             node.log.warning(
                 "old_disk",
@@ -93,10 +93,10 @@
             )
             return
         if not cluster_bootstrap.stands(who, listed.votes, machine.members):
-            node.driver.step(ChangeMembers(who, votes=listed.votes))
-        committed = machine.state.belonging.index <= machine.commit
-        if not word.number and committed and who in machine.state.belonging.everyone:
-            node.links.say_to(name, JoinResponse(who, word.token, node.disk.identity.founders))
+            node.driver.step(ChangeMembers(who, as_voter=listed.votes))
+        committed = machine.state.configuration.index <= machine.commit_index
+        if not word.number and committed and who in machine.state.configuration.everyone:
+            node.links.send_to(name, JoinResponse(who, word.token, node.disk.identity.founders))
 
     def take_out(self, name: str) -> str:
         """Why it can't be.  An operator's word, not the file's: a leader whose file is behind the others'
@@ -108,5 +108,5 @@
             who for who in node.driver.members.voters + node.driver.members.followers if who.name == name
         ]
         for who in found:
-            node.driver.step(ChangeMembers(who, out=True))
+            node.driver.step(ChangeMembers(who, remove=True))
         return "" if found else f"no member {name[:64]}"
--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -20,7 +20,7 @@
             return
         node.be(Phase.LEAVING)
         now, working = node.loop.clock.now(), node.working
-        if give_up and not working.holds(now):
+        if give_up and not working.has_leased_resources(now):
             auditing, membership = node.assembly.auditing, node.assembly.membership
             working.want(auditing, auditing.last(now))
             working.want(membership, membership.leave())
@@ -32,7 +32,7 @@
         if node.phase is Phase.LEAVING and node.driver.leads:
             if not node.belonging.leaves:
                 node.driver.step(TransferLeadership())
-            node.loop.after(node.text.waits["election"] // 2, self.hand_over)
+            node.loop.call_after(node.text.waits["election"] // 2, self.hand_over)
 
     @property
     def left(self) -> bool:
@@ -49,4 +49,4 @@
         if node.phase is Phase.LEAVING:
             node.be(Phase.TAKING_PART)
             if node.assembly.membership.phase is Member.LEFT:
-                node.assembly.membership.anew()
+                node.assembly.membership.rejoin()
--- a/indigohitch/fleet/node/status.py
+++ b/indigohitch/fleet/node/status.py
@@ -20,16 +20,16 @@
     members = driver.members
     found = {
         "name": node.text.name,
-        "me": who(node.links.me),
+        "me": who(node.links.own_id),
         "phase": node.phase.value,
         "role": machine.role.value if machine else "none",
         "term": machine.term if machine else 0,
         "leader": driver.leader.name if driver.leader else "",
-        "index": machine.commit if machine else 0,
+        "index": machine.commit_index if machine else 0,
         "applied": node.state_machine.index,
         "time": node.state_machine.time,
         "incarnation": node.assembly.membership.incarnation,
-        "lease_ms": lease.left(now) / 10 if lease else 0,
+        "lease_ms": lease.remaining(now) / 10 if lease else 0,
         "voters": [who(one) for one in members.voters],
         "followers": [who(one) for one in members.followers],
         "edition": node.text.edition,
@@ -37,11 +37,11 @@
         "proposals_waiting": len(node.working.waiting),
         "reads": len(node.traffic.reads.open),
         "disk": node.disk.figures(),
-        "links": node.links.figures(),
+        "links": node.links.status(),
         "works": node.working.figures(),
     }
     if driver.leads:
-        until = node.assembly.membership.giver.until
+        until = node.assembly.membership.grantor.granted_until
         found["leases"] = {
             f"{name} {incarnation}": max(0, end - now) / 10
             for (name, incarnation), end in sorted(until.items())
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -132,7 +132,8 @@
             self._wait_until(self.in_flight_call.retry_at(in_reach=False), self._retry_unresolved)
             return
         if len(self.pending_calls) > 1 and (
-            self.channel_limits.message_rate.most or self.invariants.late_routes(self.pending_calls[0])
+            self.channel_limits.message_rate.max_messages
+            or self.invariants.late_routes(self.pending_calls[0])
         ):
             self._batch_calls()
         if not self._remove_late_routes() or self._must_wait():
@@ -160,7 +161,9 @@
         """The one due time; None: nothing is waited for."""
         if self.next_call_timer is not None:
             self.next_call_timer.cancel()
-        self.next_call_timer = None if when is None else self.loop.at(when, then or self._start_next_call)
+        self.next_call_timer = (
+            None if when is None else self.loop.call_at(when, then or self._start_next_call)
+        )
 
     def _batch_calls(self) -> None:
         """All that waits goes as one, also what is in doubt: each call is a message to every proxy."""
@@ -183,10 +186,10 @@
 
     def _send(self, orders: str) -> None:
         now = self.loop.clock.now()
-        previous_sent_at = self.in_flight_call.sent_at if self.in_flight_call.is_unresolved else None
+        tried_at = self.in_flight_call.sent_at if self.in_flight_call.is_unresolved else None
         lines = self.backlog.size(self.pending_calls[0])
         if not self.invariants.check_send(
-            now, Attempt(self.pending_calls[0], lines, previous_sent_at, self.awaiting_response)
+            now, Attempt(self.pending_calls[0], lines, tried_at, self.awaiting_response)
         ):
             self._wait_until(now + self.invariants.RETRY_DELAY)
             return
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -37,9 +37,9 @@
         self.orders = orders
         self.marker, self.is_confirmed = -1, False
         last = orders[-1]
-        if isinstance(last, face.UpdateMarker) and last.mark not in self.used_markers:
-            self.marker = last.mark
-            self.used_markers.append(last.mark)
+        if isinstance(last, face.UpdateMarker) and last.marker not in self.used_markers:
+            self.marker = last.marker
+            self.used_markers.append(last.marker)
         return True
 
     def acknowledge(self, mark: int) -> bool:
@@ -154,14 +154,14 @@
         self.until_known = until_known
         if self.evidence is None:
             self.to, self.evidence, self.inconclusive_reads = to, evidence, 0
-            self.timer = self.loop.at(
+            self.timer = self.loop.call_at(
                 max(self.loop.clock.now(), went + self.SETTLE_TIME), self._request_stream
             )
 
     def _request_stream(self) -> None:
         self.has_received = False
         stream = EventStream(self._on_event, lambda: None)
-        self.timer = self.loop.after(self.READ_TIMEOUT, self._retry_later)
+        self.timer = self.loop.call_after(self.READ_TIMEOUT, self._retry_later)
         self.exchange = HttpClient(self.loop, self.to, self.CONNECT_TIMEOUT).request(
             "GET",
             "/stream",
@@ -201,7 +201,7 @@
             self.on_outcome(CallOutcome.UNKNOWN, 0)
             return
         self.inconclusive_reads += self.has_received
-        self.timer = self.loop.after(
+        self.timer = self.loop.call_after(
             self.RETRY_DELAY << min(self.inconclusive_reads, self.MAX_DELAY_DOUBLINGS), self._request_stream
         )
 
--- a/indigohitch/platform_protocol/channel_limits.py
+++ b/indigohitch/platform_protocol/channel_limits.py
@@ -54,12 +54,12 @@
         """The first call goes out."""
         orders = self.outbox.calls[0]
         self.call_log.log_sent(orders, self.backlog.size(orders), self.occupancy())
-        self.message_rate.went(now)
+        self.message_rate.record_sent(now)
         self.sent_copies.append(self.backlog.record_send(now, orders))
 
     def revert_last_send(self) -> None:
         """What went last surely came to nothing."""
-        self.message_rate.taken_back()
+        self.message_rate.undo_last()
         self.backlog.revert_send(self.sent_copies.pop())
 
     def revert_all_sends(self) -> int:
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -79,7 +79,9 @@
         self.draining: dict[str, DrainingBackend] = {}
         self.ejected: set[str] = set()
         self.paused_time = PausedTime()
-        self.slice_acquired_at: dict[int, int] = {}  # by slice, in paused time
+        self.slice_acquired_at: dict[
+            int, int
+        ] = {}  # slices that came into charge, by the time that stands still
         self.is_check_scheduled = False
 
     def on_backend_list(self, news: face.BackendList) -> None:
@@ -93,7 +95,7 @@
             self._on_state(backend, state)
         if self.draining and self.grace and not self.is_check_scheduled:
             self.is_check_scheduled = True
-            self.loop.after(self.CHECK_INTERVAL, self.check)
+            self.loop.call_after(self.CHECK_INTERVAL, self.check)
 
     def _add_unlisted(self, states: dict[str, str]) -> None:
         """A whole list names none that is gone; one that it lacks stays known while a line is left there."""
@@ -139,7 +141,7 @@
         """Orders that stand, of which those that shut a backend out are read here."""
         for order in orders:
             if isinstance(order, face.EjectBackend):
-                (self.ejected.add if order.out else self.ejected.discard)(order.backend)
+                (self.ejected.add if order.ejected else self.ejected.discard)(order.backend)
 
     def check(self) -> None:
         """Look for lines that stand too long; again while any backend leaves."""
@@ -158,7 +160,7 @@
         self.slice_acquired_at = {number: at for number, at in self.slice_acquired_at.items() if at > over}
         if self.draining:
             self.is_check_scheduled = True
-            self.loop.after(self.CHECK_INTERVAL, self.check)
+            self.loop.call_after(self.CHECK_INTERVAL, self.check)
 
     def _on_no_routes(self, backend: str, departure: DrainingBackend, now: int) -> None:
         if departure.emptied_at is None:
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -35,7 +35,7 @@
         ],
         holdings.has_started,
         sorted(holdings.dropped_tables),
-        [b.id for b in front.coordinator.backends.values() if b.probe_out],
+        [b.id for b in front.coordinator.backends.values() if b.probe_sent_at],
         [list(event_codec.pack(order)) for order in relay.in_flight_call.unresolved_orders],
         [(backend, start.told, start.at) for backend, start in front.starts.known.items()],
         front.starts.heard,
@@ -72,7 +72,7 @@
     yet to go.  One in doubt may."""
     relay, channel = front.relay, front.coordinator.channel
     to_go = list(relay.pending_calls)[1 if relay.in_flight_call.failures else 0 :]
-    unsent = {order.mark for call in to_go for order in call if isinstance(order, face.UpdateMarker)}
+    unsent = {order.marker for call in to_go for order in call if isinstance(order, face.UpdateMarker)}
     calls = [
         SentCall(each, mark, set(proxies))
         for mark, (each, proxies) in channel.unacked.items()
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -132,7 +132,7 @@
         if self.settle_timer is not None:
             self.settle_timer.cancel()
         span = self.SETTLE_DELAY if self.initial_snapshot is None else self.INITIAL_SETTLE_DELAY
-        self.settle_timer = self.loop.after(span, self._settle)
+        self.settle_timer = self.loop.call_after(span, self._settle)
 
     def _take_unsettled(self) -> tuple[stored_tables.StoredTables, list[face.Order]]:
         """The slices not told yet, no longer ours to tell, and what was answered meanwhile."""
@@ -229,7 +229,7 @@
         self.dropped_tables |= stored_tables.changed_tables(orders)
 
     def schedule_dropped_report(self) -> None:
-        self.loop.after(self.DROPPED_REPORT_DELAY, self._report_dropped)
+        self.loop.call_after(self.DROPPED_REPORT_DELAY, self._report_dropped)
 
     def _report_dropped(self) -> None:
         lost, self.dropped_tables = self.dropped_tables, set()
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -25,7 +25,7 @@
     "event",
     "warning",
     "trouble",
-    "held",
+    "log_waiting",
     "drop",
     "Note",
 )  # calls whose first or second word names an event
@@ -66,13 +66,13 @@
 
 def _call_log(log: Kept) -> None:
     told, orders, full = CallLog(log), [face.ClearTable(1), face.ClearTable(2)], ChannelOccupancy(3, 40, 2)
-    told.begin()
-    told.sent(orders, 12, full)
-    told.held("call_held_back", full, 125)
-    told.held("call_waits_for_the_channel", full, 30, lines=9)
-    told.unclear("reset", orders, HttpResponse("reset", 0, b"", 215))
-    told.sent(orders, 12, full)
-    told.stands(2, "answer")
+    told.start_call()
+    told.log_sent(orders, 12, full)
+    told.log_waiting("call_held_back", full, 125)
+    told.log_waiting("call_waits_for_the_channel", full, 30, lines=9)
+    told.log_unresolved("reset", orders, HttpResponse("reset", 0, b"", 215))
+    told.log_sent(orders, 12, full)
+    told.log_applied(2, "answer")
 
 
 def _list_log(log: Kept) -> None:
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -66,7 +66,7 @@
         self.news.open()
 
     def hear(self, *events):
-        self.marks += [e.mark for e in events if isinstance(e, face.UpdateAcknowledged)]
+        self.marks += [e.marker for e in events if isinstance(e, face.UpdateAcknowledged)]
         self.told.hear(*events)
 
     def failed(self, broken):
@@ -74,7 +74,7 @@
 
     def turn_until(self, there):
         while not there():
-            self.loop.after(100, lambda: None)
+            self.loop.call_after(100, lambda: None)
             self.loop.turn()
 
     def come(self, exchange):
--- a/tests/test_disk_recovery.py
+++ b/tests/test_disk_recovery.py
@@ -42,7 +42,7 @@
         return
     found = held(os.path.dirname(path))
     size, ballot, terms = max((s for s in stood if s[0] <= at), key=lambda s: s[0])
-    assert (found.ballot, [e.term for e in found.entries]) == (ballot, terms)
+    assert (found.hard_state, [e.term for e in found.entries]) == (ballot, terms)
     assert os.path.getsize(path) == size
     assert held(os.path.dirname(path)) == found
 
@@ -82,6 +82,6 @@
         open(path, "wb").write(harmed)
         with pytest.raises(CorruptStorageError) as refused:
             held(tmp_path)
-        assert refused.value.remedy and "log-000000000001" in refused.value.where
+        assert refused.value.remedy and "log-000000000001" in refused.value.location
     open(path, "wb").write(data)
     assert held(tmp_path) is not None
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,7 +24,7 @@
     world.start().valid()
     assert [w["number"] for w in world.figures("v1")["voters"]] == [1, 1, 1]
     for name in world.members:
-        assert not world.put(name, f"by {name}").refused
+        assert not world.put(name, f"by {name}").rejection
     leader = world.leader()
     world.kill(leader)
     other = next(iter(world.nodes))
@@ -126,7 +126,7 @@
     with pytest.raises(UnavailableError) as full:
         for _ in range(1000):
             world.nodes[leader].traffic.propose("notes.add", b"\x91\xa1x", told.append)
-    assert full.value.again > 0 and len(world.nodes[leader].traffic.proposals.open) < 200
+    assert full.value.retry_after_ticks > 0 and len(world.nodes[leader].traffic.proposals.open) < 200
     world.start(*[n for n in world.members if n != leader])
     world.until(lambda: len(told) >= 100)
     assert all(outcome.index for outcome in told)
@@ -141,7 +141,7 @@
     world.until(lambda: node.leaving.left)
     assert world.until(lambda: world.leader(but=leader)) in others
     assert not node.lease(world.clock.now())
-    assert node.state_machine.parts["members"].unfit(leader, incarnation)
+    assert node.state_machine.parts["members"].ineligibility(leader, incarnation)
     node.leaving.stay()  # the upgrade was called off
     world.valid()
     assert node.assembly.membership.incarnation > incarnation
