--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -75,7 +75,7 @@
         if self.fleet is not None and not subscribes:
             from .fleet.audit.orders import stamped
 
-            front.relay.allowed = stamped(self.clock, lambda: self.companion.node)
+            front.relay.is_allowed = stamped(self.clock, lambda: self.companion.node)
         return front
 
     def turn(self) -> None:
@@ -97,9 +97,9 @@
         front = self.side.front
         return {
             "proxies": len(front.store_mirror.proxies),
-            "slices": len(front.store_mirror.stood),
-            "calls_waiting": len(front.relay.waiting),
-            "news_begun": front.store_mirror.begun,
+            "slices": len(front.store_mirror.tables),
+            "calls_waiting": len(front.relay.pending_calls),
+            "news_begun": front.store_mirror.has_started,
         }
 
     def read_operator_file(self) -> Text:
