--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -178,9 +178,7 @@
         self.waits_for_capacity = when > now
         if self.waits_for_capacity:
             self._wait_until(when)
-            if (
-                self.in_flight_call.is_unresolved
-            ):  # what stands in the store tells sooner whether it goes again at all
+            if self.in_flight_call.is_unresolved:  # the store may show sooner that no retry is needed
                 self.in_flight_call.query_outcome(
                     self.client.address, self.pending_calls[0], until_known=True
                 )
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -14,8 +14,8 @@
 from indigohitch.logic import Coordinator
 from indigohitch.net.clock import Clock
 from indigohitch.net.loop import EventLoop
+from indigohitch.platform_protocol.call_codec import encode_order
 from indigohitch.platform_protocol.front import Front
-from indigohitch.platform_protocol.relay import encode
 from indigohitch.settings import parse_settings
 from indigohitch.upgrade.module_state import freeze, thaw
 from waiting import free_address
@@ -147,7 +147,9 @@
         },
     )
     made.out = []
-    made.relay.order = lambda orders: made.out.extend(encode(order, made.relay.methods) for order in orders)
+    made.relay.order = lambda orders: made.out.extend(
+        encode_order(order, made.relay.methods) for order in orders
+    )
     made.probes.send = lambda backend, at: made.out.append(f"probe {backend} {made.probes.path}")
     made.discovery.subscribe = lambda on: made.out.append("subscribe")
     return made
