--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -147,7 +147,8 @@
         },
     )
     made.out = []
-    made.relay.order = lambda orders: made.out.extend(
+    methods = made.relay.methods
+    made.relay.order = lambda orders: made.out.extend(encode_order(order, methods) for order in orders)
         encode_order(order, made.relay.methods) for order in orders
     )
     made.probes.send = lambda backend, at: made.out.append(f"probe {backend} {made.probes.path}")
