--- a/indigohitch/upgrade/channel.py
+++ b/indigohitch/upgrade/channel.py
@@ -16,8 +16,8 @@
 
 
 class Channel:
-    MOST_DESCRIPTORS = 64  # a frame: the kernel takes 253
-    AGAIN = SECOND // 200  # when too many descriptors are on their way: the reader takes them in a turn
+    MAX_DESCRIPTORS = 64  # a frame: the kernel takes 253
+    RETRY_DELAY = SECOND // 200  # when too many descriptors are on their way: the reader takes them in a turn
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
             if failed.errno == errno.ETOOMANYREFS:
                 if not self._waiting:
                     self._waiting = True
-                    self.loop.call_after(self.AGAIN, self._again)
+                    self.loop.call_after(self.RETRY_DELAY, self._again)
                 return
             why = f"write: {failed.strerror}"
             self.loop.call_after(0, lambda: self._lost(why))
@@ -91,7 +91,7 @@
 
     def read(self) -> None:
         """All that has come."""
-        room = socket.CMSG_SPACE(self.MOST_DESCRIPTORS * 4)
+        room = socket.CMSG_SPACE(self.MAX_DESCRIPTORS * 4)
         while self.open and not self.ending:
             try:
                 data, ancillary, flags, _ = self.sock.recvmsg(1 << 18, room, socket.MSG_CMSG_CLOEXEC)
--- a/indigohitch/upgrade/phase_timeouts.py
+++ b/indigohitch/upgrade/phase_timeouts.py
@@ -1,4 +1,4 @@
-"""How long the old process of an upgrade waits, for what each of its phases waits for.  No I/O."""
+"""How long the old process of an upgrade waits in each of its phases, in ticks.  No I/O."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     "commit": 2 * SECOND,
     "drain": 30 * SECOND,
     "reclaim": SECOND,
-    "watch": SECOND,
-}  # the old one stands by: a first accept or plan that fails shows
+    "watch": SECOND,  # the old process stays ready: a first accept or plan that fails shows within this time
+}
 
 
-def phase_timeouts(told: Mapping[str, int]) -> dict[str, int]:
-    """By the operator's lines."""
-    known = {name: span for name, span in told.items() if name in DEFAULT_TIMEOUTS}
-    if "takeover" in told:
-        known |= {"give": told["takeover"], "prove": told["takeover"]}
-    return DEFAULT_TIMEOUTS | known
+def phase_timeouts(configured: Mapping[str, int]) -> dict[str, int]:
+    """Returns the defaults, replaced by the operator's settings; `takeover` sets both `give` and `prove`."""
+    timeouts = {name: span for name, span in configured.items() if name in DEFAULT_TIMEOUTS}
+    if "takeover" in configured:
+        timeouts |= {"give": configured["takeover"], "prove": configured["takeover"]}
+    return DEFAULT_TIMEOUTS | timeouts
--- a/indigohitch/upgrade/predecessor_driver.py
+++ b/indigohitch/upgrade/predecessor_driver.py
@@ -90,7 +90,7 @@
 
     def on_message(self, word: messages.Message, descriptors: list[int]) -> None:
         if isinstance(word, messages.ConnectionsAdopted):
-            self.passing.adopted(word.numbers)
+            self.passing.confirm(word.numbers)
             return
         if isinstance(word, messages.StateProven):
             self.theirs = word.orders
@@ -171,16 +171,16 @@
         self.figures.stopped = self.loop.clock.now()
         self.side.set_accepting(False)
         try:
-            self.passing.own(self.side.take_idle_connections())
-            self.figures.add(passed=len(self.passing.out))
-            self.passing.all()
+            self.passing.add(self.side.take_idle_connections())
+            self.figures.add(passed=len(self.passing.unconfirmed))
+            self.passing.send_all()
             self.send(messages.CommitHandover(self.side.late_events(), self.reload))
         except OSError as bad:  # whatever this process lacks now, it can take back
             self.step("refused", f"nothing could be passed: {bad}")
 
     def do_release(self) -> None:
         """All that was passed before the word is the new one's; it said so before it said that it accepts."""
-        self.passing.adopted(list(self.passing.out))
+        self.passing.confirm(list(self.passing.unconfirmed))
         self.figures.accepting_again(self.loop.clock.now())
 
     def do_drain(self) -> None:
@@ -191,20 +191,20 @@
         # What was passed to a new one that was told to end has nobody any more.
         self.poll(
             Phase.DRAINING,
-            lambda: self.side.is_drained() and (self.machine.left or not self.passing.out),
+            lambda: self.side.is_drained() and (self.machine.left or not self.passing.unconfirmed),
             "drained",
         )
 
     def pass_on(self, connection: PassedConnection) -> bool:
         """One that came free while we drain; False: the new process can't be reached."""
         reached = self.channel is not None and self.machine.phase is Phase.DRAINING
-        if not reached or not self.passing.one(connection):
+        if not reached or not self.passing.send_single(connection):
             return False
         self.log.count("connections_passed_late")
         return True
 
     def do_reclaim(self) -> None:
-        passed = self.passing.back()
+        passed = self.passing.take_back()
         self.log.warning("upgrade_taken_back", why=self.machine.result, connections=len(passed))
         self.side.settle(False)
         self.side.set_accepting(True)
--- a/indigohitch/upgrade/state_transfer.py
+++ b/indigohitch/upgrade/state_transfer.py
@@ -1,4 +1,4 @@
-"""The old process' state on its way to the new one."""
+"""Sends the old process' listeners and state to the new process."""
 
 from __future__ import annotations
 
@@ -7,18 +7,22 @@
 
 from . import messages
 
-PIECE = 1 << 16  # of the state: a frame that a socket's buffer takes in one go
+CHUNK_BYTES = 1 << 16  # of the state: a frame that a socket's buffer takes in one write
 
 
 def send_state(
-    say: Callable[..., None],
+    send: Callable[..., None],
     listeners: Mapping[str, socket.socket],
     state: bytes,
     now: int,
     rehearse_at: int,
 ) -> None:
-    """The listeners by name, then the state in pieces; what modules order at `rehearse_at` is compared."""
+    """Sends the listeners by name, then the state in chunks.
+
+    `now` and `rehearse_at` are ticks; both processes compute their orders as of `rehearse_at` and the
+    results are compared.
+    """
     descriptors = [sock.fileno() for sock in listeners.values()]
-    say(messages.Listeners(list(listeners), now, len(state), rehearse_at), descriptors)
-    for at in range(0, len(state), PIECE):
-        say(messages.StateChunk(state[at : at + PIECE]))
+    send(messages.Listeners(list(listeners), now, len(state), rehearse_at), descriptors)
+    for offset in range(0, len(state), CHUNK_BYTES):
+        send(messages.StateChunk(state[offset : offset + CHUNK_BYTES]))
--- a/indigohitch/upgrade/urgent_work.py
+++ b/indigohitch/upgrade/urgent_work.py
@@ -1,4 +1,4 @@
-"""An upgrade must not hold up what has a time limit: the old process looks for that while it stands still."""
+"""Calls an upgrade off that delays work with a time limit while the old process is frozen."""
 
 from __future__ import annotations
 
@@ -9,30 +9,38 @@
 
 
 class UrgentWorkMonitor:
-    LOOK = SECOND // 20
+    """Polls for urgent work while the process is frozen and refuses the upgrade when it waits too long."""
+
+    POLL_INTERVAL = SECOND // 20
     # A third of the shortest grace of a drain that we know: an upgrade that goes well takes a tenth of that.
-    LONGEST = SECOND
+    MAX_WAIT = SECOND
 
     def __init__(
-        self, loop: EventLoop, waits: Callable[[], bool | None], step: Callable[[str, str], None]
+        self, loop: EventLoop, has_urgent_work: Callable[[], bool | None], step: Callable[[str, str], None]
     ) -> None:
-        """`waits`: something with a time limit does, None: the process stands still no more; `step(event,
-        why)`: of the upgrade's machine, which calls it off.  Another may be asked for."""
-        self.loop, self.waits, self.step = loop, waits, step
-        self.since = 0  # when it began to wait, 0: nothing does
+        """Takes the probe and the state machine's input.
 
-    def begin(self) -> None:
-        """The process stands still from here on."""
-        self.since = 0
-        self.look()
+        `has_urgent_work` returns whether work with a time limit waits, or None once the process is not
+        frozen any more.  `step(event, why)` is given the event that calls the upgrade off.
+        """
+        self.loop = loop
+        self.has_urgent_work = has_urgent_work
+        self.step = step
+        self.waiting_since = 0  # ticks; 0: no urgent work waits
 
-    def look(self) -> None:
-        waits = self.waits()
-        if waits is None:
+    def begin(self) -> None:
+        """Starts to poll: the process is frozen from here on."""
+        self.waiting_since = 0
+        self.poll()
+
+    def poll(self) -> None:
+        """Probes once, then either refuses the upgrade or schedules the next probe."""
+        urgent = self.has_urgent_work()
+        if urgent is None:
             return
         now = self.loop.clock.now()
-        self.since = (self.since or now) if waits else 0
-        if self.since and now - self.since >= self.LONGEST:
+        self.waiting_since = (self.waiting_since or now) if urgent else 0
+        if self.waiting_since and now - self.waiting_since >= self.MAX_WAIT:
             self.step("refused", "orders with a time limit waited for it")
         else:
-            self.loop.call_after(self.LOOK, self.look)
+            self.loop.call_after(self.POLL_INTERVAL, self.poll)
