--- a/tests/test_upgrade_channel.py
+++ b/tests/test_upgrade_channel.py
@@ -90,7 +90,7 @@
     elif harm == "form":
         body = msgspec.msgpack.encode(["x"])
         frame = (
-            frames._HEAD.pack(
+            frames._HEADER.pack(
                 messages.MESSAGE_TYPES.magic,
                 1,
                 0,
