--- a/indigohitch/upgrade/channel.py
+++ b/indigohitch/upgrade/channel.py
@@ -1,4 +1,4 @@
-"""The channel between the two processes: a Unix socket that carries words and descriptors, in the loop."""
+"""The channel between the two processes: a Unix socket that carries messages and descriptors, in the loop."""
 
 from __future__ import annotations
 
@@ -16,31 +16,48 @@
 
 
 class Channel:
-    MAX_DESCRIPTORS = 64  # a frame: the kernel takes 253
-    RETRY_DELAY = SECOND // 200  # when too many descriptors are on their way: the reader takes them in a turn
+    """Sends and receives messages with descriptors over a non-blocking stream socket."""
+
+    MAX_DESCRIPTORS = 64  # in one frame: the kernel takes 253
+    # When too many descriptors are in flight: the reader takes them in one turn of its loop.
+    RETRY_DELAY = SECOND // 200
+    READ_BYTES = 1 << 18
+    DESCRIPTOR_BYTES = 4  # a C int in the ancillary data
 
     def __init__(
         self,
         loop: EventLoop,
         sock: socket.socket,
-        heard: Callable[[Message, list[int]], None],
+        on_message: Callable[[Message, list[int]], None],
         ended: Callable[[str, bool], None],
     ) -> None:
-        """`ended(why, broken)` once: at the end of the channel, or as soon as what comes can't be read."""
-        self.loop, self.sock, self.on_message, self.ended = loop, sock, heard, ended
+        """Watches the socket, which belongs to the channel from here on.
+
+        `on_message(message, descriptors)` is called for each message.  `ended(why, broken)` is called once:
+        at the end of the channel (`broken` is False), or when the input can't be decoded (True).
+        """
+        self.loop = loop
+        self.sock = sock
+        self.on_message = on_message
+        self.ended = ended
         sock.setblocking(False)
         self.frames = FrameDecoder(MESSAGE_TYPES)
-        self.arrived: deque[int] = deque()  # descriptors not given to a word yet
-        self.out: deque[tuple[memoryview, list[int]]] = deque()
-        self.open, self._mask, self._waiting = True, READ, False
+        self.arrived: deque[int] = deque()  # descriptors whose message has not been decoded yet
+        self.out: deque[tuple[memoryview, list[int]]] = deque()  # frames that are not sent wholly yet
+        self.open = True
         self.ending = False
+        self._mask = READ
+        self._retry_scheduled = False
         self.number = loop.watch(sock, self, READ)
 
-    def send(self, word: Message, descriptors: Sequence[int] = ()) -> None:
-        """The descriptors have to stay open until the other side has said that it has them: they may wait
-        here, and a copy of each could be more than this process may hold."""
+    def send(self, message: Message, descriptors: Sequence[int] = ()) -> None:
+        """Sends a message, or queues what the socket does not take; does nothing on a closed channel.
+
+        The descriptors have to stay open until the other process has confirmed them: they may wait in the
+        queue, and duplicates could exceed the number that this process may hold.
+        """
         if self.open:
-            self.out.append((memoryview(frame(word, len(descriptors))), list(descriptors)))
+            self.out.append((memoryview(frame(message, len(descriptors))), list(descriptors)))
             self._flush()
 
     def _flush(self) -> None:
@@ -55,27 +72,27 @@
                 if sent == len(data):
                     self.out.popleft()
                 else:
-                    self.out[0] = data[sent:], []  # they went with the first byte
+                    self.out[0] = data[sent:], []  # the descriptors went with the first byte
         except BlockingIOError:
             pass
         except OSError as failed:
             if failed.errno == errno.ETOOMANYREFS:
-                if not self._waiting:
-                    self._waiting = True
-                    self.loop.call_after(self.RETRY_DELAY, self._again)
+                if not self._retry_scheduled:
+                    self._retry_scheduled = True
+                    self.loop.call_after(self.RETRY_DELAY, self._retry)
                 return
             why = f"write: {failed.strerror}"
-            self.loop.call_after(0, lambda: self._lost(why))
+            self.loop.call_after(0, lambda: self._write_failed(why))
             return
         self._watch(READ | WRITE if self.out else READ)
 
-    def _again(self) -> None:
-        self._waiting = False
+    def _retry(self) -> None:
+        self._retry_scheduled = False
         if self.open:
             self._flush()
 
-    def _lost(self, why: str) -> None:
-        self.read()  # who refuses says why, and ends while we still write
+    def _write_failed(self, why: str) -> None:
+        self.read()  # a refusal with its reason may have come before the process ended
         self.end(why, False)
 
     def _watch(self, mask: int) -> None:
@@ -84,49 +101,59 @@
             self._mask = mask
 
     def ready(self, readable: bool, writable: bool) -> None:
+        """Called by the loop when the socket can be read or written."""
         if readable:
             self.read()
         if writable and self.open:
             self._flush()
 
     def read(self) -> None:
-        """All that has come."""
-        room = socket.CMSG_SPACE(self.MAX_DESCRIPTORS * 4)
+        """Receives and delivers all that the socket holds."""
+        ancillary_bytes = socket.CMSG_SPACE(self.MAX_DESCRIPTORS * self.DESCRIPTOR_BYTES)
         while self.open and not self.ending:
             try:
-                data, ancillary, flags, _ = self.sock.recvmsg(1 << 18, room, socket.MSG_CMSG_CLOEXEC)
+                data, ancillary, flags, _ = self.sock.recvmsg(
+                    self.READ_BYTES, ancillary_bytes, socket.MSG_CMSG_CLOEXEC
+                )
             except BlockingIOError:
                 return
             except OSError as failed:
                 self.end(f"read: {failed.strerror}", False)
                 return
-            for level, kind, packed in ancillary:
-                if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
-                    found = array.array("i")
-                    found.frombytes(packed[: len(packed) - len(packed) % found.itemsize])
-                    self.arrived.extend(found)
+            self._collect_descriptors(ancillary)
             if flags & socket.MSG_CTRUNC:
-                # No room for a descriptor in this process: the kernel has closed it.
+                # This process may hold no more descriptors: the kernel has closed the rest.
                 self.end("descriptors ran out", True)
                 return
             if not data:
                 self.end("cut inside a message" if self.frames.rest else "", bool(self.frames.rest))
                 return
             try:
-                for word, count in self.frames.feed(data):
-                    if count > len(self.arrived):
-                        raise BrokenFrameError(
-                            f"{type(word).__name__} lacks {count - len(self.arrived)} descriptors"
-                        )
-                    self.on_message(word, [self.arrived.popleft() for _ in range(count)])
-                    if not self.open:
-                        return
+                self._deliver(data)
             except BrokenFrameError as bad:
                 self.end(str(bad), True)
                 return
 
+    def _collect_descriptors(self, ancillary: list[tuple[int, int, bytes]]) -> None:
+        for level, kind, packed in ancillary:
+            if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
+                found = array.array("i")
+                found.frombytes(packed[: len(packed) - len(packed) % found.itemsize])
+                self.arrived.extend(found)
+
+    def _deliver(self, data: bytes) -> None:
+        """Delivers the messages that `data` completes; raises BrokenFrameError."""
+        for message, count in self.frames.feed(data):
+            if count > len(self.arrived):
+                raise BrokenFrameError(
+                    f"{type(message).__name__} lacks {count - len(self.arrived)} descriptors"
+                )
+            self.on_message(message, [self.arrived.popleft() for _ in range(count)])
+            if not self.open:
+                return
+
     def end(self, why: str, broken: bool) -> None:
-        """Where what came can't be read, there may be last words to say."""
+        """Reports the end once, then closes; a broken channel can be written to while it is reported."""
         if not self.open or self.ending:
             return
         self.ending = True
@@ -135,13 +162,14 @@
         self.ended(why, broken)
         self.close()
 
-    def flush_hard(self, most: int = SECOND // 5) -> None:
-        """Last words before this process ends: wait for them to be taken, a moment at most."""
-        until = self.loop.clock.now() + most
-        while self.open and self.out and self.loop.clock.now() < until:
+    def flush_hard(self, timeout: int = SECOND // 5) -> None:
+        """Blocks until the queue is sent or `timeout` ticks have passed: for the last messages."""
+        deadline = self.loop.clock.now() + timeout
+        while self.open and self.out and self.loop.clock.now() < deadline:
             self._flush()
 
     def close(self) -> None:
+        """Closes the socket and the descriptors that were not delivered; closing twice is allowed."""
         if not self.open:
             return
         self.open = False
--- a/indigohitch/upgrade/process_launch.py
+++ b/indigohitch/upgrade/process_launch.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 import os
 import signal
 import socket
@@ -12,36 +13,42 @@
 from ..net.connection import READ
 from ..net.loop import EventLoop
 
-VARIABLE = "INDIGOHITCH_CHANNEL"  # tells the new process its end of the channel and our pid
+VARIABLE = "INDIGOHITCH_CHANNEL"  # holds the new process' channel descriptor and our pid, as `fd:pid`
 
 
 def command(program: Sequence[str]) -> list[str]:
-    """What to start: the operator's words, else this process' own, with its interpreter."""
+    """Returns the command to start: the configured one, else this process' own with its interpreter."""
     return list(program) or [sys.executable, *sys.orig_argv[1:]]
 
 
 class ProcessWatch:
-    """Another process' death, heard in the loop; it need not be a child."""
+    """Reports the death of another process, which need not be a child, in the event loop."""
 
     def __init__(self, loop: EventLoop, pid: int, died: Callable[[], None]) -> None:
-        """Raises OSError, ProcessLookupError where it is dead already."""
-        self.loop, self.died = loop, died
+        """Opens the pidfd and watches it.
+
+        Raises:
+            ProcessLookupError: the process is dead already.
+            OSError: the pidfd can't be opened.
+        """
+        self.loop = loop
+        self.died = died
         self.fd = os.pidfd_open(pid)
         self.number = loop.watch(self.fd, self, READ)
 
     def ready(self, readable: bool, writable: bool) -> None:
+        """Called by the loop once the process is dead: closes the watch and reports it."""
         self.close()
         self.died()
 
-    def kill(self, number: int = signal.SIGKILL) -> None:
-        """Through the pidfd: never another process that got the same pid."""
+    def kill(self, signal_number: int = signal.SIGKILL) -> None:
+        """Sends a signal through the pidfd: it never reaches another process that got the same pid."""
         if self.fd >= 0:
-            try:
-                signal.pidfd_send_signal(self.fd, number)
-            except ProcessLookupError:
-                pass
+            with contextlib.suppress(ProcessLookupError):
+                signal.pidfd_send_signal(self.fd, signal_number)
 
     def close(self) -> None:
+        """Stops the watch; closing twice is allowed."""
         if self.fd >= 0:
             self.loop.forget(self.fd, self.number)
             os.close(self.fd)
@@ -49,20 +56,28 @@
 
 
 class StartedProcess:
-    """A new program, with the other end of its channel."""
+    """The new program's process, and this process' end of the channel to it."""
 
     def __init__(
         self, loop: EventLoop, program: Sequence[str], died: Callable[[StartedProcess, str], None]
     ) -> None:
-        """Raises OSError where it can't be started."""
+        """Starts the program.
+
+        Raises:
+            OSError: it can't be started.
+        """
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
-        told = {VARIABLE: f"{theirs.fileno()}:{os.getpid()}"}
+        channel_setting = {VARIABLE: f"{theirs.fileno()}:{os.getpid()}"}
         try:
             # Its log goes where ours goes.
             self.process = subprocess.Popen(
-                command(program), stdin=subprocess.DEVNULL, env=os.environ | told, pass_fds=[theirs.fileno()]
+                command(program),
+                stdin=subprocess.DEVNULL,
+                env=os.environ | channel_setting,
+                pass_fds=[theirs.fileno()],
             )
-            self.pid, self._died = self.process.pid, died
+            self.pid = self.process.pid
+            self._died = died
             self.watch = ProcessWatch(loop, self.pid, self._ended)
         except BaseException:
             ours.close()
@@ -78,17 +93,21 @@
         self._died(self, f"the new process ended with {code}")
 
     def kill(self) -> None:
+        """Kills the process; its death is reported through `died`."""
         self.watch.kill()
 
     def reap(self) -> None:
-        """It lives on without us, or is dead."""
+        """Stops watching the process, which lives on or is dead, and collects its exit code if it has one."""
         self.watch.close()
         self.process.poll()
-        self.process.returncode = self.process.returncode or 0  # no word of a child that still runs
+        self.process.returncode = self.process.returncode or 0  # Popen warns of a child that still runs
 
 
 def inherited_channel() -> tuple[socket.socket, int] | None:
-    """The new process' end of the channel and the old process' pid, if it was started for an upgrade."""
+    """Returns this process' end of the channel and the old process' pid if it was started for an upgrade.
+
+    The environment variable is removed, so that children do not inherit it.
+    """
     text = os.environ.pop(VARIABLE, "")
     if not text:
         return None
