--- a/indigohitch/backend_subscription/instances.py
+++ b/indigohitch/backend_subscription/instances.py
@@ -22,7 +22,7 @@
 class Instance:
     """`address`: host:port, as discovery tells it."""
 
-    listed: face.BackendEntry
+    entry: face.BackendEntry
     address: str
 
 
@@ -30,7 +30,7 @@
 class ListUpdate:
     """For the module, with the addresses of all that are named in it."""
 
-    news: face.BackendList
+    backend_list: face.BackendList
     addresses: dict[BackendId, str]
 
 
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self.services: dict[str, dict[BackendId, Instance]] = {}
         self.bodies: dict[str, dict[BackendId, bytes]] = {}  # by service, as they were read last
-        self.told: dict[BackendId, Instance] = {}
+        self.reported: dict[BackendId, Instance] = {}
 
     def update(self, service: str, bodies: Mapping[str, bytes]) -> list[InvalidInstanceError]:
         """The service holds these resources now; without any it is no more in the scope."""
@@ -79,45 +79,45 @@
             self.services[service], self.bodies[service] = held, named
         return unreadable
 
-    def wanted(self) -> dict[BackendId, Instance]:
+    def current_instances(self) -> dict[BackendId, Instance]:
         """All backends named; those told as gone are not."""
         found: dict[BackendId, Instance] = {}
         for service in sorted(self.services):
             for backend, instance in self.services[service].items():
                 found.setdefault(backend, instance)
-        return {id: instance for id, instance in found.items() if instance.listed.state != "gone"}
+        return {id: instance for id, instance in found.items() if instance.entry.state != "gone"}
 
-    def whole(self, version: int) -> ListUpdate | None:
+    def full_list(self, version: int) -> ListUpdate | None:
         """As a list that is complete; None where it would be empty."""
-        self.told = wanted = self.wanted() or self.told
+        self.reported = wanted = self.current_instances() or self.reported
         if not wanted:
             return None
         return ListUpdate(face.BackendList("full", version, entries_of(wanted)), addresses_of(wanted))
 
-    def changes(self, version: int) -> ListUpdate | None:
+    def list_changes(self, version: int) -> ListUpdate | None:
         """Since what was told; None: nothing, or all are gone."""
-        wanted = self.wanted()
-        changed = {id: instance for id, instance in wanted.items() if self.told.get(id) != instance}
+        wanted = self.current_instances()
+        changed = {id: instance for id, instance in wanted.items() if self.reported.get(id) != instance}
         gone = {
-            id: replace(instance, listed=replace(instance.listed, state="gone"))
-            for id, instance in self.told.items()
+            id: replace(instance, entry=replace(instance.entry, state="gone"))
+            for id, instance in self.reported.items()
             if id not in wanted
         }
         if not wanted or not (changed or gone):
             return None
-        self.told = wanted
+        self.reported = wanted
         differing = changed | gone
         return ListUpdate(
             face.BackendList("changes", version, entries_of(differing)), addresses_of(differing)
         )
 
     @property
-    def empty(self) -> bool:
-        return not self.wanted()
+    def is_empty(self) -> bool:
+        return not self.current_instances()
 
 
 def entries_of(instances: Mapping[BackendId, Instance]) -> tuple[face.BackendEntry, ...]:
-    return tuple(instance.listed for instance in instances.values())
+    return tuple(instance.entry for instance in instances.values())
 
 
 def addresses_of(instances: Mapping[BackendId, Instance]) -> dict[BackendId, str]:
--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -17,37 +17,41 @@
     """`resources(service)`: what the subscription holds of it."""
 
     def __init__(self, log: Log, resources: Resources, tell: ListCallback) -> None:
-        self.log, self.resources, self.tell = log, resources, tell
+        self.log, self.resources, self.on_list = log, resources, tell
         self.instances = Instances()
         self.version = 0  # the ledger's entry at which the content held stands
         self.watching = False
-        self.held = False  # the first content has come: before that nothing is known
-        self.begun = False  # a complete list was told
+        self.has_content = False  # the first content has come: before that nothing is known
+        self.has_sent_full_list = False  # a complete list was told
 
     # ---- from the subscription ---------------------------------------------------------------------
 
-    def applied(self, version: int, scope: Collection[str]) -> None:
+    def on_update(self, version: int, scope: Collection[str]) -> None:
         """The content of the services in `scope` is another.  All of them are looked at: a subscription that
         began anew, as after an upgrade that failed, does not tell what left while it was away."""
-        self.version, self.held = version, True
+        self.version, self.has_content = version, True
         for service in sorted({*scope, *self.instances.services}):
             bodies = self.resources(service) if service in scope else {}
             for unreadable in self.instances.update(service, bodies):
                 self.warning("backend_unreadable", unreadable)
-        if self.instances.empty:
+        if self.instances.is_empty:
             self.warning("no_backends", NoInstancesError("no service names a backend"))
         if self.watching:
-            self.tell_news()
+            self.send_update()
 
-    def tell_news(self) -> None:
-        news = self.instances.changes(self.version) if self.begun else self.instances.whole(self.version)
-        self.pass_on(news)
+    def send_update(self) -> None:
+        news = (
+            self.instances.list_changes(self.version)
+            if self.has_sent_full_list
+            else self.instances.full_list(self.version)
+        )
+        self.send_list(news)
 
-    def pass_on(self, told: ListUpdate | None) -> None:
+    def send_list(self, told: ListUpdate | None) -> None:
         if told is not None:
-            self.begun = True
+            self.has_sent_full_list = True
             self.log.count("subscription_lists")
-            self.tell(told.news, told.addresses)
+            self.on_list(told.backend_list, told.addresses)
 
     def warning(self, event: str, trouble: DirectorError) -> None:
         self.log.warning(event, **trouble.fields())
@@ -61,8 +65,8 @@
             self.fetch()
 
     def fetch(self) -> None:
-        if self.held:
-            self.pass_on(self.instances.whole(self.version))
+        if self.has_content:
+            self.send_list(self.instances.full_list(self.version))
 
     def move(self, to: tuple[str, int]) -> bool:
         """Discovery's address means nothing here."""
@@ -70,7 +74,7 @@
 
     def restore(self, version: int) -> None:
         """As another process held it: its module hears the whole list with the first content here."""
-        self.version, self.begun = version, False
+        self.version, self.has_sent_full_list = version, False
 
     def close(self) -> None:
         self.watching = False
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -47,7 +47,7 @@
         from .backend_subscription.source import SubscribedBackends
 
         source = SubscribedBackends(self.log, self.beside.resources, tell)
-        self.beside.heard = source.applied
+        self.beside.heard = source.on_update
         return source
 
     def make(self, listening: socket.socket | None) -> Front:
@@ -67,8 +67,8 @@
 
     def turn(self) -> None:
         if self.side.front is not None:
-            gathering = self.side.front.gathering
-            gathering.turn()
+            gathering = self.side.front.event_batch
+            gathering.flush_if_due()
             self.decided = self.phase is ProcessPhase.ENDING and (self.decided or not gathering.events)
 
     def without_state(self) -> None:
--- a/indigohitch/platform_protocol/backend_start_times.py
+++ b/indigohitch/platform_protocol/backend_start_times.py
@@ -16,47 +16,51 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendStart:
-    told: int  # by the wall clock
-    at: int  # by ours
+    reported_at: int  # by the wall clock
+    started_at: int  # by ours
 
 
 class BackendStartTimes:
     # A list may tell of a start so much later: discovery counts as having told after 6 s, a call may wait.
-    LATE = 10 * SECOND
-    KEPT = 256  # of backends that are gone, as many as the module keeps
+    MAX_REPORT_DELAY = 10 * SECOND
+    MAX_REMOVED = 256  # of backends that are gone, as many as the module keeps
 
     def __init__(self) -> None:
-        self.known: dict[str, BackendStart] = {}
-        self.heard = 0  # when a list of discovery's came last, 0: none has
+        self.starts_by_backend: dict[str, BackendStart] = {}
+        self.last_list_at = 0  # when a list of discovery's came last, 0: none has
 
-    def carried_over(self, news: face.BackendList, now: int, wall: int) -> face.BackendList:
+    def to_local_clock(self, news: face.BackendList, now: int, wall: int) -> face.BackendList:
         """The same list with starts by our clock; `now` by it, `wall` by the wall's, as the list comes."""
         if news.scope == "failed":
             return news
         entries = tuple(replace(entry, started_at=self._start(entry, now, wall)) for entry in news.entries)
         if news.scope != "remembered":
-            self.heard = now
-        self._forget_some(news)
+            self.last_list_at = now
+        self._forget_removed(news)
         return replace(news, entries=entries)
 
     def _start(self, entry: face.BackendEntry, now: int, wall: int) -> int:
         if not entry.started_at:
             return 0  # long ago
-        known = self.known.pop(entry.backend, None)
-        if known is None or known.told != entry.started_at:
-            known = BackendStart(entry.started_at, self._placed(entry.started_at, known, now, wall))
-        self.known[entry.backend] = known  # the last that was heard of
-        return known.at
+        known = self.starts_by_backend.pop(entry.backend, None)
+        if known is None or known.reported_at != entry.started_at:
+            known = BackendStart(entry.started_at, self._local_start(entry.started_at, known, now, wall))
+        self.starts_by_backend[entry.backend] = known  # the last that was heard of
+        return known.started_at
 
-    def _placed(self, told: int, before: BackendStart | None, now: int, wall: int) -> int:
+    def _local_start(self, told: int, before: BackendStart | None, now: int, wall: int) -> int:
         at = now - (wall - told)
-        earliest = self.heard - self.LATE if self.heard else 0
+        earliest = self.last_list_at - self.MAX_REPORT_DELAY if self.last_list_at else 0
         if before is not None:
-            earliest = max(earliest, before.at + 1)
+            earliest = max(earliest, before.started_at + 1)
         return at if earliest <= at <= now else now
 
-    def _forget_some(self, news: face.BackendList) -> None:
+    def _forget_removed(self, news: face.BackendList) -> None:
         listed = {entry.backend for entry in news.entries if entry.state != "gone"}
-        gone = [backend for backend in self.known if backend not in listed] if news.scope == "full" else []
-        for backend in gone[: -self.KEPT]:
-            del self.known[backend]
+        gone = (
+            [backend for backend in self.starts_by_backend if backend not in listed]
+            if news.scope == "full"
+            else []
+        )
+        for backend in gone[: -self.MAX_REMOVED]:
+            del self.starts_by_backend[backend]
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -34,8 +34,8 @@
 
 
 class Front:
-    GONE = 256  # ids off the list that may still be named, as many as the module keeps
-    ANEW = SECOND // 2  # until a new module is told all: what broke the last one may still be there
+    MAX_REMOVED_IDS = 256  # ids off the list that may still be named, as many as the module keeps
+    RESTART_DELAY = SECOND // 2  # until a new module is told all: what broke the last one may still be there
 
     def __init__(
         self,
@@ -48,46 +48,48 @@
         """Of the configuration `found`, ValueError and KeyError tell what can't be read; of the address
         to listen on, OSError.  `source`: of the backends, where that is not discovery."""
         self.loop, self.log = loop, log
-        self.found = found
-        self.seed, limits, self.boot, columns, known, self.addresses, store, discovery = self._read(found)
-        loop.pool = BufferPool(limits.calls_pool)
-        self.starts = BackendStartTimes()
-        known = self.starts.carried_over(known, loop.clock.now(), loop.clock.wall())
-        self.listed = {entry.backend: entry for entry in known.entries}
-        self.heard_of = dict.fromkeys(self.listed)  # oldest first: reports on those gone come late
-        self.gathering = EventBatch(loop, self.boot.get("batch_gap", 0), self.handle)
-        self.hear = self.gathering.add
-        self.hear(known)
-        self.coordinator, self.anew = Coordinator(self.seed, self.boot), False
+        self.configuration = found
+        self.seed, limits, self.settings, columns, known, self.addresses, store, discovery = self._read(found)
+        loop.pool = BufferPool(limits.outbound_pool_bytes)
+        self.start_times = BackendStartTimes()
+        known = self.start_times.to_local_clock(known, loop.clock.now(), loop.clock.wall())
+        self.entries = {entry.backend: entry for entry in known.entries}
+        self.known_backend_ids = dict.fromkeys(self.entries)  # oldest first: reports on those gone come late
+        self.event_batch = EventBatch(loop, self.settings.get("batch_gap", 0), self.handle)
+        self.add_events = self.event_batch.add
+        self.add_events(known)
+        self.coordinator, self.restart_pending = Coordinator(self.seed, self.settings), False
         self.discovery: BackendSource = (
-            source(self.hear_list)
+            source(self.on_backend_list)
             if source is not None
-            else Discovery(loop, log, discovery, known.version, self.hear_list)
+            else Discovery(loop, log, discovery, known.version, self.on_backend_list)
         )
-        self.probes = HealthProbes(loop, log, bool(columns), limits.probes, self.hear)
+        self.probes = HealthProbes(loop, log, bool(columns), limits.probes, self.add_events)
         self.relay = Relay(
             loop,
             log,
             store,
-            [method.name for method in self.boot["methods"]],
-            self.boot.get("messages_most", 0),
-            self.boot.get("counted_over", 0),
+            [method.name for method in self.settings["methods"]],
+            self.settings.get("messages_most", 0),
+            self.settings.get("counted_over", 0),
             ChannelBacklog(
-                self._figure("queue_cap") * MAX_PENDING_SHARE,
-                self._figure("lines_per_s") * UNACKNOWLEDGED_DRAIN_SHARE,
-                self._figure("envelope"),
+                self._numeric_setting("queue_cap") * MAX_PENDING_SHARE,
+                self._numeric_setting("lines_per_s") * UNACKNOWLEDGED_DRAIN_SHARE,
+                self._numeric_setting("envelope"),
                 lambda: self.store_mirror.proxies,
             ),
         )
-        self.store_mirror = StoreMirror(loop, log, self.hear_news, self.relay.pending, self._order_more)
-        self.relay.stands, self.relay.dropped = self._stand, self.store_mirror.dropped
+        self.store_mirror = StoreMirror(
+            loop, log, self.on_relay_events, self.relay.pending, self._order_repairs
+        )
+        self.relay.stands, self.relay.dropped = self._on_orders_applied, self.store_mirror.dropped
         self.drain_monitor = DrainMonitor(
             loop,
             log,
-            self._figure("drain_grace"),
+            self._numeric_setting("drain_grace"),
             lambda: self.store_mirror.stood,
             lambda: len(self.relay.waiting),
-            not self.boot.get("dropped_stay_open"),
+            not self.settings.get("dropped_stay_open"),
         )
         self.store_mirror.given, self.store_mirror.broken_off = (
             self.drain_monitor.slice_given,
@@ -96,21 +98,21 @@
         self.relay.failing = self.drain_monitor.relay_failed
         self.relay.guard.begun = lambda: self.store_mirror.begun or bool(self.store_mirror.stood)
         self.relay.guard.too_late = self.drain_monitor.grace_over
-        self.news = RelayWatch(loop, log, store, self.store_mirror)
+        self.relay_watch = RelayWatch(loop, log, store, self.store_mirror)
         self.relay.first.stood = lambda: self.store_mirror.stood
         self.relay.outbox.urgent = lambda orders: urgent_tables(
             self.coordinator, orders, self.store_mirror.stood
         )
-        self.relay.doubted = self.news.anew
-        zones, slices = self.boot.get("zones"), self.boot.get("slices")
-        self.known = KnownNames(
+        self.relay.doubted = self.relay_watch.restart
+        zones, slices = self.settings.get("zones"), self.settings.get("slices")
+        self.known_names = KnownNames(
             frozenset(zones if zones is not None else (e.zone for e in known.entries)),
-            frozenset(method.name for method in self.boot["methods"]),
+            frozenset(method.name for method in self.settings["methods"]),
             slices if slices else face.ALL_TABLES,
-            self.heard_of,
+            self.known_backend_ids,
         )
-        self.collectors = InboundConnections(
-            loop, log, self.hear, parse_address(found["listen"]), limits, self.known, listening
+        self.inbound = InboundConnections(
+            loop, log, self.add_events, parse_address(found["listen"]), limits, self.known_names, listening
         )
 
     @staticmethod
@@ -121,7 +123,7 @@
         known, addresses = parse_backend_list(found["known"], remembered=True)
         return (
             int(str(found["seed"]), 16),
-            ResourceLimits.of(found["limits"]),
+            ResourceLimits.from_config(found["limits"]),
             boot,
             columns,
             known,
@@ -130,24 +132,24 @@
             parse_address(found["discovery"]),
         )
 
-    def _figure(self, name: str) -> float:
+    def _numeric_setting(self, name: str) -> float:
         """Of the settings; what is no number bounds nothing here, and breaks the module's turns."""
-        value = self.boot.get(name, 0)
+        value = self.settings.get(name, 0)
         return value if isinstance(value, (int, float)) else 0
 
     def start(self) -> None:
-        self.news.open()
+        self.relay_watch.open()
 
     def reload(self, found: dict) -> None:
         """Go over to a new configuration: discovery, the relay's calls and its news move to the addresses in
         it.  All else stays as it is; what differs there is logged by name, as it takes a restart."""
         *_, store, discovery = self._read(found)
-        told = found["settings"], self.found["settings"]
+        told = found["settings"], self.configuration["settings"]
         left = [
             name
-            for name in sorted(found.keys() | self.found.keys())
+            for name in sorted(found.keys() | self.configuration.keys())
             if name not in ("store", "discovery", "settings", "known", "seed")  # new with each start
-            and found.get(name) != self.found.get(name)
+            and found.get(name) != self.configuration.get(name)
         ]
         left += [
             f"settings.{name}"
@@ -156,7 +158,7 @@
         ]
         moved = [
             part.move(to)
-            for part, to in ((self.discovery, discovery), (self.relay, store), (self.news, store))
+            for part, to in ((self.discovery, discovery), (self.relay, store), (self.relay_watch, store))
         ]
         self.log.count("reloads")
         self.log.event("reloaded", moved=any(moved), **({"needs_restart": left} if left else {}))
@@ -169,25 +171,25 @@
         try:
             orders = self.coordinator.handle(now, events)
         except Exception as broken:
-            self._begin_anew(broken)
+            self._restart_module(broken)
         else:
-            self._carry(orders)
+            self.execute_orders(orders)
 
-    def _begin_anew(self, broken: Exception) -> None:
+    def _restart_module(self, broken: Exception) -> None:
         """A defect of the module must not end the service: a new one is told what stands."""
         self.loop.failed(broken)
         self.log.count("decision_module_restarted")
-        self.coordinator = Coordinator(self.seed, self.boot)
-        if not self.anew:
-            self.anew = True
-            self.loop.call_after(self.ANEW, self._tell_all)
+        self.coordinator = Coordinator(self.seed, self.settings)
+        if not self.restart_pending:
+            self.restart_pending = True
+            self.loop.call_after(self.RESTART_DELAY, self.replay_state)
 
-    def _tell_all(self) -> None:
-        self.anew = False
-        self.hear(face.BackendList("remembered", self.discovery.version, tuple(self.listed.values())))
+    def replay_state(self) -> None:
+        self.restart_pending = False
+        self.add_events(face.BackendList("remembered", self.discovery.version, tuple(self.entries.values())))
         self.store_mirror.tell_all()
 
-    def _carry(self, orders: list[face.Order]) -> None:
+    def execute_orders(self, orders: list[face.Order]) -> None:
         call = []
         for order in orders:
             match order:
@@ -200,7 +202,7 @@
                 ):
                     call.append(order)
                 case face.SetTimer(due, tag):
-                    self.loop.call_at(due, lambda tag=tag: self.gathering.add_due(face.TimerFired(tag)))
+                    self.loop.call_at(due, lambda tag=tag: self.event_batch.add_timer(face.TimerFired(tag)))
                 case face.ProbeBackend(backend):
                     self.probes.send(backend, self.addresses.get(backend))
                 case face.WatchBackends(on):
@@ -217,45 +219,45 @@
         else:
             self.relay.reconsider()
 
-    def _order_more(self, orders: list[face.Order]) -> None:
+    def _order_repairs(self, orders: list[face.Order]) -> None:
         """What makes an event true, a slice at a time: many slices are one call."""
         self.relay.order(orders, joins=True)
 
-    def _stand(self, orders: list[face.Order]) -> None:
+    def _on_orders_applied(self, orders: list[face.Order]) -> None:
         self.store_mirror.stands(orders)
         self.drain_monitor.stands(orders)
 
     # ---- news --------------------------------------------------------------------------------------
 
-    def hear_news(self, *events: face.Event) -> None:
+    def on_relay_events(self, *events: face.Event) -> None:
         for event in events:
             match event:
                 case face.UpdateAcknowledged(proxy, mark):
                     self.relay.answered_mark(proxy, mark)
                 case face.ProxyLeft(proxy):
                     self.relay.proxy_left(proxy)
-        self.hear(*events)
+        self.add_events(*events)
 
     # ---- discovery ---------------------------------------------------------------------------------
 
-    def hear_list(self, news: face.BackendList, addresses: dict[str, str]) -> None:
-        news = self.starts.carried_over(news, self.loop.clock.now(), self.loop.clock.wall())
-        log_list(self.log, self.listed, news)
+    def on_backend_list(self, news: face.BackendList, addresses: dict[str, str]) -> None:
+        news = self.start_times.to_local_clock(news, self.loop.clock.now(), self.loop.clock.wall())
+        log_list(self.log, self.entries, news)
         if news.scope == "full":
-            self.listed.clear()
+            self.entries.clear()
             self.addresses = {}
         self.addresses |= addresses
         for entry in news.entries:
-            self.listed[entry.backend] = entry
-            self.heard_of.pop(entry.backend, None)
-            self.heard_of[entry.backend] = None
+            self.entries[entry.backend] = entry
+            self.known_backend_ids.pop(entry.backend, None)
+            self.known_backend_ids[entry.backend] = None
             if entry.state == "gone":  # or the ids of replaced machines would pile up
-                del self.listed[entry.backend], self.addresses[entry.backend]
-        for id in [id for id in self.heard_of if id not in self.listed][: -self.GONE]:
-            del self.heard_of[id]
+                del self.entries[entry.backend], self.addresses[entry.backend]
+        for id in [id for id in self.known_backend_ids if id not in self.entries][: -self.MAX_REMOVED_IDS]:
+            del self.known_backend_ids[id]
         self.drain_monitor.listed(news)
-        self.hear(news)
+        self.add_events(news)
 
     def close(self) -> None:
-        for part in (self.news, self.relay, self.discovery, self.probes, self.collectors):
+        for part in (self.relay_watch, self.relay, self.discovery, self.probes, self.inbound):
             part.close()
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -16,9 +16,9 @@
     relay, holdings = front.relay, front.store_mirror
     return shots.CoordinatorState(
         freeze(front.coordinator),
-        [list(event_codec.pack_entry(entry)) for entry in front.listed.values()],
+        [list(event_codec.pack_entry(entry)) for entry in front.entries.values()],
         front.addresses,
-        list(front.heard_of),
+        list(front.known_backend_ids),
         front.discovery.version,
         front.discovery.watching,
         [[list(event_codec.pack(order)) for order in call] for call in relay.waiting],
@@ -37,20 +37,25 @@
         sorted(holdings.lost),
         [b.id for b in front.coordinator.backends.values() if b.probe_out],
         [list(event_codec.pack(order)) for order in relay.first.maybe],
-        [(backend, start.told, start.at) for backend, start in front.starts.known.items()],
-        front.starts.heard,
+        [
+            (backend, start.reported_at, start.started_at)
+            for backend, start in front.start_times.starts_by_backend.items()
+        ],
+        front.start_times.last_list_at,
     )
 
 
 def restore_front(front: Front, state: shots.CoordinatorState) -> None:
-    front.coordinator = thaw(state.module, front.boot)
-    front.gathering.take()  # the list of the configuration is older than the state
-    front.listed = {entry.backend: entry for entry in map(event_codec.unlisted, state.listed)}
+    front.coordinator = thaw(state.module, front.settings)
+    front.event_batch.take()  # the list of the configuration is older than the state
+    front.entries = {entry.backend: entry for entry in map(event_codec.unlisted, state.listed)}
     front.addresses = dict(state.addresses)
-    front.starts.known = {backend: BackendStart(told, at) for backend, told, at in state.starts}
-    front.starts.heard = state.list_heard
-    front.heard_of.clear()
-    front.heard_of.update(dict.fromkeys(state.heard_of))  # the reader of lines holds the same dict
+    front.start_times.starts_by_backend = {
+        backend: BackendStart(told, at) for backend, told, at in state.starts
+    }
+    front.start_times.last_list_at = state.list_heard
+    front.known_backend_ids.clear()
+    front.known_backend_ids.update(dict.fromkeys(state.heard_of))  # the reader of lines holds the same dict
     front.discovery.restore(state.version)
     relay, holdings = front.relay, front.store_mirror
     relay.held = True
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -52,7 +52,7 @@
 
     def listeners(self) -> dict[str, socket.socket]:
         control = self.controls()
-        callers = {"callers": self.front.collectors.listener.sock}
+        callers = {"callers": self.front.inbound.listener.sock}
         return callers | ({"control": control.sock} if control else {})
 
     def settle(self, on: bool) -> None:
@@ -66,7 +66,7 @@
         return self.front.relay.outbox.any_urgent_waits() or any(
             isinstance(event, face.BackendList)
             and any(entry.state in DEPARTING_STATES for entry in event.entries)
-            for event in self.front.gathering.events
+            for event in self.front.event_batch.events
         )
 
     def freeze(self, taken: Callable[[bytes | None, BaseException | None], None]) -> None:
@@ -75,55 +75,61 @@
         except Exception as broken:
             taken(None, broken)
         else:
-            self.front.gathering.held = True
+            self.front.event_batch.is_paused = True
             taken(state, None)
 
     def snapshot(self) -> shots.Snapshot:
         """What stands in tables, lists and versions the module has been told: else whoever goes on from there
         would take it for told, and never tell it."""
-        gathering = self.front.gathering
-        if self.front.anew:
-            self.front._tell_all()
-        gathering.ready |= bool(gathering.events)
-        gathering.turn()
+        gathering = self.front.event_batch
+        if self.front.restart_pending:
+            self.front.replay_state()
+        gathering.is_due |= bool(gathering.events)
+        gathering.flush_if_due()
         return shots.Snapshot("coordinator", self.front.loop.clock.now(), None, front_state(self.front))
 
     def thaw(self) -> None:
         front, self.passing = self.front, False
-        front.gathering.held = False
+        front.event_batch.is_paused = False
         kept, self.kept = self.kept, []
-        front.gathering.give_back(kept)
+        front.event_batch.restore(kept)
         self.timer_again()
 
     def timer_again(self) -> None:
         if due := self.front.coordinator.timer:
-            self.front._carry([face.SetTimer(due, "beat")])
+            self.front.execute_orders([face.SetTimer(due, "beat")])
 
     def accept(self, on: bool) -> None:
-        self.front.collectors.listener.accept(on)
+        self.front.inbound.listener.accept(on)
         control = self.controls()
         if control:
             control.accept(on)
 
     def rest(self) -> bytes:
-        taken = self.front.gathering.take()
+        taken = self.front.event_batch.take()
         self.kept += taken
         return msgspec.msgpack.encode(event_codec.pack_all(e for e in taken if isinstance(e, HANDED_ON)))
 
     def idle(self) -> list[PassedConnection]:
-        hub = self.front.collectors
-        return [self.take_out(c) for c in [*hub.strangers, *hub.members] if not len(c.outgoing)]
+        hub = self.front.inbound
+        return [self.take_out(c) for c in [*hub.unidentified, *hub.collectors] if not len(c.outgoing)]
 
     def take_out(self, connection: Wire) -> PassedConnection:
         caller = connection.reader
-        self.front.collectors.gone(connection)
+        self.front.inbound.remove(connection)
         kind = orjson.dumps(
-            [caller.zone, caller.began, caller.heard_at, caller.unfinished_since, caller.spoilt]
+            [
+                caller.zone,
+                caller.connected_at,
+                caller.last_line_at,
+                caller.line_started_at,
+                caller.invalid_line_count,
+            ]
         )
         return (kind.decode(), *connection.detach())
 
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
-        self.front.collectors.adopt(sock, rest, *orjson.loads(kind))
+        self.front.inbound.adopt(sock, rest, *orjson.loads(kind))
 
     def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
         self.pass_on, self.passing = pass_on, True
@@ -133,8 +139,8 @@
         for connection in self.idle() if self.passing else ():
             if not self.pass_on(connection):
                 connection[1].close()
-        hub = self.front.collectors
-        return not hub.strangers and not hub.members
+        hub = self.front.inbound
+        return not hub.unidentified and not hub.collectors
 
     def rehearse(self, at: int) -> bytes:
         return event_codec.rehearsal_digest([self.front.coordinator], at)
@@ -155,26 +161,26 @@
         return again
 
     def rehearse_copy(self, state: shots.Snapshot, at: int) -> bytes:
-        return event_codec.rehearsal_digest([thaw(state.coordinator.module, self.front.boot)], at)
+        return event_codec.rehearsal_digest([thaw(state.coordinator.module, self.front.settings)], at)
 
     def take_rest(self, rest: bytes) -> None:
-        self.front.hear(*event_codec.unpack_all(msgspec.msgpack.decode(rest)))
+        self.front.add_events(*event_codec.unpack_all(msgspec.msgpack.decode(rest)))
 
     def fresh(self, listeners: dict[str, socket.socket]) -> None:
         self.given = listeners
         self.front = self.make(listeners.get("callers"))
-        self.front.collectors.listener.accept(False)
+        self.front.inbound.listener.accept(False)
 
     def begin(self, restored: bool) -> None:
         front = self.front
         if "control" in self.given:
             self.control_taken(self.given["control"])
-        front.collectors.listener.accept(True)
+        front.inbound.listener.accept(True)
         front.start()
         if not restored:
             return
         if not front.coordinator.next_beat:  # it broke as the state was taken, and has heard nothing since
-            front._tell_all()
+            front.replay_state()
         self.timer_again()
         if self.state.watching:
             front.discovery.subscribe(True)
--- a/indigohitch/platform_protocol/inbound_connections.py
+++ b/indigohitch/platform_protocol/inbound_connections.py
@@ -20,17 +20,18 @@
 class InboundConnections:
     # Who has not named a zone by then has had its time: it is owed an end within 3 s, and a collector names
     # its zone with its first bytes.
-    STRANGER = SECOND * 3 // 2
+    IDENTIFY_TIMEOUT = SECOND * 3 // 2
     # A collector reports every few seconds while there is traffic.  Silent for so long, its machine may have
     # vanished without a word; one whose line does not go on is stuck, and comes back anew.
-    SILENCE, UNFINISHED = 120 * SECOND, 3 * SECOND
-    SWEEP = SECOND // 5
+    IDLE_TIMEOUT = 120 * SECOND
+    LINE_TIMEOUT = 3 * SECOND
+    SWEEP_INTERVAL = SECOND // 5
     # What is still heard at the end.  Strangers: so many bytes of all together, as many who flood must not
     # delay it, and a pause of the machine must not cost the others their answer.  Collectors: for so long.
-    LAST_BYTES = 50 * InboundConnection.STRANGER_STEP
-    LAST = SECOND // 20
+    FINAL_READ_BYTES = 50 * InboundConnection.UNIDENTIFIED_READ_BYTES
+    FINAL_READ_DURATION = SECOND // 20
     # Connections of a zone: its collector's, the one before that broke in silence, and two to spare.
-    ZONE = 4
+    MAX_PER_ZONE = 4
 
     def __init__(
         self,
@@ -42,42 +43,46 @@
         known: KnownNames,
         listening: socket.socket | None = None,
     ) -> None:
-        self.loop, self.log, self.hear, self.most, self.known = loop, log, hear, limits.callers, known
-        self.pool = BufferPool(limits.callers_pool)
+        self.loop = loop
+        self.log = log
+        self.add_event = hear
+        self.max_connections = limits.inbound_connections
+        self.known_names = known
+        self.pool = BufferPool(limits.inbound_pool_bytes)
         # Oldest first, both.
-        self.strangers: OrderedDict[Connection, None] = OrderedDict()
-        self.members: OrderedDict[Connection, None] = OrderedDict()
+        self.unidentified: OrderedDict[Connection, None] = OrderedDict()
+        self.collectors: OrderedDict[Connection, None] = OrderedDict()
         self.listener = Listener(
-            loop, at, self.greet, lambda why: log.warning("accept_failed", why=why), listening
+            loop, at, self.accept, lambda why: log.warning("accept_failed", why=why), listening
         )
-        self.sweep: Deadline = loop.call_after(self.SWEEP, self.drop_late)
+        self.sweep_timer: Deadline = loop.call_after(self.SWEEP_INTERVAL, self.drop_overdue)
 
-    def greet(self, sock: socket.socket) -> bool:
-        while len(self.strangers) + len(self.members) >= self.most:
+    def accept(self, sock: socket.socket) -> bool:
+        while len(self.unidentified) + len(self.collectors) >= self.max_connections:
             # Strangers may fill the table; one who comes now may be a collector, and so may the oldest, if
             # what it said has not been read yet.
-            oldest = next(iter(self.strangers), None)
+            oldest = next(iter(self.unidentified), None)
             if oldest is None:
-                if (spare := self.spare_member()) is None:
+                if (spare := self.find_spare_collector()) is None:
                     self.log.warning("connection_limit_reached")
                     return False
                 self.drop(spare, "collector_evicted")
                 continue
             oldest.ready(True, False)
-            if oldest in self.strangers:
+            if oldest in self.unidentified:
                 self.drop(oldest, "unidentified_connection_evicted")
         connection = Connection.accepted(
-            self.loop, sock, InboundConnection(self), InboundConnection.STRANGER_LINE, self.pool
+            self.loop, sock, InboundConnection(self), InboundConnection.MAX_UNIDENTIFIED_LINE, self.pool
         )
-        connection.reader.begin(connection)
-        self.strangers[connection] = None
+        connection.reader.apply_limits(connection)
+        self.unidentified[connection] = None
         self.log.count("accepted")
         return True
 
-    def spare_member(self) -> Connection | None:
+    def find_spare_collector(self) -> Connection | None:
         """The oldest of a zone that has another one since: a zone without any must find a place."""
-        last = {c.reader.zone: c for c in self.members}
-        return next((c for c in self.members if last[c.reader.zone] is not c), None)
+        last = {c.reader.zone: c for c in self.collectors}
+        return next((c for c in self.collectors if last[c.reader.zone] is not c), None)
 
     def adopt(
         self,
@@ -91,75 +96,75 @@
     ) -> None:
         """A caller of the process before this one, with what it said that was not read."""
         caller = InboundConnection(self)
-        bound = InboundConnection.STRANGER_LINE + (InboundConnection.MESSAGE if zone else 0)
+        bound = InboundConnection.MAX_UNIDENTIFIED_LINE + (InboundConnection.MAX_LINE if zone else 0)
         connection = Connection.accepted(self.loop, sock, caller, bound, self.pool)
-        (self.members if zone else self.strangers)[connection] = None
-        caller.zone, caller.began, caller.heard_at = zone, began, heard_at
-        caller.unfinished_since, caller.spoilt = unfinished, spoilt
-        caller.begin(connection)
+        (self.collectors if zone else self.unidentified)[connection] = None
+        caller.zone, caller.connected_at, caller.last_line_at = zone, began, heard_at
+        caller.line_started_at, caller.invalid_line_count = unfinished, spoilt
+        caller.apply_limits(connection)
         if not connection.incoming.push(rest):
             self.drop(connection, "accepted_no_memory")  # its owner comes again, and says it whole
         elif rest:
             caller.on_data(connection)
 
-    def joined(self, connection: Connection) -> None:
+    def on_identified(self, connection: Connection) -> None:
         zone = connection.reader.zone
-        self.strangers.pop(connection, None)
-        self.members[connection] = None
+        self.unidentified.pop(connection, None)
+        self.collectors[connection] = None
         self.log.warning("collector", zone=zone)  # at a bounded rate: some join again and again
-        same = [c for c in self.members if c.reader.zone == zone]
-        if len(same) > self.ZONE:
+        same = [c for c in self.collectors if c.reader.zone == zone]
+        if len(same) > self.MAX_PER_ZONE:
             self.drop(same[0], "collector_replaced")
 
-    def gone(self, connection: Connection) -> None:
-        self.strangers.pop(connection, None)
-        self.members.pop(connection, None)
+    def remove(self, connection: Connection) -> None:
+        self.unidentified.pop(connection, None)
+        self.collectors.pop(connection, None)
 
     def drop(self, connection: Connection, event: str, **fields) -> None:
         """A stranger hears that it is not wanted; nothing is ever written to a collector."""
         self.log.warning(event, zone=connection.reader.zone, **fields)
-        connection.reader.answer(connection)
+        connection.reader.write_heartbeats(connection)
         if not connection.reader.zone:
             connection.write(b"reject\r\n")
         connection.close()
-        self.gone(connection)
+        self.remove(connection)
 
-    def drop_late(self) -> None:
+    def drop_overdue(self) -> None:
         now = self.loop.clock.now()
-        for connection in list(self.strangers):
-            if now - connection.reader.began <= self.STRANGER:
+        for connection in list(self.unidentified):
+            if now - connection.reader.connected_at <= self.IDENTIFY_TIMEOUT:
                 break
             self.drop(connection, "unidentified_connection_timed_out")
-        for connection in list(self.members):
+        for connection in list(self.collectors):
             caller = connection.reader
-            if now - caller.heard_at > self.SILENCE:
+            if now - caller.last_line_at > self.IDLE_TIMEOUT:
                 self.drop(connection, "idle_collector_dropped")
-            elif caller.unfinished_since and now - caller.unfinished_since > self.UNFINISHED:
+            elif caller.line_started_at and now - caller.line_started_at > self.LINE_TIMEOUT:
                 self.drop(connection, "line_unfinished")
-        self.sweep = self.loop.call_after(self.SWEEP, self.drop_late)
+        self.sweep_timer = self.loop.call_after(self.SWEEP_INTERVAL, self.drop_overdue)
 
     def close(self) -> None:
         """Who has connected and what they said by now is heard and answered once more."""
-        self.sweep.cancel()
+        self.sweep_timer.cancel()
         self.listener.accept_last()
         self.listener.close()
-        self.hear_strangers_last()
-        self.hear_collectors_last()
-        for connection in [*self.members, *self.strangers]:
+        self.drain_unidentified()
+        self.drain_collectors()
+        for connection in [*self.collectors, *self.unidentified]:
             connection.close()
 
-    def hear_strangers_last(self) -> None:
-        left = self.LAST_BYTES
-        for connection in list(self.strangers):
+    def drain_unidentified(self) -> None:
+        left = self.FINAL_READ_BYTES
+        for connection in list(self.unidentified):
             if left <= 0:
                 return
             before = connection.received
             self.loop.guarded(connection.ready, True, False)
             left -= connection.received - before
 
-    def hear_collectors_last(self) -> None:
-        until = self.loop.clock.now() + self.LAST
-        for connection in list(self.members):
+    def drain_collectors(self) -> None:
+        until = self.loop.clock.now() + self.FINAL_READ_DURATION
+        for connection in list(self.collectors):
             if self.loop.clock.now() >= until:
                 return
             self.loop.guarded(connection.ready, True, False)
--- a/indigohitch/platform_protocol/list_versions.py
+++ b/indigohitch/platform_protocol/list_versions.py
@@ -20,14 +20,14 @@
 
 
 class ListVerdict(enum.Enum):
-    COUNTS = "counts"
-    BEGUN_ANEW = "begun anew"  # counts, and discovery counts from the start
-    CROSSED = "crossed"  # older than what is held, or from another count, as it was asked before
-    DOUBTED = "doubted"  # older though it was asked since: what holds has to be asked for
+    ACCEPTED = "counts"
+    RESET = "begun anew"  # counts, and discovery counts from the start
+    SUPERSEDED = "crossed"  # older than what is held, or from another count, as it was asked before
+    UNCONFIRMED = "doubted"  # older though it was asked since: what holds has to be asked for
 
     @property
-    def counts(self) -> bool:
-        return self in (ListVerdict.COUNTS, ListVerdict.BEGUN_ANEW)
+    def is_accepted(self) -> bool:
+        return self in (ListVerdict.ACCEPTED, ListVerdict.RESET)
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,72 +36,84 @@
 
     number: int
     base: int | None
-    sent: int
-    count: int  # which count of discovery's, and which address it went to
-    place: int
+    sent_at: int
+    epoch: int  # which count of discovery's, and which address it went to
+    address_number: int
 
 
 @dataclass(slots=True)
 class UnconfirmedVersion:
     """Since when older answers come, the oldest of them, and how many came."""
 
-    since: int
+    first_seen_at: int
     version: int
-    answers: int = 0
+    response_count: int = 0
 
 
 class ListVersions:
     # What a list says counts as told once it is written, and a drain then has 3 s: two thirds stay for it.
     # A copy that lags by more is out of order itself.
-    BELIEF = SECOND
+    CONFIRM_AFTER = SECOND
 
     def __init__(self, held: int) -> None:
-        self.held = held
-        self.doubt: UnconfirmedVersion | None = None
-        self._asks = self._learnt = 0  # asks sent in all, and before `held` was learnt
-        self._count = self._place = 0
+        self.current = held
+        self.unconfirmed: UnconfirmedVersion | None = None
+        self._request_count = self._requests_before_current = (
+            0  # asks sent in all, and before `held` was learnt
+        )
+        self._epoch = self._address_number = 0
 
-    def ask(self, now: int, whole: bool, left: bool = False) -> ListRequest:
+    def new_request(self, now: int, whole: bool, left: bool = False) -> ListRequest:
         """`left`: it goes to the address that is moved away from."""
-        self._asks += 1
+        self._request_count += 1
         return ListRequest(
-            self._asks, None if whole else self.held, now, self._count, -1 if left else self._place
+            self._request_count,
+            None if whole else self.current,
+            now,
+            self._epoch,
+            -1 if left else self._address_number,
         )
 
-    def moved(self) -> None:
+    def on_address_change(self) -> None:
         """To another address: what the last one still answers counts, yet says nothing of the new one."""
-        self._place += 1
-        self.doubt = None
+        self._address_number += 1
+        self.unconfirmed = None
 
-    def ask_again_at(self, now: int) -> int:
+    def retry_at(self, now: int) -> int:
         """While in doubt: at once, as a stale answer mostly comes alone; then once it can be believed."""
-        return now if self.doubt.answers == 1 else max(now, self.doubt.since + self.BELIEF)
+        return (
+            now
+            if self.unconfirmed.response_count == 1
+            else max(now, self.unconfirmed.first_seen_at + self.CONFIRM_AFTER)
+        )
 
-    def judge(self, ask: ListRequest, news: face.BackendList, now: int) -> ListVerdict:
+    def classify(self, ask: ListRequest, news: face.BackendList, now: int) -> ListVerdict:
         if news.scope == "changes" and ask.base is None:
             raise ValueError("changes, where the whole list was asked for")
-        if ask.count != self._count:
-            return ListVerdict.CROSSED  # changes since another count's generation would leave a gap
-        if news.version >= self.held:
-            if ask.place == self._place:
-                self.doubt = None
-            self._hold(news.version)
-            return ListVerdict.COUNTS
-        if ask.number <= self._learnt or ask.place != self._place:
-            return ListVerdict.CROSSED
-        return self._older(ask, news, now)
-
-    def _older(self, ask: ListRequest, news: face.BackendList, now: int) -> ListVerdict:
-        if self.doubt is None or news.version < self.doubt.version:
-            self.doubt = UnconfirmedVersion(now, news.version)  # older still: it is not settled what holds
-        elif news.scope == "full" and ask.sent >= self.doubt.since + self.BELIEF:
-            self.doubt = None
-            self._count += 1
-            self.held = news.version
-            return ListVerdict.BEGUN_ANEW
-        self.doubt.answers += 1
-        return ListVerdict.DOUBTED
-
-    def _hold(self, version: int) -> None:
-        if version > self.held:
-            self._learnt, self.held = self._asks, version
+        if ask.epoch != self._epoch:
+            return ListVerdict.SUPERSEDED  # changes since another count's generation would leave a gap
+        if news.version >= self.current:
+            if ask.address_number == self._address_number:
+                self.unconfirmed = None
+            self._advance(news.version)
+            return ListVerdict.ACCEPTED
+        if ask.number <= self._requests_before_current or ask.address_number != self._address_number:
+            return ListVerdict.SUPERSEDED
+        return self._classify_older(ask, news, now)
+
+    def _classify_older(self, ask: ListRequest, news: face.BackendList, now: int) -> ListVerdict:
+        if self.unconfirmed is None or news.version < self.unconfirmed.version:
+            self.unconfirmed = UnconfirmedVersion(
+                now, news.version
+            )  # older still: it is not settled what holds
+        elif news.scope == "full" and ask.sent_at >= self.unconfirmed.first_seen_at + self.CONFIRM_AFTER:
+            self.unconfirmed = None
+            self._epoch += 1
+            self.current = news.version
+            return ListVerdict.RESET
+        self.unconfirmed.response_count += 1
+        return ListVerdict.UNCONFIRMED
+
+    def _advance(self, version: int) -> None:
+        if version > self.current:
+            self._requests_before_current, self.current = self._request_count, version
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -52,20 +52,20 @@
 
     # ---- news --------------------------------------------------------------------------------------
 
-    def news_asked(self) -> None:
+    def on_watch_requested(self) -> None:
         """Another stream takes its view of what stands from here on; an earlier one may go on."""
         self.asked = []
 
-    def news_opening(self) -> None:
+    def on_watch_opened(self) -> None:
         self._unsettled()
         self.opening, self.asked = InitialSnapshot(self.asked or []), None
 
-    def news_lost(self) -> None:
+    def on_watch_lost(self) -> None:
         """What the stream told last may be half a table: the next one tells it whole."""
         self._unsettled()
         self.broken_off()
 
-    def news(self, event: face.Event) -> None:
+    def on_relay_event(self, event: face.Event) -> None:
         match event:
             case face.ProxyJoined(proxy):
                 if self.opening is not None:
@@ -108,7 +108,7 @@
             case _:
                 self.hear(event)
 
-    def news_alive(self) -> None:
+    def on_watch_alive(self) -> None:
         """The first sign of life ends the start: who has not been named in it is gone."""
         if self.opening is None:
             return
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -111,10 +111,10 @@
         while self.phase is not Phase.ENDED:
             self.loop.turn()
             if self.phase is not Phase.ENDED and not self.decided:
-                self.loop.guarded(self.front.gathering.turn)
+                self.loop.guarded(self.front.event_batch.flush_if_due)
             if self.phase is Phase.ENDING:
                 # A drain that was told right before the signal still gets its orders.
-                self.decided |= not self.front.gathering.events
+                self.decided |= not self.front.event_batch.events
                 if self.decided and self.front.relay.idle:
                     self.end()
             if self.phase is Phase.LISTENING and self.front.store_mirror.begun:
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -102,7 +102,7 @@
     def settle(self, on: bool) -> None:
         """The module ends the turn that it is at, and begins no other."""
         for pool in self.host.pools.values():
-            pool.gathering.held = on
+            pool.event_batch.is_paused = on
 
     def urgent_waits(self) -> bool:
         """Nothing: its requests go on, and its tables are its own."""
@@ -131,8 +131,8 @@
         for pool in self.host.pools.values():
             if pool.report_due is None:
                 pool.report_soon()
-            pool.gathering.held = False
-            pool.gathering.give_back(self.kept.pop(pool.name, []))
+            pool.event_batch.is_paused = False
+            pool.event_batch.restore(self.kept.pop(pool.name, []))
             pool.timer_again()
 
     def accept(self, on: bool) -> None:
@@ -154,7 +154,7 @@
             if pool.report_due is not None:
                 pool.report_due.cancel()
                 pool.report_due = None
-            taken = [*pool.gathering.take(), *pool.sums(now)]
+            taken = [*pool.event_batch.take(), *pool.sums(now)]
             self.kept.setdefault(pool.name, []).extend(taken)
             # Probes that are out are sent again by the new process: their answers here would count twice.
             rows[pool.name] = (event_codec.pack_all(e for e in taken if type(e) is not face.ProbeResult), now)
@@ -223,7 +223,7 @@
             pool = self.host.pools.get(name)
             if pool is not None and name not in self.cold:
                 pool.reported = max(pool.reported, until)
-                pool.gathering.add(*event_codec.unpack_all(rows))
+                pool.event_batch.add(*event_codec.unpack_all(rows))
 
     def fresh(self, listeners: dict[str, socket.socket]) -> None:
         self.given, self.cold = listeners, list(self.host.pools)
--- a/indigohitch/sidecar/host.py
+++ b/indigohitch/sidecar/host.py
@@ -110,7 +110,7 @@
         """At the end of each turn of the loop."""
         self.now = self.loop.clock.now()
         for pool in self.pools.values():
-            pool.gathering.turn()
+            pool.event_batch.flush_if_due()
 
     def sweep(self) -> None:
         now = self.loop.clock.now()
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -27,7 +27,7 @@
         self.name, self.load_header = text.name, text.load_header.lower().encode()
         self.uniform = random.Random(seed).random  # for the draw by weight; the module has its own
         self.coordinator = Coordinator(seed, self.boot)
-        self.gathering = EventBatch(host.loop, 0, self.handle)
+        self.event_batch = EventBatch(host.loop, 0, self.handle)
         self.tables = [RouteTable() for _ in range(self.slices)]
         self.servers: dict[str, Server] = {}
         self.demand: dict[tuple[int, str], list[int]] = {}
@@ -143,7 +143,7 @@
         return events
 
     def report(self) -> None:
-        self.gathering.add(*self.sums(self.host.loop.clock.now()))
+        self.event_batch.add(*self.sums(self.host.loop.clock.now()))
         self.report_soon()
 
     # ---- the list ----------------------------------------------------------------------------------
@@ -162,7 +162,7 @@
         self.version += 1
         entries = [self.entry(s, "ready", now if s in came else 0) for s in servers.values()]
         entries += [self.entry(s, "gone") for s in left]
-        self.gathering.add(face.BackendList("changes", self.version, tuple(entries)))
+        self.event_batch.add(face.BackendList("changes", self.version, tuple(entries)))
         return {"came": [s.name for s in came], "left": [s.name for s in left]}
 
     # ---- the module --------------------------------------------------------------------------------
@@ -170,12 +170,12 @@
     def handle(self, now: int, events: list[face.Event]) -> None:
         """Beside the loop, one turn at a time: with thousands of slices it takes tens of ms, and RPCs go on
         by the tables that stand."""
-        self.deciding = self.gathering.busy = True
+        self.deciding = self.event_batch.is_busy = True
         coordinator = self.coordinator
         self.host.worker.do(lambda: coordinator.handle(now, events), self.decided)
 
     def decided(self, orders, broken: BaseException | None) -> None:
-        self.deciding = self.gathering.busy = False
+        self.deciding = self.event_batch.is_busy = False
         if broken is not None:
             self.begin_anew(broken)
             return
@@ -192,7 +192,7 @@
             for number, table in enumerate(self.tables)
             for server, weight in zip(table.servers, table.weights)
         ]
-        self.host.loop.call_after(self.ANEW, lambda: self.gathering.add(*self.as_joined(), *lines))
+        self.host.loop.call_after(self.ANEW, lambda: self.event_batch.add(*self.as_joined(), *lines))
 
     def carry_out(self, order: face.Order) -> None:
         match order:
@@ -211,9 +211,9 @@
             case face.EjectBackend(backend, out):
                 self.servers[backend].withdrawn = out
             case face.UpdateMarker(mark, _):
-                self.gathering.add(face.UpdateAcknowledged(PROXY, mark, 0))
+                self.event_batch.add(face.UpdateAcknowledged(PROXY, mark, 0))
             case face.SetTimer(due, tag):
-                self.host.loop.call_at(due, lambda: self.gathering.add_due(face.TimerFired(tag)))
+                self.host.loop.call_at(due, lambda: self.event_batch.add_timer(face.TimerFired(tag)))
             case face.ProbeBackend(backend):
                 self.probe(backend)
             case face.LogMessage(text):
@@ -227,7 +227,7 @@
     def probe(self, backend: str) -> None:
         server = self.servers.get(backend)
         if server is None:
-            self.gathering.add(face.ProbeResult(backend, "connect_failed", 0))
+            self.event_batch.add(face.ProbeResult(backend, "connect_failed", 0))
             return
         caller = Caller(self.host.loop, server.address, self.PROBE)
         self.probes.add(caller)
@@ -242,7 +242,7 @@
             if answer.outcome == "answered"
             else {"unreadable": "error", "unreached": "timeout"}.get(answer.outcome, answer.outcome)
         )
-        self.gathering.add(face.ProbeResult(backend, outcome, answer.duration))
+        self.event_batch.add(face.ProbeResult(backend, outcome, answer.duration))
 
     def sweep(self, now: int) -> None:
         for server in self.servers.values():
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -100,7 +100,7 @@
         {"order": "tell peer", "peer": 1, "body": "x"},
         {"order": "log line", "text": "as decided"},
     ]
-    Front._carry(stub, [order(one) for one in said])
+    Front.execute_orders(stub, [order(one) for one in said])
 
 
 def _asked(log: Kept, after: dict[str, float]) -> None:
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -143,7 +143,7 @@
 
 
 def _watches(bodies: list[str]) -> list[dict]:
-    with Desk(discovery) as desk, mock.patch.object(discovery.Discovery, "HOLD", 2 * SECOND):
+    with Desk(discovery) as desk, mock.patch.object(discovery.Discovery, "WATCH_WAIT", 2 * SECOND):
         found = discovery.Discovery(desk.loop, desk.log, TO, 41, lambda news, addresses: None)
         found.subscribe(True)
         for body in bodies:
@@ -154,7 +154,7 @@
 
 def _news(_: list[str]) -> list[dict]:
     with Desk(relay_watch) as desk:
-        hearer = SimpleNamespace(news_asked=lambda: None, news_alive=lambda: None)
+        hearer = SimpleNamespace(on_watch_requested=lambda: None, on_watch_alive=lambda: None)
         relay_watch.RelayWatch(desk.loop, desk.log, TO, hearer).open()
         return Recorder.asked
 
--- a/tests/hours.py
+++ b/tests/hours.py
@@ -19,4 +19,4 @@
         self.due = [(when, action) for when, action in self.due if when > self.time]
         for action in ready:
             action()
-        gathering.turn()
+        gathering.flush_if_due()
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -232,8 +232,8 @@
 
 @pytest.mark.parametrize("sockets,callers,probes", [(32, 5, 2), (64, 26, 13), (96, 48, 24), (1024, 512, 256)])
 def test_descriptors_are_dealt_out_within_what_there_are(sockets, callers, probes):
-    found = ResourceLimits.of({"sockets": sockets, "memory_mb": 192})
-    assert (found.callers, found.probes) == (callers, probes) and callers + probes + 24 <= sockets
+    found = ResourceLimits.from_config({"sockets": sockets, "memory_mb": 192})
+    assert (found.inbound_connections, found.probes) == (callers, probes) and callers + probes + 24 <= sockets
 
 
 def test_strangers_and_probes_leave_the_last_descriptors_to_our_own_calls(tmp_path):
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -51,14 +51,14 @@
         self.store = {n: stored_tables.StoredTable({f"b{n % BACKENDS}": 1.0}) for n in range(SLICES)}
         self.queue, self.acks, self.most, self.at = [], [], 0.0, self.clock.now()
         holdings = self.front.store_mirror
-        holdings.news_asked()
-        holdings.news_opening()
+        holdings.on_watch_requested()
+        holdings.on_watch_opened()
         for proxy in range(PROXIES):
-            holdings.news(face.ProxyJoined(proxy, "east", 5.0, False))
+            holdings.on_relay_event(face.ProxyJoined(proxy, "east", 5.0, False))
         for number, table in self.store.items():
-            holdings.news(face.SliceOwnership(number, True))
-            holdings.news(face.StoredRoute(number, *next(iter(table.lines.items()))))
-        holdings.news_alive()
+            holdings.on_relay_event(face.SliceOwnership(number, True))
+            holdings.on_relay_event(face.StoredRoute(number, *next(iter(table.lines.items()))))
+        holdings.on_watch_alive()
 
     def broken(self, what):
         raise what
@@ -97,7 +97,7 @@
         self.clock.by += STEP
         self.loop.call_after(0, lambda: None)
         self.loop.turn()
-        self.front.gathering.turn()
+        self.front.event_batch.flush_if_due()
         now = self.clock.now()
         leaves, self.at = PACE * self.share * (now - self.at) / SECOND, now
         while self.queue and leaves > 0:
@@ -108,12 +108,12 @@
         while self.acks and self.acks[0][0] <= now:
             _, mark = self.acks.pop(0)
             for proxy in range(PROXIES if mark is not None else 0):
-                self.front.store_mirror.news(face.UpdateAcknowledged(proxy, mark, 10))
+                self.front.store_mirror.on_relay_event(face.UpdateAcknowledged(proxy, mark, 10))
 
     def drain(self, some):
         """These go; until none has a line."""
         entries = tuple(face.BackendEntry(f"b{n}", "draining", 6.0, "east", 0, "std", 0) for n in some)
-        self.front.hear(face.BackendList("changes", 2, entries))
+        self.front.add_events(face.BackendList("changes", 2, entries))
         leaving, began = {f"b{n}" for n in some}, self.clock.now()
         while any(leaving & set(table.lines) for table in self.store.values()):
             assert self.clock.now() - began < 60 * SECOND, "lines that stay"
--- a/tests/test_crossing_floods.py
+++ b/tests/test_crossing_floods.py
@@ -83,7 +83,7 @@
     sock.send(HB * MANY)
     for _ in range(4):
         assert 0 < hall.turn()["heartbeats_answered"] <= 4096 // len(HB)
-    assert hall.hub.members  # what it asked for in one read, it is owed
+    assert hall.hub.collectors  # what it asked for in one read, it is owed
 
 
 def test_connects_by_the_hundred_cost_a_turn_no_more_than_a_burst():
@@ -103,7 +103,7 @@
 def test_one_that_reads_no_answer_takes_nothing_from_the_collectors(hall):
     deaf = hall.call(buffer=4096)
     hall.accepted(1)
-    (connection,) = hall.hub.strangers
+    (connection,) = hall.hub.unidentified
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     while connection.open:
         try:
@@ -134,7 +134,7 @@
         sock.send(HB * MANY)
     hall.hub.close()
     assert 0 < hall.log.counts["heartbeats_answered"] <= 50 * READ
-    assert not any(c.open for c in [*hall.hub.strangers, *hall.hub.members])
+    assert not any(c.open for c in [*hall.hub.unidentified, *hall.hub.collectors])
 
 
 @pytest.mark.parametrize("ends", [False, True])
@@ -176,6 +176,6 @@
     hall.call(b"telemetry site=west\r\n")
     while hall.log.counts["collector"] < 5 and not hall.log.counts["connection_limit_reached"]:
         hall.loop.turn()
-    assert [c.reader.zone for c in hall.hub.members] == ["east", "east", "east", "west"]
+    assert [c.reader.zone for c in hall.hub.collectors] == ["east", "east", "east", "west"]
     assert hall.log.counts["collector_evicted"] == 1
     hall.close()
--- a/tests/test_crossing_handovers.py
+++ b/tests/test_crossing_handovers.py
@@ -30,14 +30,14 @@
             lambda: [o for call in self.calls for o in call],
             self.calls.append,
         )
-        self.store_mirror.news_asked()
-        self.store_mirror.news_opening()
+        self.store_mirror.on_watch_requested()
+        self.store_mirror.on_watch_opened()
         self.hear(*NAMED)
-        self.store_mirror.news_alive()
+        self.store_mirror.on_watch_alive()
 
     def hear(self, *events):
         for event in events:
-            self.store_mirror.news(event)
+            self.store_mirror.on_relay_event(event)
 
     def order(self, *orders):
         """The module orders, and takes it for standing."""
@@ -126,20 +126,20 @@
     """Its answer: before the new stream's first byte, in its start, before and after its sign of life."""
     relay = Relay()
     relay.order(*OURS)
-    relay.store_mirror.news_lost()
-    relay.store_mirror.news_asked()
+    relay.store_mirror.on_watch_lost()
+    relay.store_mirror.on_watch_requested()
     if carried == "before the view":
         relay.carry_out()
     view = relay.change(True)
     if carried == "after the view":
         relay.carry_out()
     relay.answer() if answered == "before" else None
-    relay.store_mirror.news_opening()
+    relay.store_mirror.on_watch_opened()
     for event in view:
         relay.hear(event)
         relay.answer() if answered == "between" and event is view[0] else None
     relay.answer() if answered == "after" else None
-    relay.store_mirror.news_alive()
+    relay.store_mirror.on_watch_alive()
     relay.answer() if answered == "alive" else None
     believed, stands = relay.end()
     assert believed == stands == {"b1": 1.0}
@@ -161,18 +161,18 @@
 def test_a_table_that_a_stream_left_half_told_is_not_taken_for_the_whole(end):
     """Seen: a slice of which only `owner` had come was an empty one, and got a line at another backend."""
     relay = Relay()
-    relay.store_mirror.news_asked()
-    relay.store_mirror.news_opening()
+    relay.store_mirror.on_watch_requested()
+    relay.store_mirror.on_watch_opened()
     relay.hear(NAMED[0])  # ... and its line is cut off
     if end == "lost":
-        relay.store_mirror.news_lost()
-    relay.store_mirror.news_asked()
+        relay.store_mirror.on_watch_lost()
+    relay.store_mirror.on_watch_requested()
     assert relay.told.tables == {SLICE: {"b0": 1.0}}
-    relay.store_mirror.news_opening()
+    relay.store_mirror.on_watch_opened()
     relay.store_mirror._settle()
     assert relay.told.tables == {SLICE: {"b0": 1.0}}
     relay.hear(*NAMED)
-    relay.store_mirror.news_alive()
+    relay.store_mirror.on_watch_alive()
     assert relay.told.tables == {SLICE: {"b0": 1.0}} and relay.told.charges == 1
 
 
@@ -187,14 +187,14 @@
     """An earlier tenure's answers say nothing of what stands in the next."""
     relay = Relay()
     relay.order(*OURS)
-    relay.store_mirror.news_asked()
+    relay.store_mirror.on_watch_requested()
     relay.carry_out()
     relay.answer()
-    relay.store_mirror.news_opening()
+    relay.store_mirror.on_watch_opened()
     relay.hear(*relay.change(True))
     relay.hear(*relay.change(False))
     relay.hear(*relay.change(True, {"b2": 1.0}))
-    relay.store_mirror.news_alive()
+    relay.store_mirror.on_watch_alive()
     believed, stands = relay.end()
     assert believed == stands == {"b2": 1.0}
 
--- a/tests/test_crossing_lists_judge.py
+++ b/tests/test_crossing_lists_judge.py
@@ -33,8 +33,8 @@
         self.lists, self.generation = {1: dict(self.lists[self.generation])}, 1
 
     def ask(self):
-        whole = self.judge.doubt is not None or self.rng.random() < 0.3
-        self.asked.append((self.judge.ask(self.now, whole), self.lists))
+        whole = self.judge.unconfirmed is not None or self.rng.random() < 0.3
+        self.asked.append((self.judge.new_request(self.now, whole), self.lists))
 
     def handle(self):
         """Discovery comes to one of the calls; its answer is on its way."""
@@ -49,13 +49,13 @@
 
     def hear(self):
         ask, news, lists = self.answered.pop(self.rng.randrange(len(self.answered)))
-        verdict = self.judge.judge(ask, news, self.now)
-        if verdict.counts:
+        verdict = self.judge.classify(ask, news, self.now)
+        if verdict.is_accepted:
             told = {e.backend: e.started_at for e in news.entries}
             self.held = told if news.scope == "full" else self.held | told
-            if verdict is ListVerdict.BEGUN_ANEW:
+            if verdict is ListVerdict.RESET:
                 self.of, self.believed = lists, self.believed + 1
-        assert self.held == self.of[self.judge.held]
+        assert self.held == self.of[self.judge.current]
 
     def run(self, span, changes=0.05):
         end = self.now + span
@@ -72,7 +72,7 @@
 
     def settle(self):
         self.run(10 * SECOND, changes=0.0)
-        assert self.judge.held == self.generation and self.held == self.lists[self.generation]
+        assert self.judge.current == self.generation and self.held == self.lists[self.generation]
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -100,7 +100,7 @@
         day.lag = 0
         day.run(3 * SECOND)
         day.lag = 3
-        day.run(ListVersions.BELIEF - 2 * STEP, changes=0.5)
+        day.run(ListVersions.CONFIRM_AFTER - 2 * STEP, changes=0.5)
     day.lag = 0
     day.settle()
     assert not day.believed
@@ -114,13 +114,18 @@
     """They are of a list that is not held."""
     judge = ListVersions(45)
     for second in range(4):
-        verdict = judge.judge(judge.ask(second * SECOND, whole=False), news("changes", 3), second * SECOND)
-        assert verdict is ListVerdict.DOUBTED and judge.held == 45
+        verdict = judge.classify(
+            judge.new_request(second * SECOND, whole=False), news("changes", 3), second * SECOND
+        )
+        assert verdict is ListVerdict.UNCONFIRMED and judge.current == 45
 
 
 def test_an_older_list_from_the_address_left_casts_no_doubt():
     judge = ListVersions(45)
-    judge.moved()
+    judge.on_address_change()
     for second in range(4):
-        ask = judge.ask(second * SECOND, whole=True, left=True)
-        assert judge.judge(ask, news("full", 3), second * SECOND) is ListVerdict.CROSSED and not judge.doubt
+        ask = judge.new_request(second * SECOND, whole=True, left=True)
+        assert (
+            judge.classify(ask, news("full", 3), second * SECOND) is ListVerdict.SUPERSEDED
+            and not judge.unconfirmed
+        )
--- a/tests/test_crossing_lists_moves.py
+++ b/tests/test_crossing_lists_moves.py
@@ -42,10 +42,10 @@
     room.discovery.move(new.to)
     for _ in range(2):
         new.call().fail()
-        room.until(lambda: room.discovery.again)
+        room.until(lambda: room.discovery.retry_timer)
         room.forward(SECOND)
     new.call().fail()
-    room.until(lambda: room.discovery.again)
+    room.until(lambda: room.discovery.retry_timer)
     watch.reset()
     call = new.call()  # no time has passed
     assert room.said("discovery_previous_watch_ended")[0]["why"] == "reset"
@@ -60,8 +60,8 @@
     room.discovery.move(new.to)
     for _ in range(6):
         new.call().fail()
-        room.until(lambda: room.discovery.again)
-        waits.append(room.discovery.again.when - room.clock.now())
+        room.until(lambda: room.discovery.retry_timer)
+        waits.append(room.discovery.retry_timer.when - room.clock.now())
         room.forward(waits[-1])  # in all less than the old watch may take
     for wait, tenths in zip(waits, (1, 2, 4, 8, 10, 10), strict=True):
         assert wait == tenths * SECOND // 10
@@ -76,13 +76,13 @@
     room.discovery.move(last.to)
     room.until(lambda: passed.given_up)
     last.call().answer(b"rubbish")
-    room.until(lambda: room.discovery.again)
+    room.until(lambda: room.discovery.retry_timer)
     assert not watch.given_up and between.quiet()
     room.hears(lambda: watch.changes(42, DRAINS))
     room.forward(SECOND)
     room.hears(lambda: last.call().full(43, entry("b0"), DRAINS))
     assert "from=43" in last.call().target and room.state["b1"] == "draining"
-    assert room.discovery.left is None and not room.discovery.move(last.to)
+    assert room.discovery.previous_watch is None and not room.discovery.move(last.to)
 
 
 def test_moved_there_and_back_the_watch_is_asked_for_anew(room):
@@ -110,13 +110,13 @@
         answer()  # both are there before the loop turns again
     call = new.call()
     if call.target == room.discovery.PATH:  # the list crossed the change: asked for again
-        assert room.state["b1"] == "draining" and room.discovery.left
+        assert room.state["b1"] == "draining" and room.discovery.previous_watch
         call.full(42, entry("b0"), DRAINS)
     else:
         assert "from=41" in call.target
         call.changes(42, DRAINS)
     assert "from=42" in new.call().target and room.state == {"b0": "ready", "b1": "draining"}
-    assert room.discovery.left is None
+    assert room.discovery.previous_watch is None
 
 
 def test_another_count_at_the_new_address_is_believed_though_the_old_one_still_tells(room):
--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_crossing_lists_program.py
@@ -80,7 +80,7 @@
             loop.call_after(50, lambda: None)
             loop.turn()
             for front in fronts:
-                front.gathering.turn()
+                front.event_batch.flush_if_due()
 
     front = made()
     until(lambda: front.coordinator.list_fresh, front)
@@ -94,7 +94,9 @@
     new.take_rest(old.rest())
     new.begin(True)
     until(
-        lambda: new.front.discovery.watch and new.front.coordinator.backends["b1"].state == "draining",
+        lambda: (
+            new.front.discovery.watch_exchange and new.front.coordinator.backends["b1"].state == "draining"
+        ),
         new.front,
     )
     for each in (front, new.front):
--- a/tests/test_crossing_news.py
+++ b/tests/test_crossing_news.py
@@ -41,10 +41,10 @@
 
     def take(self, stage):
         """The next stream; its request has come."""
-        stage.turn_until(lambda: stage.news.coming is not None)
+        stage.turn_until(lambda: stage.news.pending is not None)
         stream, _ = self.sock.accept()
         stage.turn_until(
-            lambda: stage.news.coming.connection is not None and not stage.news.coming.connection.connecting
+            lambda: stage.news.pending.connection is not None and not stage.news.pending.connection.connecting
         )
         stream.settimeout(10)
         assert stream.recv(4096).startswith(b"GET /stream ")
@@ -134,7 +134,7 @@
 def test_the_last_words_of_the_one_and_the_view_of_the_other(stage, view, how):
     """Whatever of the change the old one still brought: what the new one tells is what stands."""
     old, new = stage.two(START)
-    asked = stage.news.coming
+    asked = stage.news.pending
     if how != "untold":
         say(old, CHANGED)
     if how == "told":
@@ -152,7 +152,7 @@
         say(new, AFTER, ":\n")
     stage.turn_until(lambda: asked.connection.connecting is False)
     stage.come(asked)
-    assert stage.news.current is asked and stage.news.coming is None and stage.news.again is None
+    assert stage.news.current is asked and stage.news.pending is None and stage.news.retry_timer is None
     stage.turn_until(lambda: stage.store_mirror.opening is None)
     stage.turn_until(lambda: not stage.store_mirror.fresh)
     assert stage.told.tables == {5: {"b0": 1.0}, 9: {"b2": 1.0}} and stage.told.proxies == {1, 3}
@@ -168,17 +168,17 @@
     """The one that tells and the one asked for: another is asked for once, and only when both are gone."""
     old, new = stage.two(START)
     ends = [old, new] if first == "old" else [new, old]
-    told, asked = stage.news.current, stage.news.coming
+    told, asked = stage.news.current, stage.news.pending
     ends[0].close()
     stage.come(told if first == "old" else asked)
     if first == "old":
-        assert stage.news.current is None and stage.news.coming is asked and stage.news.again is None
+        assert stage.news.current is None and stage.news.pending is asked and stage.news.retry_timer is None
     else:
-        assert stage.news.coming is None and stage.news.again is not None
-    again = stage.news.again
+        assert stage.news.pending is None and stage.news.retry_timer is not None
+    again = stage.news.retry_timer
     ends[1].close()
     stage.come(asked if first == "old" else told)
-    assert stage.news.again is not None and again in (None, stage.news.again)
+    assert stage.news.retry_timer is not None and again in (None, stage.news.retry_timer)
     third = stage.relays[1].take(stage)
     say(third, AFTER, ":\n")
     stage.turn_until(lambda: stage.told.tables == {5: {"b0": 1.0}, 9: {"b2": 1.0}})
@@ -188,15 +188,15 @@
 def test_moved_twice_while_the_next_try_is_due(stage):
     old = stage.relays[0].take(stage)
     old.close()
-    stage.turn_until(lambda: stage.news.again is not None)
-    due = stage.news.again
+    stage.turn_until(lambda: stage.news.retry_timer is not None)
+    due = stage.news.retry_timer
     stage.news.move(stage.relays[1].at)
-    first = stage.news.coming
-    assert due.action is None and stage.news.again is None
+    first = stage.news.pending
+    assert due.action is None and stage.news.retry_timer is None
     stage.news.move(stage.relays[0].at)
-    assert first.over and stage.news.again is None and stage.news.coming is not first
+    assert first.over and stage.news.retry_timer is None and stage.news.pending is not first
     stream = stage.relays[0].take(stage)
     say(stream, AFTER, ":\n")
     stage.turn_until(lambda: stage.store_mirror.begun)
-    assert stage.news.coming is None and stage.news.again is None and stage.told.proxies == {1, 3}
+    assert stage.news.pending is None and stage.news.retry_timer is None and stage.told.proxies == {1, 3}
     assert not stage.news.move(stage.relays[0].at)
--- a/tests/test_crossing_relay.py
+++ b/tests/test_crossing_relay.py
@@ -177,7 +177,7 @@
                 return
             loop.call_after(10, lambda: None)
             loop.turn()
-            front.gathering.turn()
+            front.event_batch.flush_if_due()
         raise AssertionError("never came true")
 
     front.start()
--- a/tests/test_crossing_reload.py
+++ b/tests/test_crossing_reload.py
@@ -147,31 +147,31 @@
 
 def standing(front):
     """All that was dealt out of settings and limits, where it is held."""
-    relay, hub, known = front.relay, front.collectors, front.known
+    relay, hub, known = front.relay, front.inbound, front.known_names
     return [
         id(part)
         for part in (
-            front.boot,
+            front.settings,
             front.coordinator,
             front.coordinator.boot,
             front.loop.pool,
             hub.pool,
             known,
-            front.found,
+            front.configuration,
         )
     ], repr(
         (
-            front.boot,
+            front.settings,
             front.seed,
-            front.listed,
+            front.entries,
             front.addresses,
-            front.gathering.gap,
-            front.probes.most,
+            front.event_batch.min_interval,
+            front.probes.max_in_flight,
             front.probes.path,
             relay.methods,
             relay.bounds.pace.most,
             relay.bounds.pace.window,
-            hub.most,
+            hub.max_connections,
             known,
             front.loop.pool.left,
             hub.pool.left,
@@ -180,7 +180,7 @@
 
 
 def test_nothing_of_other_settings_or_limits_comes_in(front):
-    before, found, told = standing(front), front.found, []
+    before, found, told = standing(front), front.configuration, []
     front.log.event = lambda event, **words: told.append((event, words))
     changed = found | {
         "settings": OTHERS,
@@ -211,4 +211,4 @@
     front.reload(found)  # back to what is in force: nothing waits any more
     assert told[-1] == ("reloaded", {"moved": False}) and standing(front) == before
     assert front.discovery.client.to == parse_address(found["discovery"])
-    assert front.relay.client.to == front.news.client.to == parse_address(found["store"]["address"])
+    assert front.relay.client.to == front.relay_watch.client.to == parse_address(found["store"]["address"])
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -159,11 +159,11 @@
     return (
         tuple(front.out),
         front.log.counts["decision_rounds"],
-        front.gathering.gap,
+        front.event_batch.min_interval,
         front.relay.bounds.pace.most,
         front.relay.bounds.pace.window,
-        sorted(front.known.methods),
-        sorted(front.known.zones),
+        sorted(front.known_names.methods),
+        sorted(front.known_names.zones),
     )
 
 
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -60,8 +60,8 @@
         self.old.fresh({})
         self.front = self.old.front
         self.front.relay.hold(True)  # nothing here answers
-        self.front.store_mirror.news_asked()
-        self.front.store_mirror.news_opening()
+        self.front.store_mirror.on_watch_requested()
+        self.front.store_mirror.on_watch_opened()
         self.news(
             face.ProxyJoined(1, "east", 5.0, True),
             face.ProxyJoined(2, "east", 5.0, True),
@@ -70,7 +70,7 @@
             face.SliceOwnership(4, True),
             face.StoredRoute(4, "b1", 1.0),
         )
-        self.front.store_mirror.news_alive()
+        self.front.store_mirror.on_watch_alive()
         self.handed()
 
     def side(self):
@@ -81,12 +81,12 @@
 
     def news(self, *events):
         for event in events:
-            self.front.store_mirror.news(event)
+            self.front.store_mirror.on_relay_event(event)
 
     def handed(self):
         """What came so far goes to the module."""
-        self.front.gathering.ready = True
-        self.front.gathering.turn()
+        self.front.event_batch.is_due = True
+        self.front.event_batch.flush_if_due()
 
     def over(self):
         """The state goes to the new process, by way of bytes."""
@@ -115,7 +115,7 @@
     entry = bench.found["known"]["instances"][1] | {"lifecycle": "DRAINING"}
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
     discovery = bench.front.discovery
-    discovery._judged(discovery.generations.ask(0, False), HttpResponse("answered", 200, body))
+    discovery._judged(discovery.versions.ask(0, False), HttpResponse("answered", 200, body))
     bench.news(
         face.ProxyLeft(1),
         face.SliceOwnership(3, False),
@@ -145,7 +145,7 @@
     entry = bench.found["known"]["instances"][1] | {"lifecycle": "DRAINING"}
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
     bench.front.discovery._judged(
-        bench.front.discovery.generations.ask(0, False), HttpResponse("answered", 200, body)
+        bench.front.discovery.versions.ask(0, False), HttpResponse("answered", 200, body)
     )
     bench.handed()
     if went != "not yet":
--- a/tests/test_golden_places.py
+++ b/tests/test_golden_places.py
@@ -83,10 +83,10 @@
     front = side.front
     try:
         assert front.coordinator.now == row[0][1] and side.taken == TAKEN
-        assert [event_codec.pack_entry(entry) for entry in front.listed.values()] == [
+        assert [event_codec.pack_entry(entry) for entry in front.entries.values()] == [
             tuple(e) for e in row[1]
         ]
-        assert (front.addresses, list(front.heard_of)) == (row[2], row[3])
+        assert (front.addresses, list(front.known_backend_ids)) == (row[2], row[3])
         assert (front.discovery.version, side.state.watching) == (row[4], row[5])
         assert [event_codec.pack_all(call) for call in front.relay.waiting] == [
             [tuple(order) if order[0] != "SetLevel" else levelled(order) for order in call] for call in row[6]
@@ -98,8 +98,11 @@
         assert (front.store_mirror.begun, sorted(front.store_mirror.lost)) == (row[11], row[12])
         assert side.state.probing == row[13]
         assert [event_codec.pack(order) for order in front.relay.first.maybe] == [tuple(o) for o in row[14]]
-        starts = [[name, start.told, start.at] for name, start in front.starts.known.items()]
-        assert starts == row[15] and front.starts.heard == row[16]
+        starts = [
+            [name, start.reported_at, start.started_at]
+            for name, start in front.start_times.starts_by_backend.items()
+        ]
+        assert starts == row[15] and front.start_times.last_list_at == row[16]
     finally:
         front.close()
 
--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -133,7 +133,7 @@
     side.restore(state, {})
     assert side.cold == [] and shots.encode(side.again()) == data
     side.take_rest(msgspec.msgpack.encode(SIDECAR_REST))
-    told = {name: event_codec.pack_all(pool.gathering.take()) for name, pool in host.pools.items()}
+    told = {name: event_codec.pack_all(pool.event_batch.take()) for name, pool in host.pools.items()}
     assert {name: [list(row) for row in rows] for name, rows in told.items()} == {
         name: rows for name, (rows, _) in SIDECAR_REST.items()
     }
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -28,11 +28,11 @@
     hours.go(100, gathering)
     assert len(handed) == 2
     hours.go(100, gathering)
-    gathering.add_due(face.TimerFired("beat"))  # a timer alone is on time, with others it waits for them
+    gathering.add_timer(face.TimerFired("beat"))  # a timer alone is on time, with others it waits for them
     hours.go(0, gathering)
     assert handed[2] == (1800, [face.TimerFired("beat")])
     gathering.add(face.ProxyLeft(8))
-    gathering.add_due(face.TimerFired("beat"))
+    gathering.add_timer(face.TimerFired("beat"))
     hours.go(90, gathering)
     assert len(handed) == 3
     hours.go(10, gathering)
@@ -95,18 +95,18 @@
             done -= 1
 
     for _ in range(40):
-        holdings.news_asked()
+        holdings.on_watch_requested()
         for _ in range(rng.randrange(4)):
             step()
-        holdings.news_opening()
+        holdings.on_watch_opened()
         start = [face.ProxyJoined(p, "east", 1.0, False) for p in sorted(proxies)]
         for number, lines in store.items():
             start += stored_tables.given(number, stored_tables.StoredTable(dict(lines)))
         for event in start:
-            holdings.news(event)
+            holdings.on_relay_event(event)
             if rng.random() < 0.2 and not isinstance(event, face.SliceOwnership):
                 step()
-        holdings.news_alive()
+        holdings.on_watch_alive()
         ahead = {number: dict(lines) for number, lines in store.items()}
         for order in calls[done:]:
             put(ahead, order)
@@ -128,10 +128,10 @@
     calls = []
     holdings = StoreMirror(hours, told, told.hear, list, calls.extend)
     for _ in range(3):
-        holdings.news_opening()
+        holdings.on_watch_opened()
         for event in stored_tables.given(4, stored_tables.StoredTable({"b1": 1.0})):
-            holdings.news(event)
-        holdings.news_alive()
+            holdings.on_relay_event(event)
+        holdings.on_watch_alive()
     assert told.charges == 1 and told.tables == {4: {"b1": 1.0}}
     holdings.stands([face.SetAdmission(4, (), 0.6, 1)])
     holdings.dropped([face.SetRoute(4, "b2", 1.0)])
@@ -147,13 +147,13 @@
     holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
 
     def begin(answered=()):
-        holdings.news_asked()
+        holdings.on_watch_requested()
         holdings.stands(list(answered))
-        holdings.news_opening()
+        holdings.on_watch_opened()
         for number in (4, 5):
             for event in stored_tables.given(number, stored_tables.StoredTable({"b1": 1.0})):
-                holdings.news(event)
-        holdings.news_alive()
+                holdings.on_relay_event(event)
+        holdings.on_watch_alive()
 
     begin()
     moved = [face.SetRoute(4, "b2", 1.0), face.SetRoute(4, "b1", 0.0)]
@@ -177,12 +177,12 @@
 
     def begin(**lines):
         given.clear()
-        holdings.news_asked()
-        holdings.news_opening()
+        holdings.on_watch_requested()
+        holdings.on_watch_opened()
         for number, backend in enumerate(lines.values()):
             for event in stored_tables.given(number, stored_tables.StoredTable({backend: 1.0})):
-                holdings.news(event)
-        holdings.news_alive()
+                holdings.on_relay_event(event)
+        holdings.on_watch_alive()
 
     begin(first="b1", second="b2")
     assert set(given) == {0, 1}
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -38,7 +38,7 @@
         ("", "a\nb"),
     ]
     assert len(alive) == 2
-    for bad in (b"\xff\n", b"no field\n", b"x" * (EventStream.MOST + 1)):
+    for bad in (b"\xff\n", b"no field\n", b"x" * (EventStream.MAX_LINE_BYTES + 1)):
         with pytest.raises(ValueError):
             EventStream(lambda *event: None, lambda: None).feed(bad)
 
--- a/tests/test_subscribed_backends.py
+++ b/tests/test_subscribed_backends.py
@@ -56,7 +56,7 @@
 
     def change(self, version, **services):
         self.services |= services
-        self.source.applied(version, self.services.keys())
+        self.source.on_update(version, self.services.keys())
         told, self.news = self.news, []
         return told
 
@@ -179,7 +179,7 @@
             assert scope == "changes"
             stands |= entries
             stands = {id: state for id, state in stands.items() if state != "gone"}
-        wanted = {id: i.listed.state for id, i in told.source.instances.wanted().items()}
+        wanted = {id: i.entry.state for id, i in told.source.instances.current_instances().items()}
         assert stands == wanted or not wanted
 
 
@@ -188,5 +188,5 @@
     for instances, order in ((one, ("maps", "search")), (other, ("search", "maps"))):
         for service in order:
             instances.update(service, held("a") if service == "maps" else held(a="DRAINING"))
-    assert one.wanted() == other.wanted()
-    assert isinstance(one.whole(1).news, face.BackendList)
+    assert one.current_instances() == other.current_instances()
+    assert isinstance(one.full_list(1).backend_list, face.BackendList)
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -134,7 +134,7 @@
     host = SimpleNamespace(forget=lambda client: None)
     client = SimpleNamespace(stream=SimpleNamespace(detach=lambda: (None, b"GET /a")))
     of_client = SidecarHandover.take_out(SimpleNamespace(host=host), client)
-    front = SimpleNamespace(collectors=SimpleNamespace(gone=lambda connection: None))
+    front = SimpleNamespace(inbound=SimpleNamespace(remove=lambda connection: None))
     caller = SimpleNamespace(zone="east", began=1, heard_at=20_000_000, unfinished_since=None, spoilt=False)
     connection = SimpleNamespace(reader=caller, detach=lambda: (None, b""))
     of_caller = CoordinatorHandover.take_out(SimpleNamespace(front=front), connection)
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -55,7 +55,7 @@
     def tell(self, scope="changes", **started):
         self.version += 1
         entries = tuple(face.BackendEntry(b, "ready", 6.0, "east", 0, "std", at) for b, at in started.items())
-        self.front.hear_list(face.BackendList(scope, self.version, entries), {b: "" for b in started})
+        self.front.on_backend_list(face.BackendList(scope, self.version, entries), {b: "" for b in started})
         self.pass_time(SECOND // 10)
 
     def pass_time(self, span):
@@ -63,7 +63,7 @@
         for _ in range(3):
             self.loop.call_after(0, lambda: None)
             self.loop.turn()
-            self.front.gathering.turn()
+            self.front.event_batch.flush_if_due()
 
     def warmth(self, backend):
         """How warm the module takes it to be, from 0 to 1."""
@@ -84,7 +84,7 @@
     room.step = step
     room.tell(b1=room.wall() - SECOND)
     assert room.warmth("b0") == 1.0 and 0 < room.warmth("b1") < 0.5
-    room.pass_time(room.front.boot["warm_within"] + SECOND)
+    room.pass_time(room.front.settings["warm_within"] + SECOND)
     assert room.warmth("b1") == 1.0
 
 
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
 def test_the_same_start_told_again_after_a_step_is_no_other(room, step):
     room.tell(b1=(began := room.wall()))
-    room.pass_time(room.front.boot["warm_within"] + SECOND)
+    room.pass_time(room.front.settings["warm_within"] + SECOND)
     room.step = step
     room.tell("full", b0=0, b1=began)
     assert room.warmth("b1") == 1.0
@@ -109,7 +109,7 @@
 
 def test_a_second_start_after_a_step_back_is_a_new_one(room):
     room.tell(b1=room.wall())
-    room.pass_time(room.front.boot["warm_within"] + SECOND)
+    room.pass_time(room.front.settings["warm_within"] + SECOND)
     assert room.warmth("b1") == 1.0
     room.step = -HOUR
     room.tell(b1=room.wall())
