--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -54,7 +54,7 @@
             self.on_list(told.backend_list, told.addresses)
 
     def warning(self, event: str, trouble: DirectorError) -> None:
-        self.log.warning(event, **trouble.fields())
+        self.log.warning(event, **trouble.log_fields())
 
     # ---- a BackendSource ---------------------------------------------------------------------------
 
--- a/indigohitch/platform_protocol/inbound_connection.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -101,11 +101,11 @@
                 hub.add_event(parse_report(kind, words, hub.known_names))
                 hub.log.count(f"lines_{kind}")
         except GarbledConnectionError as bad:
-            hub.drop(connection, "connection_garbled", **bad.fields(), line=line[:80])
+            hub.drop(connection, "connection_garbled", **bad.log_fields(), line=line[:80])
             return
         except InvalidLineError as bad:
             self.invalid_line_count += 1
-            hub.log.warning("line_invalid", **bad.fields(), line=line[:80], zone=self.zone)
+            hub.log.warning("line_invalid", **bad.log_fields(), line=line[:80], zone=self.zone)
             if not self.zone or self.invalid_line_count >= self.MAX_INVALID_LINES:
                 hub.drop(connection, "connection_sent_only_invalid_lines")
             return
--- a/tests/hours.py
+++ b/tests/hours.py
@@ -10,7 +10,7 @@
     def now(self):
         return self.time
 
-    def at(self, when, action):
+    def call_at(self, when, action):
         self.due.append((when, action))
 
     def go(self, span, gathering):
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -75,7 +75,7 @@
 def test_belief_and_store_agree_after_every_start_of_the_news(seed):
     """Calls are carried out, answered and lost while the news break and begin anew at any moment."""
     rng, told, hours = random.Random(seed), Told(), Hours()
-    hours.after = lambda span, action: Deadline(0, action)  # the sign of life settles all
+    hours.call_after = lambda span, action: Deadline(0, action)  # the sign of life settles all
     store, proxies, calls, done = {n: {"b0": 1.0} for n in range(6)}, {1, 2}, [], 0
     holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
 
@@ -124,7 +124,7 @@
 
 def test_what_stands_as_believed_is_not_told_again():
     told, hours = Told(), Hours()
-    hours.after = lambda span, action: Deadline(0, action)
+    hours.call_after = lambda span, action: Deadline(0, action)
     calls = []
     holdings = StoreMirror(hours, told, told.hear, list, calls.extend)
     for _ in range(3):
@@ -143,7 +143,7 @@
     """Found by the soak: the relay answered it while the slice was another's, and it changed nothing.  A line
     was taken away later as one of two, and was the last."""
     told, calls, hours = Told(), [], Hours()
-    hours.after = lambda span, action: Deadline(0, action)
+    hours.call_after = lambda span, action: Deadline(0, action)
     holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
 
     def begin(answered=()):
@@ -170,7 +170,7 @@
 def test_a_slice_that_another_has_written_to_counts_as_given_anew():
     """Found by the soak: the check of drains took its line for one that had stood all the time."""
     told, hours = Told(), Hours()
-    hours.after = lambda span, action: Deadline(0, action)
+    hours.call_after = lambda span, action: Deadline(0, action)
     holdings = StoreMirror(hours, told, told.hear, list, lambda orders: None)
     given = []
     holdings.given = given.append
