--- a/indigohitch/fleet/membership/roster.py
+++ b/indigohitch/fleet/membership/roster.py
@@ -100,7 +100,7 @@
 
         A part that makes a hard one (a contract cut, a member or server removed) may count on the end of the
         old version only once it is in force: `in_force` has reached that entry, and
-        `change_in_force(at, version, taken)` of each part that has it is called.
+        `on_change_converged(at, version, taken)` of each part that has it is called.
         """
         change = Change(at.index, what, hard, allowed)
         kinds = [(earlier.what, earlier.hard) for earlier in self.changes]
@@ -204,7 +204,7 @@
         self.in_force = body.version
         self.changes = [change for change in self.changes if change.index > body.version]
         for part in listeners(self.state_machine.parts, ConvergenceListener):
-            part.change_in_force(at, body.version, body.taken)
+            part.on_change_converged(at, body.version, body.taken)
 
     # ---- as a whole --------------------------------------------------------------------------------
 
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -35,7 +35,7 @@
         ],
         holdings.begun,
         sorted(holdings.lost),
-        [b.id for b in front.coordinator.backends.values() if b.probe_out],
+        [b.id for b in front.coordinator.backends.values() if b.probe_sent_at],
         [list(event_codec.pack(order)) for order in relay.first.maybe],
         [
             (backend, start.reported_at, start.started_at)
@@ -48,7 +48,7 @@
 def restore_front(front: Front, state: shots.CoordinatorState) -> None:
     front.coordinator = thaw(state.module, front.settings)
     front.event_batch.take()  # the list of the configuration is older than the state
-    front.entries = {entry.backend: entry for entry in map(event_codec.unlisted, state.listed)}
+    front.entries = {entry.backend: entry for entry in map(event_codec.unpack_entry, state.listed)}
     front.addresses = dict(state.addresses)
     front.start_times.starts_by_backend = {
         backend: BackendStart(told, at) for backend, told, at in state.starts
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -57,9 +57,9 @@
         field.name for field in dataclasses.fields(face.BackendEntry)
     )
     row = ["b0", "ready", 6.0, "east", 2, "std", 7]
-    assert len(row) == len(LISTED) and list(event_codec.pack_entry(event_codec.unlisted(row))) == row
+    assert len(row) == len(LISTED) and list(event_codec.pack_entry(event_codec.unpack_entry(row))) == row
     with pytest.raises(ValueError):
-        event_codec.unlisted(row[:-1])
+        event_codec.unpack_entry(row[:-1])
 
 
 def test_classes_and_fields_may_be_renamed_without_a_byte_changed(monkeypatch):
@@ -93,9 +93,9 @@
     ((due, name),) = row.due
     assert due > w.now and type(name) is str and name == "subscribe"
     again = thaw(row, BOOT)
-    assert again.due == w.c.due and type(again.due[0][1]) is DueAction
+    assert again.due_actions == w.c.due_actions and type(again.due_actions[0][1]) is DueAction
     orders = again.handle(due, [])
-    assert face.WatchBackends(True) in orders and not again.due
+    assert face.WatchBackends(True) in orders and not again.due_actions
 
 
 def test_a_state_with_something_unknown_due_is_refused():
