--- a/indigohitch/fleet/distribution/messages.py
+++ b/indigohitch/fleet/distribution/messages.py
@@ -1,7 +1,8 @@
-"""What subscribers and distributors say to each other over a link, and distributors among themselves.
+"""Messages between subscribers and distributors, and among distributors.
 
-Rows only; fields are only ever added at the end.  A subscriber dials, greets as members do
-(fleet/links/words.py) and sends `Subscribe`; everything below goes over that one connection, in order."""
+Rows only; fields are only ever added at the end.  A subscriber connects, sends the handshake of members
+(fleet/transport/messages.py) and then `Subscribe`; all that follows uses that one connection, in order.
+"""
 
 from __future__ import annotations
 
@@ -18,15 +19,18 @@
 
 
 class HeldService(Row, frozen=True):
-    """`digest` of what the subscriber holds of a service; empty: it holds nothing of it yet."""
+    """A service with the `digest` of what the subscriber holds; empty: nothing yet."""
 
     service: ServiceName
     digest: bytes = b""
 
 
 class Subscribe(Row, frozen=True):
-    """The scope that the subscriber wants from here on, and what it holds: all services with a digest stand
-    at `held`.  Sent first on a connection, and again with a higher `request` when the scope changes."""
+    """The scope that the subscriber wants from here on, and what it holds.
+
+    All services with a digest are at version `held`.  Sent first on a connection, and again with a higher
+    `request` when the scope changes.
+    """
 
     request: int
     held: Version
@@ -34,7 +38,7 @@
 
 
 class Acknowledge(Row, frozen=True):
-    """The update of that number is applied: the scope stands at `version`, with that digest."""
+    """ACK: the update of that number is applied; the scope has that version and digest."""
 
     number: int
     version: Version
@@ -42,14 +46,16 @@
 
 
 class RejectReason(enum.IntEnum):
+    """Why an update was rejected."""
+
     OLDER = 1  # the update is older than what is held
     BASE = 2  # it follows a version that is not held
-    DIGEST = 3  # what it leads to has another digest than it says
+    DIGEST = 3  # the content after it has another digest than stated
     UNREADABLE = 4  # a change in it can't be read
 
 
 class Reject(Row, frozen=True):
-    """The update of that number changed nothing; `held` stands."""
+    """NACK: the update of that number changed nothing; the subscriber keeps version `held`."""
 
     number: int
     reason: RejectReason
@@ -58,7 +64,7 @@
 
 
 class Renew(Row, frozen=True):
-    """Asks that the held version counts as current for another lease; `number` grows over connections."""
+    """Requests another lease for the held version; `number` grows over all connections."""
 
     number: int
 
@@ -67,7 +73,10 @@
 
 
 class ServiceChange(Row, frozen=True):
-    """What changes in one service.  `whole`: what is not listed goes.  `digest`: of the service after it."""
+    """The change of one service; if `whole`, resources that are not listed are removed.
+
+    `digest`: of the service after the change.
+    """
 
     service: ServiceName
     whole: bool
@@ -77,13 +86,14 @@
 
 
 class Update(Row, frozen=True):
-    """From `base` to `version`, in one step or not at all.
+    """A delta from version `base` to `version`, applied in one step or not at all.
 
-    `request`: of the `Subscribe` whose scope it is for; the first one for a request is sent even where
+    `request`: of the `Subscribe` whose scope it is for; the first update for a request is sent even if
     nothing differs.  `changes`: each the msgpack of a `ServiceChange`, encoded once for all subscribers.
     `digest`: of the whole scope after it.  `whole`: all of the scope, whatever is held.  `void`: a version
-    that the subscriber claimed and that a majority of the ledger has surely never had; only a subscriber that
-    holds exactly this may go back."""
+    that the subscriber claimed and that a majority of the ledger never had; only a subscriber that holds
+    exactly this one may go back.
+    """
 
     request: int
     number: int
@@ -96,9 +106,11 @@
 
 
 class Current(Row, frozen=True):
-    """Answers `Renew`: what the subscriber has acknowledged contained all that was committed up to `age`
-    (tenths of a ms) before this was sent; None: nothing can be said.  `version`: of the distributor's
-    catalogue."""
+    """The answer to `Renew`; `version` is that of the distributor's store.
+
+    What the subscriber has acknowledged contained all that was committed up to `age` (tenths of a
+    millisecond) before this was sent; None: unknown.
+    """
 
     number: int
     version: Version
@@ -106,6 +118,8 @@
 
 
 class RefusalReason(enum.IntEnum):
+    """Why a subscription was refused."""
+
     STARTING = 1  # this distributor has not caught up with the ledger since it started
     BEHIND = 2  # the subscriber holds a newer version than this distributor
     FULL = 3  # as many subscribers as it takes
@@ -114,8 +128,10 @@
 
 
 class Refused(Row, frozen=True):
-    """The subscription is not served here now.  `again`: not here before so many tenths of a ms; other
-    distributors may be asked at once.  The connection is closed after it."""
+    """The subscription is not served here now; the connection is closed after it.
+
+    `again`: not to return for so many tenths of a millisecond; other distributors may be tried at once.
+    """
 
     reason: RefusalReason
     version: Version
@@ -136,8 +152,7 @@
 
 
 class Unreachable(Row, frozen=True):
-    """A subscriber whose connection is lost.  It may count as current for `acting` tenths of a ms more, and
-    not after that."""
+    """A subscriber whose connection is lost; it may count as current for `acting` at most."""
 
     subscriber: SubscriberName
     acknowledged: Version
@@ -145,19 +160,20 @@
 
 
 class Report(Row, frozen=True):
-    """The acknowledged versions of one distributor, added up; sent to the others once a period.
+    """The acknowledged versions of one distributor, aggregated; sent to the others periodically.
 
     `in_force`: each connected subscriber has all changes of its scope up to it.  `behind` and `unreachable`
-    name the first few; the counts are of all.  `connected` and `lost`: all subscribers that are connected
-    here, or were and are remembered, 4 bytes each (`terms.mark`): one that is lost here may be connected
-    elsewhere."""
+    list the first few; the counts are of all.  `connected` and `lost`: 4 bytes (`types.subscriber_mark`) for
+    each subscriber that is connected here, or was and is remembered: one that is lost here may be connected
+    elsewhere.
+    """
 
     distributor: DistributorName
     number: int
     version: Version
     in_force: Version
     in_force_age: int  # since the oldest change that is not in force was applied; 0: all are
-    ledger_age: int | None  # since this distributor was surely level with the ledger; None: never
+    ledger_age: int | None  # since this distributor had surely caught up with the ledger; None: never
     subscribers: int
     behind_count: int = 0
     behind: tuple[Behind, ...] = ()
--- a/indigohitch/fleet/distribution/replicated_part.py
+++ b/indigohitch/fleet/distribution/replicated_part.py
@@ -1,5 +1,7 @@
-"""The part `distribution` of the state machine: services and their resources, as operators and discovery set
-them.  Deterministic, no I/O."""
+"""The part `distribution` of the replicated state machine: services and their resources.
+
+Deterministic, no I/O.
+"""
 
 from __future__ import annotations
 
@@ -19,73 +21,81 @@
 
 
 class ServiceResources(Row, frozen=True):
+    """Resources of one service."""
+
     service: ServiceName
     resources: tuple[Resource, ...]
 
 
 class ServiceKeys(Row, frozen=True):
+    """Keys of resources of one service."""
+
     service: ServiceName
     keys: tuple[str, ...]
 
 
 class SetResources(Row, frozen=True):
-    """`distribution.set`: these resources stand as given; all others stay."""
+    """`distribution.set`: sets these resources and keeps all others."""
 
     services: tuple[ServiceResources, ...]
 
 
 class RemoveResources(Row, frozen=True):
-    """`distribution.remove`: these resources go, where they are."""
+    """`distribution.remove`: removes these resources where they exist."""
 
     services: tuple[ServiceKeys, ...]
 
 
 class ReplaceResources(Row, frozen=True):
-    """`distribution.replace`: these services hold what is given and nothing else; without any they go."""
+    """`distribution.replace`: these services get exactly these resources."""
 
     services: tuple[ServiceResources, ...]
 
 
 class DistributionPart:
-    """StateMachinePart.  Each entry returns the names of the services that it changed."""
+    """A StateMachinePart; each entry returns the names of the services that it changed."""
 
     name = "distribution"
     kinds = {"set": SetResources, "remove": RemoveResources, "replace": ReplaceResources}
     state_machine: StateMachine
 
     def __init__(self) -> None:
-        self.catalogue = ResourceStore()
+        self.store = ResourceStore()
 
     def apply(
-        self, at: EntryContext, word: str, body: SetResources | RemoveResources | ReplaceResources
+        self, context: EntryContext, kind: str, body: SetResources | RemoveResources | ReplaceResources
     ) -> tuple[ServiceName, ...]:
-        version = Version(at.term, at.index)
+        """Applies an entry; raises InvalidRequestError."""
+        version = Version(context.term, context.index)
         if len({each.service for each in body.services}) < len(body.services):
             raise InvalidRequestError(
                 "a service is named twice", remedy="name all of its resources in one place"
             )
         if isinstance(body, RemoveResources):
-            return self.catalogue.apply(version, {}, {each.service: each.keys for each in body.services})
-        self.check(body.services, keeps=isinstance(body, SetResources))
+            return self.store.apply(version, {}, {each.service: each.keys for each in body.services})
+        self.check(body.services, keeps_others=isinstance(body, SetResources))
         changed = {each.service: each.resources for each in body.services}
         removed = {}
         if isinstance(body, ReplaceResources):
-            removed = {name: self.absent(name, resources) for name, resources in changed.items()}
-        return self.catalogue.apply(version, changed, removed)
+            removed = {name: self.keys_to_remove(name, resources) for name, resources in changed.items()}
+        return self.store.apply(version, changed, removed)
 
-    def absent(self, service: ServiceName, resources: Iterable[Resource]) -> list[str]:
-        """Keys that stand and are not among these."""
+    def keys_to_remove(self, service: ServiceName, resources: Iterable[Resource]) -> list[str]:
+        """Returns the present keys that are not among these."""
         given = {resource.key for resource in resources}
-        return [key for key in self.catalogue.resources(service) if key not in given]
+        return [key for key in self.store.resources(service) if key not in given]
+
+    def check(self, services: Iterable[ServiceResources], keeps_others: bool) -> None:
+        """Checks names and sizes; raises InvalidRequestError.
 
-    def check(self, services: Iterable[ServiceResources], keeps: bool) -> None:
-        """Raises Unfit.  `keeps`: what stands stays beside what is given."""
+        `keeps_others`: present resources stay beside the given ones and count.
+        """
         for each in services:
-            stands = dict(self.catalogue.resources(each.service)) if keeps else {}
+            bodies = dict(self.store.resources(each.service)) if keeps_others else {}
             for resource in each.resources:
                 check_resource(each.service, resource)
-                stands[resource.key] = resource.body
-            size = sum(len(key) + len(body) for key, body in stands.items())
+                bodies[resource.key] = resource.body
+            size = sum(len(key) + len(body) for key, body in bodies.items())
             if size > MAX_SERVICE_BYTES:
                 raise InvalidRequestError(
                     f"{size} bytes of resources",
@@ -94,18 +104,20 @@
                 )
 
     def row(self) -> ResourceStoreRow:
-        return self.catalogue.row()
+        """Returns the state for a snapshot."""
+        return self.store.row()
 
     def restore(self, row: bytes) -> None:
+        """Replaces the state by that of a snapshot; raises InvalidDataError."""
         try:
             found = msgspec.msgpack.decode(row, type=ResourceStoreRow)
-        except msgspec.MsgspecError as bad:
-            raise InvalidDataError(f"not the services of a state machine: {bad}") from None
-        self.catalogue.restore(found)
+        except msgspec.MsgspecError as error:
+            raise InvalidDataError(f"not the services of a state machine: {error}") from None
+        self.store.restore(found)
 
 
 def check_resource(service: ServiceName, resource: Resource) -> None:
-    """Raises Unfit."""
+    """Checks the lengths of names and body; raises InvalidRequestError."""
     for name in (service, resource.key):
         if not 0 < len(name) <= MAX_NAME_LENGTH:
             raise InvalidRequestError(f"a name of {len(name)} characters", service, f"1 to {MAX_NAME_LENGTH}")
--- a/indigohitch/fleet/distribution/types.py
+++ b/indigohitch/fleet/distribution/types.py
@@ -1,4 +1,4 @@
-"""What the parts of the distribution speak of: versions and resources.  No I/O, no decisions."""
+"""Basic types of the distribution: versions and resources.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 
 
 class Version(Row, frozen=True, order=True):
-    """The ledger entry that a content stands at.  Ordered by term, then index; committed entries of the
-    ledger are in that order too."""
+    """The ledger entry that a content is at.
+
+    Ordered by term, then index, as committed entries of the ledger are.
+    """
 
     term: int
     index: int
 
     def text(self) -> str:
+        """Returns `term.index`."""
         return f"{self.term}.{self.index}"
 
 
@@ -29,12 +32,12 @@
 
 
 def subscriber_mark(subscriber: SubscriberName) -> bytes:
-    """A short name for reports that list all subscribers."""
+    """Returns the short hash of a name, for reports that list all subscribers."""
     return xxhash.xxh32_digest(subscriber.encode())
 
 
 class Resource(Row, frozen=True):
-    """One entry of a service, as a backend with its state; `body` is opaque to the distribution."""
+    """One entry of a service, such as a backend with its state; `body` is opaque."""
 
     key: str
     body: bytes
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -179,7 +179,7 @@
         front.start()
         if not restored:
             return
-        if not front.coordinator.next_beat:  # it broke as the state was taken, and has heard nothing since
+        if not front.coordinator.next_beat_at:  # it broke as the state was taken, and has heard nothing since
             front.replay_state()
         self.timer_again()
         if self.state.watching:
