--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -59,7 +59,7 @@
         from .backend_subscription.source import SubscribedBackends
 
         source = SubscribedBackends(self.log, self.companion.resources, tell)
-        self.companion.on_services_applied = source.applied
+        self.companion.on_services_applied = source.on_update
         return source
 
     def make(self, listening: socket.socket | None) -> Front:
@@ -81,8 +81,8 @@
     def turn(self) -> None:
         """Lets the module handle the events of this turn of the loop."""
         if self.side.front is not None:
-            gathering = self.side.front.gathering
-            gathering.turn()
+            gathering = self.side.front.event_batch
+            gathering.flush_if_due()
             self.decided = self.phase is ProcessPhase.ENDING and (self.decided or not gathering.events)
 
     def without_state(self) -> None:
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -150,7 +150,7 @@
 
 
 def _watches(bodies: list[str]) -> list[dict]:
-    with Desk(discovery) as desk, mock.patch.object(discovery.Discovery, "HOLD", 2 * SECOND):
+    with Desk(discovery) as desk, mock.patch.object(discovery.Discovery, "WATCH_WAIT", 2 * SECOND):
         found = discovery.Discovery(desk.loop, desk.log, TO, 41, lambda news, addresses: None)
         found.subscribe(True)
         for body in bodies:
--- a/tests/test_crossing_backlog_days.py
+++ b/tests/test_crossing_backlog_days.py
@@ -97,7 +97,7 @@
         self.clock.by += STEP
         self.loop.call_after(0, lambda: None)
         self.loop.turn()
-        self.front.gathering.turn()
+        self.front.event_batch.flush_if_due()
         now = self.clock.now()
         leaves, self.at = PACE * self.share * (now - self.at) / SECOND, now
         while self.queue and leaves > 0:
@@ -113,7 +113,7 @@
     def drain(self, some):
         """These go; until none has a line."""
         entries = tuple(face.BackendEntry(f"b{n}", "draining", 6.0, "east", 0, "std", 0) for n in some)
-        self.front.hear(face.BackendList("changes", 2, entries))
+        self.front.add_events(face.BackendList("changes", 2, entries))
         leaving, began = {f"b{n}" for n in some}, self.clock.now()
         while any(leaving & set(table.lines) for table in self.store.values()):
             assert self.clock.now() - began < 60 * SECOND, "lines that stay"
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -149,8 +149,6 @@
     made.out = []
     methods = made.relay.methods
     made.relay.order = lambda orders: made.out.extend(encode_order(order, methods) for order in orders)
-        encode_order(order, made.relay.methods) for order in orders
-    )
     made.probes.send = lambda backend, at: made.out.append(f"probe {backend} {made.probes.path}")
     made.discovery.subscribe = lambda on: made.out.append("subscribe")
     return made
@@ -162,11 +160,11 @@
     return (
         tuple(front.out),
         front.log.counts["decision_rounds"],
-        front.gathering.gap,
-        front.relay.channel_limits.message_rate.max_messages,
-        front.relay.channel_limits.message_rate.window,
-        sorted(front.known.methods),
-        sorted(front.known.zones),
+        front.event_batch.min_interval,
+        front.relay.bounds.pace.max_messages,
+        front.relay.bounds.pace.window,
+        sorted(front.known_names.methods),
+        sorted(front.known_names.zones),
     )
 
 
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -59,7 +59,7 @@
         self.old, self.new = self.side(), self.side()
         self.old.start_empty({})
         self.front = self.old.front
-        self.front.relay.set_paused(True)  # nothing here answers
+        self.front.relay.hold(True)  # nothing here answers
         self.front.store_mirror.on_watch_requested()
         self.front.store_mirror.on_watch_opened()
         self.news(
@@ -85,8 +85,8 @@
 
     def handed(self):
         """What came so far goes to the module."""
-        self.front.gathering.ready = True
-        self.front.gathering.turn()
+        self.front.event_batch.is_due = True
+        self.front.event_batch.flush_if_due()
 
     def over(self):
         """The state goes to the new process, by way of bytes."""
@@ -115,7 +115,7 @@
     entry = bench.found["known"]["instances"][1] | {"lifecycle": "DRAINING"}
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
     discovery = bench.front.discovery
-    discovery._judged(discovery.generations.ask(0, False), HttpResponse("answered", 200, body))
+    discovery._judged(discovery.versions.ask(0, False), HttpResponse("answered", 200, body))
     bench.news(
         face.ProxyLeft(1),
         face.SliceOwnership(3, False),
@@ -145,7 +145,7 @@
     entry = bench.found["known"]["instances"][1] | {"lifecycle": "DRAINING"}
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
     bench.front.discovery._judged(
-        bench.front.discovery.generations.ask(0, False), HttpResponse("answered", 200, body)
+        bench.front.discovery.versions.ask(0, False), HttpResponse("answered", 200, body)
     )
     bench.handed()
     if went != "not yet":
--- a/tests/test_holdings.py
+++ b/tests/test_holdings.py
@@ -28,11 +28,11 @@
     hours.go(100, gathering)
     assert len(handed) == 2
     hours.go(100, gathering)
-    gathering.add_due(face.TimerFired("beat"))  # a timer alone is on time, with others it waits for them
+    gathering.add_timer(face.TimerFired("beat"))  # a timer alone is on time, with others it waits for them
     hours.go(0, gathering)
     assert handed[2] == (1800, [face.TimerFired("beat")])
     gathering.add(face.ProxyLeft(8))
-    gathering.add_due(face.TimerFired("beat"))
+    gathering.add_timer(face.TimerFired("beat"))
     hours.go(90, gathering)
     assert len(handed) == 3
     hours.go(10, gathering)
@@ -75,7 +75,7 @@
 def test_belief_and_store_agree_after_every_start_of_the_news(seed):
     """Calls are carried out, answered and lost while the news break and begin anew at any moment."""
     rng, told, hours = random.Random(seed), Told(), Hours()
-    hours.after = lambda span, action: Deadline(0, action)  # the sign of life settles all
+    hours.call_after = lambda span, action: Deadline(0, action)  # the sign of life settles all
     store, proxies, calls, done = {n: {"b0": 1.0} for n in range(6)}, {1, 2}, [], 0
     holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
 
@@ -124,12 +124,12 @@
 
 def test_what_stands_as_believed_is_not_told_again():
     told, hours = Told(), Hours()
-    hours.after = lambda span, action: Deadline(0, action)
+    hours.call_after = lambda span, action: Deadline(0, action)
     calls = []
     holdings = StoreMirror(hours, told, told.hear, list, calls.extend)
     for _ in range(3):
         holdings.on_watch_opened()
-        for event in stored_tables.ownership_events(4, stored_tables.StoredTable({"b1": 1.0})):
+        for event in stored_tables.given(4, stored_tables.StoredTable({"b1": 1.0})):
             holdings.on_relay_event(event)
         holdings.on_keepalive()
     assert told.charges == 1 and told.tables == {4: {"b1": 1.0}}
@@ -143,15 +143,15 @@
     """Found by the soak: the relay answered it while the slice was another's, and it changed nothing.  A line
     was taken away later as one of two, and was the last."""
     told, calls, hours = Told(), [], Hours()
-    hours.after = lambda span, action: Deadline(0, action)
+    hours.call_after = lambda span, action: Deadline(0, action)
     holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
 
     def begin(answered=()):
         holdings.on_watch_requested()
-        holdings.apply(list(answered))
+        holdings.stands(list(answered))
         holdings.on_watch_opened()
         for number in (4, 5):
-            for event in stored_tables.ownership_events(number, stored_tables.StoredTable({"b1": 1.0})):
+            for event in stored_tables.given(number, stored_tables.StoredTable({"b1": 1.0})):
                 holdings.on_relay_event(event)
         holdings.on_keepalive()
 
@@ -170,7 +170,7 @@
 def test_a_slice_that_another_has_written_to_counts_as_given_anew():
     """Found by the soak: the check of drains took its line for one that had stood all the time."""
     told, hours = Told(), Hours()
-    hours.after = lambda span, action: Deadline(0, action)
+    hours.call_after = lambda span, action: Deadline(0, action)
     holdings = StoreMirror(hours, told, told.hear, list, lambda orders: None)
     given = []
     holdings.on_slice_acquired = given.append
@@ -180,7 +180,7 @@
         holdings.on_watch_requested()
         holdings.on_watch_opened()
         for number, backend in enumerate(lines.values()):
-            for event in stored_tables.ownership_events(number, stored_tables.StoredTable({backend: 1.0})):
+            for event in stored_tables.given(number, stored_tables.StoredTable({backend: 1.0})):
                 holdings.on_relay_event(event)
         holdings.on_keepalive()
 
