--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -22,6 +22,7 @@
 from .backend_start_times import BackendStartTimes
 from .call_codec import NO_CALL
 from .channel_backlog import ChannelBacklog
+from .configuration_changes import names_of_changes
 from .discovery import Discovery, parse_backend_list
 from .drain_monitor import DrainMonitor
 from .inbound_connections import InboundConnections
@@ -144,18 +145,7 @@
         """Go over to a new configuration: discovery, the relay's calls and its news move to the addresses in
         it.  All else stays as it is; what differs there is logged by name, as it takes a restart."""
         *_, store, discovery = self._read(found)
-        told = found["settings"], self.configuration["settings"]
-        left = [
-            name
-            for name in sorted(found.keys() | self.configuration.keys())
-            if name not in ("store", "discovery", "settings", "known", "seed")  # new with each start
-            and found.get(name) != self.configuration.get(name)
-        ]
-        left += [
-            f"settings.{name}"
-            for name in sorted(told[0].keys() | told[1].keys())
-            if told[0].get(name) != told[1].get(name)
-        ]
+        left = names_of_changes(self.configuration, found)
         moved = [
             part.move(to)
             for part, to in ((self.discovery, discovery), (self.relay, store), (self.relay_watch, store))
@@ -163,8 +153,6 @@
         self.log.count("reloads")
         self.log.event("reloaded", moved=any(moved), **({"needs_restart": left} if left else {}))
 
-    # ---- to the module -----------------------------------------------------------------------------
-
     def handle(self, now: int, events: list[face.Event]) -> None:
         self.log.count("decision_rounds")
         self.log.count("events", len(events))
@@ -227,8 +215,6 @@
         self.store_mirror.stands(orders)
         self.drain_monitor.stands(orders)
 
-    # ---- news --------------------------------------------------------------------------------------
-
     def on_relay_events(self, *events: face.Event) -> None:
         for event in events:
             match event:
@@ -238,8 +224,6 @@
                     self.relay.proxy_left(proxy)
         self.add_events(*events)
 
-    # ---- discovery ---------------------------------------------------------------------------------
-
     def on_backend_list(self, news: face.BackendList, addresses: dict[str, str]) -> None:
         news = self.start_times.to_local_clock(news, self.loop.clock.now(), self.loop.clock.wall())
         log_list(self.log, self.entries, news)
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -12,7 +12,7 @@
 from indigohitch.settings import parse_load_report, parse_settings
 
 PACKAGE = Path(service.__file__).parent
-ASKED = re.compile(r'(?:\b(?:boot|bootstrap)(?:\.get\(|\[)|\b_figure\()"(\w+)"')
+ASKED = re.compile(r'(?:\b(?:boot|bootstrap|settings)(?:\.get\(|\[)|\b(?:_figure|_numeric_setting)\()"(\w+)"')
 
 # Path on the wire: the name that the module asks its value by.
 READ_AS = {
--- a/tests/test_crossing_reload.py
+++ b/tests/test_crossing_reload.py
@@ -211,4 +211,8 @@
     front.reload(found)  # back to what is in force: nothing waits any more
     assert told[-1] == ("reloaded", {"moved": False}) and standing(front) == before
     assert front.discovery.client.address == parse_address(found["discovery"])
-    assert front.relay.client.address == front.relay_watch.client.address == parse_address(found["store"]["address"])
+    assert (
+        front.relay.client.address
+        == front.relay_watch.client.address
+        == parse_address(found["store"]["address"])
+    )
--- a/tests/test_crossing_upgrades.py
+++ b/tests/test_crossing_upgrades.py
@@ -115,7 +115,7 @@
     entry = bench.found["known"]["instances"][1] | {"lifecycle": "DRAINING"}
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
     discovery = bench.front.discovery
-    discovery._judged(discovery.versions.ask(0, False), HttpResponse("answered", 200, body))
+    discovery._apply_response(discovery.versions.new_request(0, False), HttpResponse("answered", 200, body))
     bench.news(
         face.ProxyLeft(1),
         face.SliceOwnership(3, False),
@@ -144,8 +144,8 @@
     asked = []
     entry = bench.found["known"]["instances"][1] | {"lifecycle": "DRAINING"}
     body = json.dumps({"generation": 2, "reset": False, "instances": [entry]}).encode()
-    bench.front.discovery._judged(
-        bench.front.discovery.versions.ask(0, False), HttpResponse("answered", 200, body)
+    bench.front.discovery._apply_response(
+        bench.front.discovery.versions.new_request(0, False), HttpResponse("answered", 200, body)
     )
     bench.handed()
     if went != "not yet":
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -135,7 +135,9 @@
     client = SimpleNamespace(stream=SimpleNamespace(detach=lambda: (None, b"GET /a")))
     of_client = SidecarHandover.take_out(SimpleNamespace(host=host), client)
     front = SimpleNamespace(inbound=SimpleNamespace(remove=lambda connection: None))
-    caller = SimpleNamespace(zone="east", began=1, heard_at=20_000_000, unfinished_since=None, spoilt=False)
+    caller = SimpleNamespace(
+        zone="east", connected_at=1, last_line_at=20_000_000, line_started_at=None, invalid_line_count=False
+    )
     connection = SimpleNamespace(reader=caller, detach=lambda: (None, b""))
     of_caller = CoordinatorHandover.take_out(SimpleNamespace(front=front), connection)
     assert of_client == ("client", None, b"GET /a") and of_caller[1:] == (None, b"")
