--- /dev/null
+++ b/indigohitch/upgrade/optional_channel.py
@@ -0,0 +1,45 @@
+"""A channel that is there only while a new process is."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from .channel import Channel
+from .messages import Message
+
+
+class OptionalChannel:
+    """Passes calls on to the attached channel; without one they do nothing."""
+
+    def __init__(self) -> None:
+        self.channel: Channel | None = None
+
+    def is_attached(self) -> bool:
+        """Whether there is a channel."""
+        return self.channel is not None
+
+    def attach(self, channel: Channel) -> None:
+        """Replaces the channel."""
+        self.channel = channel
+
+    def detach(self) -> None:
+        """Forgets the channel without closing it."""
+        self.channel = None
+
+    def send(self, message: Message, descriptors: Sequence[int] = (), last: bool = False) -> None:
+        """Sends a message; `last`: blocks for a short time until it is sent."""
+        if self.channel is not None:
+            self.channel.send(message, descriptors)
+            if last:
+                self.channel.flush_hard()
+
+    def read(self) -> None:
+        """Receives and delivers what has arrived."""
+        if self.channel is not None:
+            self.channel.read()
+
+    def close(self) -> None:
+        """Closes and detaches the channel."""
+        if self.channel is not None:
+            self.channel.close()
+            self.channel = None
--- a/indigohitch/upgrade/state_transfer.py
+++ b/indigohitch/upgrade/state_transfer.py
@@ -1,28 +1,43 @@
-"""Sends the old process' listeners and state to the new process."""
+"""Sends the old process' listeners and state to the new process and compares what both compute from it."""
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable, Mapping
 
+from ..net.clock import SECOND
 from . import messages
+from .handover_participant import HandoverParticipant
 
 CHUNK_BYTES = 1 << 16  # of the state: a frame that a socket's buffer takes in one write
 
 
-def send_state(
-    send: Callable[..., None],
-    listeners: Mapping[str, socket.socket],
-    state: bytes,
-    now: int,
-    rehearse_at: int,
-) -> None:
-    """Sends the listeners by name, then the state in chunks.
-
-    `now` and `rehearse_at` are ticks; both processes compute their orders as of `rehearse_at` and the
-    results are compared.
-    """
-    descriptors = [sock.fileno() for sock in listeners.values()]
-    send(messages.Listeners(list(listeners), now, len(state), rehearse_at), descriptors)
-    for offset in range(0, len(state), CHUNK_BYTES):
-        send(messages.StateChunk(state[offset : offset + CHUNK_BYTES]))
+class StateTransfer:
+    """The state as it was sent, and the orders that the new process computed from it."""
+
+    REHEARSAL_DELAY = 2 * SECOND  # four beats, so that the module has something to order
+
+    def __init__(self) -> None:
+        self.state = b""  # encoded
+        self.rehearse_at = 0  # ticks
+        self.successor_orders = b""  # encoded, as of `rehearse_at`
+
+    def send_state(
+        self,
+        send: Callable[..., None],
+        listeners: Mapping[str, socket.socket],
+        state: bytes,
+        now: int,
+        rehearse_at: int,
+    ) -> None:
+        """Sends the listeners by name, then the encoded state in chunks; times are in ticks."""
+        self.state = state
+        self.rehearse_at = rehearse_at
+        descriptors = [sock.fileno() for sock in listeners.values()]
+        send(messages.Listeners(list(listeners), now, len(state), self.rehearse_at), descriptors)
+        for offset in range(0, len(state), CHUNK_BYTES):
+            send(messages.StateChunk(state[offset : offset + CHUNK_BYTES]))
+
+    def is_equal(self, side: HandoverParticipant) -> bool:
+        """Whether this process computes the same orders as the new process."""
+        return side.rehearse(self.rehearse_at) == self.successor_orders
