--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -55,13 +55,7 @@
         self.tick_timer: Deadline | None = None
         self.token = chance.getrandbits(62)
         self.disk = Storage(
-            loop,
-            log,
-            text.folder,
-            text.name,
-            text.me,
-            lambda event: self.driver.step(event),
-            files,  # noqa: PLW0108
+            loop, log, text.folder, text.name, text.me, lambda event: self.driver.step(event), files
         )
         self.links = Transport(loop, log, KINDS, text.name, MemberId(text.me, 0), self.token, chance.random)
         self.assembly = assemble(
@@ -72,7 +66,7 @@
                 lambda: self.driver.voter_names,
                 self.lease,
                 lambda: chance.getrandbits(62),
-                lambda done: self.traffic.read(done),  # noqa: PLW0108 (made later)
+                lambda done: self.traffic.read(done),
                 self.links.send_to,
             )
         )
