--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -144,7 +144,7 @@
         none = edge.replace("1.25", "1.0").replace("1.10", "1.0").replace("0.25 *", "0.0 *")
         text = text.replace(edge, none)
     variant("logic.planning_bare", text)
-    whole = Path(logic.__file__).read_text().replace("from .planning import", "from .planning_bare import")
+    whole = Path(logic.__file__).read_text().replace("from .planner import", "from .planning_bare import")
     return variant("logic.bare", whole).Coordinator
 
 
