--- a/indigohitch/upgrade/__init__.py
+++ b/indigohitch/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""A running program hands its listeners, connections and state to a new process of itself."""
+"""A running program hands its listeners, connections and state over to a new process of itself."""
--- a/indigohitch/upgrade/event_codec.py
+++ b/indigohitch/upgrade/event_codec.py
@@ -1,7 +1,8 @@
-"""Events and orders of the module as plain data and back.  No I/O.
+"""Converts events and orders of the decision module to plain data and back; no I/O.
 
-The rows go into hand-overs and snapshots: a wire name, then the values in the order of `_WIRE`.  A class or a
-field of the package may be renamed; the wire names and the order of the values stay."""
+The rows go into handovers and snapshots: a wire name, then the values in the order of `_WIRE`.  A class or a
+field of the package may be renamed; the wire names and the order of the values stay.
+"""
 
 from __future__ import annotations
 
@@ -48,15 +49,17 @@
 
 
 def pack_entry(entry: face.BackendEntry) -> tuple:
+    """Return the values of one entry of a list of backends."""
     return tuple(getattr(entry, field) for field in _LISTED)
 
 
 def unpack_entry(row: Iterable) -> face.BackendEntry:
-    """Raises ValueError."""
+    """Return the entry of a list of backends with these values; raises ValueError."""
     return face.BackendEntry(**dict(zip(_LISTED, row, strict=True)))
 
 
 def pack(item: face.Event | face.Order) -> tuple:
+    """Return the wire name of an event or order, followed by its values."""
     name, fields = _WIRE[type(item)]
     values = [getattr(item, field) for field in fields]
     if type(item) is face.BackendList:
@@ -65,7 +68,7 @@
 
 
 def unpack(row: Iterable) -> face.Event | face.Order:
-    """Raises ValueError."""
+    """Return the event or order in a row of `pack`; raises ValueError."""
     name, *values = row
     if name not in _KINDS or len(values) != len(_KINDS[name][1]):
         raise ValueError(f"no event or order: {name!r} with {len(values)} values")
@@ -78,14 +81,16 @@
 
 
 def pack_all(items: Iterable[face.Event | face.Order]) -> list[tuple]:
+    """Return the rows of several events or orders."""
     return [pack(item) for item in items]
 
 
 def unpack_all(rows: Iterable) -> list:
+    """Return the events or orders in several rows; raises ValueError."""
     return [unpack(row) for row in rows]
 
 
-def rehearsal_digest(coordinators: Iterable, at: int) -> bytes:
-    """Digest of what these modules order next, one after another; it moves them."""
-    orders = [pack_all(coordinator.handle(at, [])) for coordinator in coordinators]
+def rehearsal_digest(coordinators: Iterable, now: int) -> bytes:
+    """Return the digest of the next orders of these modules; it advances the modules to `now`."""
+    orders = [pack_all(coordinator.handle(now, [])) for coordinator in coordinators]
     return hashlib.blake2b(msgspec.msgpack.encode(orders), digest_size=16).digest()
--- a/indigohitch/upgrade/messages.py
+++ b/indigohitch/upgrade/messages.py
@@ -1,5 +1,8 @@
-"""What the two processes say to each other, in the frames of `packed`; descriptors ride on a frame's first
-byte.  No I/O."""
+"""The messages between the old and the new process of an upgrade.
+
+They travel in the frames of `encoding.frames`; file descriptors are attached to the first byte of a frame.
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class Hello(Message):
-    """New to old: I am here, and this is what I read."""
+    """New to old: the new process has started; the protocol and the state schema that it reads."""
 
     protocol: int
     schema: int
@@ -21,33 +24,38 @@
 
 
 class Listeners(Message):
-    """Old to new, with their descriptors: listening sockets by name, in order."""
+    """Old to new, with their descriptors: the listening sockets by name, in order."""
 
     names: list[str]
-    now: int  # of the old one's clock, which the new one takes over
+    now: int  # by the clock of the old process, which the new one continues
     state_bytes: int
-    rehearse_at: int  # at this time the new one is to say what its module would order
+    rehearse_at: int  # the time for which the new process computes the orders of its module
 
 
 class StateChunk(Message):
-    """A part of the state."""
+    """Old to new: a part of the encoded state."""
 
     data: bytes
 
 
 class StateRestored(Message):
-    """The state, read and written again, has this digest."""
+    """New to old: the digest of the state after decoding and encoding it once more."""
 
     digest: bytes
 
 
 class StateProven(Message):
-    orders: bytes  # digest of what its module would order at `rehearse_at`
+    """New to old: the restored module works."""
+
+    orders: bytes  # digest of the orders of its module at `rehearse_at`
 
 
 class ConnectionsPassed(Message):
-    """With their descriptors: connections, by number, what each brought that nobody read, and what it is:
-    "client" at a sidecar; at a coordinator the caller's figures as a JSON array, by position."""
+    """Old to new, with their descriptors: connections by number, their unread bytes and their kinds.
+
+    The kind is "client" at a sidecar; at a coordinator it is a JSON array of the
+    caller's figures, by position.
+    """
 
     numbers: list[int]
     rests: list[bytes]
@@ -55,37 +63,44 @@
 
 
 class CommitHandover(Message):
-    """You accept from here on.  `rest`: what came since the state was taken; `reload`: SIGHUP came."""
+    """Old to new: accept from here on.
+
+    `rest` holds the events since the state was taken; `reload` is true if SIGHUP arrived meanwhile.
+    """
 
     rest: bytes
     reload: bool = False
 
 
 class AcceptingStarted(Message):
-    pass
+    """New to old: the new process accepts connections."""
 
 
 class ConnectionsAdopted(Message):
-    """These have their owner now."""
+    """New to old: the numbers of the passed connections that the new process owns now."""
 
     numbers: list[int]
 
 
 class LateEvents(Message):
-    """What the old one still met while it drained."""
+    """Old to new: the events that the old process received while it drained."""
 
     rest: bytes
 
 
 class DrainCompleted(Message):
-    pass
+    """Old to new: the old process has no requests and no connections left."""
 
 
 class HandoverCalledOff(Message):
+    """Old to new: the upgrade is cancelled, with the reason."""
+
     why: str
 
 
 class HandoverRefused(Message):
+    """New to old: the new process does not take over, with the reason."""
+
     why: str
 
 
--- a/indigohitch/upgrade/module_rows.py
+++ b/indigohitch/upgrade/module_rows.py
@@ -1,4 +1,4 @@
-"""The form in which the decision module goes to the next process: rows, and the attributes that they hold."""
+"""The rows that carry the decision module's state to the next process, and the attributes that they hold."""
 
 from __future__ import annotations
 
@@ -6,12 +6,16 @@
 
 
 class SumsRow(Row):
+    """A decaying sum: its window, the time of its last update and its values."""
+
     span: int
     at: int
     values: list[float]
 
 
 class BackendRow(Row):
+    """One backend with its measurements; times in ticks."""
+
     id: str
     kind: str
     zone: str
@@ -44,6 +48,8 @@
 
 
 class SliceRow(Row):
+    """One slice with its assignments, stored routes and demand; times in ticks."""
+
     number: int
     since: int
     parts: list[tuple[int, int]]  # owner (place in the backends, -1: none), rests until
@@ -58,10 +64,12 @@
     closed_at: int = 0
     quiet: int = 0
     burst: float = 1.0
-    latest: SumsRow | None = None  # None: of a program that kept none
+    latest: SumsRow | None = None  # None: written by a version without this field
 
 
 class ModuleRow(Row):
+    """The whole decision module; times in ticks."""
+
     chance: tuple[int, list[int], float | None]
     now: int
     beats: int
@@ -94,7 +102,7 @@
     charge: float = 0.0
 
 
-# What is copied as it stands: the row's field, and the attribute of the module's object.  Rows are arrays, so
+# What is copied unchanged: the row's field, and the attribute of the module's object.  Rows are arrays, so
 # either name may change without the other, and no byte with them; the order of a row's fields may not.
 PLAIN = {
     "now": "now",
--- a/indigohitch/upgrade/snapshot.py
+++ b/indigohitch/upgrade/snapshot.py
@@ -1,8 +1,9 @@
-"""A snapshot as bytes and as a file: whole, of a version that this program reads, and unharmed, or refused.
+"""A snapshot as bytes and as a file; a truncated, damaged or incompatible one is refused whole.
 
-Form: magic, schema version, length, digest, msgpack.  A reader takes versions from its own less one to its
-own plus one: fields of array-like rows are only added, at the end and with defaults, so that the older lacks
-some and the newer brings some that are passed over."""
+Form: magic, schema version, length, digest, msgpack.  A reader accepts versions from its own less one to its
+own plus one: fields of array-like rows are only added, at the end and with defaults, so that an older
+snapshot lacks some and a newer one has some that are ignored.
+"""
 
 from __future__ import annotations
 
@@ -31,6 +32,8 @@
 
 
 class ServerRow(Row):
+    """One server of a sidecar's pool."""
+
     name: str
     host: str
     port: int
@@ -40,6 +43,8 @@
 
 
 class TableRow(Row):
+    """One routing table of a sidecar's pool: its weights and admission levels."""
+
     lines: list[tuple[int, float]]  # place in the servers, weight
     level: float
     levels: dict[str, float]
@@ -47,6 +52,8 @@
 
 
 class PoolRow(Row):
+    """One pool of a sidecar: its decision module, servers, tables and open probes."""
+
     name: str
     slices: int
     module: ModuleRow
@@ -56,22 +63,26 @@
     version: int
     turn: int
     reported: int
-    listed: list[tuple]  # name, host, port, weight, zone, kind: the list as last told
-    probing: list[str]  # probes that are out: to be sent again
+    listed: list[tuple]  # name, host, port, weight, zone, kind: the list as last received
+    probing: list[str]  # probes without a result: to be sent again
 
 
 class SidecarState(Row):
+    """The state of a sidecar: its pools."""
+
     pools: list[PoolRow]
 
 
 class StoredTableRow(Row):
+    """One routing table as the platform confirmed it."""
+
     number: int
     lines: list[tuple[str, float]]
     level: list | None  # the order that set it
 
 
 class CoordinatorState(Row):
-    """Of the platform's front."""
+    """The state of a coordinator: its decision module and its view of the platform."""
 
     module: ModuleRow
     listed: list[list]
@@ -79,20 +90,22 @@
     heard_of: list[str]
     version: int
     watching: bool
-    waiting: list[list[list]]  # the relay's calls that do not stand yet, each of orders
+    waiting: list[list[list]]  # the relay's unconfirmed calls, each a list of orders
     written: list[int]  # when calls went out that count as messages to the proxies
     failures: int
     proxies: list[list]  # as they joined
     stood: list[StoredTableRow]
     begun: bool
-    lost: list[int]  # tables to be told anew
+    lost: list[int]  # tables to be sent again
     probing: list[str]
-    maybe: list[list] = []  # orders of earlier calls that nobody knows of; they go again in `waiting`
+    maybe: list[list] = []  # orders of earlier calls of unknown result; `waiting` repeats them
     starts: list[tuple[str, int, int]] = []  # backends: their start by the wall clock, and by the process's
     list_heard: int = 0  # when discovery's list came last
 
 
 class Snapshot(Row):
+    """The state of one program at one time."""
+
     kind: str  # "sidecar" or "coordinator"
     taken: int  # Unix time, tenths of a ms
     sidecar: SidecarState | None = None
@@ -100,20 +113,21 @@
 
 
 def encode(snapshot: Snapshot, version: int = SCHEMA) -> bytes:
+    """Return the snapshot as bytes, with its head."""
     body = msgspec.msgpack.encode(snapshot)
     return _HEAD.pack(MAGIC, version, len(body), digest(body, version)) + body
 
 
-def decode(data: bytes, own: int = SCHEMA) -> Snapshot:
-    """Raises Unusable."""
+def decode(data: bytes, schema: int = SCHEMA) -> Snapshot:
+    """Return the snapshot in `data`, as a reader of version `schema`; raises UnusableSnapshotError."""
     if len(data) < _HEAD.size:
         raise UnusableSnapshotError("truncated: no whole head")
     magic, version, length, found = _HEAD.unpack_from(data)
     if magic != MAGIC:
         raise UnusableSnapshotError("no snapshot")
-    if not own - 1 <= version <= own + 1:
+    if not schema - 1 <= version <= schema + 1:
         raise UnusableSnapshotError(
-            f"of version {version}; this program reads {max(1, own - 1)} to {own + 1}"
+            f"of version {version}; this program reads {max(1, schema - 1)} to {schema + 1}"
         )
     body = data[_HEAD.size :]
     if len(body) != length:
@@ -122,12 +136,12 @@
         raise UnusableSnapshotError("harmed: another digest")
     try:
         return msgspec.msgpack.decode(body, type=Snapshot)
-    except msgspec.MsgspecError as bad:
-        raise UnusableSnapshotError(f"not in this form: {bad}") from None
+    except msgspec.MsgspecError as error:
+        raise UnusableSnapshotError(f"not in this form: {error}") from None
 
 
 def read(path: str) -> Snapshot:
-    """Raises OSError, Unusable."""
+    """Return the snapshot in the file; raises OSError and UnusableSnapshotError."""
     with open(path, "rb") as file:
         if os.fstat(file.fileno()).st_size > MAX_FILE_BYTES:
             raise UnusableSnapshotError("larger than any state")
--- a/indigohitch/upgrade/upgrade_report.py
+++ b/indigohitch/upgrade/upgrade_report.py
@@ -1,24 +1,28 @@
-"""What an upgrade took and moved, as it is told when it is over."""
+"""Collects the result of an upgrade: what it moved and how long it took."""
 
 from __future__ import annotations
 
 
 class UpgradeReport:
-    """Times are of the process's clock, tenths of a ms."""
+    """The figures of one upgrade; times are ticks of the process's clock, tenths of a ms."""
 
     def __init__(self, now: int) -> None:
-        self.asked = self.stopped = now
-        self.told_of: dict[str, object] = {}
+        self.requested_at = now
+        self.stopped = now
+        self.figures: dict[str, object] = {}
 
     def add(self, **named: object) -> None:
-        self.told_of |= named
+        """Add named figures to the result."""
+        self.figures |= named
 
     def state_taken(self, size: int, began: int, now: int) -> None:
+        """Record the size of the state in bytes and how long the module was frozen."""
         self.add(state_bytes=size, freeze_ms=(now - began) / 10)
 
     def accepting_again(self, now: int) -> None:
-        """The new process accepts: how long nobody did."""
+        """Record how long neither process accepted, now that one does again."""
         self.add(gap_ms=(now - self.stopped) / 10)
 
     def told(self, result: str, now: int) -> dict:
-        return {"result": result, "took_ms": (now - self.asked) / 10} | self.told_of
+        """Return the whole result, with the duration in ms."""
+        return {"result": result, "took_ms": (now - self.requested_at) / 10} | self.figures
