--- a/tests/test_upgrade_machine.py
+++ b/tests/test_upgrade_machine.py
@@ -7,6 +7,7 @@
 
 from indigohitch.upgrade.phases import Act, Phase
 from indigohitch.upgrade.predecessor import Predecessor
+from upgrade_actions import OldActions
 from upgrade_pair import CONNECTIONS, Pair
 
 
@@ -59,7 +60,7 @@
         return [Act.KILL]
 
     monkeypatch.setattr(Predecessor, "reclaim", hasty)
-    monkeypatch.setattr(Pair, "old_kill", lambda self: None)  # SIGKILL takes its time
+    monkeypatch.setattr(OldActions, "kill", lambda self: None)  # SIGKILL takes its time
     with pytest.raises(AssertionError):
         for seed in range(2000):
             walk(seed)
--- a/tests/upgrade_pair.py
+++ b/tests/upgrade_pair.py
@@ -1,155 +1,67 @@
-"""Both sides of an upgrade on lists: what giving.py and taking.py do for the machines, with the rules checked
-after every step."""
+"""A model of both processes of an upgrade, whose invariants are checked after every step."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
 
 from indigohitch.upgrade.phases import Phase
 from indigohitch.upgrade.predecessor import Predecessor
-from indigohitch.upgrade.successor import Successor
+from upgrade_actions import NewActions, OldActions
+from upgrade_process import Process
 
 CONNECTIONS = range(6)
 
 
-class Process:
-    def __init__(self, machine):
-        self.machine, self.alive, self.hung, self.told_to_end = machine, True, False, False
-        self.reads = set()  # connections that it reads
-        self.inbox = []  # what the other said, not delivered yet
-        self.cut = self.heard_cut = False  # of its end of the channel
-        self.sees_death = self.saw_death = self.started = False
-        self.in_order = False  # a service that was told to end, and did
-
-    @property
-    def accepting(self):
-        return self.alive and not self.told_to_end and self.machine.accepting
-
-
 class Pair:
-    """What giving.py and taking.py do for the machines, on lists."""
+    """Both processes with their state machines; the drivers and the channel are modelled by lists."""
 
-    def __init__(self, rng):
-        self.rng, self.steps = rng, []
-        self.old, self.new = Process(Predecessor()), None
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
+        self.steps: list[tuple[str, str, str]] = []  # side, event, phase before it
+        self.old = Process(Predecessor())
+        self.new: Process | None = None
         self.old.reads = set(CONNECTIONS)
-        self.passed = set()  # of the old one: not known to have their owner
-        self.held = set()  # of the new one: before the commit
-        self.died_with = set()  # connections of which the one owner has died
-        self.reports = []
+        self.passed: set[int] = set()  # by the old process, unconfirmed
+        self.held: set[int] = set()  # by the new process, before the commit
+        self.died_with: set[int] = set()  # connections whose only owner has died
+        self.reports: list[str] = []
 
     # ---- doing
 
-    def step(self, side, event):
+    def step(self, side: str, event: str) -> None:
+        """Give an event to a machine, run its actions and check the invariants."""
         process = self.old if side == "old" else self.new
         if not process.alive or process.hung:
             return
-        was = process.machine.phase
-        self.steps.append((side, event, was.value))
-        # As replaceable.py: a new one that is the service ends as any does, at some later time.
+        phase_before = process.machine.phase
+        self.steps.append((side, event, phase_before.value))
+        # As in upgradable_process.py: a new one that is the service ends as any does, at some later time.
         process.told_to_end |= event == "told_to_end" and side == "new" and process.machine.accepting
+        actions = OldActions(self) if side == "old" else NewActions(self)
         for act in process.machine.step(event):
-            getattr(self, f"{side}_{act.value}")()
+            getattr(actions, act.value)()
         self.check()
 
-    def say(self, to, word):
+    def say(self, to: Process | None, word: str | tuple[str, frozenset[int]]) -> None:
+        """Send a message, unless the receiver is dead or its channel is cut."""
         if to is not None and to.alive and not to.cut:
             to.inbox.append(word)
 
-    def old_spawn(self):
-        assert self.new is None or not self.new.alive, "a second new process beside a living one"
-        self.new = Process(Successor())
-        self.held = set()
-        self.old.inbox, self.old.cut, self.old.heard_cut = [], False, False
-        self.old.sees_death = self.old.saw_death = False
-
-    def old_settle(self):
-        pass
-
-    def old_give(self):
-        self.say(self.new, "listeners")
-        self.say(self.new, "state")
-
-    def old_commit(self):
-        waiting = {c for c in self.old.reads if self.rng.random() < 0.7}
-        self.old.reads -= waiting
-        self.passed |= waiting
-        self.say(self.new, ("passed", frozenset(waiting)))
-        self.say(self.new, "commit")
-
-    def old_release(self):
-        assert not self.passed, "released what nobody said to have"
-
-    def old_drain(self):
-        pass
-
-    def old_thaw(self):
-        pass
-
-    def old_reclaim(self):
-        assert not self.new.alive, "taken back beside a living one"
-        self.old.reads |= self.passed
-        self.passed = set()
-
-    def old_kill(self):
-        self.kill(self.new)
-
-    def old_call_off(self):
-        self.say(self.new, "call_off")
-
-    def old_done(self):
-        self.say(self.new, "done")
-
-    def old_report(self):
-        self.reports.append(self.old.machine.result)
-
-    def old_end(self):
-        self.exit(self.old)
-
-    def new_hello(self):
-        self.say(self.old, "hello")
-
-    def new_restore(self):
-        if self.rng.random() < 0.9:
-            self.say(self.old, "restored")
-            self.step("new", "built")
-        else:
-            self.step("new", "failed")
-
-    def new_prove(self):
-        if self.rng.random() < 0.9:
-            self.say(self.old, "proven")
-            self.step("new", "works")
-        else:
-            self.step("new", "failed")
-
-    def new_accept(self):
-        self.say(self.old, ("adopted", frozenset(self.held)))
-        self.say(self.old, "accepting")
-        self.new.reads |= self.held
-        self.held = set()
-
-    def new_begin(self):
-        assert not self.old.alive
-        self.new.reads |= self.held
-        self.held = set()
-
-    def new_refuse(self):
-        self.say(self.old, "refused")
-
-    def new_leave(self):
-        self.say(self.old, "refused")
-
-    def new_end(self):
-        self.exit(self.new)
-
-    def new_ends_in_order(self):
+    def new_ends_in_order(self) -> None:
+        """End the new process, which was the service and had to end."""
         self.new.in_order = True
         self.exit(self.new)
 
     # ---- what happens
 
-    def kill(self, process):
+    def kill(self, process: Process | None) -> None:
+        """Kill a process that is still alive."""
         if process is not None and process.alive:
             self.exit(process)
 
-    def exit(self, process):
+    def exit(self, process: Process) -> None:
+        """End a process; connections without another owner die with it."""
         process.alive = False
         other = self.new if process is self.old else self.old
         self.died_with |= process.reads
@@ -164,7 +76,8 @@
         if other is not None and other.alive:
             other.sees_death = other.cut = True
 
-    def deliver(self, side):
+    def deliver(self, side: str) -> None:
+        """Deliver the next message to a process."""
         process = self.old if side == "old" else self.new
         word = process.inbox.pop(0)
         if isinstance(word, tuple) and word[0] == "adopted":
@@ -178,39 +91,64 @@
         else:
             self.step(side, word)
 
-    def choices(self, faults):
-        found = []
+    def choices(self, faults: bool) -> list[Callable[[], object]]:
+        """Return what can happen next, likelier moves several times; with `faults` deaths, hangs and cuts."""
+        found: list[Callable[[], object]] = []
         for side, process in (("old", self.old), ("new", self.new)):
-            if process is None or not process.alive or process.hung:
-                continue
-            if process.inbox:
-                found += [lambda side=side: self.deliver(side)] * 6
-            elif process.cut and not process.heard_cut:
-                found += [lambda side=side: self.eof(side)]
-            if process.sees_death and not process.saw_death:
-                found += [lambda side=side: self.death(side)] * 2
-        phase = self.old.machine.phase
+            if process is not None and process.alive and not process.hung:
+                found += self.channel_choices(side, process)
         if self.old.alive:
-            found += {
-                Phase.SETTLING: [lambda: self.step("old", "settled")] * 4,
-                Phase.DRAINING: [
+            found += self.old_choices()
+        if self.new and self.new.alive and not self.new.hung:
+            found += self.new_choices()
+        if faults:
+            found += self.fault_choices()
+        return found
+
+    def channel_choices(self, side: str, process: Process) -> list[Callable[[], object]]:
+        """Return what can reach a process from the other."""
+        found: list[Callable[[], object]] = []
+        if process.inbox:
+            found += [lambda: self.deliver(side)] * 6
+        elif process.cut and not process.heard_cut:
+            found += [lambda: self.eof(side)]
+        if process.sees_death and not process.saw_death:
+            found += [lambda: self.death(side)] * 2
+        return found
+
+    def old_choices(self) -> list[Callable[[], object]]:
+        """Return what can happen in the old process."""
+        match self.old.machine.phase:
+            case Phase.SETTLING:
+                return [lambda: self.step("old", "settled")] * 4
+            case Phase.DRAINING:
+                return [
                     lambda: self.step("old", "drained"),
-                    lambda: self.late(),
+                    self.late,
                     lambda: self.step("old", "watched"),
-                ],
-            }.get(phase, [])
-        if self.new and self.new.alive and not self.new.hung and not self.new.started:
+                ]
+        return []
+
+    def new_choices(self) -> list[Callable[[], object]]:
+        """Return what can happen in the new process."""
+        found: list[Callable[[], object]] = []
+        if not self.new.started:
             found += [lambda: (setattr(self.new, "started", True), self.step("new", "started"))] * 4
-        if self.new and self.new.alive and not self.new.hung and self.new.told_to_end:
+        if self.new.told_to_end:
             found += [self.new_ends_in_order]
-        if faults:
-            if self.new and self.new.alive:
-                found += [lambda: self.kill(self.new), lambda: setattr(self.new, "hung", True), self.cut]
-            if self.old.alive and self.rng.random() < 0.3:
-                found += [lambda: self.kill(self.old)]
         return found
 
-    def death(self, side):
+    def fault_choices(self) -> list[Callable[[], object]]:
+        """Return the faults that can happen."""
+        found: list[Callable[[], object]] = []
+        if self.new and self.new.alive:
+            found += [lambda: self.kill(self.new), lambda: setattr(self.new, "hung", True), self.cut]
+        if self.old.alive and self.rng.random() < 0.3:
+            found += [lambda: self.kill(self.old)]
+        return found
+
+    def death(self, side: str) -> None:
+        """Let a process notice the death of the other."""
         process = self.old if side == "old" else self.new
         while process.inbox and process.alive:  # its last words came first
             self.deliver(side)
@@ -219,25 +157,28 @@
             ended = side == "old" and self.new.in_order and process.machine.phase is Phase.DRAINING
             self.step(side, "refused" if ended else "died")
 
-    def eof(self, side):
+    def eof(self, side: str) -> None:
+        """Let a process notice the end of the channel."""
         (self.old if side == "old" else self.new).heard_cut = True
         self.step(side, "eof")
 
-    def late(self):
+    def late(self) -> None:
         """A connection came free while the old one drains."""
         if self.old.reads and not self.old.cut:
-            one = {min(self.old.reads)}
-            self.old.reads -= one
-            self.passed |= one
-            self.say(self.new, ("passed", frozenset(one)))
+            freed = {min(self.old.reads)}
+            self.old.reads -= freed
+            self.passed |= freed
+            self.say(self.new, ("passed", frozenset(freed)))
 
-    def cut(self):
+    def cut(self) -> None:
+        """Cut the channel; some of the last messages are lost."""
         for process in (self.old, self.new):
             if process.alive:
                 process.inbox = process.inbox[: self.rng.randint(0, len(process.inbox))]
                 process.cut = True
 
-    def deadlines(self):
+    def deadlines(self) -> None:
+        """Let the deadlines of both machines pass."""
         if self.old.alive and self.old.machine.wait:
             self.step("old", "deadline")
         if self.new and self.new.alive and not self.new.hung and self.new.machine.wait:
@@ -245,14 +186,15 @@
 
     # ---- what must hold
 
-    def check(self):
+    def check(self) -> None:
+        """Assert that one process at most accepts, and that each connection has one reader."""
         accepting = [p for p in (self.old, self.new) if p and p.accepting]
         assert len(accepting) <= 1, "two accept"
         if self.new:
             assert not self.old.reads & self.new.reads, "two read one connection"
             assert not self.new.reads & self.died_with
 
-    def settle(self):
+    def settle(self) -> None:
         """No more faults: deadlines pass until nothing changes."""
         for _ in range(60):
             for _ in range(200):
