--- a/indigohitch/upgrade/upgrade_report.py
+++ b/indigohitch/upgrade/upgrade_report.py
@@ -9,15 +9,15 @@
     def __init__(self, now: int) -> None:
         self.requested_at = now
         self.stopped = now
-        self.figures: dict[str, object] = {}
+        self.values: dict[str, object] = {}
 
     def add(self, **named: object) -> None:
         """Add named figures to the result."""
-        self.figures |= named
+        self.values |= named
 
-    def state_taken(self, size: int, began: int, now: int) -> None:
+    def state_taken(self, size: int, frozen_at: int, now: int) -> None:
         """Record the size of the state in bytes and how long the module was frozen."""
-        self.add(state_bytes=size, freeze_ms=(now - began) / 10)
+        self.add(state_bytes=size, freeze_ms=(now - frozen_at) / 10)
 
     def accepting_again(self, now: int) -> None:
         """Record how long neither process accepted, now that one does again."""
@@ -25,4 +25,4 @@
 
     def told(self, result: str, now: int) -> dict:
         """Return the whole result, with the duration in ms."""
-        return {"result": result, "took_ms": (now - self.requested_at) / 10} | self.figures
+        return {"result": result, "took_ms": (now - self.requested_at) / 10} | self.values
