--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -59,7 +59,7 @@
         from .backend_subscription.source import SubscribedBackends
 
         source = SubscribedBackends(self.log, self.companion.resources, tell)
-        self.companion.on_services_applied = source.applied
+        self.companion.on_services_applied = source.on_update
         return source
 
     def make(self, listening: socket.socket | None) -> Front:
@@ -75,14 +75,14 @@
         if self.fleet is not None and not subscribes:
             from .fleet.audit.orders import stamped
 
-            front.relay.allowed = stamped(self.clock, lambda: self.companion.node)
+            front.relay.is_allowed = stamped(self.clock, lambda: self.companion.node)
         return front
 
     def turn(self) -> None:
         """Lets the module handle the events of this turn of the loop."""
         if self.side.front is not None:
-            gathering = self.side.front.gathering
-            gathering.turn()
+            gathering = self.side.front.event_batch
+            gathering.flush_if_due()
             self.decided = self.phase is ProcessPhase.ENDING and (self.decided or not gathering.events)
 
     def without_state(self) -> None:
@@ -97,9 +97,9 @@
         front = self.side.front
         return {
             "proxies": len(front.store_mirror.proxies),
-            "slices": len(front.store_mirror.stood),
-            "calls_waiting": len(front.relay.waiting),
-            "news_begun": front.store_mirror.begun,
+            "slices": len(front.store_mirror.tables),
+            "calls_waiting": len(front.relay.pending_calls),
+            "news_begun": front.store_mirror.has_started,
         }
 
     def read_operator_file(self) -> Text:
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -25,7 +25,7 @@
     "event",
     "warning",
     "trouble",
-    "held",
+    "log_waiting",
     "drop",
     "Note",
 )  # calls whose first or second word names an event
@@ -66,13 +66,13 @@
 
 def _call_log(log: Kept) -> None:
     told, orders, full = CallLog(log), [face.ClearTable(1), face.ClearTable(2)], ChannelOccupancy(3, 40, 2)
-    told.begin()
-    told.sent(orders, 12, full)
-    told.held("call_held_back", full, 125)
-    told.held("call_waits_for_the_channel", full, 30, lines=9)
-    told.unclear("reset", orders, HttpResponse("reset", 0, b"", 215))
-    told.sent(orders, 12, full)
-    told.stands(2, "answer")
+    told.start_call()
+    told.log_sent(orders, 12, full)
+    told.log_waiting("call_held_back", full, 125)
+    told.log_waiting("call_waits_for_the_channel", full, 30, lines=9)
+    told.log_unresolved("reset", orders, HttpResponse("reset", 0, b"", 215))
+    told.log_sent(orders, 12, full)
+    told.log_applied(2, "answer")
 
 
 def _list_log(log: Kept) -> None:
@@ -86,9 +86,9 @@
 def _invariants(log: Kept) -> None:
     guard = InvariantChecker(log, 1, 1, SimpleNamespace(most=0, lines=0))
     for invariant in Invariant:
-        guard._violated(invariant, orders=1)
-    guard.refused([face.SetRoute(1, "b2", 1.0), face.SetRoute(2, "b1", 1.0)])
-    guard.ending(1, 2)
+        guard._report_violation(invariant, orders=1)
+    guard.report_late_routes([face.SetRoute(1, "b2", 1.0), face.SetRoute(2, "b1", 1.0)])
+    guard.report_exit(1, 2)
     log.counters()
 
 
@@ -100,7 +100,7 @@
         {"order": "tell peer", "peer": 1, "body": "x"},
         {"order": "log line", "text": "as decided"},
     ]
-    Front._carry(stub, [order(one) for one in said])
+    Front.execute_orders(stub, [order(one) for one in said])
 
 
 def _asked(log: Kept, after: dict[str, float]) -> None:
@@ -113,7 +113,7 @@
         room.relay.order([face.SetRoute(1, "b0", 0.0), face.SetRoute(1, "b1", 2.0)])
         calls = log.counts["relay_calls"]
         room.answer("reset")
-        room.until(lambda: log.counts["relay_calls"] > calls or not room.relay.waiting)
+        room.until(lambda: log.counts["relay_calls"] > calls or not room.relay.pending_calls)
         room.loop.close()
 
 
--- a/tests/hours.py
+++ b/tests/hours.py
@@ -10,7 +10,7 @@
     def now(self):
         return self.time
 
-    def at(self, when, action):
+    def call_at(self, when, action):
         self.due.append((when, action))
 
     def go(self, span, gathering):
@@ -19,4 +19,4 @@
         self.due = [(when, action) for when, action in self.due if when > self.time]
         for action in ready:
             action()
-        gathering.turn()
+        gathering.flush_if_due()
