--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -242,7 +242,7 @@
             pool.timer_again()
             pool.report_soon()
             for backend in self.rows[name].probing:
-                pool.probe(backend)
+                pool.probes.send(backend)
             wanted = self.wanted[name]
             if sorted(told(wanted.values())) != sorted(told(pool.text.servers.values())):
                 host.log.event("servers_changed", pool=name, **pool.relist(wanted))
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -9,10 +9,9 @@
 from ..config.texts import PoolText
 from ..event_batch import EventBatch
 from ..logic import Coordinator
-from ..net.http_client import HttpClient as Caller
-from ..net.http_exchange import HttpResponse
 from ..request import RouteTable
 from ..settings import parse_load_report
+from .server_probes import ServerProbes
 from .servers import Server
 
 PROXY = 0  # the sidecar itself, the one proxy that is joined
@@ -20,7 +19,6 @@
 
 class Pool:
     ANEW = 5000  # until a new module is told all: what broke the last may still be there
-    PROBE = 6000  # a server that runs answers in a tenth of that
 
     def __init__(self, host, text: PoolText, seed: int) -> None:
         self.host, self.text, self.boot, self.slices = host, text, text.boot, text.slices
@@ -32,7 +30,7 @@
         self.servers: dict[str, Server] = {}
         self.demand: dict[tuple[int, str], list[int]] = {}
         self.version, self._turn, self.reported = 1, 0, host.loop.clock.now()
-        self.probes: set[Caller] = set()
+        self.probes = ServerProbes(host.loop, self.event_batch, self.servers, text)
         self.report_due = None
         self.deciding = False  # the module is at work, in the worker
         for server in text.servers.values():
@@ -215,7 +213,7 @@
             case face.SetTimer(due, tag):
                 self.host.loop.call_at(due, lambda: self.event_batch.add_timer(face.TimerFired(tag)))
             case face.ProbeBackend(backend):
-                self.probe(backend)
+                self.probes.send(backend)
             case face.LogMessage(text):
                 self.host.log.event("decision", pool=self.name, text=text)
 
@@ -224,26 +222,6 @@
         if due := self.coordinator.timer_due_at:
             self.carry_out(face.SetTimer(due, "beat"))
 
-    def probe(self, backend: str) -> None:
-        server = self.servers.get(backend)
-        if server is None:
-            self.event_batch.add(face.ProbeResult(backend, "connect_failed", 0))
-            return
-        caller = Caller(self.host.loop, server.address, self.PROBE)
-        self.probes.add(caller)
-        caller.request(
-            "GET", self.text.probe, self.PROBE, lambda answer: self.probed(backend, caller, answer)
-        )
-
-    def probed(self, backend: str, caller: Caller, answer: HttpResponse) -> None:
-        self.probes.discard(caller)
-        outcome = (
-            ("ok" if answer.status == 200 else "error")
-            if answer.outcome == "answered"
-            else {"unreadable": "error", "unreached": "timeout"}.get(answer.outcome, answer.outcome)
-        )
-        self.event_batch.add(face.ProbeResult(backend, outcome, answer.duration))
-
     def sweep(self, now: int) -> None:
         for server in self.servers.values():
             server.drop_idle(now - self.host.text.waits["upstream"])
@@ -251,7 +229,6 @@
     def close(self) -> None:
         if self.report_due is not None:
             self.report_due.cancel()
-        for caller in list(self.probes):
-            caller.close()
+        self.probes.close()
         for server in self.servers.values():
             server.drop_idle()
