--- a/indigohitch/platform_protocol/call_codec.py
+++ b/indigohitch/platform_protocol/call_codec.py
@@ -1,4 +1,4 @@
-"""What a call to the relay holds: orders in its words, what is void among them, and what its answer says."""
+"""Encoding of calls to the relay, merging of orders that override each other, and parsing of responses."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from .. import interface as face
 from ..net.http_exchange import HttpResponse
 
-MAX_CALL_BYTES = 60_000  # of orders that a call may carry, says the protocol
+MAX_CALL_BYTES = 60_000  # limit of the protocol for the orders of one call
 FORM_CONTENT_TYPE = "application/x-www-form-urlencoded"
 UNSUPPORTED_ORDERS = {
     face.BindTable: "Bind",
     face.SendToPeer: "TellPeer",
-}  # orders without a word; the log's names for them
+}  # orders the relay has no command for; their names in the log
 
 
 def encode_form(orders: str) -> bytes:
-    """A call's body; `orders` in the relay's words, in turn."""
+    """Return the form body of a call; `orders` is the encoded list of orders."""
     return urlencode({"Action": "CommitChanges", "orders": orders}).encode("ascii")
 
 
 def encode_order(order: face.Order, methods: Sequence[str]) -> str:
-    """An order in the relay's words."""
+    """Return an order as text for the relay; TypeError if the relay has no command for it."""
     match order:
         case face.SetRoute(table, backend, weight):
             return f"put,{table},{backend},{weight}"
@@ -32,15 +32,15 @@
         case face.EjectBackend(backend, out):
             return f"{'eject' if out else 'uneject'},{backend}"
         case face.SetAdmission(table, places, level, tries):
-            whose = "*" if table == face.ALL_TABLES else table
-            return f"gate,{whose},{'+'.join(methods[p] for p in places) or '*'},{level},{tries}"
+            scope = "*" if table == face.ALL_TABLES else table
+            return f"gate,{scope},{'+'.join(methods[p] for p in places) or '*'},{level},{tries}"
         case face.UpdateMarker(mark, everyone):
             return f"fence,{mark},{int(everyone)}"
     raise TypeError(f"not an order for the relay: {order}")
 
 
 def order_key(order: face.Order) -> tuple:
-    """What an order sets: a later one of the same key makes it void."""
+    """Return the key of what an order sets; a later order with the same key overrides it."""
     match order:
         case face.SetRoute(table, backend, _):
             return "line", table, backend
@@ -54,8 +54,11 @@
 
 
 def merge_orders(orders: Sequence[face.Order]) -> list[face.Order]:
-    """The same end with no order that a later one makes void.  Lines of a table stand together, at the place
-    of the last: where they go in several calls, no table is without a line in between."""
+    """Return the orders without those that a later one overrides; the final result is the same.
+
+    Routes of a table are kept together, at the position of the last one: when they are sent in several
+    calls, no table is without a route between two calls.
+    """
     last: dict[tuple, face.Order] = {}
     lines: dict[int, dict[tuple, None]] = {}  # keys of each table's lines
     for order in orders:
@@ -75,26 +78,29 @@
 
 
 def split_by_size(orders: Sequence[face.Order], methods: Sequence[str]) -> Iterator[list[face.Order]]:
-    """One reply of the module: a call of its own, or several where it is too long for one."""
-    call, room = [], MAX_CALL_BYTES + 1
+    """Split orders into calls of at most MAX_CALL_BYTES each."""
+    call: list[face.Order] = []
+    free_bytes = MAX_CALL_BYTES + 1  # the last order has no separator
     for order in orders:
         size = len(encode_order(order, methods)) + 1
-        if room < size:
+        if free_bytes < size:
             yield call
-            call, room = [], MAX_CALL_BYTES + 1
+            call = []
+            free_bytes = MAX_CALL_BYTES + 1
         call.append(order)
-        room -= size
+        free_bytes -= size
     yield call
 
 
-def split_index(orders: Sequence[face.Order], most: int) -> int:
-    """How many of the orders make a call of at most `most`, one at least; lines of a table stay together."""
-    at = most = max(1, most)
-    if most >= len(orders):
+def split_index(orders: Sequence[face.Order], max_orders: int) -> int:
+    """Return how many orders, at least one, go in a call of `max_orders`; a table's routes stay together."""
+    limit = max(1, max_orders)
+    if limit >= len(orders):
         return len(orders)
-    while at and _same_table(orders[at - 1], orders[at]):
-        at -= 1
-    return at or most
+    index = limit
+    while index and _same_table(orders[index - 1], orders[index]):
+        index -= 1
+    return index or limit
 
 
 def _same_table(first: face.Order, second: face.Order) -> bool:
@@ -104,15 +110,15 @@
 
 
 def parse_response(answer: HttpResponse) -> int | str:
-    """How many orders were taken, or the name of the error; ValueError: nothing that can be read."""
+    """Return the number of applied orders or the error code; ValueError if the response is unreadable."""
     if answer.outcome != "answered":
         raise ValueError(answer.outcome)
-    if b"<!" in answer.body:  # entities can swell without bound, no answer needs them
+    if b"<!" in answer.body:  # entities can expand without limit, no response needs them
         raise ValueError("a document type")
     try:
         root = ElementTree.fromstring(answer.body)
-    except ElementTree.ParseError as bad:
-        raise ValueError(f"no XML: {bad}") from None
+    except ElementTree.ParseError as error:
+        raise ValueError(f"no XML: {error}") from None
     if (code := root.findtext(".//Code")) is not None:
         return code.strip()
     count = (root.findtext(".//results/item/ok_count") or "").strip()
--- a/indigohitch/platform_protocol/call_log.py
+++ b/indigohitch/platform_protocol/call_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of the calls to the relay: a number for each, and why it waits, goes again or ends."""
+"""Log entries on calls to the relay: a number for each call, and why it waits, is retried or ends."""
 
 from __future__ import annotations
 
@@ -12,27 +12,28 @@
 
 @dataclass(slots=True, frozen=True)
 class ChannelOccupancy:
-    """How full the two bounds of the channel are as a call is considered."""
+    """Use of the two limits of the channel at the time a call is considered."""
 
-    messages: int  # written within the window that the settings count over
-    lines: int  # that may still wait in the channel
-    waiting: int  # calls in the queue, this one among them
+    messages: int  # sent within the window of the message rate limit
+    lines: int  # not known to have left the channel
+    waiting: int  # calls in the queue, including this one
 
 
 class CallLog:
-    """Numbers the calls of one process from 1 on; the same orders sent again keep their number."""
+    """Numbers the calls of one process from 1; a retry of the same orders keeps its number."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
-        self.number = self.attempts = 0
+        self.number = 0
+        self.attempts = 0
 
     def start_call(self) -> None:
-        """The orders at the head of the queue are other ones than those last sent."""
+        """Begin a new number: the next call carries other orders than the last one sent."""
         self.number += 1
         self.attempts = 0
 
     def log_sent(self, orders: Sequence[face.Order], lines: int, found: ChannelOccupancy) -> None:
-        """A call goes out with so many lines to all proxies."""
+        """Log that a call is sent; `lines` is its total over all proxies."""
         self.attempts += 1
         self.log.event(
             "relay_call_sent",
@@ -45,20 +46,20 @@
             calls=found.waiting,
         )
 
-    def log_waiting(self, event: str, found: ChannelOccupancy, for_tenths: int, **fields) -> None:
-        """The call at the head of the queue waits for the bound that `event` names."""
+    def log_waiting(self, event: str, found: ChannelOccupancy, delay: int, **fields: object) -> None:
+        """Log that the first call waits `delay` ticks for the limit that `event` names."""
         self.log.warning(
             event,
             after_call=self.number,
             calls=found.waiting,
             messages=found.messages,
             lines_waiting=found.lines,
-            for_ms=for_tenths / 10,
+            for_ms=delay / 10,
             **fields,
         )
 
     def log_unresolved(self, why: str, orders: Sequence[face.Order], answer: HttpResponse) -> None:
-        """Whether the call was carried out is not known."""
+        """Log that it is unknown whether the call was applied."""
         self.log.warning(
             "relay_call_unresolved",
             call=self.number,
@@ -68,6 +69,6 @@
             after_ms=answer.duration / 10,
         )
 
-    def log_applied(self, count: int, by: str) -> None:
-        """So many orders of the call stand, as the answer, a mark or the store's tables tell."""
-        self.log.event("relay_call_applied", call=self.number, tries=self.attempts, orders=count, by=by)
+    def log_applied(self, count: int, source: str) -> None:
+        """Log that `count` orders of the call are applied; `source`: the answer, a marker or the tables."""
+        self.log.event("relay_call_applied", call=self.number, tries=self.attempts, orders=count, by=source)
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -1,7 +1,8 @@
-"""The queue of calls to the relay: when the next one begins, and with which orders.
+"""The queue of calls to the relay: when the next one is sent, and with which orders.
 
-Which orders go next and when a call in doubt goes again is decided in logic/dispatch.py, how soon a proxy may
-get another message in logic/pacing.py; relay.py says what becomes of a call that went."""
+The order of calls and their retries are decided in logic/call_scheduling.py, the message rate in
+logic/rate_limit.py; relay.py handles the outcome of a call.
+"""
 
 from __future__ import annotations
 
@@ -26,10 +27,12 @@
 
 
 class CallQueue:
-    RESPONSE_TIMEOUT = SECOND // 5  # for an answer that comes within 50 ms or not at all
+    """Sends the queued calls one at a time, within the limits of the channel and the invariants."""
+
+    RESPONSE_TIMEOUT = SECOND // 5  # a response takes at most 50 ms or never comes
     CONNECT_TIMEOUT = SECOND // 4  # on one network a connect takes a few ms
-    IDLE_TIMEOUT = SECOND  # the relay closes what stands idle, some day sooner than it says
-    TRANSIT_MARGIN = SECOND // 2  # by which one call may take longer to the relay than the next
+    IDLE_TIMEOUT = SECOND  # the relay closes idle connections, possibly before its stated time
+    TRANSIT_MARGIN = SECOND // 2  # how much longer one call may take to the relay than the next
 
     def __init__(
         self,
@@ -37,42 +40,43 @@
         log: Log,
         to: tuple[str, int],
         methods: Sequence[str],
-        most: int,
-        over: int,
+        max_messages: int,
+        window: int,
         backlog: ChannelBacklog,
     ) -> None:
-        """A proxy may get `most` messages (0: any number) within `over`; `backlog` bounds their lines."""
-        self.loop, self.log, self.methods = loop, log, methods
-        self.outbox, self.backlog = Outbox(log, methods, backlog), backlog
+        """A proxy may get `max_messages` (0: no limit) within `window` ticks; `backlog` limits lines."""
+        self.loop = loop
+        self.log = log
+        self.methods = methods
+        self.outbox = Outbox(log, methods, backlog)
+        self.backlog = backlog
         self.call_log = CallLog(log)
         self.channel_limits = ChannelLimits(
-            self.outbox, MessageRateLimit(most, over + self.TRANSIT_MARGIN), backlog, self.call_log
+            self.outbox, MessageRateLimit(max_messages, window + self.TRANSIT_MARGIN), backlog, self.call_log
         )
         self.in_flight_call = InFlightCall(loop, self._on_outcome)
-        self.invariants = InvariantChecker(log, most, over, backlog)
-        self.on_call_failed: Callable[[str], None] = lambda outcome: None  # a call broke, and how
-        self.on_applied: Callable[[list[face.Order]], None] = lambda orders: None  # what becomes of orders
+        self.invariants = InvariantChecker(log, max_messages, window, backlog)
+        self.on_call_failed: Callable[[str], None] = lambda outcome: None  # called with the failure
+        self.on_applied: Callable[[list[face.Order]], None] = lambda orders: None
         self.on_dropped: Callable[[list[face.Order]], None] = lambda orders: None
-        # Set from outside where others must know who ordered what: asked with the orders of each call right
-        # before it goes; False: it may not.
+        # Optional check of each call's encoded orders right before it is sent; False blocks the call.
         self.is_allowed: Callable[[str], bool] | None = None
-        self.on_unresolved_drop: Callable[[], None] = lambda: None  # a dropped call may stand: read what does
+        self.on_unresolved_drop: Callable[[], None] = lambda: None  # a dropped call may be applied
         self.client = HttpClient(loop, to, self.CONNECT_TIMEOUT, self.IDLE_TIMEOUT)
         self.idle = True
-        self.is_paused = self.awaiting_response = (
-            False  # no call begins; one has gone and nothing is known of it yet
-        )
-        self.waits_for_capacity = False  # the next one waits for the bounds of the channel
-        self.next_call_timer: Deadline | None = None  # when the next one is to begin, where that waits
+        self.is_paused = False  # no call is started
+        self.awaiting_response = False  # a call was sent and has no response or failure yet
+        self.waits_for_capacity = False  # the next call waits for the limits of the channel
+        self.next_call_timer: Deadline | None = None  # starts the next call, if that has a due time
 
     @property
     def pending_calls(self) -> deque[list[face.Order]]:
-        """Calls that do not stand yet, in turn; the first may be out."""
+        """Calls not known to be applied, in order; the first may be in flight."""
         return self.outbox.calls
 
     @property
     def sent_at(self) -> deque[int]:
-        """When calls went out that the proxies may have heard of."""
+        """Times of the sent calls that may have reached the proxies."""
         return self.channel_limits.message_rate.sent
 
     def restore(
@@ -80,46 +84,48 @@
         waiting: Sequence[list[face.Order]],
         written: Sequence[int],
         failures: int,
-        maybe: Sequence[face.Order],
+        unresolved: Sequence[face.Order],
     ) -> None:
-        """As another process held them."""
-        self.outbox.calls, self.channel_limits.message_rate.sent = deque(waiting), deque(written)
-        self.in_flight_call.failures, self.in_flight_call.unresolved_orders = failures, dict.fromkeys(maybe)
+        """Restore the state that another process handed over."""
+        self.outbox.calls = deque(waiting)
+        self.channel_limits.message_rate.sent = deque(written)
+        self.in_flight_call.failures = failures
+        self.in_flight_call.unresolved_orders = dict.fromkeys(unresolved)
         self.idle = not waiting
 
     def pending(self) -> list[face.Order]:
-        """All that is ordered and not known to stand, in order."""
+        """Return all orders not known to be applied, in order."""
         return self.outbox.pending()
 
     def move(self, to: tuple[str, int]) -> bool:
-        """Calls go to another address from the next one on; one that is out ends where it began."""
+        """Send later calls to another address, a call in flight ends at the old one; False if unchanged."""
         if to == self.client.address:
             return False
         self.client.retire()
         self.client = HttpClient(self.loop, to, self.CONNECT_TIMEOUT, self.IDLE_TIMEOUT)
         self.in_flight_call.outcome_query.drop()
         if self.in_flight_call.is_unresolved and not self.awaiting_response:
-            self._start_next_call()  # what is in doubt stays so, and is looked up there
+            self._start_next_call()  # an unresolved call stays so, and is looked up there
         return True
 
     def order(self, orders: list[face.Order], joins: bool = False) -> None:
-        """`joins`: these are no reply of the module, and may go with others of their kind."""
+        """Queue orders; `joins`: they are no module reply and may share a call with others of that kind."""
         self.outbox.add(orders, joins)
         if self.idle or self.waits_for_capacity:  # merged or not: one reply may be more calls than may wait
             self._start_next_call()
 
     def reconsider(self) -> None:
-        """What waits for the bounds may have become urgent by what the module has heard."""
+        """Evaluate the limits again: orders that wait for them may have become urgent."""
         if self.waits_for_capacity:
             self._start_next_call()
 
     def set_paused(self, on: bool) -> None:
-        """While it is on no call begins; one that is out comes to its end."""
+        """Pause or resume the start of calls; a call in flight is completed."""
         self.is_paused = on
         if not on and not self.awaiting_response and self.next_call_timer is None and self.pending_calls:
             self._start_next_call()
 
-    # ---- a call begins -----------------------------------------------------------------------------
+    # ---- start of a call -----------------------------------------------------------------------------
 
     def _start_next_call(self) -> None:
         self._wait_until(None)
@@ -145,7 +151,7 @@
             self._drop_blocked_orders()
 
     def _remove_late_routes(self) -> bool:
-        """Takes what would break the rule on drains out of a call that has not gone; whether any is left."""
+        """Remove routes that would violate the drain rule from an unsent call; whether orders remain."""
         late = [] if self.in_flight_call.is_unresolved else self.invariants.late_routes(self.pending_calls[0])
         if late:
             self.invariants.report_late_routes(late)
@@ -158,7 +164,7 @@
         return True
 
     def _wait_until(self, when: int | None, then: Callable[[], None] | None = None) -> None:
-        """The one due time; None: nothing is waited for."""
+        """Set the time of the next step; None cancels it."""
         if self.next_call_timer is not None:
             self.next_call_timer.cancel()
         self.next_call_timer = (
@@ -166,13 +172,13 @@
         )
 
     def _batch_calls(self) -> None:
-        """All that waits goes as one, also what is in doubt: each call is a message to every proxy."""
+        """Merge all waiting orders, unresolved ones too: each call is a message to every proxy."""
         if self.in_flight_call.is_unresolved:
             self.in_flight_call.merge_into_later_call(self.pending_calls[0])
-        self.outbox.gather()
+        self.outbox.merge_calls()
 
     def _must_wait(self) -> bool:
-        """Whether the bounds of the channel keep the first call back."""
+        """Whether the limits of the channel delay the first call."""
         now = self.loop.clock.now()
         when = self.channel_limits.free_at(now, self.in_flight_call.is_unresolved)
         self.waits_for_capacity = when > now
@@ -186,10 +192,10 @@
 
     def _send(self, orders: str) -> None:
         now = self.loop.clock.now()
-        tried_at = self.in_flight_call.sent_at if self.in_flight_call.is_unresolved else None
+        previous_send = self.in_flight_call.sent_at if self.in_flight_call.is_unresolved else None
         lines = self.backlog.size(self.pending_calls[0])
         if not self.invariants.check_send(
-            now, Attempt(self.pending_calls[0], lines, tried_at, self.awaiting_response)
+            now, Attempt(self.pending_calls[0], lines, previous_send, self.awaiting_response)
         ):
             self._wait_until(now + self.invariants.RETRY_DELAY)
             return
@@ -205,14 +211,14 @@
         )
 
     def _drop_blocked_orders(self) -> None:
-        """What was decided before is void by the time that it may: the module is told what stands then."""
+        """Drop all orders: they are outdated by the time that a call is allowed again."""
         void = self.pending()
         self.log.count("orders_blocked", len(void))
         self.pending_calls.clear()
         self.idle = True
         self._drop_orders(void)
 
-    # ---- what relay.py says ------------------------------------------------------------------------
+    # ---- implemented by Relay ------------------------------------------------------------------------
 
     def _on_response(self, answer: HttpResponse) -> None:
         raise NotImplementedError
--- a/indigohitch/platform_protocol/channel_backlog.py
+++ b/indigohitch/platform_protocol/channel_backlog.py
@@ -1,7 +1,8 @@
-"""How many lines may wait in the channel to the proxies, by all calls that went out, repeats among them.
+"""Limit on the lines that wait in the channel to the proxies, counting every call sent, retries included.
 
-The module counts what it orders, once.  A call whose outcome is unclear may have been carried out, and the
-same again lies in the channel twice: two large ones together are more than the settings let wait there."""
+The decision module counts each order once. A call with an unknown outcome may have been applied, so its retry
+may be in the channel a second time: two large ones together can exceed the limit of the settings.
+"""
 
 from __future__ import annotations
 
@@ -15,87 +16,95 @@
 
 @dataclass(slots=True, eq=False)
 class SentCall:
-    """A call that may lie in the channel."""
+    """A call that may still be in the channel."""
 
     lines_per_proxy: int  # lines to each proxy
     marker: int | None
-    pending_proxies: set[int]  # proxies that have not taken it
+    pending_proxies: set[int]  # proxies that have not acknowledged it
 
     @property
     def lines(self) -> int:
+        """Lines of the call over all proxies that have not acknowledged it."""
         return self.lines_per_proxy * len(self.pending_proxies)
 
 
 class ChannelBacklog:
-    """At most `most` lines (0: any number) may wait.
+    """Estimates the lines in the channel and limits them to `max_lines` (0: no limit).
 
-    What proxies have answered by marks has left.  Of the rest `pace` lines leave in a second.  Both come from
-    the decision module, as shares of the settings' (logic/channel.py)."""
+    Lines that proxies acknowledged by markers have left; of the rest `drain_rate` leave per second. Both
+    values come from the decision module, as fractions of the settings (logic/update_channel.py).
+    """
 
     def __init__(
         self, most: float, pace: float, head: int = 0, proxies: Callable[[], Collection[int]] = tuple
     ) -> None:
-        """Each call goes to all `proxies`, with `head` lines of its own."""
-        self.max_lines, self.drain_rate = most, pace
-        self.overhead_lines, self.proxies = head, proxies
-        self.calls: list[SentCall] = []  # in the order in which they went
-        self.lines, self.updated_at = 0.0, 0  # that may wait, and when
+        """Each call goes to all `proxies`, with `head` extra lines per proxy."""
+        self.max_lines = most
+        self.drain_rate = pace
+        self.overhead_lines = head
+        self.proxies = proxies
+        self.calls: list[SentCall] = []  # in the order they were sent
+        self.lines = 0.0  # estimate of the lines in the channel, as of `updated_at`
+        self.updated_at = 0
 
     def size(self, orders: Sequence[face.Order]) -> int:
-        """Lines of a call to all proxies."""
+        """Return the lines of a call over all proxies."""
         return (len(orders) + self.overhead_lines) * len(self.proxies())
 
     def split_index(self, orders: Sequence[face.Order]) -> int:
-        """How many of the orders may go in one call."""
-        many = len(self.proxies())
-        return (
-            split_index(orders, int(self.max_lines / many) - self.overhead_lines)
-            if self.max_lines and many
-            else len(orders)
-        )
+        """Return how many of the orders fit in one call."""
+        proxy_count = len(self.proxies())
+        if not self.max_lines or not proxy_count:
+            return len(orders)
+        return split_index(orders, int(self.max_lines / proxy_count) - self.overhead_lines)
 
     def record_send(self, now: int, orders: Sequence[face.Order]) -> SentCall:
+        """Count a call that is sent now and return its record."""
         self._drain(now)
         last = orders[-1]
-        mark = last.marker if isinstance(last, face.UpdateMarker) else None
-        call = SentCall(len(orders) + self.overhead_lines, mark, set(self.proxies()))
+        marker = last.marker if isinstance(last, face.UpdateMarker) else None
+        call = SentCall(len(orders) + self.overhead_lines, marker, set(self.proxies()))
         self.calls.append(call)
         self.lines += call.lines
         return call
 
     def revert_send(self, call: SentCall) -> None:
-        """It was surely not carried out."""
+        """Remove a call that is known not to have been applied."""
         if call in self.calls:
             self.calls.remove(call)
             self.lines = max(0.0, self.lines - call.lines)
 
-    def acknowledge(self, proxy: int, mark: int) -> None:
-        """Messages arrive in order: what went to that proxy up to this mark has left.  A call that went twice
-        may be answered twice, and the second copy waits still at the first answer."""
+    def acknowledge(self, proxy: int, marker: int) -> None:
+        """Record that a proxy acknowledged a marker: messages arrive in order, so all up to it has left.
+
+        A call that was sent twice may be acknowledged twice; the first time its second copy still waits.
+        """
         ends = [
-            at
-            for at, call in enumerate(self.calls, 1)
-            if call.marker == mark and proxy in call.pending_proxies
+            position
+            for position, call in enumerate(self.calls, 1)
+            if call.marker == marker and proxy in call.pending_proxies
         ]
         for call in self.calls[: ends[0]] if ends else ():
             call.pending_proxies.discard(proxy)
 
     def remove_proxy(self, proxy: int) -> None:
-        """Nothing waits for it now."""
+        """Remove a proxy that has left: no line waits for it any longer."""
         for call in self.calls:
             call.pending_proxies.discard(proxy)
 
     def fits_at(self, now: int, lines: int) -> int:
-        """From when on so many lines more may wait, where no mark makes room sooner; what is too many alone,
-        once none does."""
+        """Return when so many more lines fit, if no marker is acknowledged before.
+
+        A call that exceeds the limit by itself fits once the channel is empty.
+        """
         self._drain(now)
-        over = self.lines - max(0.0, self.max_lines - lines)
-        if not self.max_lines or not self.drain_rate or over <= 0:
+        excess = self.lines - max(0.0, self.max_lines - lines)
+        if not self.max_lines or not self.drain_rate or excess <= 0:
             return now
-        return now + int(over * SECOND / self.drain_rate) + 1
+        return now + int(excess * SECOND / self.drain_rate) + 1
 
     def _drain(self, now: int) -> None:
         self.calls = [call for call in self.calls if call.pending_proxies]
-        left = self.lines - (now - self.updated_at) * self.drain_rate / SECOND
-        self.lines = max(0.0, min(left, sum(call.lines for call in self.calls)))
+        remaining = self.lines - (now - self.updated_at) * self.drain_rate / SECOND
+        self.lines = max(0.0, min(remaining, sum(call.lines for call in self.calls)))
         self.updated_at = now
--- a/indigohitch/platform_protocol/channel_limits.py
+++ b/indigohitch/platform_protocol/channel_limits.py
@@ -1,4 +1,4 @@
-"""When the next call may go by the bounds of the channel: messages within a window, and lines that wait."""
+"""When the limits of the channel allow the next call: messages per window, and lines in the channel."""
 
 from __future__ import annotations
 
@@ -9,28 +9,33 @@
 
 
 class ChannelLimits:
+    """Applies both limits of the channel to the first call of the outbox."""
+
     def __init__(
-        self, outbox: Outbox, pace: MessageRateLimit, backlog: ChannelBacklog, told: CallLog
+        self, outbox: Outbox, message_rate: MessageRateLimit, backlog: ChannelBacklog, call_log: CallLog
     ) -> None:
-        self.outbox, self.message_rate, self.backlog, self.call_log = outbox, pace, backlog, told
-        self.sent_copies: list[SentCall] = []  # the first call, each time that it went
-        self.blocked_lines = 0  # lines of the first call, while it waits for room in the channel
+        self.outbox = outbox
+        self.message_rate = message_rate
+        self.backlog = backlog
+        self.call_log = call_log
+        self.sent_copies: list[SentCall] = []  # the first call, once for each time it was sent
+        self.blocked_lines = 0  # lines of the first call while it waits for capacity
 
-    def free_at(self, now: int, in_doubt: bool) -> int:
-        """From when on the first call may go; one that is not `in_doubt` is cut to what may go sooner."""
+    def free_at(self, now: int, is_unresolved: bool) -> int:
+        """Return when the first call may be sent; unless it is unresolved, it is split to be sent sooner."""
         self.blocked_lines = 0
-        if not in_doubt:
+        if not is_unresolved:
             self.outbox.cut_to_the_channel()
         size = self.backlog.size(self.outbox.calls[0])
-        if not in_doubt and self.backlog.fits_at(now, size) > now and self.outbox.any_urgent_waits():
+        if not is_unresolved and self.backlog.fits_at(now, size) > now and self.outbox.any_urgent_waits():
             size = self._split_urgent_part()
         free = self.message_rate.free_at(now, self.outbox.any_urgent())
         fits = self.backlog.fits_at(now, size)
         if free > now:
             self.call_log.log_waiting("call_rate_limited", self.occupancy(), free - now)
         if fits > now:
-            # The module counts a call once, from when it ordered it: what went may lie in the channel twice,
-            # and what had to wait for the relay has not begun to leave.
+            # The decision module counts a call once, from when it was ordered: a retried call may be in the
+            # channel twice, and one that had to wait for the relay has not begun to leave.
             self.blocked_lines = size
             self.call_log.log_waiting(
                 "call_waits_for_channel_capacity", self.occupancy(), fits - now, lines=size
@@ -38,8 +43,8 @@
         return max(free, fits)
 
     def _split_urgent_part(self) -> int:
-        """The first call without what may wait for room in the channel; the lines of it."""
-        self.outbox.gather()
+        """Reduce the first call to its urgent orders and return its lines."""
+        self.outbox.merge_calls()
         self.outbox.cut_to_the_channel()
         leading = self.outbox.urgent_first()
         if 0 < leading < len(self.outbox.calls[0]):
@@ -47,29 +52,30 @@
         return self.backlog.size(self.outbox.calls[0])
 
     def has_capacity(self, now: int) -> bool:
-        """Whether a call that waits for room in the channel has it now."""
+        """Whether the channel now has capacity for the call that waits for it."""
         return bool(self.blocked_lines) and self.backlog.fits_at(now, self.blocked_lines) <= now
 
     def record_send(self, now: int) -> None:
-        """The first call goes out."""
+        """Record that the first call is sent now."""
         orders = self.outbox.calls[0]
         self.call_log.log_sent(orders, self.backlog.size(orders), self.occupancy())
         self.message_rate.record_sent(now)
         self.sent_copies.append(self.backlog.record_send(now, orders))
 
     def revert_last_send(self) -> None:
-        """What went last surely came to nothing."""
+        """Undo the record of the last send, which is known not to have been applied."""
         self.message_rate.undo_last()
         self.backlog.revert_send(self.sent_copies.pop())
 
     def revert_all_sends(self) -> int:
-        """Nor did any of the same orders before; how many times they had gone."""
-        many = min(len(self.sent_copies), len(self.message_rate.sent))
-        for _ in range(many):
+        """Undo the records of all sends of the first call and return their number."""
+        count = min(len(self.sent_copies), len(self.message_rate.sent))
+        for _ in range(count):
             self.revert_last_send()
-        return many
+        return count
 
     def occupancy(self) -> ChannelOccupancy:
+        """Return the current use of both limits, for the log."""
         return ChannelOccupancy(
             len(self.message_rate.sent), round(self.backlog.lines), len(self.outbox.calls)
         )
--- a/indigohitch/platform_protocol/relay.py
+++ b/indigohitch/platform_protocol/relay.py
@@ -1,4 +1,4 @@
-"""Calls to the relay: one at a time, each until it stands; what becomes of one that went."""
+"""Calls to the relay, one at a time, each retried until it is applied; handling of their outcomes."""
 
 from __future__ import annotations
 
@@ -12,36 +12,39 @@
 
 
 class Relay(CallQueue):
-    THROTTLE_DELAY = SECOND // 20  # soon: before the run begins every call is turned away
-    UNSENT_OUTCOMES = ("connect_failed", "unreached")  # outcomes by which nothing can have been carried out
+    """The queue of calls with the handling of responses and of calls with an unknown outcome."""
+
+    THROTTLE_DELAY = SECOND // 20  # short: before the run begins every call is throttled
+    UNSENT_OUTCOMES = ("connect_failed", "unreached")  # outcomes that exclude that the call was applied
 
     def _on_response(self, answer: HttpResponse) -> None:
-        orders, self.awaiting_response = self.pending_calls[0], False
+        orders = self.pending_calls[0]
+        self.awaiting_response = False
         try:
-            said = parse_response(answer)
-            if isinstance(said, int) and said > len(orders):
-                raise ValueError(f"{said} taken of {len(orders)}")
-        except ValueError as bad:
-            said = str(bad)
+            result = parse_response(answer)
+            if isinstance(result, int) and result > len(orders):
+                raise ValueError(f"{result} taken of {len(orders)}")
+        except ValueError as error:
+            result = str(error)
         self.in_flight_call.unsent_attempts = (
             self.in_flight_call.unsent_attempts + 1 if answer.outcome in self.UNSENT_OUTCOMES else 0
         )
-        if isinstance(said, int):
-            self._take_applied(said, "answer")
+        if isinstance(result, int):
+            self._take_applied(result, "answer")
             self._start_next_call()
-        elif said == "ValidationError":
-            # The same again would be turned away again: never in a loop.
+        elif result == "ValidationError":
+            # A retry would be rejected again, so it is not retried.
             self.log.warning(
                 "relay_call_invalid", orders=len(orders), first=encode_order(orders[0], self.methods)
             )
             self._revert_last_send()
             self._drop_orders(self.pending_calls.popleft())
             self._start_next_call()
-        elif said == "Throttling":
+        elif result == "Throttling":
             self.log.count("relay_throttled")
             self._retry_after(self.THROTTLE_DELAY)
         else:
-            self.call_log.log_unresolved(said, orders, answer)
+            self.call_log.log_unresolved(result, orders, answer)
             self.on_call_failed(answer.outcome)
             if self.in_flight_call.unsent_attempts:
                 self._retry_after(resend_delay(self.in_flight_call.unsent_attempts))
@@ -49,28 +52,28 @@
                 self._handle_unresolved()
 
     def _revert_last_send(self) -> None:
-        """What went last surely was not carried out."""
+        """Undo the record of the last send, which is known not to have been applied."""
         self.channel_limits.revert_last_send()
         self.invariants.revert_send()
 
-    def _retry_after(self, span: int) -> None:
-        """This try came to nothing."""
+    def _retry_after(self, delay: int) -> None:
+        """Undo the record of the last attempt and retry after `delay` ticks."""
         self._revert_last_send()
         self.in_flight_call.revert_send()
-        self._wait_until(self.loop.clock.now() + span)
+        self._wait_until(self.loop.clock.now() + delay)
 
     def _drop_orders(self, orders: list[face.Order]) -> None:
-        """These will never go again; whether they stand is read where that is not known."""
-        doubt = self.in_flight_call.has_unresolved_orders
+        """Give up these orders; if they may have been applied, the actual state is read."""
+        may_be_applied = self.in_flight_call.has_unresolved_orders
         self.in_flight_call.settle(more_to_come=False)
         self.on_dropped(orders)
-        if doubt:
+        if may_be_applied:
             self.on_unresolved_drop()
 
-    # ---- a call in doubt ---------------------------------------------------------------------------
+    # ---- a call of unknown outcome ------------------------------------------------------------------
 
     def _handle_unresolved(self) -> None:
-        """Carried out or not at all: it is looked up before it goes again."""
+        """Look up whether the call was applied before it is retried; it is applied whole or not at all."""
         self.in_flight_call.record_unresolved()
         if self.in_flight_call.marker_evidence.is_confirmed:
             self._take_confirmed_call()
@@ -82,7 +85,7 @@
         self._start_next_call()
 
     def _on_outcome(self, effect: CallOutcome, proved: int) -> None:
-        """What stands in the store tells what became of the call, or only that the relay is in reach."""
+        """Act on the outcome that the tables of the store show; UNKNOWN: only that the relay is reachable."""
         if effect is CallOutcome.UNKNOWN:
             self._wait_until(self.in_flight_call.retry_at(in_reach=True), self._retry_unresolved)
             return
@@ -96,19 +99,22 @@
         self._start_next_call()
 
     def on_proxy_left(self, proxy: int) -> None:
+        """Remove a proxy from the backlog, which may free capacity for the next call."""
         self.backlog.remove_proxy(proxy)
         self._on_capacity_freed()
 
     def _on_capacity_freed(self) -> None:
-        """A call that waits for the channel may go sooner than was thought."""
+        """Send the call that waits for capacity if the channel now has it."""
         if self.waits_for_capacity and self.channel_limits.has_capacity(self.loop.clock.now()):
             self._start_next_call()
 
-    def acknowledge_marker(self, proxy: int, mark: int) -> None:
-        """A proxy has applied all up to this mark: the call that ends with it was carried out, to its end."""
-        self.backlog.acknowledge(proxy, mark)
-        shown = self.pending_calls and self.in_flight_call.is_confirmed_by(mark, self.pending_calls[0])
-        if shown and self.in_flight_call.is_unresolved and not self.awaiting_response:
+    def acknowledge_marker(self, proxy: int, marker: int) -> None:
+        """Record that a proxy applied all up to this marker, which confirms the call that ends with it."""
+        self.backlog.acknowledge(proxy, marker)
+        is_confirmed = self.pending_calls and self.in_flight_call.is_confirmed_by(
+            marker, self.pending_calls[0]
+        )
+        if is_confirmed and self.in_flight_call.is_unresolved and not self.awaiting_response:
             self._take_confirmed_call()
         else:
             self._on_capacity_freed()
@@ -118,18 +124,19 @@
         self._take_applied(len(self.pending_calls[0]), "mark")
         self._start_next_call()
 
-    def _take_applied(self, count: int, by: str) -> None:
-        """So many orders stand; by the answer the next one is refused, else the rest is still to go."""
+    def _take_applied(self, count: int, source: str) -> None:
+        """Remove `count` applied orders; if the source is the answer, the order after them was rejected."""
         self.log.count("orders_applied", count)
-        self.call_log.log_applied(count, by)
-        stands, refused = self.outbox.take(count, by == "answer")
+        self.call_log.log_applied(count, source)
+        applied, rejected = self.outbox.take(count, source == "answer")
         self.in_flight_call.settle(more_to_come=bool(self.pending_calls))
-        self.on_applied(stands)
-        if refused:
-            self.log.warning("order_rejected", order=encode_order(refused[0], self.methods))
-            self.on_dropped(refused)
+        self.on_applied(applied)
+        if rejected:
+            self.log.warning("order_rejected", order=encode_order(rejected[0], self.methods))
+            self.on_dropped(rejected)
 
     def close(self) -> None:
+        """Report the orders left in the queue and close the connections."""
         urgent = sum(self.outbox.urgent_in(call) for call in self.pending_calls)
         self.invariants.report_exit(urgent, len(self.pending()))
         self.in_flight_call.outcome_query.drop()
