--- a/indigohitch/logic/call_scheduling.py
+++ b/indigohitch/logic/call_scheduling.py
@@ -1,9 +1,10 @@
-"""Which of the orders that wait go out next, and when a call goes again whose outcome is unclear.
+"""The sequence in which pending orders are sent, and when a call with an unknown outcome is retried.
 
-The orders of one moment make one call; while calls wait, as the relay is out of reach or a bound is met,
-later ones pile up behind them.  An order that a rule gives a time limit must not wait behind one that has
-none: they are merged, and the urgent ones lead.  What is urgent is decided as a call is about to go, by what
-the list says then, as a backend may begin to drain after its lines were ordered away."""
+The orders of one batch make one call; while calls wait, as the relay is unreachable or a limit is reached,
+later ones queue behind them. An order with a time limit must not wait behind one without: the calls are
+merged, and urgent orders are sent first. Which orders are urgent is decided just before a call is sent, by
+the list of that moment, as a backend may begin to drain after the removal of its routes was ordered.
+"""
 
 from __future__ import annotations
 
@@ -14,67 +15,70 @@
 from ..interface import SECOND
 from .state import DEPARTING_STATES, CoordinatorState
 
-# A call goes again once the relay has shown that it is in reach, after these waits from the last try on.
+# Delays after the last attempt at a call, once the relay is known to be reachable.
 RETRY_DELAYS = (SECOND // 20, SECOND // 10, SECOND // 5, SECOND // 2)
-# One that surely was not sent goes again after these, at first at once: it costs nobody anything.
+# Delays of a call that was certainly not sent; the first retry is immediate, as it costs nothing.
 RESEND_DELAYS = (0, *RETRY_DELAYS)
-# Without such a sign it may still take calls.  Not oftener than messages come back (pacing.py): a long
-# silence must not use up those that are needed after it.
+# The delay while it is unknown whether the relay is reachable. Not more often than the rate limit releases
+# messages: a long outage must not use up those that are needed after it.
 BLIND_RETRY_DELAY = SECOND * 3 // 2
 
 
 class StoredRoutes(Protocol):
-    """A table as it stands in the store."""
+    """The routes of a table in the store, by backend."""
 
     lines: Mapping[str, float]
 
 
-def retry_delay(tries: int) -> int:
-    """How long after the try of that number the next one may go, where the relay is in reach."""
-    return RETRY_DELAYS[min(tries, len(RETRY_DELAYS)) - 1]
+def retry_delay(attempts: int) -> int:
+    """Return the ticks after so many attempts to the next one, where the relay is reachable."""
+    return RETRY_DELAYS[min(attempts, len(RETRY_DELAYS)) - 1]
 
 
 def resend_delay(unsent: int) -> int:
-    """How long after so many tries in a row that were not sent the next one goes."""
+    """Return the ticks to the next attempt after so many in a row that were not sent."""
     return RESEND_DELAYS[min(unsent, len(RESEND_DELAYS)) - 1]
 
 
 def urgent_tables(
-    state: CoordinatorState, orders: Iterable[interface.Order], stood: Mapping[int, StoredRoutes]
+    state: CoordinatorState, orders: Iterable[interface.Order], stored: Mapping[int, StoredRoutes]
 ) -> Collection[int]:
-    """Tables among these orders that have a time limit to keep, of those that stand as `stood` says."""
-    found, tables = set(), set()
+    """Return the tables among these orders that have a time limit, by the routes that are stored now."""
+    urgent: set[int] = set()
+    tables: set[int] = set()
     for order in orders:
         match order:
             case interface.SetRoute(table, backend, weight):
                 tables.add(table)
                 if weight == 0 and must_go(state, backend):
-                    found.add(table)
+                    urgent.add(table)
             case interface.SetAdmission(table) if table != interface.ALL_TABLES:
                 tables.add(table)
-    for table in tables - found:
+    for table in tables - urgent:
         closed = table in state.slices and state.slices[table].closed_methods is not None
-        if closed or table in stood and must_change(state, stood[table].lines):
-            found.add(table)
-    return found
+        if closed or table in stored and must_change(state, stored[table].lines):
+            urgent.add(table)
+    return urgent
 
 
 def must_go(state: CoordinatorState, backend: str) -> bool:
-    """Whether a line that is taken away there has to be gone soon: it leaves, or is cold."""
+    """Return whether a removed route to a backend is urgent: the backend departs, or is cold."""
     known = state.backends.get(backend)
     return known is None or known.state in DEPARTING_STATES or known.warmup_fraction < 1
 
 
 def must_change(state: CoordinatorState, lines: Collection[str]) -> bool:
-    """Whether a table with these lines has none that serves, or one at a backend that leaves."""
+    """Return whether a table with these routes has none, or one to a departing backend."""
     return not lines or any(
         backend in state.backends and state.backends[backend].state in DEPARTING_STATES for backend in lines
     )
 
 
 def is_urgent(order: interface.Order, urgent: Collection[int]) -> bool:
-    """Whether an order goes before those that can wait: it shuts a backend out or lets it back, is for an
-    urgent table, or is one line for all tables."""
+    """Return whether an order is sent before the others.
+
+    Urgent orders eject or readmit a backend, are for an urgent table, or hold one entry for all tables.
+    """
     table = getattr(order, "table", interface.ALL_TABLES)
     return not isinstance(order, interface.UpdateMarker) and (
         table == interface.ALL_TABLES or table in urgent
@@ -82,13 +86,15 @@
 
 
 def urgent_orders_first(orders: Sequence[interface.Order], urgent: Collection[int]) -> list[interface.Order]:
-    """The same orders, first those that lead and last the mark.  Orders of one table stay in their order."""
-    first, later, marks = [], [], []
+    """Return the orders with urgent ones first and markers last; orders of one table keep their sequence."""
+    first: list[interface.Order] = []
+    later: list[interface.Order] = []
+    markers: list[interface.Order] = []
     for order in orders:
         if isinstance(order, interface.UpdateMarker):
-            marks.append(order)
+            markers.append(order)
         elif is_urgent(order, urgent):
             first.append(order)
         else:
             later.append(order)
-    return first + later + marks
+    return first + later + markers
--- a/indigohitch/logic/health.py
+++ b/indigohitch/logic/health.py
@@ -1,4 +1,4 @@
-"""How much each slice asks for, and how far each backend can be trusted with it."""
+"""The demand of each slice, and the health, warmth and capacity of each backend."""
 
 import math
 from collections import Counter
@@ -7,63 +7,73 @@
 from .state import Backend, CoordinatorState, Slice, mean_cost
 
 
-def judge(state: CoordinatorState, backend: Backend, met: BackendTraffic) -> None:
-    """Let in less where the queue takes over a quarter of the shortest soft deadline at a quarter of all."""
+def judge(state: CoordinatorState, backend: Backend, traffic: BackendTraffic) -> None:
+    """Adapt the admission ratio of a backend to its queue wait, a share of the shortest soft deadline.
+
+    The ratio falls only where the wait exceeds a quarter at more than a quarter of the ready backends.
+    """
     if (
         state.settings.get("admission") != "share"
-        or "queued" not in met.load
+        or "queued" not in traffic.load
         or state.now - backend.judged_at < state.settings["report_every"]
     ):
         return
-    n, failed = backend.attempts.read(state.now)
-    # Little's law: queue over rate.  The queue is that of all coordinators' RPCs, the rate one's own.
+    attempts, failed = backend.attempts.read(state.now)
+    # Little's law: queue over rate. The queue holds all coordinators' RPCs, the rate counts only our own.
     wait = (
-        met.load["queued"]
+        traffic.load["queued"]
         * backend.attempts.window
-        / max(n - failed, 1.0)
+        / max(attempts - failed, 1.0)
         * backend.cold_start_share
-        / (state.coordinator_count * min(m.soft_deadline for m in state.methods.values()))
+        / (state.coordinator_count * min(method.soft_deadline for method in state.methods.values()))
     )
-    backend.judged_at, backend.queue_wait = state.now, wait
-    if wait > 0.25 and 4 * sum(o.queue_wait > 0.25 for o in state.ready_backends()) > len(
-        state.ready_backends()
-    ):
+    backend.judged_at = state.now
+    backend.queue_wait = wait
+    if wait > 0.25 and _is_waiting_widespread(state):
         backend.admission_ratio = max(0.2, backend.admission_ratio * (0.7 if wait > 0.75 else 0.85))
     elif wait < 0.2:
         backend.admission_ratio = min(1.0, backend.admission_ratio + 0.2)
 
 
-def measure(slice_: Slice, now: int, least: int) -> None:
-    (cost, rpcs), (usual, many) = slice_.demand.read(now), slice_.long_term_demand.read(now)
-    over, over_usual = (
-        d.window / SECOND * (1 - math.exp(min(slice_.owned_since - now, -least) / d.window))
-        for d in (slice_.demand, slice_.long_term_demand)
+def _is_waiting_widespread(state: CoordinatorState) -> bool:
+    """Return whether the queue wait exceeds a quarter at more than a quarter of the ready backends."""
+    ready = state.ready_backends()
+    return 4 * sum(backend.queue_wait > 0.25 for backend in ready) > len(ready)
+
+
+def measure(slice_: Slice, now: int, min_age: int) -> None:
+    """Estimate the load of a slice in cost a second; it counts as owned for `min_age` ticks at least."""
+    cost, rpcs = slice_.demand.read(now)
+    usual_cost, usual_rpcs = slice_.long_term_demand.read(now)
+    seconds, usual_seconds = (
+        demand.window / SECOND * (1 - math.exp(min(slice_.owned_since - now, -min_age) / demand.window))
+        for demand in (slice_.demand, slice_.long_term_demand)
     )
-    slice_.cost, rate = cost / rpcs if rpcs > 1 else slice_.cost, usual / over_usual
+    slice_.cost = cost / rpcs if rpcs > 1 else slice_.cost
+    rate = usual_cost / usual_seconds
 
-    def beyond(asked: float, came: float, span: float) -> float:
-        """The usual, by as much as is more than chance (shrunk by the variance)."""
-        due = many * span / over_usual
-        return (asked - rate * span) * (came - due) ** 2 / ((came - due) ** 2 + 4 * due + 1)
+    def significant_excess(cost: float, rpcs: float, span: float) -> float:
+        """Return the cost beyond the usual, shrunk by the variance of the number of RPCs."""
+        expected = usual_rpcs * span / usual_seconds
+        return (cost - rate * span) * (rpcs - expected) ** 2 / ((rpcs - expected) ** 2 + 4 * expected + 1)
 
-    slice_.load = (
-        rate + beyond(cost, rpcs, over) / over + 0.5 * slice_.cost / over
-    )  # half an RPC: none weighs 0
-    asked, came, spans = slice_.latest_demand.read(now)
-    slice_.recent_load = max(
-        slice_.load, rate + beyond(asked, came, spans / (came or 1)) * SECOND / least
-    ) / len(slice_.assignments)
+    # Half an RPC is added, so that no slice has a load of 0.
+    slice_.load = rate + significant_excess(cost, rpcs, seconds) / seconds + 0.5 * slice_.cost / seconds
+    latest_cost, latest_rpcs, spans = slice_.latest_demand.read(now)
+    excess = significant_excess(latest_cost, latest_rpcs, spans / (latest_rpcs or 1))
+    slice_.recent_load = max(slice_.load, rate + excess * SECOND / min_age) / len(slice_.assignments)
 
 
 def assess(state: CoordinatorState) -> None:
-    """Demand of every slice, and for every backend its health, warmth and capacity."""
+    """Update the load of every slice, and the health, warmth and capacity of every backend."""
     now = state.now
     for slice_ in state.slices.values():
         measure(slice_, now, state.settings["report_every"])
     opened = state.ready_backends()
-    tries = sum(backend.attempts.read(now)[0] for backend in opened)
-    state.failure_ratio = sum(backend.attempts.values[1] for backend in opened) / (tries or 1)
-    # Answered cost a second for a unit of listed weight, by the warm, of one's own part; fades over a minute.
+    total_attempts = sum(backend.attempts.read(now)[0] for backend in opened)
+    state.failure_ratio = sum(backend.attempts.values[1] for backend in opened) / (total_attempts or 1)
+    # Cost answered a second by warm backends for a unit of listed weight, of our own share; decays over a
+    # minute.
     warm = [backend for backend in opened if backend.warmup_fraction >= 1]
     answered = (
         sum(backend.attempts.values[0] - backend.attempts.values[1] for backend in warm)
@@ -88,49 +98,55 @@
         spent, cost = backend.pace.read(now)
         if cost > 2:
             paces.setdefault(backend.kind, []).append(spent / cost)
-    usual_pace = {kind: sorted(found)[len(found) // 4] for kind, found in paces.items()}  # slow: full
+    # The lower quartile, as backends at capacity are slow.
+    usual_pace = {kind: sorted(found)[len(found) // 4] for kind, found in paces.items()}
     fastest = min(usual_pace.values(), default=0.0)
     bad = sum(
         backend.excess > 1.6 or backend.attempts.values[1] > 0.1 * backend.attempts.values[0] + 1
         for backend in opened
     )
-    was, state.overloaded = state.overloaded, bad > (0.2 if state.overloaded else 0.45) * len(opened)
-    if was != state.overloaded:
+    was_overloaded = state.overloaded
+    state.overloaded = bad > (0.2 if was_overloaded else 0.45) * len(opened)
+    if was_overloaded != state.overloaded:
         state.log(f"strain {('ends', 'begins')[state.overloaded]}: {bad} of {len(opened)} backends look bad")
     missing = Counter(backend.zone for backend in opened if backend.missed_probes > 1)
     usable = Counter(backend.zone for backend in opened)
     for backend in state.backends.values():
-        backend.load = sum(p.load for p in backend.assignments)
+        backend.load = sum(assignment.load for assignment in backend.assignments)
         spent, cost = backend.pace.values
-        if like := usual_pace.get(backend.kind, 0.0):
-            # Two reports' worth of its kind's pace, and bounded: service times swell on a full machine.
-            backend.excess = max((spent + 2 * like) / ((cost + 2) * like), 0.8)
-            backend.slowness = min(backend.excess, 1.5 if state.overloaded else 4.0) * like / fastest
-        n, failed = backend.attempts.values
-        # Failures beyond what the others show: when all look bad, it is no backend's fault.
-        others = max(0.0, state.failure_ratio * tries - failed) / max(tries - n, 1)
-        excess = max(0.0, failed - 2 * others * n) / (n + 3)
-        # Unanswered probes in a row, beyond the pauses that pass (0.7 s), and tries without an answer.
-        quiet = backend.unanswered and now - backend.last_success_at > state.settings["report_every"] + SECOND
-        was, backend.is_unresponsive = (
-            backend.is_unresponsive,
-            bool(
-                backend.missed_probes > 1
-                and now - backend.first_miss_at > 0.7 * SECOND
-                and quiet
-                and missing.total() * 2 < len(opened)
-            ),
+        if kind_pace := usual_pace.get(backend.kind, 0.0):
+            # Two reports of its kind's pace as a prior, and bounded: service times grow on a full machine.
+            backend.excess = max((spent + 2 * kind_pace) / ((cost + 2) * kind_pace), 0.8)
+            backend.slowness = min(backend.excess, 1.5 if state.overloaded else 4.0) * kind_pace / fastest
+        attempts, failed = backend.attempts.values
+        # Failures beyond those of the other backends: when all look bad, no single backend is the cause.
+        other_ratio = max(0.0, state.failure_ratio * total_attempts - failed) / max(
+            total_attempts - attempts, 1
         )
-        if was != backend.is_unresponsive:
+        excess = max(0.0, failed - 2 * other_ratio * attempts) / (attempts + 3)
+        # Unanswered probes in a row for longer than a passing pause (0.7 s), and attempts without a response.
+        is_silent = (
+            backend.unanswered and now - backend.last_success_at > state.settings["report_every"] + SECOND
+        )
+        was_unresponsive = backend.is_unresponsive
+        backend.is_unresponsive = bool(
+            backend.missed_probes > 1
+            and now - backend.first_miss_at > 0.7 * SECOND
+            and is_silent
+            and missing.total() * 2 < len(opened)
+        )
+        if was_unresponsive != backend.is_unresponsive:
             texts = ("answers: its weight returns", "silent: its weight fades")
             state.log(f"{backend.id} {texts[backend.is_unresponsive]}")
         target = max(0.02, (1 - excess) * (0.02 if backend.is_unresponsive else 1.0))
-        # Fades at once, returns over half a minute: what fails with work gets it back too soon over ten.
+        # Falls at once and recovers over half a minute: within ten seconds a backend that fails under load
+        # would get its load back too soon.
         backend.health = min(target, backend.health + (now - state.assessed_at) / (30 * SECOND))
         age = (now - backend.started_at) / state.settings["warm_within"] if backend.started_at else 1.0
+        # Its caches are empty after a start.
         backend.warmup_fraction = (
             1.0 if age >= 1 else 0.7 * (1 - (1 - state.settings["cold_from"]) * (1 - age))
-        )  # caches empty
+        )
         backend.cold_start_share = (
             1.0
             if age >= 1
--- a/indigohitch/logic/ownership_transfer.py
+++ b/indigohitch/logic/ownership_transfer.py
@@ -1,51 +1,57 @@
-"""Slices with one owner: no write of a slice is at two backends, nor at a former owner after a later one."""
+"""Ownership transfer of exclusive slices: at no time do two backends receive writes of the same slice."""
 
 from ..interface import SECOND, Order, SetAdmission, SetRoute
 from .state import DEPARTING_STATES, CoordinatorState, Slice
 
 
-def in_steps(state: CoordinatorState, slice_: Slice, lines: list[Order]) -> list[Order]:
-    """Of a change of owner what may go now: proxies take it at different times, so the slice is closed to
-    writes first (to all where its owner must be left), and the new owner stands once nothing is in hand."""
-    unlevelled = state.settings.get("admission") == "none"  # closed by taking its line out
-    if not state.settings.get("exclusive") or not (
-        slice_.stored_routes or unlevelled
-    ):  # given empty: closed by who had it
-        return lines
+def in_steps(state: CoordinatorState, slice_: Slice, orders: list[Order]) -> list[Order]:
+    """Return those orders of a change of owner that may be sent now.
+
+    Proxies apply a change at different times. So the slice is first closed to writes (to all methods where
+    its owner departs), and the new owner gets its route once no RPC can be in flight to the former one.
+    """
+    # Without admission ratios a slice is closed by the removal of its route.
+    closes_by_route = state.settings.get("admission") == "none"
+    # A slice that came without a route was closed by its former coordinator.
+    if not state.settings.get("exclusive") or not (slice_.stored_routes or closes_by_route):
+        return orders
     closed = (
         ()
-        if unlevelled or any(backend.state in DEPARTING_STATES for backend in slice_.stored_routes)
+        if closes_by_route or any(backend.state in DEPARTING_STATES for backend in slice_.stored_routes)
         else tuple(place for place, writes in enumerate(state.settings.get("method_writes") or ()) if writes)
     )
     if (
         slice_.stored_routes
-        and lines
+        and orders
         and (
             slice_.closed_methods not in ((), closed)
             or state.last_join_at > slice_.closed_at
-            and not unlevelled
+            and not closes_by_route
         )
     ):
         return (
             [SetRoute(slice_.number, backend.id, 0.0) for backend in slice_.stored_routes]
-            if unlevelled
+            if closes_by_route
             else [SetAdmission(slice_.number, closed, 0.0, 1)]
         )
-    ready = not lines or done(state, slice_, unlevelled)
-    return [*reversed(lines), SetAdmission(slice_.number, (), slice_.admission_ratio, 1)] if ready else []
+    if orders and not is_closed_everywhere(state, slice_, closes_by_route):
+        return []
+    return [*reversed(orders), SetAdmission(slice_.number, (), slice_.admission_ratio, 1)]
+
 
+def is_closed_everywhere(state: CoordinatorState, slice_: Slice, closes_by_route: bool) -> bool:
+    """Return whether all proxies have closed the slice and no RPC can be in flight any more.
 
-def done(state: CoordinatorState, slice_: Slice, unlevelled: bool) -> bool:
-    """All who are here have closed it (who joins reads no levels), and nothing is in hand any more."""
+    A proxy that joins later does not read admission ratios.
+    """
     if state.channel.unacked.get(slice_.closing_marker, (0, ()))[1]:
         return False
     slice_.quiet_since = slice_.quiet_since or state.now
-    over = max(
+    quiet_at = max(
         slice_.quiet_since,
         *state.departed_proxies.values(),
         slice_.owned_since + state.settings.get("keeps_writing", 0),
     ) + state.settings.get("settle", 0)
-    longest = (
-        state.settings.get("bare_limit", SECOND) * 3 // 4
-    )  # that a proxy may be without a line, less the way
-    return state.now >= (min(over, slice_.closed_at + longest) if unlevelled else over)
+    # How long a proxy may be without a route, less a quarter for the transit of the update.
+    max_closed = state.settings.get("bare_limit", SECOND) * 3 // 4
+    return state.now >= (min(quiet_at, slice_.closed_at + max_closed) if closes_by_route else quiet_at)
--- a/indigohitch/logic/planner.py
+++ b/indigohitch/logic/planner.py
@@ -1,12 +1,13 @@
-"""Which backend is to answer for which slice: the design's greedy planner, and what can't wait for it."""
+"""Assigns slices to backends: the greedy planner of docs/design.md, and the moves that can't wait for it."""
 
 from ..interface import SECOND
 from .state import DEPARTING_STATES, Assignment, Backend, CoordinatorState, Slice
 
 
 def allowance(state: CoordinatorState, backend: Backend) -> float:
-    """What a cold backend may be brought: its part of what the warm have been seen to answer."""
-    # Half of the multiple that fells it, as empty caches double the work; a third while many tries fail.
+    """Return the load that a cold backend may get: its share of what warm backends were seen to answer."""
+    # Half of the multiple that overloads it, as empty caches double the work; a third while many attempts
+    # fail.
     fraction = 0.35 if state.is_failing() else 0.5
     return (
         state.throughput_per_weight
@@ -19,6 +20,7 @@
 
 
 def may_take(state: CoordinatorState, backend: Backend, slice_: Slice, mean: float) -> bool:
+    """Return whether a backend may get the slice: a warm one always, a cold one within its allowance."""
     return backend.warmup_fraction >= 1 or (
         backend.received_slices < 2
         and backend.load + slice_.recent_load <= min(mean * backend.capacity, allowance(state, backend))
@@ -26,86 +28,98 @@
 
 
 def mean_use(state: CoordinatorState, opened: list[Backend]) -> float:
+    """Return the load of all backends for a unit of capacity of the ready ones."""
     return sum(backend.load for backend in state.backends.values()) / (
         sum(backend.capacity for backend in opened) or 1.0
     )
 
 
 def place(state: CoordinatorState, assignment: Assignment) -> None:
-    """A slice without a live owner: weighted rendezvous over the room that is left."""
-    slice_, load, opened = assignment.slice, assignment.load, state.ready_backends()
+    """Move an assignment to a backend by weighted rendezvous hashing over the free capacity."""
+    slice_ = assignment.slice
+    load = assignment.load
+    opened = state.ready_backends()
     choice = [backend for backend in opened if backend not in slice_.owners()]
     mean = mean_use(state, opened)
     fit = [backend for backend in choice if not backend.is_suspect and may_take(state, backend, slice_, mean)]
-    room = [
+    with_capacity = [
         (backend, free) for backend in fit if (free := 1.25 * mean * backend.capacity - backend.load) >= load
     ]
-    # Room under the band, else what is fit, else what is warm; never a cold one past its cap.
-    if choice := room or [
+    # Backends with free capacity, else those that may take the slice, else warm ones; never a cold one past
+    # its allowance.
+    weighted = with_capacity or [
         (backend, backend.capacity)
         for backend in fit or [backend for backend in choice if backend.warmup_fraction >= 1]
-    ]:
-        move(
-            state,
-            assignment,
-            max(choice, key=lambda pair: (pair[0].rank(slice_.number, pair[1]), pair[0].id))[0],
-        )
-        assignment.next_move_at = (
-            assignment.next_move_at if room else state.now
-        )  # where there is none it may go on at once
+    ]
+    if weighted:
+        chosen = max(weighted, key=lambda pair: (pair[0].rank(slice_.number, pair[1]), pair[0].id))[0]
+        move(state, assignment, chosen)
+        if not with_capacity:
+            assignment.next_move_at = state.now  # without free capacity it may move again at once
     elif assignment.owner is not None and assignment.owner.state in DEPARTING_STATES:
         assignment.assign_to(None)
 
 
-def move(state: CoordinatorState, assignment: Assignment, to: Backend) -> None:
+def move(state: CoordinatorState, assignment: Assignment, target: Backend) -> None:
+    """Assign to a backend, and move the load with it."""
     load = assignment.load
     if assignment.owner is not None:
         assignment.owner.load -= load
-    assignment.assign_to(to)
-    to.load += load
-    to.received_slices += to.warmup_fraction < 1
-    assignment.next_move_at = state.now + 10 * SECOND  # half the design's rest: demand shifts in 12 to 24 s
+    assignment.assign_to(target)
+    target.load += load
+    target.received_slices += target.warmup_fraction < 1
+    # Half the interval of docs/design.md: demand shifts in 12 to 24 s.
+    assignment.next_move_at = state.now + 10 * SECOND
 
 
 def evacuate(state: CoordinatorState) -> None:
-    """At once, outside the budget: all of what drains or is gone, and what is too much for a cold one."""
+    """Move slices of departing and of overloaded cold backends at once, outside the planner's budget."""
     opened = state.ready_backends()
     for backend in state.backends.values():
-        over = backend.state in DEPARTING_STATES
-        if over and backend.assignments:
+        is_departing = backend.state in DEPARTING_STATES
+        if is_departing and backend.assignments:
             state.log(f"{backend.id} {backend.state}: {len(backend.assignments)} slices leave")
         if (
-            over
+            is_departing
             or backend.warmup_fraction < 1
-            and any(o.warmup_fraction >= 1 and not o.is_unresponsive for o in opened)
+            and any(other.warmup_fraction >= 1 and not other.is_unresponsive for other in opened)
         ):
-            for assignment in sorted(backend.assignments, key=lambda p: (-p.load, p.slice.number)):
-                # What woke up with it goes by our share of its room, what another had put there by all of it.
-                room = allowance(state, backend) * (
+            for assignment in sorted(backend.assignments, key=_largest_load_first):
+                # Slices owned since before its start count against our share of its allowance, those that
+                # another coordinator assigned against all of it.
+                allowed = allowance(state, backend) * (
                     1
                     if assignment.slice.owned_since <= backend.started_at
                     else state.coordinator_count / backend.cold_start_share
                 )
-                if over or 0 < 1.5 * room < sum(p.slice.recent_load for p in backend.assignments):
+                if is_departing or 0 < 1.5 * allowed < sum(
+                    other.slice.recent_load for other in backend.assignments
+                ):
                     place(state, assignment)
+    # A list: placing changes the assignments.
     for assignment in [assignment for slice_ in state.slices.values() for assignment in slice_.assignments]:
         if assignment.owner is None or len(assignment.slice.assignments) > 1 and assignment.owner.is_suspect:
             place(state, assignment)
 
 
+def _largest_load_first(assignment: Assignment) -> tuple[float, int]:
+    """Sort key: the largest load first, equal ones by the number of the slice."""
+    return -assignment.load, assignment.slice.number
+
+
 def plan(state: CoordinatorState) -> None:
-    """The design's greedy planner: whole slices, busiest to least loaded, for positive gain only."""
+    """Run one planning round: move slices from the busiest to the least loaded, for positive gain only."""
     opened = sorted(state.ready_backends(), key=lambda backend: backend.id)
     mean = mean_use(state, opened)
     if len(opened) < 2 or mean <= 0:
         return
     for backend in opened:
         backend.received_slices = 0
-    if not state.settings.get("exclusive"):  # there a slice has one line
+    if not state.settings.get("exclusive"):  # an exclusive slice has one owner
         split(state, opened, mean)
     uses = [backend.utilization() / mean for backend in opened]
-    state.is_balancing |= max(uses) > 1.25 or min(uses) < 1 / 1.25  # membership triggers too (PAPER)
-    # A thirtieth of the slices in charge (more did worse), and one for each new backend still empty.
+    state.is_balancing |= max(uses) > 1.25 or min(uses) < 1 / 1.25  # a change of members triggers too
+    # Moves in a round: a thirtieth of our slices (more did worse), and one for each new backend still empty.
     idle = sum(not backend.assignments and backend.warmup_fraction < 1 for backend in opened)
     for _ in range(max(2, len(state.slices) // 30 + idle // state.coordinator_count)):
         by_use = sorted(opened, key=Backend.utilization)
@@ -129,51 +143,60 @@
 
 
 def split(state: CoordinatorState, opened: list[Backend], mean: float) -> None:
-    """A slice that outweighs four fifths of a whole backend's target is dealt out in parts meanwhile."""
-    target = (
-        mean * sum(backend.capacity for backend in opened) / len(opened) * state.coordinator_count**0.5
-    )  # by the root: fleet.md
+    """Split slices with over four fifths of a backend's target load, and merge them when the load falls."""
+    # Our part grows by the root of the number of coordinators: docs/fleet.md.
+    target = mean * sum(backend.capacity for backend in opened) / len(opened) * state.coordinator_count**0.5
     for slice_ in state.slices.values():
         parts = len(slice_.assignments)
         if slice_.load > 0.8 * target * parts and parts < min(4, len(opened)):
             slice_.assignments.append(Assignment(slice_, None))
             place(state, slice_.assignments[-1])
         elif parts > 1 and slice_.load < 0.48 * target * (parts - 1):
-            last = max(slice_.assignments, key=lambda p: p.owner.utilization() if p.owner else float("inf"))
+            last = max(slice_.assignments, key=_owner_utilization)
             last.assign_to(None)
             slice_.assignments.remove(last)
         else:
             continue
         count = len(slice_.assignments)
-        wanted = slice_.load / target
-        state.log(f"slice {slice_.number} in {count} parts: asks for {wanted:.1f} backends")
+        backends_needed = slice_.load / target
+        state.log(f"slice {slice_.number} in {count} parts: asks for {backends_needed:.1f} backends")
     for backend in opened:
-        backend.load = sum(p.load for p in backend.assignments)
+        backend.load = sum(assignment.load for assignment in backend.assignments)
+
+
+def _owner_utilization(assignment: Assignment) -> float:
+    """Return the utilization of the owner; infinite without one."""
+    return assignment.owner.utilization() if assignment.owner else float("inf")
 
 
 def best_move(
     state: CoordinatorState, source: Backend, by_use: list[Backend], mean: float
 ) -> tuple[Assignment, Backend] | None:
-    # The two have to lie apart by a quarter of what a backend gets from all.  Any gain while many tries fail.
-    apart = 0.0 if state.is_failing() else 0.25 * state.coordinator_count * mean * source.weight
-    best, most = None, 0.0
-    for assignment in sorted(source.assignments, key=lambda p: p.slice.number):
-        load, others = assignment.load, assignment.slice.owners()
-        to = next(
+    """Return the move from the source with the largest gain, or None; `by_use`: the least utilized first."""
+    # The two loads have to differ by a quarter of the mean load; any gain counts while many attempts fail.
+    min_difference = 0.0 if state.is_failing() else 0.25 * state.coordinator_count * mean * source.weight
+    best = None
+    best_gain = 0.0
+    for assignment in sorted(source.assignments, key=lambda assignment: assignment.slice.number):
+        load = assignment.load
+        owners = assignment.slice.owners()
+        target = next(
             (
                 backend
                 for backend in by_use
-                if backend not in others
+                if backend not in owners
                 and not backend.is_suspect
                 and may_take(state, backend, assignment.slice, mean)
                 and backend.load + load <= 1.25 * mean * backend.capacity
             ),
             None,
         )
-        if to is None or assignment.next_move_at > state.now:
+        if target is None or assignment.next_move_at > state.now:
             continue
-        over, under = source.load - mean * source.capacity, to.load - mean * to.capacity
+        over = source.load - mean * source.capacity
+        under = target.load - mean * target.capacity
         gain = over**2 + under**2 - (over - load) ** 2 - (under + load) ** 2
-        if gain > max(most, 2 * load * apart):
-            best, most = (assignment, to), gain
+        if gain > max(best_gain, 2 * load * min_difference):
+            best = (assignment, target)
+            best_gain = gain
     return best
--- a/indigohitch/logic/reconciler.py
+++ b/indigohitch/logic/reconciler.py
@@ -1,4 +1,4 @@
-"""Orders that turn the stored routes into the wanted ones, within the free capacity of the channel."""
+"""Orders that turn the stored routes into the target routes, within the free capacity of the channel."""
 
 from dataclasses import dataclass, field
 
@@ -22,13 +22,13 @@
     readmitted: list[Backend] = field(default_factory=list)  # ready again
 
 
-def wanted_ratio(slice_: Slice) -> float:
+def target_ratio(slice_: Slice) -> float:
     """Return the lowest admission ratio of the owners, rounded to a step."""
     lowest = min((backend.admission_ratio for backend in slice_.owners()), default=1.0)
     return round(ADMISSION_STEPS * lowest) / ADMISSION_STEPS
 
 
-def wanted_routes(slice_: Slice) -> dict[Backend, float]:
+def target_routes(slice_: Slice) -> dict[Backend, float]:
     """Return the routes by the assignments, all of the same weight."""
     return dict.fromkeys(slice_.owners(), 1.0)
 
@@ -100,18 +100,18 @@
         ordinary.sort(key=_busiest_first)
         third = max(MIN_ORDINARY_CHANGES, len(ordinary) // 3)
         update.changed += ordinary if state.is_failing() else ordinary[:third]
-        update.trimmed = [s for s in slices if wanted_ratio(s) != s.admission_ratio]
+        update.trimmed = [s for s in slices if target_ratio(s) != s.admission_ratio]
     return update
 
 
 def _has_orders(state: CoordinatorState, slice_: Slice) -> bool:
     """Return whether something may be ordered for the slice now."""
-    differs = wanted_routes(slice_) != slice_.stored_routes
+    differs = target_routes(slice_) != slice_.stored_routes
     return (differs or slice_.closed_methods is not None) and bool(route_changes(state, slice_))
 
 
 def _leaves_suspect(slice_: Slice) -> bool:
-    """Return whether a route to a suspect backend is no longer wanted."""
+    """Return whether a route to a suspect backend is no longer a target."""
     owners = slice_.owners()
     return any(backend.is_suspect for backend in slice_.stored_routes if backend not in owners)
 
@@ -132,15 +132,15 @@
 
 
 def route_changes(state: CoordinatorState, slice_: Slice) -> list[interface.Order]:
-    """Return the orders that may go now towards the wanted routes of a slice."""
-    wanted = wanted_routes(slice_)
+    """Return the orders that may go now towards the target routes of a slice."""
+    target = target_routes(slice_)
     stored = slice_.stored_routes
     orders: list[interface.Order] = []
-    for backend, weight in wanted.items():
+    for backend, weight in target.items():
         if stored.get(backend) != weight:
             orders.append(interface.SetRoute(slice_.number, backend.id, weight))
     for backend in stored:
-        if backend not in wanted:
+        if backend not in target:
             orders.append(interface.SetRoute(slice_.number, backend.id, 0.0))
     return in_steps(state, slice_, orders)
 
@@ -218,15 +218,15 @@
 
 def _apply(state: CoordinatorState, slice_: Slice, orders: list[interface.Order]) -> bool:
     """Take the orders into the state; returns whether they only close the slice for a change of owner."""
-    wanted = wanted_routes(slice_)
+    target = target_routes(slice_)
     closes = (
-        wanted != slice_.stored_routes
+        target != slice_.stored_routes
         and state.settings.get("exclusive")
         and slice_.stored_routes
         and len(orders) == 1
     )
     if not closes:
-        slice_.stored_routes = wanted
+        slice_.stored_routes = target
         slice_.closed_methods = None
         return False
     match orders[0]:
@@ -243,7 +243,7 @@
     """Order the admission ratios of the slices that are not closed; returns how many."""
     trimmed = [slice_ for slice_ in slices if slice_.closed_methods is None][:capacity]
     for slice_ in trimmed:
-        slice_.admission_ratio = wanted_ratio(slice_)
+        slice_.admission_ratio = target_ratio(slice_)
         ratio = slice_.admission_ratio
         state.orders.append(interface.SetAdmission(slice_.number, (), ratio, RETRY_AFTER_PROOF))
     return len(trimmed)
--- a/indigohitch/logic/update_channel.py
+++ b/indigohitch/logic/update_channel.py
@@ -30,11 +30,12 @@
 
     @property
     def sent(self) -> deque[int]:
-        """When messages were sent."""
+        """The times at which messages were sent, in ticks."""
         return self.messages.sent
 
     @sent.setter
     def sent(self, times: deque[int]) -> None:
+        """Replace the times at which messages were sent."""
         self.messages.sent = times
 
     def pace(self) -> float:
@@ -64,9 +65,9 @@
         A channel may run at a fifth of its pace.
         """
         self.unacked = {marker: sent for marker, sent in self.unacked.items() if sent[1]}
-        left = self.backlog - (now - self.backlog_at) * self.pace() * 2 * UNACKNOWLEDGED_DRAIN_SHARE
+        drained = self.backlog - (now - self.backlog_at) * self.pace() * 2 * UNACKNOWLEDGED_DRAIN_SHARE
         waiting = sum(lines * len(proxies) for lines, proxies in self.unacked.values())
-        self.backlog = max(0.0, min(left, waiting))
+        self.backlog = max(0.0, min(drained, waiting))
         self.backlog_at = now
 
     def _may_send(self, now: int, urgent: bool, failing: bool) -> bool:
