--- a/indigohitch/__main__.py
+++ b/indigohitch/__main__.py
@@ -1,12 +1,15 @@
-"""python -m indigohitch: one real coordinator, told by BALANCER_CONFIG what it serves; with words, the
-command line."""
+"""Entry point of `python -m indigohitch`.
+
+Without arguments it runs one coordinator, configured by the file that BALANCER_CONFIG names; with arguments
+it is the command line.
+"""
 
 import signal
 import sys
 
 if len(sys.argv) == 1:
-    # Until the loop hears them these two would end the process; the file is read later, and what it counts
-    # is nothing yet.
+    # Until the event loop handles these two signals they would end the process.  Ignoring them loses nothing:
+    # the configuration is read later, and there are no counters yet.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
     from .service import main
--- a/indigohitch/backend_subscription/__init__.py
+++ b/indigohitch/backend_subscription/__init__.py
@@ -1,1 +1,1 @@
-"""A coordinator whose backends come from its subscription and not from discovery."""
+"""Backends read from a configuration subscription in place of the discovery service."""
--- a/indigohitch/backend_subscription/errors.py
+++ b/indigohitch/backend_subscription/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with the backends that a subscription brings."""
+"""Errors of the backends that a subscription delivers."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class InvalidInstanceError(InvalidDataError):
-    """A resource that should be a backend is none: it changes nothing, what it said before stands."""
+    """A resource is no valid backend; its last valid value stays in use."""
 
     remedy = "set this resource anew, in discovery's form with the id of its key"
 
 
 class NoInstancesError(UnavailableError):
-    """The services subscribed to name no backend at all: that is not told, the backends held stand."""
+    """The subscribed services name no backend; the last list stays in use and no empty one is sent."""
 
     remedy = "see the services after `subscribe` in this file, and their resources instance/ID"
--- a/indigohitch/platform_protocol/__init__.py
+++ b/indigohitch/platform_protocol/__init__.py
@@ -1,2 +1,1 @@
-"""The users' own protocol: collectors, relay, discovery and probes, and the front between them and
-the decision module."""
+"""The platform protocol: collectors, relay, discovery, probes and their front to the decision module."""
--- a/indigohitch/platform_protocol/inbound_connections.py
+++ b/indigohitch/platform_protocol/inbound_connections.py
@@ -1,4 +1,4 @@
-"""All that connect to the coordinator's address: who is let in, who gives way, and who has had its time."""
+"""All accepted connections: admission, eviction and timeouts."""
 
 from __future__ import annotations
 
@@ -18,34 +18,37 @@
 
 
 class InboundConnections:
-    # Who has not named a zone by then has had its time: it is owed an end within 3 s, and a collector names
-    # its zone with its first bytes.
+    """The table of accepted connections, unidentified ones and collectors."""
+
+    # A connection that has named no zone by then is closed: the protocol requires that within 3 s, and a
+    # collector names its zone with its first bytes.
     IDENTIFY_TIMEOUT = SECOND * 3 // 2
-    # A collector reports every few seconds while there is traffic.  Silent for so long, its machine may have
-    # vanished without a word; one whose line does not go on is stuck, and comes back anew.
+    # A collector reports every few seconds while there is traffic.  One silent for so long may have lost its
+    # machine; one with an incomplete line for so long is stuck, and connects again.
     IDLE_TIMEOUT = 120 * SECOND
     LINE_TIMEOUT = 3 * SECOND
     SWEEP_INTERVAL = SECOND // 5
-    # What is still heard at the end.  Strangers: so many bytes of all together, as many who flood must not
-    # delay it, and a pause of the machine must not cost the others their answer.  Collectors: for so long.
+    # Bounds on the last reads at the end.  Unidentified connections: bytes of all together, so that a flood
+    # does not delay the end and a pause of the machine costs no peer its answer.  Collectors: a duration.
     FINAL_READ_BYTES = 50 * InboundConnection.UNIDENTIFIED_READ_BYTES
     FINAL_READ_DURATION = SECOND // 20
-    # Connections of a zone: its collector's, the one before that broke in silence, and two to spare.
+    # Connections of a zone: its collector's, a previous one that broke unnoticed, and two spare ones.
     MAX_PER_ZONE = 4
 
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
-        hear: Callable,
-        at: tuple[str, int],
+        add_event: Callable,
+        address: tuple[str, int],
         limits: ResourceLimits,
         known: KnownNames,
         listening: socket.socket | None = None,
     ) -> None:
+        """Listen at `address`, or on a socket that listens already; `add_event` receives the reports."""
         self.loop = loop
         self.log = log
-        self.add_event = hear
+        self.add_event = add_event
         self.max_connections = limits.inbound_connections
         self.known_names = known
         self.pool = BufferPool(limits.inbound_pool_bytes)
@@ -53,14 +56,15 @@
         self.unidentified: OrderedDict[Connection, None] = OrderedDict()
         self.collectors: OrderedDict[Connection, None] = OrderedDict()
         self.listener = Listener(
-            loop, at, self.accept, lambda why: log.warning("accept_failed", why=why), listening
+            loop, address, self.accept, lambda why: log.warning("accept_failed", why=why), listening
         )
         self.sweep_timer: Deadline = loop.call_after(self.SWEEP_INTERVAL, self.drop_overdue)
 
     def accept(self, sock: socket.socket) -> bool:
+        """Take a connection in, evicting another at the limit; returns False where none can be evicted."""
         while len(self.unidentified) + len(self.collectors) >= self.max_connections:
-            # Strangers may fill the table; one who comes now may be a collector, and so may the oldest, if
-            # what it said has not been read yet.
+            # Unidentified connections may fill the table.  The new one may be a collector, and so may the
+            # oldest, if its data has not been read yet.
             oldest = next(iter(self.unidentified), None)
             if oldest is None:
                 if (spare := self.find_spare_collector()) is None:
@@ -80,48 +84,53 @@
         return True
 
     def find_spare_collector(self) -> Connection | None:
-        """The oldest of a zone that has another one since: a zone without any must find a place."""
+        """Return the oldest collector whose zone has a newer one; None if there is none."""
         last = {c.reader.zone: c for c in self.collectors}
         return next((c for c in self.collectors if last[c.reader.zone] is not c), None)
 
     def adopt(
         self,
         sock: socket.socket,
-        rest: bytes,
+        unread: bytes,
         zone: str,
-        began: int,
-        heard_at: int,
-        unfinished: int,
-        spoilt: int,
+        connected_at: int,
+        last_line_at: int,
+        line_started_at: int,
+        invalid_line_count: int,
     ) -> None:
-        """A caller of the process before this one, with what it said that was not read."""
+        """Take over a connection of the previous process, with its state and its unread data."""
         caller = InboundConnection(self)
         bound = InboundConnection.MAX_UNIDENTIFIED_LINE + (InboundConnection.MAX_LINE if zone else 0)
         connection = Connection.accepted(self.loop, sock, caller, bound, self.pool)
         (self.collectors if zone else self.unidentified)[connection] = None
-        caller.zone, caller.connected_at, caller.last_line_at = zone, began, heard_at
-        caller.line_started_at, caller.invalid_line_count = unfinished, spoilt
+        caller.zone = zone
+        caller.connected_at = connected_at
+        caller.last_line_at = last_line_at
+        caller.line_started_at = line_started_at
+        caller.invalid_line_count = invalid_line_count
         caller.apply_limits(connection)
-        if not connection.incoming.push(rest):
-            self.drop(connection, "accepted_no_memory")  # its owner comes again, and says it whole
-        elif rest:
+        if not connection.incoming.push(unread):
+            self.drop(connection, "accepted_no_memory")  # the peer connects and sends again
+        elif unread:
             caller.on_data(connection)
 
     def on_identified(self, connection: Connection) -> None:
+        """Move a connection that has named its zone to the collectors."""
         zone = connection.reader.zone
         self.unidentified.pop(connection, None)
         self.collectors[connection] = None
-        self.log.warning("collector", zone=zone)  # at a bounded rate: some join again and again
+        self.log.warning("collector", zone=zone)  # at a bounded rate: some reconnect repeatedly
         same = [c for c in self.collectors if c.reader.zone == zone]
         if len(same) > self.MAX_PER_ZONE:
             self.drop(same[0], "collector_replaced")
 
     def remove(self, connection: Connection) -> None:
+        """Forget a closed connection."""
         self.unidentified.pop(connection, None)
         self.collectors.pop(connection, None)
 
-    def drop(self, connection: Connection, event: str, **fields) -> None:
-        """A stranger hears that it is not wanted; nothing is ever written to a collector."""
+    def drop(self, connection: Connection, event: str, **fields: object) -> None:
+        """Log the event and close the connection, an unidentified one with `reject`."""
         self.log.warning(event, zone=connection.reader.zone, **fields)
         connection.reader.write_heartbeats(connection)
         if not connection.reader.zone:
@@ -130,6 +139,7 @@
         self.remove(connection)
 
     def drop_overdue(self) -> None:
+        """Drop the connections that exceeded a timeout, and schedule the next sweep."""
         now = self.loop.clock.now()
         for connection in list(self.unidentified):
             if now - connection.reader.connected_at <= self.IDENTIFY_TIMEOUT:
@@ -144,7 +154,7 @@
         self.sweep_timer = self.loop.call_after(self.SWEEP_INTERVAL, self.drop_overdue)
 
     def close(self) -> None:
-        """Who has connected and what they said by now is heard and answered once more."""
+        """Read and answer once more what was received until now, then close everything."""
         self.sweep_timer.cancel()
         self.listener.accept_last()
         self.listener.close()
@@ -154,15 +164,17 @@
             connection.close()
 
     def drain_unidentified(self) -> None:
-        left = self.FINAL_READ_BYTES
+        """Read the unidentified connections once more, up to FINAL_READ_BYTES together."""
+        remaining = self.FINAL_READ_BYTES
         for connection in list(self.unidentified):
-            if left <= 0:
+            if remaining <= 0:
                 return
             before = connection.received
             self.loop.guarded(connection.ready, True, False)
-            left -= connection.received - before
+            remaining -= connection.received - before
 
     def drain_collectors(self) -> None:
+        """Read the collectors once more, for FINAL_READ_DURATION at most."""
         until = self.loop.clock.now() + self.FINAL_READ_DURATION
         for connection in list(self.collectors):
             if self.loop.clock.now() >= until:
--- a/indigohitch/platform_protocol/resource_limits.py
+++ b/indigohitch/platform_protocol/resource_limits.py
@@ -1,5 +1,4 @@
-"""What the configured limits leave for each job: descriptors and memory are dealt out here, once, so that
-no kind of caller can take what another needs."""
+"""The division of the configured descriptors and memory among the kinds of connections."""
 
 from __future__ import annotations
 
@@ -11,32 +10,36 @@
 
 @dataclass(slots=True, frozen=True)
 class ResourceLimits:
-    """Half of the descriptors are for callers and a quarter for probes at once, less where the last quarter
-    does not hold what must always get through."""
+    """The share of each kind of connection.
+
+    Half of the descriptors are for accepted connections and a quarter for probes, less where the last
+    quarter does not hold RESERVED_DESCRIPTORS.
+    """
 
     inbound_connections: int  # accepted connections
-    probes: int  # probes that are out at once
-    outbound_pool_bytes: int  # bytes that wait on the connections we opened
-    inbound_pool_bytes: int  # bytes of unfinished messages of those who have joined
+    probes: int  # probes in flight at once
+    outbound_pool_bytes: int  # bytes queued on outbound connections
+    inbound_pool_bytes: int  # bytes of incomplete messages of collectors
 
     # Python with the modules loaded takes 21 MB; a tenth more for the tables, the list and garbage.
     PROGRAM_BYTES = 24 * BYTES_PER_MB
-    # Two connections to the relay and one of its news, twice while it moves, as many to discovery, the ten of
-    # the process itself, one accepted for which another gives way, and a file that is read again.
+    # Two connections to the relay and one of its event stream, twice while its address changes, as many to
+    # discovery, the ten of the process itself, one accepted before another is evicted, and a file reread.
     RESERVED_DESCRIPTORS = 24
-    # With fewer than that it can't serve; what is missing then is met at each call.
+    # Minimums to serve at all, also where the limits hold less; a lack then shows as failed calls.
     MIN_INBOUND_CONNECTIONS = 4
     MIN_PROBES = 2
     # A single ring at its bound, so that one message of the longest kind always fits.
     MIN_POOL_BYTES = 2 * BYTES_PER_MB
 
     @classmethod
-    def from_config(cls, told: dict) -> ResourceLimits:
-        """Out of the configuration's `limits`; KeyError, TypeError, ValueError where they can't be read."""
-        sockets, allowed = int(told["sockets"]), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    def from_config(cls, limits: dict) -> ResourceLimits:
+        """Divide the configuration's `limits`; raises KeyError, TypeError or ValueError if invalid."""
+        sockets = int(limits["sockets"])
+        allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         if allowed != resource.RLIM_INFINITY:
             sockets = min(sockets, allowed)
-        spare = int(told["memory_mb"]) * BYTES_PER_MB - cls.PROGRAM_BYTES
+        spare = int(limits["memory_mb"]) * BYTES_PER_MB - cls.PROGRAM_BYTES
         # A quarter each: a ring that grows holds its old block a moment longer, and the rest is not ours.
         share = max(cls.MIN_POOL_BYTES, spare // 4)
         rest = sockets - cls.RESERVED_DESCRIPTORS
