--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -1,8 +1,9 @@
-"""Whether a call to the relay whose outcome is unclear was carried out: the store's tables tell.
+"""Determine from the store's tables whether a call to the relay with unknown outcome was applied.
 
-The relay is the store as well, and a news stream starts with what stands.  A line that was there only before
-the call, or is there only after it, shows what became of the orders up to it: the relay takes them in turn.
-So does a mark that a proxy answers, once one does."""
+The relay is also the store, and an event stream starts with the stored tables. A route that exists only
+before the call, or only after it, shows the outcome of the orders up to it, as the relay applies orders in
+sequence. A marker that a proxy acknowledges is evidence too.
+"""
 
 from __future__ import annotations
 
@@ -21,72 +22,79 @@
 
 
 class MarkerEvidence:
-    """Whether a mark that a proxy has answered shows that a call was carried out, to its end.
+    """Whether a marker that a proxy has acknowledged proves that a whole call was applied.
 
-    A mark that an earlier call had, as after a module that began anew, shows nothing."""
+    A marker that an earlier call used, as after a restart of the module, proves nothing.
+    """
 
     def __init__(self) -> None:
         self.used_markers: deque[int] = deque(maxlen=256)
         self.orders: Sequence[face.Order] | None = None  # of the call in question
-        self.marker, self.is_confirmed = -1, False
+        self.marker = -1
+        self.is_confirmed = False
 
     def start(self, orders: Sequence[face.Order]) -> bool:
-        """These are in question from here on; whether they were not before."""
+        """Track the call with these orders; return whether it was not tracked before."""
         if orders is self.orders:
             return False
         self.orders = orders
-        self.marker, self.is_confirmed = -1, False
+        self.marker = -1
+        self.is_confirmed = False
         last = orders[-1]
         if isinstance(last, face.UpdateMarker) and last.marker not in self.used_markers:
             self.marker = last.marker
             self.used_markers.append(last.marker)
         return True
 
-    def acknowledge(self, mark: int) -> bool:
-        """Whether this mark shows it."""
-        self.is_confirmed |= mark == self.marker
-        return mark == self.marker
+    def acknowledge(self, marker: int) -> bool:
+        """Record the acknowledgement of a marker; return whether it proves the call."""
+        self.is_confirmed |= marker == self.marker
+        return marker == self.marker
 
 
 class CallOutcome(Enum):
-    """What became of a call; the log tells the value."""
+    """Outcome of a call; the log shows the value."""
 
-    NOT_APPLIED = "none"  # it was not carried out
-    APPLIED = "stands"  # up to the last order that shows
+    NOT_APPLIED = "none"  # none of its orders was applied
+    APPLIED = "stands"  # up to the last order that the tables can prove
     UNKNOWN = "unknown"
 
 
 @dataclass(slots=True, frozen=True)
 class _Sign:
-    """A table that shows whether the orders up to the place `end` were carried out."""
+    """A table that shows whether the orders up to the place `end` were applied."""
 
     table: int
-    before: frozenset[tuple[str, float]]  # lines that it has only before
-    after: frozenset[tuple[str, float]]  # and only after
+    before: frozenset[tuple[str, float]]  # routes that it has only before the call
+    after: frozenset[tuple[str, float]]  # and only after it
     end: int
 
 
 class TableEvidence:
-    """What the tables `stood` before say of the `orders` of a call.  No I/O."""
+    """What tables read later prove about a call, compared with the tables before it. No I/O."""
 
     def __init__(
         self,
-        stood: stored_tables.StoredTables,
+        tables: stored_tables.StoredTables,
         orders: Sequence[face.Order],
-        maybe: Iterable[face.Order] = (),
+        unresolved_orders: Iterable[face.Order] = (),
     ) -> None:
-        """`maybe`: orders that went before, of which nobody knows; `orders` make up for them."""
+        """Compare `tables` with the effect of `orders`; `unresolved_orders` may have been applied earlier."""
         changed = {
-            n: stored_tables.StoredTable(dict(stood[n].lines))
-            for n in stored_tables.changed_tables(orders)
-            if n in stood
+            number: stored_tables.StoredTable(dict(tables[number].lines))
+            for number in stored_tables.changed_tables(orders)
+            if number in tables
         }
-        earlier = {n: set(table.lines.items()) for n, table in changed.items()}
-        for order in maybe:
+        earlier = {number: set(table.lines.items()) for number, table in changed.items()}
+        for order in unresolved_orders:
             if isinstance(order, face.SetRoute) and order.weight and order.table in earlier:
                 earlier[order.table].add((order.backend, order.weight))
         stored_tables.apply_orders(changed, orders)
-        ends = {order.table: at for at, order in enumerate(orders, 1) if isinstance(order, face.SetRoute)}
+        ends = {
+            order.table: position
+            for position, order in enumerate(orders, 1)
+            if isinstance(order, face.SetRoute)
+        }
         signs = []
         for number, end in ends.items():
             before = frozenset(earlier.get(number, ()))
@@ -94,68 +102,81 @@
             if before - after and after - before:
                 signs.append(_Sign(number, before - after, after - before, end))
         signs.sort(key=lambda sign: sign.end)
-        # The relay takes orders in turn and stops at one that it can't use: these two tell of all between.
-        self._first, self._last = (signs[0], signs[-1]) if signs else (None, None)
+        # The relay applies orders in sequence and stops at an invalid one: these two prove all between.
+        self._first = signs[0] if signs else None
+        self._last = signs[-1] if signs else None
         self._end = signs[-1].end if signs else 0
         while 0 < self._end < len(orders) and isinstance(orders[self._end], face.UpdateMarker):
             self._end += 1
-        self._found: dict[int, bool] = {}  # by table: whether it is as after
+        self._found: dict[int, bool] = {}  # by table: whether it is in the state after the call
 
     @property
     def can_decide(self) -> bool:
-        """Whether the tables can tell."""
+        """Whether the tables can prove an outcome."""
         return self._first is not None
 
     @property
     def applied_count(self) -> int:
-        """How many orders stand where the effect is `STANDS`.  The relay stops at an order that it can't use;
-        a mark is none, so one right behind those that stand was taken with them."""
+        """Number of orders applied if the outcome is `APPLIED`.
+
+        The relay stops at an invalid order. A marker is never invalid, so markers that directly follow the
+        applied orders are included.
+        """
         return self._end
 
     def add_route(self, table: int, backend: str, weight: float) -> None:
-        """A line that stands."""
+        """Record a route that the store contains."""
         for sign in filter(None, (self._first, self._last)):
             if table == sign.table and (backend, weight) in sign.before | sign.after:
                 self._found[table] = (backend, weight) in sign.after
 
     @property
     def outcome(self) -> CallOutcome:
+        """The outcome that the routes recorded so far prove."""
         if not self.can_decide:
             return CallOutcome.UNKNOWN
-        first, last = self._found.get(self._first.table), self._found.get(self._last.table)
+        first = self._found.get(self._first.table)
+        last = self._found.get(self._last.table)
         if first and last:
             return CallOutcome.APPLIED
         return CallOutcome.NOT_APPLIED if first is False and last is False else CallOutcome.UNKNOWN
 
 
 class OutcomeQuery:
-    """Reads from a stream of its own what stands, again and again until that tells or it is dropped."""
+    """Reads the stored tables from its own stream until they prove an outcome or it is dropped."""
 
-    SETTLE_TIME = SECOND // 20  # a call is carried out by then, counted from when it went, or never
+    SETTLE_TIME = SECOND // 20  # after it was sent, a call is applied within this time or never
     CONNECT_TIMEOUT = SECOND // 4
-    READ_TIMEOUT = SECOND // 4  # for a whole start of the news, which takes a few ms
+    READ_TIMEOUT = SECOND // 4  # for a whole initial snapshot, which takes a few ms
     RETRY_DELAY = SECOND // 10
-    MAX_DELAY_DOUBLINGS = 3  # of that wait, where what was read did not tell
+    MAX_DELAY_DOUBLINGS = 3  # of that delay, after inconclusive reads
 
-    def __init__(self, loop: EventLoop, told: Callable[[CallOutcome, int], None]) -> None:
-        """`told` hears the effect, and how many orders are proved to stand by it."""
-        self.loop, self.on_outcome = loop, told
+    def __init__(self, loop: EventLoop, on_outcome: Callable[[CallOutcome, int], None]) -> None:
+        """`on_outcome` receives the outcome and the number of orders proved to be applied."""
+        self.loop = loop
+        self.on_outcome = on_outcome
         self.to: tuple[str, int] | None = None
-        self.evidence: TableEvidence | None = None  # while one is open
+        self.evidence: TableEvidence | None = None  # None: no query is running
         self.until_known = False
         self.timer: Deadline | None = None
         self.exchange: HttpExchange | None = None
-        self.has_received = False  # in this try: the relay is in reach
-        self.inconclusive_reads = 0  # tries that were answered and did not tell
+        self.has_received = False  # in this attempt: the relay is reachable
+        self.inconclusive_reads = 0  # attempts with a response that proved nothing
+
+    def start(
+        self, address: tuple[str, int], sent_at: int, evidence: TableEvidence, until_known: bool
+    ) -> None:
+        """Start a query for a call sent at `sent_at` (ticks); a running query continues.
 
-    def start(self, to: tuple[str, int], went: int, evidence: TableEvidence, until_known: bool) -> None:
-        """Into a call that went at `went`; one that is open goes on.  An effect that stays unknown is told
-        once the relay has shown to be in reach, or never where it is asked `until_known`."""
+        An unknown outcome is reported once the relay has responded, or never if `until_known` is set.
+        """
         self.until_known = until_known
         if self.evidence is None:
-            self.to, self.evidence, self.inconclusive_reads = to, evidence, 0
+            self.to = address
+            self.evidence = evidence
+            self.inconclusive_reads = 0
             self.timer = self.loop.call_at(
-                max(self.loop.clock.now(), went + self.SETTLE_TIME), self._request_stream
+                max(self.loop.clock.now(), sent_at + self.SETTLE_TIME), self._request_stream
             )
 
     def _request_stream(self) -> None:
@@ -173,14 +194,15 @@
     def _on_data(self, stream: EventStream, part: bytes) -> None:
         try:
             stream.feed(part)
-        except ValueError:  # what can't be read tells nothing; the next one may
+        except ValueError:  # a malformed stream proves nothing; the next one may
             self._retry_later()
             return
         self.has_received = True
-        effect, proved = self.evidence.outcome, self.evidence.applied_count
-        if effect is not CallOutcome.UNKNOWN:
+        outcome = self.evidence.outcome
+        applied_count = self.evidence.applied_count
+        if outcome is not CallOutcome.UNKNOWN:
             self.drop()
-            self.on_outcome(effect, proved)
+            self.on_outcome(outcome, applied_count)
         elif not self.evidence.can_decide:
             self._retry_later()  # there is nothing to wait for
 
@@ -191,7 +213,7 @@
             case face.StoredRoute(table, backend, weight):
                 self.evidence.add_route(table, backend, weight)
 
-    def _on_stream_end(self, answer: HttpResponse) -> None:
+    def _on_stream_end(self, response: HttpResponse) -> None:
         self._retry_later()
 
     def _retry_later(self) -> None:
@@ -212,7 +234,7 @@
             self.exchange = None
 
     def drop(self) -> None:
-        """End it without a word."""
+        """Stop the query without a report."""
         if self.evidence is not None:
             self._close()
             self.evidence = None
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -1,8 +1,9 @@
-"""How long lines stay at backends that drain or are gone: a check while the program runs, and its log.
+"""Runtime check, with a log, of how long routes remain at backends that drain or are gone.
 
-It decides nothing and orders nothing.  The rule: a backend that the list has as leaving holds no line later
-than the grace after that was told, or after the slice came into charge.  The protocol lets time limits wait
-while the relay fails, and so does the check."""
+It makes no decisions and sends no orders. The rule: a backend that is listed as departing has no route later
+than the grace period after that was notified, or after the slice was acquired. The protocol pauses time
+limits while the relay fails, and so does the check.
+"""
 
 from __future__ import annotations
 
@@ -18,78 +19,82 @@
 
 
 class PausedTime:
-    """Time that stands still for spans; overlapping spans count once."""
+    """A clock that pauses for given spans; overlapping spans count once. All times are in ticks."""
 
     def __init__(self) -> None:
-        self._paused_until = self._total_paused = 0
+        self._paused_until = 0
+        self._total_paused = 0
 
     def pause(self, now: int, span: int) -> None:
-        """It stands still from `now` on for `span` at least."""
-        begin, end = max(now, self._paused_until), now + span
+        """Pause the clock from `now` for at least `span`."""
+        begin = max(now, self._paused_until)
+        end = now + span
         if end > begin:
             self._total_paused += end - begin
             self._paused_until = end
 
     def elapsed(self, now: int) -> int:
+        """Return the time at `now` without the paused spans."""
         return now - self._total_paused + max(0, self._paused_until - now)
 
 
 @dataclass(slots=True)
 class DrainingBackend:
-    """A backend that leaves, since when, and the slices whose lines there were told to be late."""
+    """A departing backend, since when, and the slices whose routes to it were reported as overdue."""
 
     state: str
-    notified_at: int  # by the loop's clock
-    notified_at_unpaused: int  # by the time that stands still while the relay fails
+    notified_at: int  # by the loop's clock, in ticks
+    notified_at_unpaused: int  # by the clock that pauses while the relay fails
     late_slices: set[int] = field(default_factory=set)
-    emptied_at: int | None = None  # when it was seen to hold no line
+    emptied_at: int | None = None  # when it was first seen without a route
 
 
 class DrainMonitor:
+    """Checks that departing backends lose their routes within the grace period, and logs violations."""
+
     # The protocol's slack on sockets, for the time limits of drains.
     SOCKET_SLACK = SECOND * 3 // 10
-    # For so long time limits wait after a call that broke, after one without an answer that can be read, and
-    # after news that broke off, says the protocol.
+    # The protocol pauses time limits for these spans after a failed call, after a call without a readable
+    # response, and after the loss of the event stream.
     PAUSE_AFTER_BROKEN_CALL = SECOND // 2
     PAUSE_AFTER_SILENT_CALL = SECOND * 3 // 2
     PAUSE_AFTER_WATCH_LOSS = 4 * SECOND
     CHECK_INTERVAL = SECOND // 4
     MAX_LOGGED_SLICES = 20  # slices in one log line
-    RETENTION = 30 * SECOND  # after the last line there is gone: an old order may still bring one back
+    RETENTION = 30 * SECOND  # after its last route is removed: an old order may still restore one
 
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
         grace: int,
-        stood: Callable[[], StoredTables],
-        queued: Callable[[], int],
-        gone_binds: bool = True,
+        read_stored_tables: Callable[[], StoredTables],
+        count_pending_calls: Callable[[], int],
+        check_unlisted_backends: bool = True,
     ) -> None:
-        """`grace` in tenths of a ms, 0: not checked; `stood`: what stands in the store; `queued`: calls that
-        wait; `gone_binds`: also a backend that is gone, and not only one that drains, may hold no line."""
-        self.loop, self.log, self.grace, self.read_stored_tables, self.count_pending_calls = (
-            loop,
-            log,
-            grace,
-            stood,
-            queued,
-        )
-        self.checked_states = DEPARTING_STATES if gone_binds else DEPARTING_STATES[:1]
+        """Set up the check for a `grace` period in ticks (0: no check).
+
+        If `check_unlisted_backends` is set, backends that are gone are checked as well as those that drain.
+        """
+        self.loop = loop
+        self.log = log
+        self.grace = grace
+        self.read_stored_tables = read_stored_tables
+        self.count_pending_calls = count_pending_calls
+        self.checked_states = DEPARTING_STATES if check_unlisted_backends else DEPARTING_STATES[:1]
         self.draining: dict[str, DrainingBackend] = {}
         self.ejected: set[str] = set()
         self.paused_time = PausedTime()
-        self.slice_acquired_at: dict[
-            int, int
-        ] = {}  # slices that came into charge, by the time that stands still
+        # When slices were acquired, by the clock that pauses while the relay fails.
+        self.slice_acquired_at: dict[int, int] = {}
         self.is_check_scheduled = False
 
-    def on_backend_list(self, news: face.BackendList) -> None:
-        """The list, or changes of it, as they are told to the module; a call that failed tells nothing."""
-        if news.scope == "failed":
+    def on_backend_list(self, backend_list: face.BackendList) -> None:
+        """Handle a backend list or changes to it; a failed request changes nothing."""
+        if backend_list.scope == "failed":
             return
-        states = {entry.backend: entry.state for entry in news.entries}
-        if news.scope != "changes":
+        states = {entry.backend: entry.state for entry in backend_list.entries}
+        if backend_list.scope != "changes":
             self._add_unlisted(states)
         for backend, state in states.items():
             self._on_state(backend, state)
@@ -98,9 +103,9 @@
             self.loop.call_after(self.CHECK_INTERVAL, self.check)
 
     def _add_unlisted(self, states: dict[str, str]) -> None:
-        """A whole list names none that is gone; one that it lacks stays known while a line is left there."""
-        held = {backend for table in self.read_stored_tables().values() for backend in table.lines}
-        for backend in held - states.keys():
+        """Add backends that a full list omits as gone while a route to them remains."""
+        routed_backends = {backend for table in self.read_stored_tables().values() for backend in table.lines}
+        for backend in routed_backends - states.keys():
             states[backend] = "gone"
 
     def _on_state(self, backend: str, state: str) -> None:
@@ -114,18 +119,18 @@
             known.state = state
 
     def is_grace_over(self, backend: str) -> bool:
-        """Whether no line may be set there any more."""
+        """Whether the grace period of a backend is over, so that no route may be set to it."""
         departure = self.draining.get(backend)
         if departure is None or not self.grace:
             return False
         return self.paused_time.elapsed(self.loop.clock.now()) > departure.notified_at_unpaused + self.grace
 
     def on_slice_acquired(self, number: int) -> None:
-        """It came into charge, with whatever lines another coordinator left in it."""
+        """Record the acquisition of a slice, which may contain routes of its previous owner."""
         self.slice_acquired_at[number] = self.paused_time.elapsed(self.loop.clock.now())
 
     def on_call_failed(self, outcome: str) -> None:
-        """A call broke, with this outcome of its exchange."""
+        """Pause time limits after a call that failed with this outcome of its exchange."""
         span = (
             self.PAUSE_AFTER_SILENT_CALL
             if outcome in ("timeout", "unreadable")
@@ -134,30 +139,33 @@
         self.paused_time.pause(self.loop.clock.now(), span)
 
     def on_watch_lost(self) -> None:
-        """The relay broke off its news."""
+        """Pause time limits after the loss of the event stream."""
         self.paused_time.pause(self.loop.clock.now(), self.PAUSE_AFTER_WATCH_LOSS)
 
     def on_applied(self, orders: Iterable[face.Order]) -> None:
-        """Orders that stand, of which those that shut a backend out are read here."""
+        """Track which backends are ejected by orders that were applied."""
         for order in orders:
             if isinstance(order, face.EjectBackend):
                 (self.ejected.add if order.ejected else self.ejected.discard)(order.backend)
 
     def check(self) -> None:
-        """Look for lines that stand too long; again while any backend leaves."""
+        """Check for overdue routes; schedules the next check while any backend departs."""
         self.is_check_scheduled = False
         now = self.loop.clock.now()
-        held: dict[str, list[int]] = {}
+        slices_by_backend: dict[str, list[int]] = {}
         for number, table in self.read_stored_tables().items():
             for backend in table.lines:
                 if backend in self.draining and backend not in self.ejected:
-                    held.setdefault(backend, []).append(number)
+                    slices_by_backend.setdefault(backend, []).append(number)
         for backend, departure in list(self.draining.items()):
-            self._check_backend(backend, departure, held.get(backend, []), now)
-        over = (
-            self.paused_time.elapsed(now) - self.grace - self.SOCKET_SLACK
-        )  # before that it bears on nothing
-        self.slice_acquired_at = {number: at for number, at in self.slice_acquired_at.items() if at > over}
+            self._check_backend(backend, departure, slices_by_backend.get(backend, []), now)
+        # An acquisition before this time no longer extends any limit.
+        oldest_relevant = self.paused_time.elapsed(now) - self.grace - self.SOCKET_SLACK
+        self.slice_acquired_at = {
+            number: acquired_at
+            for number, acquired_at in self.slice_acquired_at.items()
+            if acquired_at > oldest_relevant
+        }
         if self.draining:
             self.is_check_scheduled = True
             self.loop.call_after(self.CHECK_INTERVAL, self.check)
--- a/indigohitch/platform_protocol/in_flight_call.py
+++ b/indigohitch/platform_protocol/in_flight_call.py
@@ -1,4 +1,4 @@
-"""What is known of the call at the head of the queue: its tries, and whether one of them may stand."""
+"""State of the call at the head of the queue: its attempts, and whether one of them may have been applied."""
 
 from __future__ import annotations
 
@@ -12,76 +12,81 @@
 
 
 class InFlightCall:
-    def __init__(self, loop: EventLoop, found: Callable[[CallOutcome, int], None]) -> None:
-        """`found` hears what the store tells of a call in doubt (OutcomeQuery)."""
+    """The call at the head of the queue, its attempts and the evidence of their outcome."""
+
+    def __init__(self, loop: EventLoop, on_outcome: Callable[[CallOutcome, int], None]) -> None:
+        """`on_outcome` receives the outcome that OutcomeQuery finds for an unresolved call."""
         self.loop = loop
-        self.failures = 0  # tries that may have been carried out
-        self.may_retry = False  # it is in doubt, and may go again
-        self.unsent_attempts = 0  # tries in a row by which nothing went out
-        self.sent_at = self.previous_sent_at = (
-            0  # when a call did last that may have been carried out; and before
-        )
+        self.failures = 0  # attempts that may have been applied
+        self.may_retry = False  # its outcome is unknown, and it may be sent again
+        self.unsent_attempts = 0  # consecutive attempts that sent nothing
+        self.sent_at = 0  # when the last attempt that may have been applied was sent
+        self.previous_sent_at = 0  # the value of `sent_at` before that attempt
         self.marker_evidence = MarkerEvidence()
-        self.outcome_query = OutcomeQuery(loop, found)
-        # Orders of earlier calls that nobody knows of, each once: what they set goes again in this one.
+        self.outcome_query = OutcomeQuery(loop, on_outcome)
+        # Orders of earlier calls with unknown outcome, each once: this call sets the same values again.
         self.unresolved_orders: dict[face.Order, None] = {}
         self.read_stored_tables: Callable[[], stored_tables.StoredTables] = (
-            dict  # what stands in the store, but for calls in doubt
+            dict  # the tables in the store, without the effect of unresolved calls
         )
 
     @property
     def is_unresolved(self) -> bool:
+        """Whether an attempt of this call has an unknown outcome."""
         return self.failures > 0
 
     @property
     def has_unresolved_orders(self) -> bool:
-        """Whether orders of it may stand that were never answered."""
+        """Whether orders that were never acknowledged may have been applied."""
         return self.failures > 0 or bool(self.unresolved_orders)
 
     def record_send(self, orders: Sequence[face.Order]) -> bool:
-        """It goes now; whether these are other orders than those that went last."""
+        """Record an attempt; return whether its orders differ from those of the last attempt."""
         self.outcome_query.drop()
-        self.previous_sent_at, self.sent_at = self.sent_at, self.loop.clock.now()
+        self.previous_sent_at = self.sent_at
+        self.sent_at = self.loop.clock.now()
         self.may_retry = False
         return self.marker_evidence.start(orders)
 
     def record_unresolved(self) -> None:
-        """It went, and whether it was carried out is not known."""
+        """Record that the last attempt was sent and its outcome is unknown."""
         self.failures += 1
         self.may_retry = False
 
     def revert_send(self) -> None:
-        """What went last surely was not carried out; what is known of earlier tries stays as it is."""
+        """Undo `record_send` for an attempt that was not applied; earlier attempts keep their state."""
         self.sent_at = self.previous_sent_at
         self.may_retry = self.is_unresolved
 
     def merge_into_later_call(self, orders: Sequence[face.Order]) -> None:
-        """It goes again as a part of a call of more."""
+        """Keep these orders as unresolved, as a larger call will send them again."""
         self.unresolved_orders |= dict.fromkeys(
             order for order in orders if not isinstance(order, face.UpdateMarker)
         )
-        self.failures, self.may_retry = 0, False
+        self.failures = 0
+        self.may_retry = False
 
     def settle(self, more_to_come: bool) -> None:
-        """It stands, is void or was not carried out."""
+        """Reset the call once it is known to be applied, obsolete or not applied."""
         self.outcome_query.drop()
-        self.failures, self.may_retry = 0, False
+        self.failures = 0
+        self.may_retry = False
         if not more_to_come:
-            self.unresolved_orders = {}  # all of it went again in what stands now
+            self.unresolved_orders = {}  # the calls applied since have set all of it again
 
     def query_outcome(
-        self, to: tuple[str, int], orders: Sequence[face.Order], until_known: bool = False
+        self, address: tuple[str, int], orders: Sequence[face.Order], until_known: bool = False
     ) -> None:
-        """What stands in the store may tell, and costs no message; a sign of life lets it go again."""
+        """Read the outcome from the store, which costs no message; a response permits a retry."""
         evidence = TableEvidence(self.read_stored_tables(), orders, self.unresolved_orders)
         if evidence.can_decide or not until_known:
-            self.outcome_query.start(to, self.sent_at, evidence, until_known)
+            self.outcome_query.start(address, self.sent_at, evidence, until_known)
 
-    def retry_at(self, in_reach: bool) -> int:
-        """When it may go again: soon where the relay has shown to be in reach."""
-        wait = retry_delay(self.failures) if in_reach else BLIND_RETRY_DELAY
+    def retry_at(self, is_reachable: bool) -> int:
+        """Return the time of the next attempt, in ticks: soon if the relay has responded since."""
+        wait = retry_delay(self.failures) if is_reachable else BLIND_RETRY_DELAY
         return max(self.loop.clock.now(), self.sent_at + wait)
 
-    def is_confirmed_by(self, mark: int, orders: Sequence[face.Order]) -> bool:
-        """Whether this mark, answered, shows that these orders were carried out."""
-        return self.marker_evidence.orders is orders and self.marker_evidence.acknowledge(mark)
+    def is_confirmed_by(self, marker: int, orders: Sequence[face.Order]) -> bool:
+        """Whether the acknowledgement of this marker proves that these orders were applied."""
+        return self.marker_evidence.orders is orders and self.marker_evidence.acknowledge(marker)
--- a/indigohitch/platform_protocol/invariants.py
+++ b/indigohitch/platform_protocol/invariants.py
@@ -1,8 +1,9 @@
-"""The invariants of calls to the relay, checked where each begins, goes again, ends or is given up.
+"""The invariants of calls to the relay, checked before each send, retry, completion or abandonment.
 
-Every call passes here whatever decided on it, and the counts are kept apart from those that decide: a wrong
-decision or restored state shows as a violation, which is counted, told and, where it would break a rule, kept
-from happening."""
+Every call is checked here, with counts separate from those that the decisions use. A wrong decision or
+restored state shows as a violation, which is counted, logged and, where it would break a protocol rule,
+prevented.
+"""
 
 from __future__ import annotations
 
@@ -20,38 +21,43 @@
 class Invariant(enum.Enum):
     """What must hold of every call."""
 
-    MESSAGES = "message_limit"  # a proxy gets no more messages than it may within the window
-    LINES = "channel_full"  # no more lines wait in the channel than may
-    ONE_AT_A_TIME = "call_beside_another"  # a call begins while another is out
-    REPEAT = "repeat_too_soon"  # it goes again before the try before it can have been carried out or not
-    LEAVING = "line_at_leaving"  # a line is set at a backend whose grace is over
-    START = "call_before_start"  # a table is changed before the store has told of any
+    MESSAGES = "message_limit"  # a proxy gets at most the permitted messages within the window
+    LINES = "channel_full"  # the channel backlog stays within its limit
+    ONE_AT_A_TIME = "call_beside_another"  # a call is sent while another is in flight
+    REPEAT = "repeat_too_soon"  # a retry before the previous attempt has settled
+    LEAVING = "line_at_leaving"  # a route is set to a backend whose drain grace period is over
+    START = "call_before_start"  # a table is changed before any stored state is known
 
 
 @dataclass(slots=True, frozen=True)
 class Attempt:
-    """A call that is about to go."""
+    """A call that is about to be sent."""
 
     orders: Sequence[face.Order]
     lines: int  # to all proxies
-    previous_sent_at: int | None  # when the same went last, None: it did not
-    call_in_flight: bool  # another one is out
+    previous_sent_at: int | None  # time of the previous attempt in ticks, None: there was none
+    call_in_flight: bool  # another call is in flight
 
 
 class InvariantChecker:
-    MAX_LOGGED_BACKENDS = 20  # backends in one log line
-    RETRY_DELAY = SECOND // 4  # until a call that may not go is looked at again
-    SETTLE_TIME = SECOND // 20  # a call is carried out by then, counted from when it went, or never
+    """Checks each call to the relay against the invariants and reports violations."""
 
-    def __init__(self, log: Log, most: int, over: int, backlog: ChannelBacklog) -> None:
-        """A proxy may get `most` messages (0: any number) within `over` tenths of a ms."""
-        self.log, self.max_messages, self.window, self.backlog = log, most, over, backlog
-        self.sent_at: deque[int] = deque()  # within the last `over`
-        self.has_stored_state: Callable[[], bool] = lambda: True  # some table is known
-        self.is_grace_over: Callable[[str], bool] = lambda backend: False  # its grace is over
+    MAX_LOGGED_BACKENDS = 20  # backends in one log line
+    RETRY_DELAY = SECOND // 4  # until a rejected call is checked again
+    SETTLE_TIME = SECOND // 20  # after it was sent, a call is applied within this time or never
+
+    def __init__(self, log: Log, max_messages: int, window: int, backlog: ChannelBacklog) -> None:
+        """A proxy may get `max_messages` messages (0: any number) within `window` ticks."""
+        self.log = log
+        self.max_messages = max_messages
+        self.window = window
+        self.backlog = backlog
+        self.sent_at: deque[int] = deque()  # send times within the last `window`
+        self.has_stored_state: Callable[[], bool] = lambda: True  # whether any table is known
+        self.is_grace_over: Callable[[str], bool] = lambda backend: False  # whether its grace period is over
 
     def check_send(self, now: int, attempt: Attempt) -> bool:
-        """Whether it may go; called right before it does, for the first time or again."""
+        """Whether the call may be sent; called directly before each attempt."""
         while self.sent_at and self.sent_at[0] <= now - self.window:
             self.sent_at.popleft()
         broken = [
@@ -81,15 +87,16 @@
         return any(isinstance(order, (face.SetRoute, face.ClearTable)) for order in orders)
 
     def record_send(self, now: int) -> None:
+        """Count a message sent at `now` (ticks)."""
         self.sent_at.append(now)
 
     def revert_send(self) -> None:
-        """What went last surely came to nothing."""
+        """Undo `record_send` for a message that had no effect."""
         if self.sent_at:
             self.sent_at.pop()
 
     def late_routes(self, orders: Sequence[face.Order]) -> list[face.Order]:
-        """The lines among these that would be set at a backend whose grace is over."""
+        """Return the orders that would set a route to a backend whose grace period is over."""
         return [
             order
             for order in orders
@@ -97,17 +104,20 @@
         ]
 
     def report_late_routes(self, late: Sequence[face.Order]) -> None:
-        """These lines do not go, as they would break the rule on drains."""
+        """Report routes that are not sent because they would break the drain rule."""
         self._report_violation(
             Invariant.LEAVING, backends=sorted({order.backend for order in late})[: self.MAX_LOGGED_BACKENDS]
         )
 
     def report_exit(self, urgent: int, waiting: int) -> None:
-        """The process ends with so many orders waiting, and so many of them with a time limit.  No rule is
-        broken by it, as proxies go elsewhere once it was told to end; whoever comes next has to know."""
+        """Log the number of pending orders at exit, and how many of them have a time limit.
+
+        This violates no invariant, as proxies use other coordinators after a shutdown request, but the
+        successor needs the information.
+        """
         if waiting:
             self.log.event("exited_with_pending_orders", urgent=urgent, orders=waiting)
 
-    def _report_violation(self, invariant: Invariant, **fields) -> None:
+    def _report_violation(self, invariant: Invariant, **fields: object) -> None:
         self.log.count(f"invariant_{invariant.value}")
         self.log.warning("invariant_violated", invariant=invariant.value, **fields)
--- a/indigohitch/platform_protocol/relay_watch.py
+++ b/indigohitch/platform_protocol/relay_watch.py
@@ -1,4 +1,4 @@
-"""The relay's news: an event stream that is kept open, and opened anew when it breaks."""
+"""Watch of the relay's events: an event stream that is kept open, and reopened when it breaks."""
 
 from __future__ import annotations
 
@@ -16,26 +16,39 @@
 
 
 class RelayWatchListener(Protocol):
-    """What becomes of the news."""
+    """Receiver of the watch's events."""
 
-    def on_watch_requested(self) -> None: ...
-    def on_watch_opened(self) -> None: ...
-    def on_relay_event(self, event: face.Event) -> None: ...
-    def on_keepalive(self) -> None: ...
-    def on_watch_lost(self) -> None: ...
+    def on_watch_requested(self) -> None:
+        """Handle the request for a new stream."""
+
+    def on_watch_opened(self) -> None:
+        """Handle the first data of a new stream, before its events."""
+
+    def on_relay_event(self, event: face.Event) -> None:
+        """Handle one event of the stream."""
+
+    def on_keepalive(self) -> None:
+        """Handle a keepalive comment; the first one ends the initial snapshot."""
+
+    def on_watch_lost(self) -> None:
+        """Handle the loss of the current stream."""
 
 
 class EventStream:
-    """Server-sent events out of the pieces of a body: `said(kind, data)` an event, `alive()` a comment."""
+    """Incremental parser of server-sent events from the parts of a response body."""
 
-    MAX_LINE_BYTES = 1 << 20  # an event of the relay is short; more unfinished than this is none
+    MAX_LINE_BYTES = 1 << 20  # relay events are short; a longer unfinished line is invalid
 
-    def __init__(self, said: Callable[[str, str], None], alive: Callable[[], None]) -> None:
-        self.on_event, self.on_comment = said, alive
-        self.unread, self.kind, self.data = b"", "", []
+    def __init__(self, on_event: Callable[[str, str], None], on_comment: Callable[[], None]) -> None:
+        """`on_event(kind, data)` receives each event, `on_comment()` is called for each comment."""
+        self.on_event = on_event
+        self.on_comment = on_comment
+        self.unread = b""
+        self.kind = ""
+        self.data: list[str] = []
 
     def feed(self, part: bytes) -> None:
-        """Raises ValueError where it can't be read."""
+        """Parse the next part of the body; raises ValueError if it is malformed."""
         *lines, self.unread = (self.unread + part).split(b"\n")
         if len(self.unread) > self.MAX_LINE_BYTES:
             raise ValueError("line too long")
@@ -43,7 +56,10 @@
             line = raw.removesuffix(b"\r").decode("utf-8")
             if not line:
                 if self.kind or self.data:
-                    kind, data, self.kind, self.data = self.kind, "\n".join(self.data), "", []
+                    kind = self.kind
+                    data = "\n".join(self.data)
+                    self.kind = ""
+                    self.data = []
                     self.on_event(kind, data)
             elif line.startswith(":"):
                 self.on_comment()
@@ -59,45 +75,54 @@
 
 
 def parse_relay_event(kind: str, data: str) -> face.Event | None:
-    """What an event of the stream says; None: of a kind that is not known.  Raises ValueError."""
-    read = RELAY_EVENT_PARSERS.get(kind)
-    return read(dict(parse_qsl(data, keep_blank_values=True))) if read is not None else None
+    """Parse an event of the stream; None if its kind is unknown. Raises ValueError if it is malformed."""
+    parser = RELAY_EVENT_PARSERS.get(kind)
+    return parser(dict(parse_qsl(data, keep_blank_values=True))) if parser is not None else None
 
 
 class RelayWatch:
-    SILENCE_TIMEOUT = 2 * SECOND  # a sign of life comes every second: one missed, and the next has not come
+    """Keeps a stream of relay events open and passes its events to a listener."""
+
+    SILENCE_TIMEOUT = 2 * SECOND  # keepalives come every second: two in a row are missing
     CONNECT_TIMEOUT = SECOND // 4  # on one network a connect takes a few ms
-    RETRY_INTERVAL = SECOND // 10  # before the next try: a relay out of reach is not asked without pause
-
-    def __init__(self, loop: EventLoop, log: Log, to: tuple[str, int], hearer: RelayWatchListener) -> None:
-        self.loop, self.log, self.listener = loop, log, hearer
-        self.client = HttpClient(loop, to, self.CONNECT_TIMEOUT)
-        self.stream = EventStream(self._on_event, hearer.on_keepalive)
-        self.current: HttpExchange | None = None  # the stream that tells
-        self.pending: HttpExchange | None = None  # one asked for, that has told nothing yet
+    RETRY_INTERVAL = SECOND // 10  # before the next attempt, to limit requests to an unreachable relay
+
+    def __init__(
+        self, loop: EventLoop, log: Log, address: tuple[str, int], listener: RelayWatchListener
+    ) -> None:
+        """`address` is the host and port of the relay; `open` sends the first request."""
+        self.loop = loop
+        self.log = log
+        self.listener = listener
+        self.client = HttpClient(loop, address, self.CONNECT_TIMEOUT)
+        self.stream = EventStream(self._on_event, listener.on_keepalive)
+        self.current: HttpExchange | None = None  # the stream that delivers events
+        self.pending: HttpExchange | None = None  # a requested stream without data yet
         self.retry_timer: Deadline | None = None
 
     def open(self) -> None:
+        """Request a new stream."""
         self.retry_timer = None
         self.listener.on_watch_requested()
-        self.pending = exchange = self.client.request(
+        exchange = self.client.request(
             "GET",
             "/stream",
             self.SILENCE_TIMEOUT,
-            lambda answer: self._on_ended(exchange, answer),
+            lambda response: self._on_ended(exchange, response),
             stream=lambda part: self._on_part(exchange, part),
         )
+        self.pending = exchange
 
-    def move(self, to: tuple[str, int]) -> bool:
-        """Ask at another address.  The stream that tells goes on until one there does."""
-        if to == self.client.address:
+    def move(self, address: tuple[str, int]) -> bool:
+        """Switch to another address; the current stream continues until the new one delivers data."""
+        if address == self.client.address:
             return False
-        self.client = HttpClient(self.loop, to, self.CONNECT_TIMEOUT)
+        self.client = HttpClient(self.loop, address, self.CONNECT_TIMEOUT)
         self.restart()
         return True
 
     def restart(self) -> None:
-        """Have all that stands told again.  The stream that tells goes on until another does."""
+        """Request a new snapshot; the current stream continues until the new one delivers data."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
         if self.pending is not None:
@@ -108,29 +133,32 @@
         if exchange is self.pending:
             if self.current is not None:
                 if self.current.connection is not None:
-                    self.current.connection.ready(True, False)  # what it still brought came first
+                    self.current.connection.ready(
+                        True, False
+                    )  # data that the old stream still has came first
                 if self.current is not None:
                     self.current.drop()
-            self.current, self.pending = exchange, None
+            self.current = exchange
+            self.pending = None
             self.stream = EventStream(self._on_event, self.listener.on_keepalive)
             self.listener.on_watch_opened()
         try:
             self.stream.feed(part)
-        except ValueError as bad:  # UnicodeDecodeError and words.Unreadable are of its kind
-            self.log.warning("relay_event_invalid", why=str(bad))
+        except ValueError as error:  # includes UnicodeDecodeError and the parsers' errors
+            self.log.warning("relay_event_invalid", why=str(error))
             exchange.end("unreadable")
 
     def _on_event(self, kind: str, data: str) -> None:
         event = parse_relay_event(kind, data)
-        if event is None:  # of a later version, perhaps: no reason to break off
+        if event is None:  # perhaps of a later version: not an error of the stream
             self.log.warning("relay_event_unknown_kind", kind=kind[:40])
             return
         self.log.count(f"relay_event_{kind}")
         self.listener.on_relay_event(event)
 
-    def _on_ended(self, exchange: HttpExchange, answer: HttpResponse) -> None:
+    def _on_ended(self, exchange: HttpExchange, response: HttpResponse) -> None:
         self.log.warning(
-            "relay_watch_lost", why=answer.outcome, status=answer.status, after_ms=answer.duration / 10
+            "relay_watch_lost", why=response.outcome, status=response.status, after_ms=response.duration / 10
         )
         if exchange is self.current:
             self.current = None
@@ -141,6 +169,7 @@
             self.retry_timer = self.loop.call_after(self.RETRY_INTERVAL, self.open)
 
     def close(self) -> None:
+        """Close all streams and cancel the retry."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
         for exchange in (self.current, self.pending):
--- a/indigohitch/platform_protocol/stored_tables.py
+++ b/indigohitch/platform_protocol/stored_tables.py
@@ -1,5 +1,4 @@
-"""What stands in the store for the slices in charge: as the relay told it, changed by the orders that
-it has answered since."""
+"""The stored tables of the owned slices: as the relay sent them, with the orders acknowledged since."""
 
 from __future__ import annotations
 
@@ -11,15 +10,17 @@
 
 @dataclass(slots=True)
 class StoredTable:
+    """The routes (backend to weight) and the admission level of one table."""
+
     lines: dict[str, float] = field(default_factory=dict)
-    level: face.SetAdmission | None = None  # the level of its own, where it has one
+    level: face.SetAdmission | None = None  # None: the table has no level of its own
 
 
 StoredTables = dict[int, StoredTable]
 
 
 def apply_orders(tables: StoredTables, orders: Iterable[face.Order]) -> None:
-    """What these orders make of the tables; an order for a slice not in charge changes nothing."""
+    """Apply orders to the tables in place; an order for a slice that is not owned changes nothing."""
     for order in orders:
         table = tables.get(getattr(order, "table", face.ALL_TABLES))
         if table is None:
@@ -29,31 +30,47 @@
             if order.weight:
                 table.lines[order.backend] = order.weight
         elif isinstance(order, face.ClearTable):
-            table.lines, table.level = {}, None
+            table.lines = {}
+            table.level = None
         elif isinstance(order, face.SetAdmission):
             table.level = order
 
 
 def copy_tables(tables: StoredTables) -> StoredTables:
+    """Return a copy whose tables can be changed independently."""
     return {number: StoredTable(dict(table.lines), table.level) for number, table in tables.items()}
 
 
 def changed_tables(orders: Iterable[face.Order]) -> set[int]:
-    return {o.table for o in orders if isinstance(o, (face.SetRoute, face.ClearTable, face.SetAdmission))}
+    """Return the numbers of the tables that these orders change."""
+    return {
+        order.table
+        for order in orders
+        if isinstance(order, (face.SetRoute, face.ClearTable, face.SetAdmission))
+    }
+
+
+def orders_for_routes(orders: Iterable[face.Order], numbers: set[int]) -> list[face.Order]:
+    """Return the orders for these slices, except admission levels, which are reset separately."""
+    return [
+        order
+        for order in orders
+        if getattr(order, "table", None) in numbers and not isinstance(order, face.SetAdmission)
+    ]
 
 
 def ownership_events(number: int, table: StoredTable) -> list[face.Event]:
-    """A slice with its lines, as the module hears of it."""
+    """Return the events that report an owned slice and its routes to the module."""
     return [
         face.SliceOwnership(number, True),
-        *(face.StoredRoute(number, b, w) for b, w in table.lines.items()),
+        *(face.StoredRoute(number, backend, weight) for backend, weight in table.lines.items()),
     ]
 
 
 def admission_resets(numbers: Iterable[int], tables: StoredTables) -> list[face.Order]:
-    """A slice given comes without a level: where one stands, this makes it true."""
+    """Return orders that reset admission levels, as a newly acquired slice has to start without one."""
     return [
-        replace(tables[n].level, methods=(), admission_ratio=1.0)
-        for n in numbers
-        if tables[n].level is not None and tables[n].level.admission_ratio != 1.0
+        replace(tables[number].level, methods=(), admission_ratio=1.0)
+        for number in numbers
+        if tables[number].level is not None and tables[number].level.admission_ratio != 1.0
     ]
