--- a/indigohitch/platform_protocol/in_flight_call.py
+++ b/indigohitch/platform_protocol/in_flight_call.py
@@ -82,9 +82,9 @@
         if evidence.can_decide or not until_known:
             self.outcome_query.start(address, self.sent_at, evidence, until_known)
 
-    def retry_at(self, is_reachable: bool) -> int:
+    def retry_at(self, in_reach: bool) -> int:
         """Return the time of the next attempt, in ticks: soon if the relay has responded since."""
-        wait = retry_delay(self.failures) if is_reachable else BLIND_RETRY_DELAY
+        wait = retry_delay(self.failures) if in_reach else BLIND_RETRY_DELAY
         return max(self.loop.clock.now(), self.sent_at + wait)
 
     def is_confirmed_by(self, marker: int, orders: Sequence[face.Order]) -> bool:
