--- a/indigohitch/logic/health.py
+++ b/indigohitch/logic/health.py
@@ -2,11 +2,24 @@
 
 import math
 from collections import Counter
+from dataclasses import dataclass
 
 from ..interface import SECOND, BackendTraffic
 from .state import Backend, CoordinatorState, Slice, mean_cost
 
 
+@dataclass(slots=True)
+class FleetMetrics:
+    """What the ready backends show together; each backend is compared with it."""
+
+    ready_count: int
+    total_attempts: float
+    usual_pace: dict[str, float]  # by kind
+    fastest_pace: float  # of all kinds
+    missing: Counter[str]  # ready backends that miss probes, by zone
+    usable: Counter[str]  # ready backends, by zone
+
+
 def judge(state: CoordinatorState, backend: Backend, traffic: BackendTraffic) -> None:
     """Adapt the admission ratio of a backend to its queue wait, a share of the shortest soft deadline.
 
@@ -72,8 +85,33 @@
     opened = state.ready_backends()
     total_attempts = sum(backend.attempts.read(now)[0] for backend in opened)
     state.failure_ratio = sum(backend.attempts.values[1] for backend in opened) / (total_attempts or 1)
-    # Cost answered a second by warm backends for a unit of listed weight, of our own share; decays over a
-    # minute.
+    _update_throughput(state, opened)
+    usual_pace = _usual_pace(opened, now)
+    _update_overload(state, opened)
+    metrics = FleetMetrics(
+        ready_count=len(opened),
+        total_attempts=total_attempts,
+        usual_pace=usual_pace,
+        fastest_pace=min(usual_pace.values(), default=0.0),
+        missing=Counter(backend.zone for backend in opened if backend.missed_probes > 1),
+        usable=Counter(backend.zone for backend in opened),
+    )
+    for backend in state.backends.values():
+        backend.load = sum(assignment.load for assignment in backend.assignments)
+        _update_slowness(state, backend, metrics)
+        _update_responsiveness(state, backend, metrics)
+        _update_health(state, backend, metrics)
+        _update_capacity(state, backend)
+        backend.is_suspect = _is_suspect(state, backend, metrics)
+    state.assessed_at = now
+
+
+def _update_throughput(state: CoordinatorState, opened: list[Backend]) -> None:
+    """Update the cost that warm backends answer a second for a unit of listed weight, of our own share.
+
+    The highest value decays over a minute.
+    """
+    now = state.now
     warm = [backend for backend in opened if backend.warmup_fraction >= 1]
     answered = (
         sum(backend.attempts.values[0] - backend.attempts.values[1] for backend in warm)
@@ -93,14 +131,20 @@
         answered * mean_cost(state.slices.values()) / (sum(backend.weight for backend in warm) or 1.0),
         state.throughput_per_weight * math.exp((state.assessed_at - now) / (60 * SECOND)),
     )
+
+
+def _usual_pace(opened: list[Backend], now: int) -> dict[str, float]:
+    """Return the lower quartile of the pace of each kind of backend, as backends at capacity are slow."""
     paces: dict[str, list[float]] = {}
     for backend in opened:
         spent, cost = backend.pace.read(now)
         if cost > 2:
             paces.setdefault(backend.kind, []).append(spent / cost)
-    # The lower quartile, as backends at capacity are slow.
-    usual_pace = {kind: sorted(found)[len(found) // 4] for kind, found in paces.items()}
-    fastest = min(usual_pace.values(), default=0.0)
+    return {kind: sorted(found)[len(found) // 4] for kind, found in paces.items()}
+
+
+def _update_overload(state: CoordinatorState, opened: list[Backend]) -> None:
+    """Update whether so many backends are slow or fail that no single one is the cause, with hysteresis."""
     bad = sum(
         backend.excess > 1.6 or backend.attempts.values[1] > 0.1 * backend.attempts.values[0] + 1
         for backend in opened
@@ -109,66 +153,75 @@
     state.overloaded = bad > (0.2 if was_overloaded else 0.45) * len(opened)
     if was_overloaded != state.overloaded:
         state.log(f"strain {('ends', 'begins')[state.overloaded]}: {bad} of {len(opened)} backends look bad")
-    missing = Counter(backend.zone for backend in opened if backend.missed_probes > 1)
-    usable = Counter(backend.zone for backend in opened)
-    for backend in state.backends.values():
-        backend.load = sum(assignment.load for assignment in backend.assignments)
-        spent, cost = backend.pace.values
-        if kind_pace := usual_pace.get(backend.kind, 0.0):
-            # Two reports of its kind's pace as a prior, and bounded: service times grow on a full machine.
-            backend.excess = max((spent + 2 * kind_pace) / ((cost + 2) * kind_pace), 0.8)
-            backend.slowness = min(backend.excess, 1.5 if state.overloaded else 4.0) * kind_pace / fastest
-        attempts, failed = backend.attempts.values
-        # Failures beyond those of the other backends: when all look bad, no single backend is the cause.
-        other_ratio = max(0.0, state.failure_ratio * total_attempts - failed) / max(
-            total_attempts - attempts, 1
-        )
-        excess = max(0.0, failed - 2 * other_ratio * attempts) / (attempts + 3)
-        # Unanswered probes in a row for longer than a passing pause (0.7 s), and attempts without a response.
-        is_silent = (
-            backend.unanswered and now - backend.last_success_at > state.settings["report_every"] + SECOND
-        )
-        was_unresponsive = backend.is_unresponsive
-        backend.is_unresponsive = bool(
-            backend.missed_probes > 1
-            and now - backend.first_miss_at > 0.7 * SECOND
-            and is_silent
-            and missing.total() * 2 < len(opened)
-        )
-        if was_unresponsive != backend.is_unresponsive:
-            texts = ("answers: its weight returns", "silent: its weight fades")
-            state.log(f"{backend.id} {texts[backend.is_unresponsive]}")
-        target = max(0.02, (1 - excess) * (0.02 if backend.is_unresponsive else 1.0))
-        # Falls at once and recovers over half a minute: within ten seconds a backend that fails under load
-        # would get its load back too soon.
-        backend.health = min(target, backend.health + (now - state.assessed_at) / (30 * SECOND))
-        age = (now - backend.started_at) / state.settings["warm_within"] if backend.started_at else 1.0
-        # Its caches are empty after a start.
-        backend.warmup_fraction = (
-            1.0 if age >= 1 else 0.7 * (1 - (1 - state.settings["cold_from"]) * (1 - age))
-        )
-        backend.cold_start_share = (
-            1.0
-            if age >= 1
-            else state.coordinator_count
-            if int.from_bytes(backend.key, "big") % state.coordinator_count == state.own_index
-            else 0.01
-        )
-        backend.capacity = (
-            backend.weight
-            * backend.health
-            * backend.warmup_fraction
-            * backend.cold_start_share
-            / backend.slowness
-        )
-        backend.is_suspect = (
-            backend.is_unresponsive
-            or not state.overloaded
-            and (
-                backend.health < 0.5
-                or backend.excess > 2
-                or backend.missed_probes > 1
-                and missing[backend.zone] * 2 < usable[backend.zone]
-            )
-        )
-    state.assessed_at = now
+
+
+def _update_slowness(state: CoordinatorState, backend: Backend, metrics: FleetMetrics) -> None:
+    """Compare the pace of a backend with that of its kind."""
+    spent, cost = backend.pace.values
+    if kind_pace := metrics.usual_pace.get(backend.kind, 0.0):
+        # Two reports of its kind's pace as a prior, and bounded: service times grow on a full machine.
+        backend.excess = max((spent + 2 * kind_pace) / ((cost + 2) * kind_pace), 0.8)
+        bounded = min(backend.excess, 1.5 if state.overloaded else 4.0)
+        backend.slowness = bounded * kind_pace / metrics.fastest_pace
+
+
+def _update_responsiveness(state: CoordinatorState, backend: Backend, metrics: FleetMetrics) -> None:
+    """Update whether a backend answers neither probes nor attempts, for longer than a passing pause."""
+    was_unresponsive = backend.is_unresponsive
+    backend.is_unresponsive = bool(
+        backend.missed_probes > 1
+        and state.now - backend.first_miss_at > 0.7 * SECOND
+        and backend.unanswered
+        and state.now - backend.last_success_at > state.settings["report_every"] + SECOND
+        and metrics.missing.total() * 2 < metrics.ready_count
+    )
+    if was_unresponsive != backend.is_unresponsive:
+        texts = ("answers: its weight returns", "silent: its weight fades")
+        state.log(f"{backend.id} {texts[backend.is_unresponsive]}")
+
+
+def _update_health(state: CoordinatorState, backend: Backend, metrics: FleetMetrics) -> None:
+    """Update the health of a backend by its failures beyond those of the others.
+
+    When all look bad, no single backend is the cause.
+    """
+    attempts, failed = backend.attempts.values
+    other_failures = max(0.0, state.failure_ratio * metrics.total_attempts - failed)
+    other_ratio = other_failures / max(metrics.total_attempts - attempts, 1)
+    excess = max(0.0, failed - 2 * other_ratio * attempts) / (attempts + 3)
+    target = max(0.02, (1 - excess) * (0.02 if backend.is_unresponsive else 1.0))
+    # Falls at once and recovers over half a minute: within ten seconds a backend that fails under load
+    # would get its load back too soon.
+    backend.health = min(target, backend.health + (state.now - state.assessed_at) / (30 * SECOND))
+
+
+def _update_capacity(state: CoordinatorState, backend: Backend) -> None:
+    """Update the warm-up of a backend, whose caches are empty after a start, and its capacity."""
+    age = (state.now - backend.started_at) / state.settings["warm_within"] if backend.started_at else 1.0
+    if age >= 1:
+        backend.warmup_fraction = 1.0
+        backend.cold_start_share = 1.0
+    else:
+        backend.warmup_fraction = 0.7 * (1 - (1 - state.settings["cold_from"]) * (1 - age))
+        # One coordinator, by the backend's key, is in charge of a cold backend.
+        in_charge = int.from_bytes(backend.key, "big") % state.coordinator_count
+        backend.cold_start_share = state.coordinator_count if in_charge == state.own_index else 0.01
+    backend.capacity = (
+        backend.weight
+        * backend.health
+        * backend.warmup_fraction
+        * backend.cold_start_share
+        / backend.slowness
+    )
+
+
+def _is_suspect(state: CoordinatorState, backend: Backend, metrics: FleetMetrics) -> bool:
+    """Return whether a backend looks bad by itself, and not together with its zone or the fleet."""
+    if backend.is_unresponsive:
+        return True
+    if state.overloaded:
+        return False
+    if backend.health < 0.5 or backend.excess > 2:
+        return True
+    zone = backend.zone
+    return backend.missed_probes > 1 and metrics.missing[zone] * 2 < metrics.usable[zone]
