--- a/indigohitch/event_batch.py
+++ b/indigohitch/event_batch.py
@@ -1,4 +1,4 @@
-"""What has come, until it goes to the module."""
+"""Collects events until they are passed to the decision module as one batch."""
 
 from __future__ import annotations
 
@@ -9,19 +9,27 @@
 
 
 class EventBatch:
-    # The sums of one period come from several collectors and in pieces, within 6 ms on loopback; half of
-    # them would look like a jump of demand.  Little beside the time that a message takes to the proxies.
+    """Events that wait for the next round of the decision module."""
+
+    # Ticks.  The sums of one period arrive from several collectors and in pieces, within 6 ms on loopback; a
+    # part of them would look like a jump of demand.  Short compared with a message's delay to the proxies.
     DELAY = 100
 
-    def __init__(self, loop: EventLoop, gap: int, hand_over: Callable[[int, list[face.Event]], None]) -> None:
-        """No sooner than `gap` after the last time, as the settings say."""
-        self.loop, self.min_interval, self.on_batch = loop, gap, hand_over
+    def __init__(
+        self, loop: EventLoop, min_interval: int, on_batch: Callable[[int, list[face.Event]], None]
+    ) -> None:
+        """Create an empty batch; batches are at least `min_interval` ticks apart."""
+        self.loop = loop
+        self.min_interval = min_interval
+        self.on_batch = on_batch
         self.events: list[face.Event] = []
-        self.last_flushed_at, self.is_due = 0, False
-        self.is_paused = False  # the module stands still: what comes waits
-        self.is_busy = False  # it is at work already, where it works beside the loop
+        self.last_flushed_at = 0
+        self.is_due = False
+        self.is_paused = False  # the decision module is frozen: events wait
+        self.is_busy = False  # the decision module runs beside the loop and has not finished
 
     def add(self, *events: face.Event, delay: int = DELAY) -> None:
+        """Add events; the first of a batch makes it due after `delay` ticks."""
         if events and not self.events:
             self.loop.call_at(
                 max(self.loop.clock.now() + delay, self.last_flushed_at + self.min_interval), self._on_due
@@ -29,26 +37,30 @@
         self.events += events
 
     def add_timer(self, event: face.Event) -> None:
-        """A timer of the module: alone it does not wait, or each would come late by as much, and all that
-        hangs on them would slow down."""
+        """Add a timer of the decision module without a delay, so that its timers are not late."""
         self.add(event, delay=0)
 
     def _on_due(self) -> None:
         self.is_due = True
 
     def take(self) -> list[face.Event]:
-        """What waits, for another module than ours; its own timers are not among it."""
-        events, self.events, self.is_due = self.events, [], False
+        """Remove and return the waiting events for another process, without this module's timers."""
+        events = self.events
+        self.events = []
+        self.is_due = False
         return [event for event in events if type(event) is not face.TimerFired]
 
     def restore(self, events: list[face.Event]) -> None:
-        """What was taken, as the other module came to nothing: it came first."""
-        later, self.events = self.events, []
+        """Put taken events back before the later ones, after an upgrade that failed."""
+        later = self.events
+        self.events = []
         self.add(*events, *later)
 
     def flush_if_due(self) -> None:
-        """At the end of a turn of the loop: all that has come, if its time is up, at once."""
+        """Pass on all events as one batch if due; called at the end of a turn of the loop."""
         if self.is_due and not self.is_paused and not self.is_busy:
-            self.is_due, self.last_flushed_at = False, self.loop.clock.now()
-            events, self.events = self.events, []
+            self.is_due = False
+            self.last_flushed_at = self.loop.clock.now()
+            events = self.events
+            self.events = []
             self.on_batch(self.last_flushed_at, events)
--- a/indigohitch/platform_protocol/backend_list_log.py
+++ b/indigohitch/platform_protocol/backend_list_log.py
@@ -1,4 +1,4 @@
-"""What the log tells of a list of backends that was heard."""
+"""Log entry for a received list of backends."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from .. import interface as face
 from ..log import Log
 
-TOLD = 20  # backends in one line
+MAX_LOGGED_BACKENDS = 20  # backends in one line
 
 
-def log_list(log: Log, held: Mapping[str, face.BackendEntry], news: face.BackendList) -> None:
-    """Tells which states differ from the list `held` so far; nothing of a call that failed."""
-    if news.scope == "failed":
+def log_list(log: Log, entries: Mapping[str, face.BackendEntry], update: face.BackendList) -> None:
+    """Log which states differ from the current `entries`; a failed request is not logged."""
+    if update.scope == "failed":
         return
     turned = {
         entry.backend: entry.state
-        for entry in news.entries
-        if entry.backend not in held or held[entry.backend].state != entry.state
+        for entry in update.entries
+        if entry.backend not in entries or entries[entry.backend].state != entry.state
     }
     log.event(
         "backend_list_received",
-        generation=news.version,
-        scope=news.scope,
-        entries=len(news.entries),
-        turned=dict(list(turned.items())[:TOLD]),
+        generation=update.version,
+        scope=update.scope,
+        entries=len(update.entries),
+        turned=dict(list(turned.items())[:MAX_LOGGED_BACKENDS]),
         turned_in_all=len(turned),
     )
--- a/indigohitch/platform_protocol/backend_source.py
+++ b/indigohitch/platform_protocol/backend_source.py
@@ -1,4 +1,4 @@
-"""Where a front's list of backends comes from."""
+"""Interface of the sources of a front's list of backends."""
 
 from __future__ import annotations
 
@@ -7,26 +7,31 @@
 
 from .. import interface as face
 
-ListCallback = Callable[[face.BackendList, dict[str, str]], None]  # a list, and the addresses in it
+ListCallback = Callable[
+    [face.BackendList, dict[str, str]], None
+]  # a list, and the address of each backend in it
 
 
 class BackendSource(Protocol):
-    """It tells what it has once the module subscribes, and what differs from then on."""
+    """Reports its list once the decision module subscribes, and changes from then on."""
 
-    watching: bool  # the module hears of changes
+    watching: bool  # whether changes are reported
 
     @property
     def version(self) -> int:
-        """Of the last list that counted."""
+        """Version of the last accepted list."""
+
+    def subscribe(self, enabled: bool) -> None:
+        """Start or stop reporting changes."""
 
-    def subscribe(self, on: bool) -> None: ...
     def fetch(self) -> None:
-        """Tells the whole list once."""
+        """Report the full list once."""
 
-    def move(self, to: tuple[str, int]) -> bool:
-        """Discovery is at another address; False: nothing changes by that."""
+    def move(self, address: tuple[str, int]) -> bool:
+        """Use discovery at another address; returns False if that changes nothing."""
 
     def restore(self, version: int) -> None:
-        """As another process held it."""
+        """Continue from the version another process had."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Release the connections."""
--- a/indigohitch/platform_protocol/backend_start_times.py
+++ b/indigohitch/platform_protocol/backend_start_times.py
@@ -1,10 +1,11 @@
-"""When backends started, by this process's clock: the list tells it by the wall clock, which may step.
+"""Converts the start times of backends from the wall clock, which may step, to this process's clock.
 
-Our clock reads the wall once and never steps (net/clock.py).  A start is carried over by how long ago the
-wall has it, as it is heard of first; the same start told again keeps its place.  Where the wall stepped
-between the start and its telling that can't be true: a backend that a list before did not have so can't have
-started long before that list, nor in time to come.  Then it counts as started now, which takes it for colder
-than it is."""
+The process's clock reads the wall clock once and never steps (net/clock.py).  A start is converted by its
+age when first reported; the same start reported again keeps its converted time.  If the wall clock stepped
+between the start and its report, the result can be impossible: a backend missing from the previous list
+can't have started long before that list, nor in the future.  It then counts as started now, so as colder
+than it is.
+"""
 
 from __future__ import annotations
 
@@ -16,28 +17,35 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendStart:
-    reported_at: int  # by the wall clock
-    started_at: int  # by ours
+    """The start of one backend, in ticks."""
+
+    reported_at: int  # the start by the wall clock
+    started_at: int  # the start by this process's clock
 
 
 class BackendStartTimes:
-    # A list may tell of a start so much later: discovery counts as having told after 6 s, a call may wait.
+    """The known starts of backends, least recently listed first."""
+
+    # Most ticks between a start and its list: discovery reports within 6 s, and a request may wait.
     MAX_REPORT_DELAY = 10 * SECOND
-    MAX_REMOVED = 256  # of backends that are gone, as many as the module keeps
+    MAX_REMOVED = 256  # removed backends kept, as many as the decision module keeps
 
     def __init__(self) -> None:
         self.starts_by_backend: dict[str, BackendStart] = {}
-        self.last_list_at = 0  # when a list of discovery's came last, 0: none has
-
-    def to_local_clock(self, news: face.BackendList, now: int, wall: int) -> face.BackendList:
-        """The same list with starts by our clock; `now` by it, `wall` by the wall's, as the list comes."""
-        if news.scope == "failed":
-            return news
-        entries = tuple(replace(entry, started_at=self._start(entry, now, wall)) for entry in news.entries)
-        if news.scope != "remembered":
+        self.last_list_at = 0  # arrival of the last list from discovery; 0 before the first
+
+    def to_local_clock(self, update: face.BackendList, now: int, wall: int) -> face.BackendList:
+        """Return the list with starts by this process's clock.
+
+        `now` and `wall` are the arrival of the list by this process's clock and by the wall clock, in ticks.
+        """
+        if update.scope == "failed":
+            return update
+        entries = tuple(replace(entry, started_at=self._start(entry, now, wall)) for entry in update.entries)
+        if update.scope != "remembered":
             self.last_list_at = now
-        self._forget_removed(news)
-        return replace(news, entries=entries)
+        self._forget_removed(update)
+        return replace(update, entries=entries)
 
     def _start(self, entry: face.BackendEntry, now: int, wall: int) -> int:
         if not entry.started_at:
@@ -45,22 +53,22 @@
         known = self.starts_by_backend.pop(entry.backend, None)
         if known is None or known.reported_at != entry.started_at:
             known = BackendStart(entry.started_at, self._local_start(entry.started_at, known, now, wall))
-        self.starts_by_backend[entry.backend] = known  # the last that was heard of
+        self.starts_by_backend[entry.backend] = known  # moved to the end: most recently listed
         return known.started_at
 
-    def _local_start(self, told: int, before: BackendStart | None, now: int, wall: int) -> int:
-        at = now - (wall - told)
+    def _local_start(self, reported_at: int, before: BackendStart | None, now: int, wall: int) -> int:
+        started_at = now - (wall - reported_at)
         earliest = self.last_list_at - self.MAX_REPORT_DELAY if self.last_list_at else 0
         if before is not None:
             earliest = max(earliest, before.started_at + 1)
-        return at if earliest <= at <= now else now
+        return started_at if earliest <= started_at <= now else now
 
-    def _forget_removed(self, news: face.BackendList) -> None:
-        listed = {entry.backend for entry in news.entries if entry.state != "gone"}
-        gone = (
+    def _forget_removed(self, update: face.BackendList) -> None:
+        listed = {entry.backend for entry in update.entries if entry.state != "gone"}
+        removed = (
             [backend for backend in self.starts_by_backend if backend not in listed]
-            if news.scope == "full"
+            if update.scope == "full"
             else []
         )
-        for backend in gone[: -self.MAX_REMOVED]:
+        for backend in removed[: -self.MAX_REMOVED]:
             del self.starts_by_backend[backend]
--- a/indigohitch/platform_protocol/configuration_changes.py
+++ b/indigohitch/platform_protocol/configuration_changes.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations and takes a restart to come into force."""
+"""Finds the differences between two configurations that take effect only after a restart."""
 
 from __future__ import annotations
 
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -1,9 +1,10 @@
-"""Discovery: the whole list on request, and the watch on changes."""
+"""Client of the discovery service: fetches the full list of backends and watches for changes."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
+from typing import Any
 
 import orjson
 
@@ -20,18 +21,25 @@
 _STATE = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 
 
-def parse_backend_list(found, remembered: bool = False) -> tuple[face.BackendList, dict[str, str]]:
-    """A list in discovery's form as the module's event, and the addresses in it.  ValueError if it is
-    none: half a list would make backends vanish."""
+def parse_backend_list(
+    document: dict[str, Any], remembered: bool = False
+) -> tuple[face.BackendList, dict[str, str]]:
+    """Parse a list from discovery into an event and the address of each backend.
+
+    `remembered` marks a list from the configuration. Raises ValueError for any malformed entry: a
+    partial list would make backends vanish.
+    """
     try:
-        entries, addresses = {}, {}  # an id told twice: what came last holds
-        for entry in found["instances"]:
-            id, weight = entry["instanceId"], float(entry["weight"])
+        entries: dict[str, face.BackendEntry] = {}  # of an id listed twice, the last entry counts
+        addresses: dict[str, str] = {}
+        for entry in document["instances"]:
+            backend = entry["instanceId"]
+            weight = float(entry["weight"])
             started = float(entry["startedAtMs"])
-            if not isinstance(id, str) or not math.isfinite(weight) or not math.isfinite(started):
+            if not isinstance(backend, str) or not math.isfinite(weight) or not math.isfinite(started):
                 raise ValueError("entry out of form")
-            entries[id] = face.BackendEntry(
-                id,
+            entries[backend] = face.BackendEntry(
+                backend,
                 _STATE[entry["lifecycle"]],
                 weight,
                 str(entry["zone"]),
@@ -39,122 +47,136 @@
                 str(entry["machineType"]),
                 ticks_from_ms(started),
             )
-            addresses[id] = str(entry["hostPort"])
-        scope = "remembered" if remembered else "full" if found["reset"] else "changes"
-        return face.BackendList(scope, int(found["generation"]), tuple(entries.values())), addresses
-    except (KeyError, TypeError, AttributeError, OverflowError) as bad:
-        raise ValueError(f"{type(bad).__name__}: {bad}") from None
+            addresses[backend] = str(entry["hostPort"])
+        scope = "remembered" if remembered else "full" if document["reset"] else "changes"
+        return face.BackendList(scope, int(document["generation"]), tuple(entries.values())), addresses
+    except (KeyError, TypeError, AttributeError, OverflowError) as error:
+        raise ValueError(f"{type(error).__name__}: {error}") from None
 
 
 class Discovery:
+    """Keeps the list of backends current over HTTP: one-off fetches and a long-poll watch."""
+
     PATH = "/registry/instances"
-    # How long a watch may wait: one that falls silent is found out soon after, yet discovery, which does
-    # one thing at a time, is not asked all the time.
+    # Long-poll wait: short enough that a silent watch is detected soon, long enough not to load discovery,
+    # which serves one request at a time.
     WATCH_WAIT = 3 * SECOND
-    # For the answer beyond the wait.  Calls queue there for up to 2 s, and what it has to tell counts as told
-    # after 6 s: two calls in a row that are swallowed must be found out by then.  What a watch had to tell
-    # counts as told 2 s after its wait, so it is given up before.
+    # Time for the response.  Requests queue at discovery for up to 2 s, and a change counts as reported after
+    # 6 s: two lost requests in a row have to be detected by then.  A watch's change counts as reported 2 s
+    # after its wait, so the watch times out before that.
     TIMEOUT = SECOND * 23 // 10
     WATCH_TIMEOUT_MARGIN = SECOND * 3 // 2
-    # At an address it moves to, while a watch elsewhere still tells; doubled up to a second, that may last.
+    # Between attempts at a new address while the previous watch still works; doubles up to a second.
     RETRY_INTERVAL = SECOND // 10
 
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
-        to: tuple[str, int],
+        address: tuple[str, int],
         version: int,
-        tell: ListCallback,
+        on_list: ListCallback,
     ) -> None:
-        self.loop, self.log, self.on_list = loop, log, tell
+        self.loop = loop
+        self.log = log
+        self.on_list = on_list
         self.versions = ListVersions(version)
-        self.client = self._client(to)
-        self.subscribed = self.watching = False  # `watching` ends where the module has to ask anew
+        self.client = self._client(address)
+        self.subscribed = False
+        self.watching = False  # ends where the decision module has to subscribe again
         self.watch_exchange: HttpExchange | None = None
         self.retry_timer: Deadline | None = None
-        self.previous_watch: HttpExchange | None = None  # the watch at the address that it moves away from
-        self.has_full_list, self.attempts = (
-            True,
-            0,
-        )  # a list from this address is held, or changes would not do
+        self.previous_watch: HttpExchange | None = None  # at the address before the last move
+        self.has_full_list = True  # from this address; without one, changes alone are not enough
+        self.attempts = 0
 
-    def _client(self, to: tuple[str, int]) -> HttpClient:
-        return HttpClient(self.loop, to, connect_span=SECOND, idle_span=SECOND)
+    def _client(self, address: tuple[str, int]) -> HttpClient:
+        return HttpClient(self.loop, address, connect_span=SECOND, idle_span=SECOND)
 
     @property
     def version(self) -> int:
+        """Version of the last accepted list."""
         return self.versions.current
 
     def restore(self, version: int) -> None:
-        """As another process held it.  Its module may not have heard the last of that yet, so all is asked
-        for."""
-        self.versions, self.has_full_list = ListVersions(version), False
+        """Continue from the version another process had.
+
+        Its decision module may not have processed the last list, so the next request is for the full list.
+        """
+        self.versions = ListVersions(version)
+        self.has_full_list = False
 
-    def move(self, to: tuple[str, int]) -> bool:
-        """Watch at another address.  The watch at the old one goes on until a list has come from there."""
-        if to == self.client.address:
+    def move(self, address: tuple[str, int]) -> bool:
+        """Watch at another address; returns False if it is the current one.
+
+        The watch at the old address continues until a list has arrived from the new one.
+        """
+        if address == self.client.address:
             return False
         self.client.retire()
-        self.client = self._client(to)
+        self.client = self._client(address)
         self.versions.on_address_change()
         if self.previous_watch is None:
             self.previous_watch = self.watch_exchange
         elif self.watch_exchange is not None:  # moved again before the last address has answered
             self.watch_exchange.drop()
-        self.has_full_list, self.attempts = False, 0
+        self.has_full_list = False
+        self.attempts = 0
         if self.subscribed:  # also where the last address failed: the new one may not
             self.watching = True
             self._start_watch()
         return True
 
-    def subscribe(self, on: bool) -> None:
-        self.watching = self.subscribed = on
-        if on and self.watch_exchange is None and self.retry_timer is None:
-            self._start_watch()  # what was missed comes at once, without a wait
+    def subscribe(self, enabled: bool) -> None:
+        """Start or stop the watch for changes."""
+        self.watching = enabled
+        self.subscribed = enabled
+        if enabled and self.watch_exchange is None and self.retry_timer is None:
+            self._start_watch()  # without a wait: missed changes are returned at once
 
     def fetch(self) -> None:
+        """Request the full list once."""
         self._request(self.client, 0, True, self._on_fetch_response)
 
     def _request(
         self,
         client: HttpClient,
         hold: int,
-        whole: bool,
-        done: Callable[[HttpClient, ListRequest, HttpResponse], None],
+        full: bool,
+        on_response: Callable[[HttpClient, ListRequest, HttpResponse], None],
     ) -> HttpExchange:
-        ask = self.versions.new_request(self.loop.clock.now(), whole, left=client is not self.client)
-        target = self.PATH if whole else f"{self.PATH}?from={ask.base}&hold_ms={hold * 1000 // SECOND}"
+        request = self.versions.new_request(self.loop.clock.now(), full, left=client is not self.client)
+        target = self.PATH if full else f"{self.PATH}?from={request.base}&hold_ms={hold * 1000 // SECOND}"
         return client.request(
             "GET",
             target,
             hold + self.WATCH_TIMEOUT_MARGIN if hold else self.TIMEOUT,
-            lambda answer: done(client, ask, answer),
+            lambda response: on_response(client, request, response),
         )
 
     def _start_watch(self, hold: int = 0) -> None:
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
-        whole = not self.has_full_list or self.versions.unconfirmed is not None
-        self.watch_exchange = self._request(self.client, 0 if whole else hold, whole, self._on_watch_response)
+        full = not self.has_full_list or self.versions.unconfirmed is not None
+        self.watch_exchange = self._request(self.client, 0 if full else hold, full, self._on_watch_response)
 
     def _schedule_watch(self, when: int) -> None:
         self.retry_timer = self.loop.call_at(when, self._start_watch)
 
-    def _on_watch_response(self, client: HttpClient, ask: ListRequest, answer: HttpResponse) -> None:
+    def _on_watch_response(self, client: HttpClient, request: ListRequest, response: HttpResponse) -> None:
         if client is not self.client:
-            self._on_previous_watch_response(client, ask, answer)
+            self._on_previous_watch_response(client, request, response)
             return
         self.watch_exchange = None
         try:
-            verdict = self._apply_response(ask, answer)
-        except ValueError as bad:
+            verdict = self._apply_response(request, response)
+        except ValueError as error:
             if self.previous_watch is None:
-                self.watching = False  # the module hears that it failed and asks anew
-                self._report_failure(bad, answer)
+                self.watching = False  # the decision module sees the failure and subscribes again
+                self._report_failure(error, response)
                 return
-            self.log.warning("discovery_new_address_unavailable", why=str(bad), status=answer.status)
+            self.log.warning("discovery_new_address_unavailable", why=str(error), status=response.status)
             self._schedule_watch(self.loop.clock.now() + min(self.RETRY_INTERVAL << self.attempts, SECOND))
             self.attempts = min(self.attempts + 1, 4)
             return
@@ -168,48 +190,56 @@
         elif self.watching:
             self._start_watch(self.WATCH_WAIT)
 
-    def _on_previous_watch_response(self, client: HttpClient, ask: ListRequest, answer: HttpResponse) -> None:
-        """What it had to tell counts; its end says nothing of the new address, which alone is left then."""
+    def _on_previous_watch_response(
+        self, client: HttpClient, request: ListRequest, response: HttpResponse
+    ) -> None:
+        """Apply a response from the previous address; its failure says nothing about the new address."""
         self.previous_watch = None
         try:
-            if self._apply_response(ask, answer).is_accepted and self.watching:
+            if self._apply_response(request, response).is_accepted and self.watching:
                 self.previous_watch = self._request(client, self.WATCH_WAIT, False, self._on_watch_response)
-        except ValueError as bad:
-            self.log.warning("discovery_previous_watch_ended", why=str(bad), after_ms=answer.duration / 10)
+        except ValueError as error:
+            self.log.warning(
+                "discovery_previous_watch_ended", why=str(error), after_ms=response.duration / 10
+            )
         if self.previous_watch is None and self.retry_timer is not None:
             self._start_watch()
 
-    def _on_fetch_response(self, client: HttpClient, ask: ListRequest, answer: HttpResponse) -> None:
+    def _on_fetch_response(self, client: HttpClient, request: ListRequest, response: HttpResponse) -> None:
         try:
-            self._apply_response(ask, answer)
-        except ValueError as bad:
-            self._report_failure(bad, answer)
+            self._apply_response(request, response)
+        except ValueError as error:
+            self._report_failure(error, response)
 
-    def _report_failure(self, why: ValueError, answer: HttpResponse) -> None:
-        self.log.warning("discovery_failed", why=str(why), after_ms=answer.duration / 10)
+    def _report_failure(self, error: ValueError, response: HttpResponse) -> None:
+        self.log.warning("discovery_failed", why=str(error), after_ms=response.duration / 10)
         self.on_list(face.BackendList("failed", self.version, ()), {})
 
-    def _apply_response(self, ask: ListRequest, answer: HttpResponse) -> ListVerdict:
-        """Tell what counts; ValueError if it is no list."""
-        if answer.outcome != "answered":
-            raise ValueError(answer.outcome)
-        if answer.status != 200:
-            raise ValueError(f"status {answer.status}")
-        news, addresses = parse_backend_list(orjson.loads(answer.body))
-        held = self.version
-        verdict = self.versions.classify(ask, news, self.loop.clock.now())
+    def _apply_response(self, request: ListRequest, response: HttpResponse) -> ListVerdict:
+        """Pass on the list if it is accepted; raises ValueError if the response holds no list."""
+        if response.outcome != "answered":
+            raise ValueError(response.outcome)
+        if response.status != 200:
+            raise ValueError(f"status {response.status}")
+        update, addresses = parse_backend_list(orjson.loads(response.body))
+        previous_version = self.version
+        verdict = self.versions.classify(request, update, self.loop.clock.now())
         self.log.count("discovery_answers")
         if verdict is ListVerdict.RESET:
-            self.log.warning("discovery_version_reset", generation=news.version, held=held)
+            self.log.warning("discovery_version_reset", generation=update.version, held=previous_version)
         elif verdict is not ListVerdict.ACCEPTED:
             self.log.warning(
-                "discovery_stale_answer", verdict=verdict.value, generation=news.version, held=held
+                "discovery_stale_answer",
+                verdict=verdict.value,
+                generation=update.version,
+                held=previous_version,
             )
         if verdict.is_accepted:
-            self.on_list(news, addresses)
+            self.on_list(update, addresses)
         return verdict
 
     def close(self) -> None:
+        """Drop the watches and close the connection."""
         if self.previous_watch is not None:
             self.previous_watch.drop()
         self.client.close()
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -1,4 +1,4 @@
-"""The platform's front as plain data and back, for an upgrade."""
+"""Converts the platform's front to plain data and back, for an upgrade."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 
 
 def front_state(front: Front) -> shots.CoordinatorState:
-    relay, holdings = front.relay, front.store_mirror
+    """Return the state of the front as rows."""
+    relay = front.relay
+    store_mirror = front.store_mirror
     return shots.CoordinatorState(
         freeze(front.coordinator),
         [list(event_codec.pack_entry(entry)) for entry in front.entries.values()],
@@ -24,18 +26,18 @@
         [[list(event_codec.pack(order)) for order in call] for call in relay.pending_calls],
         list(relay.sent_at),
         relay.in_flight_call.failures,
-        [list(event_codec.pack(joined)) for joined in holdings.proxies.values()],
+        [list(event_codec.pack(joined)) for joined in store_mirror.proxies.values()],
         [
             shots.StoredTableRow(
                 number,
-                [(b, float(w)) for b, w in table.lines.items()],
+                [(backend, float(weight)) for backend, weight in table.lines.items()],
                 None if table.level is None else list(event_codec.pack(table.level)),
             )
-            for number, table in holdings.tables.items()
+            for number, table in store_mirror.tables.items()
         ],
-        holdings.has_started,
-        sorted(holdings.dropped_tables),
-        [b.id for b in front.coordinator.backends.values() if b.probe_sent_at],
+        store_mirror.has_started,
+        sorted(store_mirror.dropped_tables),
+        [backend.id for backend in front.coordinator.backends.values() if backend.probe_sent_at],
         [list(event_codec.pack(order)) for order in relay.in_flight_call.unresolved_orders],
         [
             (backend, start.reported_at, start.started_at)
@@ -46,45 +48,52 @@
 
 
 def restore_front(front: Front, state: shots.CoordinatorState) -> None:
+    """Load the state into a front that has not started."""
     front.coordinator = thaw(state.module, front.settings)
     front.event_batch.take()  # the list of the configuration is older than the state
     front.entries = {entry.backend: entry for entry in map(event_codec.unpack_entry, state.listed)}
     front.addresses = dict(state.addresses)
     front.start_times.starts_by_backend = {
-        backend: BackendStart(told, at) for backend, told, at in state.starts
+        backend: BackendStart(reported_at, started_at) for backend, reported_at, started_at in state.starts
     }
     front.start_times.last_list_at = state.list_heard
     front.known_backend_ids.clear()
-    front.known_backend_ids.update(dict.fromkeys(state.heard_of))  # the reader of lines holds the same dict
+    front.known_backend_ids.update(dict.fromkeys(state.heard_of))  # the line parser shares this dict
     front.discovery.restore(state.version)
-    relay, holdings = front.relay, front.store_mirror
+    relay = front.relay
+    store_mirror = front.store_mirror
     relay.is_paused = True
     waiting = [[event_codec.unpack(order) for order in call] for call in state.waiting]
     relay.restore(
         waiting, state.written, state.failures, [event_codec.unpack(order) for order in state.maybe]
     )
     _restore_backlog(front)
-    holdings.proxies = {joined.proxy: joined for joined in map(event_codec.unpack, state.proxies)}
-    holdings.tables = {
+    store_mirror.proxies = {joined.proxy: joined for joined in map(event_codec.unpack, state.proxies)}
+    store_mirror.tables = {
         row.number: stored_tables.StoredTable(dict(row.lines), row.level and event_codec.unpack(row.level))
         for row in state.stood
     }
-    holdings.has_started, holdings.dropped_tables = state.begun, set(state.lost)
+    store_mirror.has_started = state.begun
+    store_mirror.dropped_tables = set(state.lost)
 
 
 def _restore_backlog(front: Front) -> None:
-    """What the module has ordered and proxies have not answered lies in the channel, but for calls that have
-    yet to go.  One in doubt may."""
-    relay, channel = front.relay, front.coordinator.channel
-    to_go = list(relay.pending_calls)[1 if relay.in_flight_call.failures else 0 :]
-    unsent = {order.marker for call in to_go for order in call if isinstance(order, face.UpdateMarker)}
+    """Rebuild the backlog: all unacknowledged calls of the channel except those not yet sent.
+
+    A call whose outcome is unknown may have been sent, so it counts.
+    """
+    relay = front.relay
+    channel = front.coordinator.channel
+    pending = list(relay.pending_calls)[1 if relay.in_flight_call.failures else 0 :]
+    unsent = {order.marker for call in pending for order in call if isinstance(order, face.UpdateMarker)}
     calls = [
-        SentCall(each, mark, set(proxies))
-        for mark, (each, proxies) in channel.unacked.items()
-        if mark not in unsent
+        SentCall(lines, marker, set(proxies))
+        for marker, (lines, proxies) in channel.unacked.items()
+        if marker not in unsent
     ]
-    # All of it: the module counts lines out from when it ordered them, and a call may have gone much later.
-    relay.backlog.calls, relay.backlog.updated_at = calls, front.loop.clock.now()
+    # All lines: the decision module counts from the order, and a call may have been sent much later.
+    relay.backlog.calls = calls
+    relay.backlog.updated_at = front.loop.clock.now()
     relay.backlog.lines = sum(call.lines for call in calls)
     if relay.in_flight_call.failures and relay.pending_calls:
         relay.in_flight_call.marker_evidence.start(relay.pending_calls[0])
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -1,8 +1,10 @@
-"""The platform's front as something that can be handed over: its state as rows and back, its callers.
+"""Handover of the platform's front to the next process: its state and its connections.
 
-Callers go over with the line that they have not finished.  Calls to the relay do too: none is out while the
-state is taken, so that each is sent by one process, and the times of those that went count in the next one.
-News, the watch of discovery and probes are asked for anew; each begins with what stands, as after a break."""
+Inbound connections are passed on with their unfinished line.  Pending relay calls are passed on too: none is
+in flight while the snapshot is taken, so each is sent by one process, and the send times of earlier calls
+count in the next process.  The watches on the store and on discovery and the probes start again, as after a
+reconnect.
+"""
 
 from __future__ import annotations
 
@@ -23,13 +25,16 @@
 from .front import Front
 from .front_state import front_state, restore_front
 
-# What the old one hears after its state was taken and the new one would not: it asks for the rest itself, and
-# sends probes that are out again.
+# Events that the old process receives after the snapshot and passes on; the new process requests everything
+# else itself and repeats unanswered probes.
 HANDED_ON = (face.SliceDemand, face.ProxyDemand, face.BackendTraffic, face.UpdateAcknowledged)
 
 
 class CoordinatorHandover:
-    """Of a front; see upgrade.side.Side.  In the new process `make(listening)` makes the front."""
+    """Hands over a front; implements upgrade.handover_participant.
+
+    In the new process `make(listening_socket)` creates the front.
+    """
 
     def __init__(
         self,
@@ -39,10 +44,13 @@
         control_taken: Callable[[socket.socket], None],
         reload: Callable[[], None],
     ) -> None:
-        self.front, self.make, self.controls = front, make, controls
-        self.control_taken, self.reload = control_taken, reload
+        self.front = front
+        self.make = make
+        self.controls = controls
+        self.control_taken = control_taken
+        self.reload = reload
         self.given: dict[str, socket.socket] = {}
-        self.kept: list[face.Event] = []  # given on, until the upgrade stands
+        self.kept: list[face.Event] = []  # passed on, kept until the upgrade is complete
         self.state: shots.CoordinatorState | None = None
         self.taken = 0
         self.pass_on: Callable[[PassedConnection], bool] = lambda connection: False
@@ -51,18 +59,21 @@
     # ---- in the old process ------------------------------------------------------------------------
 
     def listeners(self) -> dict[str, socket.socket]:
+        """Return the listening sockets to pass on, by name."""
         control = self.controls()
         callers = {"callers": self.front.inbound.listener.sock}
         return callers | ({"control": control.sock} if control else {})
 
-    def settle(self, on: bool) -> None:
-        self.front.relay.set_paused(on)
+    def settle(self, enabled: bool) -> None:
+        """Pause or resume calls to the relay."""
+        self.front.relay.set_paused(enabled)
 
     def is_settled(self) -> bool:
+        """Return whether no call to the relay is in flight."""
         return not self.front.relay.awaiting_response
 
     def has_urgent_work(self) -> bool:
-        """Orders that a drain needs, or a list that tells of one and that the module has not heard."""
+        """Return whether orders for a drain, or an unprocessed list that reports one, are waiting."""
         return self.front.relay.outbox.any_urgent_waits() or any(
             isinstance(event, face.BackendList)
             and any(entry.state in DEPARTING_STATES for entry in event.entries)
@@ -70,51 +81,64 @@
         )
 
     def freeze(self, taken: Callable[[bytes | None, BaseException | None], None]) -> None:
+        """Pause the decision module and pass its encoded snapshot, or the error, to `taken`."""
         try:
             state = shots.encode(self.snapshot())
-        except Exception as broken:
-            taken(None, broken)
+        except Exception as error:
+            taken(None, error)
         else:
             self.front.event_batch.is_paused = True
             taken(state, None)
 
     def snapshot(self) -> shots.Snapshot:
-        """What stands in tables, lists and versions the module has been told: else whoever goes on from there
-        would take it for told, and never tell it."""
-        gathering = self.front.event_batch
+        """Return the state after the decision module has processed all waiting events.
+
+        The next process would take unprocessed changes as known and never report them.
+        """
+        event_batch = self.front.event_batch
         if self.front.restart_pending:
             self.front.replay_state()
-        gathering.is_due |= bool(gathering.events)
-        gathering.flush_if_due()
+        event_batch.is_due |= bool(event_batch.events)
+        event_batch.flush_if_due()
         return shots.Snapshot("coordinator", self.front.loop.clock.now(), None, front_state(self.front))
 
     def thaw(self) -> None:
-        front, self.passing = self.front, False
+        """Resume after a failed upgrade, with the events that were passed on."""
+        front = self.front
+        self.passing = False
         front.event_batch.is_paused = False
-        kept, self.kept = self.kept, []
+        kept = self.kept
+        self.kept = []
         front.event_batch.restore(kept)
-        self.timer_again()
+        self.restart_timer()
 
-    def timer_again(self) -> None:
+    def restart_timer(self) -> None:
+        """Set the timer of the next decision round again, if one is due."""
         if due := self.front.coordinator.timer_due_at:
             self.front.execute_orders([face.SetTimer(due, "beat")])
 
-    def set_accepting(self, on: bool) -> None:
-        self.front.inbound.listener.accept(on)
+    def set_accepting(self, enabled: bool) -> None:
+        """Start or stop accepting connections."""
+        self.front.inbound.listener.accept(enabled)
         control = self.controls()
         if control:
-            control.accept(on)
+            control.accept(enabled)
 
     def late_events(self) -> bytes:
+        """Return the encoded events that arrived after the snapshot."""
         taken = self.front.event_batch.take()
         self.kept += taken
-        return msgspec.msgpack.encode(event_codec.pack_all(e for e in taken if isinstance(e, HANDED_ON)))
+        return msgspec.msgpack.encode(
+            event_codec.pack_all(event for event in taken if isinstance(event, HANDED_ON))
+        )
 
     def take_idle_connections(self) -> list[PassedConnection]:
+        """Detach and return the inbound connections that have nothing left to write."""
         hub = self.front.inbound
         return [self.take_out(c) for c in [*hub.unidentified, *hub.collectors] if not len(c.outgoing)]
 
     def take_out(self, connection: Wire) -> PassedConnection:
+        """Detach one inbound connection with its parser state."""
         caller = connection.reader
         self.front.inbound.remove(connection)
         kind = orjson.dumps(
@@ -129,49 +153,60 @@
         return (kind.decode(), *connection.detach())
 
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
+        """Take over a connection: its parser state as JSON, its socket and its unparsed bytes."""
         self.front.inbound.adopt(sock, rest, *orjson.loads(kind))
 
     def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
-        self.pass_on, self.passing = pass_on, True
+        """Pass on the remaining connections as soon as their output is written."""
+        self.pass_on = pass_on
+        self.passing = True
 
     def is_drained(self) -> bool:
-        """Callers that had something to be written when the rest went over follow as soon as it is."""
+        """Pass on connections whose output is written now; return whether none is left."""
         for connection in self.take_idle_connections() if self.passing else ():
             if not self.pass_on(connection):
                 connection[1].close()
         hub = self.front.inbound
         return not hub.unidentified and not hub.collectors
 
-    def rehearse(self, at: int) -> bytes:
-        return event_codec.rehearsal_digest([self.front.coordinator], at)
+    def rehearse(self, now: int) -> bytes:
+        """Return the digest of the orders the decision module would give at `now`, in ticks."""
+        return event_codec.rehearsal_digest([self.front.coordinator], now)
 
     # ---- in the new process ------------------------------------------------------------------------
 
     def restore(self, state: shots.Snapshot, listeners: dict[str, socket.socket]) -> None:
+        """Create the front from a snapshot; raises UnusableSnapshotError if it is of another kind."""
         if state.coordinator is None:
             raise shots.UnusableSnapshotError(f"the state of a {state.kind}")
         self.start_empty(listeners)
-        self.state, self.taken = state.coordinator, state.taken
+        self.state = state.coordinator
+        self.taken = state.taken
         restore_front(self.front, self.state)
 
     def snapshot_again(self) -> shots.Snapshot:
-        again = self.snapshot()
-        again.taken = self.taken
-        again.coordinator.watching = self.state.watching
-        return again
+        """Return a snapshot of the restored front, to compare with the received one."""
+        snapshot = self.snapshot()
+        snapshot.taken = self.taken
+        snapshot.coordinator.watching = self.state.watching
+        return snapshot
 
-    def rehearse_copy(self, state: shots.Snapshot, at: int) -> bytes:
-        return event_codec.rehearsal_digest([thaw(state.coordinator.module, self.front.settings)], at)
+    def rehearse_copy(self, state: shots.Snapshot, now: int) -> bytes:
+        """Return the digest of the orders a copy restored from `state` would give at `now`."""
+        return event_codec.rehearsal_digest([thaw(state.coordinator.module, self.front.settings)], now)
 
     def take_late_events(self, rest: bytes) -> None:
+        """Add the events that the old process received after its snapshot."""
         self.front.add_events(*event_codec.unpack_all(msgspec.msgpack.decode(rest)))
 
     def start_empty(self, listeners: dict[str, socket.socket]) -> None:
+        """Create a front without state that accepts no connections yet."""
         self.given = listeners
         self.front = self.make(listeners.get("callers"))
         self.front.inbound.listener.accept(False)
 
     def start_serving(self, restored: bool) -> None:
+        """Accept connections and continue the restored work, if `restored`."""
         front = self.front
         if "control" in self.given:
             self.control_taken(self.given["control"])
@@ -179,9 +214,9 @@
         front.start()
         if not restored:
             return
-        if not front.coordinator.next_beat_at:  # it broke as the state was taken, and has heard nothing since
+        if not front.coordinator.next_beat_at:  # it failed during the snapshot and has no events since
             front.replay_state()
-        self.timer_again()
+        self.restart_timer()
         if self.state.watching:
             front.discovery.subscribe(True)
         for backend in self.state.probing:
--- a/indigohitch/platform_protocol/list_versions.py
+++ b/indigohitch/platform_protocol/list_versions.py
@@ -1,13 +1,14 @@
-"""Which answer of discovery counts, where several are out at once and discovery may begin anew.  No I/O.
-
-The generation grows while one discovery lives, so an older one in an answer is one of three things:
-- a crossing: what is held was learnt after the call was sent.  The answer says nothing new: void;
-- a stale answer to a call sent later: from a copy that lags.  It passes;
-- a discovery that counts from the start.  It stays.
-The last two look alike at first; time tells them apart.  Until the older answers have gone on for `BELIEF`
-what is held stands, so a drained backend stays drained; then the whole list counts, and nothing asked before
-that does.  Where it ends: a copy that lags for longer than `BELIEF` is believed, and a new count that has
-passed the old one before we ask is not seen to be new; the whole list is asked for wherever one may be met.
+"""Decides which responses of discovery to accept when requests overlap or discovery restarts.  No I/O.
+
+The version grows while one discovery process runs, so an older version in a response has one of three causes:
+- the current version was received after the request was sent: the response is superseded and ignored;
+- the response comes from a replica that lags: a temporary state;
+- discovery has restarted and counts versions from the start: a permanent state.
+Only time distinguishes the last two.  Until older responses have continued for `CONFIRM_AFTER`, the current
+list is kept, so a drained backend stays drained; then the full list is accepted, and responses to earlier
+requests are ignored.  Limits: a replica that lags for longer than `CONFIRM_AFTER` is accepted, and a
+restarted count that has passed the old one before the next request is not detected; the full list is
+requested wherever that can happen.
 """
 
 from __future__ import annotations
@@ -20,30 +21,33 @@
 
 
 class ListVerdict(enum.Enum):
+    """How a response is treated; the values appear in the log."""
+
     ACCEPTED = "counts"
-    RESET = "begun anew"  # counts, and discovery counts from the start
-    SUPERSEDED = "crossed"  # older than what is held, or from another count, as it was asked before
-    UNCONFIRMED = "doubted"  # older though it was asked since: what holds has to be asked for
+    RESET = "begun anew"  # accepted, and discovery counts from the start
+    SUPERSEDED = "crossed"  # requested before the current version or epoch was known
+    UNCONFIRMED = "doubted"  # older though requested since: has to be requested again
 
     @property
     def is_accepted(self) -> bool:
+        """Whether the list replaces or extends the current one."""
         return self in (ListVerdict.ACCEPTED, ListVerdict.RESET)
 
 
 @dataclass(slots=True, frozen=True)
 class ListRequest:
-    """A call as it was sent: all that is held from `base` on is asked for, or the whole list (None)."""
+    """A request as sent: for the changes since version `base`, or for the full list (None)."""
 
     number: int
     base: int | None
     sent_at: int
-    epoch: int  # which count of discovery's, and which address it went to
+    epoch: int  # number of restarts of discovery seen so far
     address_number: int
 
 
 @dataclass(slots=True)
 class UnconfirmedVersion:
-    """Since when older answers come, the oldest of them, and how many came."""
+    """Older responses: when the first arrived, the lowest version and how many there were."""
 
     first_seen_at: int
     version: int
@@ -51,20 +55,25 @@
 
 
 class ListVersions:
-    # What a list says counts as told once it is written, and a drain then has 3 s: two thirds stay for it.
-    # A copy that lags by more is out of order itself.
+    """Tracks the current version and classifies each response against it."""
+
+    # A drain has 3 s from when its list was sent: this leaves it two thirds.  A replica that lags by more
+    # is faulty itself.
     CONFIRM_AFTER = SECOND
 
-    def __init__(self, held: int) -> None:
-        self.current = held
+    def __init__(self, version: int) -> None:
+        self.current = version
         self.unconfirmed: UnconfirmedVersion | None = None
-        self._request_count = self._requests_before_current = (
-            0  # asks sent in all, and before `held` was learnt
-        )
-        self._epoch = self._address_number = 0
+        self._request_count = 0
+        self._requests_before_current = 0  # requests sent before `current` was received
+        self._epoch = 0
+        self._address_number = 0
 
     def new_request(self, now: int, whole: bool, left: bool = False) -> ListRequest:
-        """`left`: it goes to the address that is moved away from."""
+        """Register a request at `now`, for the full list if `whole`.
+
+        `left` marks one to the address before the last move.
+        """
         self._request_count += 1
         return ListRequest(
             self._request_count,
@@ -75,45 +84,55 @@
         )
 
     def on_address_change(self) -> None:
-        """To another address: what the last one still answers counts, yet says nothing of the new one."""
+        """Start at another address; responses of the old one confirm nothing about it."""
         self._address_number += 1
         self.unconfirmed = None
 
     def retry_at(self, now: int) -> int:
-        """While in doubt: at once, as a stale answer mostly comes alone; then once it can be believed."""
+        """Time of the next request while unconfirmed.
+
+        The first is immediate, as a stale response mostly comes alone; the next waits for confirmation.
+        """
         return (
             now
             if self.unconfirmed.response_count == 1
             else max(now, self.unconfirmed.first_seen_at + self.CONFIRM_AFTER)
         )
 
-    def classify(self, ask: ListRequest, news: face.BackendList, now: int) -> ListVerdict:
-        if news.scope == "changes" and ask.base is None:
+    def classify(self, request: ListRequest, update: face.BackendList, now: int) -> ListVerdict:
+        """Classify a response received at `now` and update the current version.
+
+        Raises ValueError if changes arrive in response to a request for the full list.
+        """
+        if update.scope == "changes" and request.base is None:
             raise ValueError("changes, where the whole list was asked for")
-        if ask.epoch != self._epoch:
-            return ListVerdict.SUPERSEDED  # changes since another count's generation would leave a gap
-        if news.version >= self.current:
-            if ask.address_number == self._address_number:
+        if request.epoch != self._epoch:
+            return ListVerdict.SUPERSEDED  # changes since a version of another epoch would leave a gap
+        if update.version >= self.current:
+            if request.address_number == self._address_number:
                 self.unconfirmed = None
-            self._advance(news.version)
+            self._advance(update.version)
             return ListVerdict.ACCEPTED
-        if ask.number <= self._requests_before_current or ask.address_number != self._address_number:
+        if request.number <= self._requests_before_current or request.address_number != self._address_number:
             return ListVerdict.SUPERSEDED
-        return self._classify_older(ask, news, now)
+        return self._classify_older(request, update, now)
 
-    def _classify_older(self, ask: ListRequest, news: face.BackendList, now: int) -> ListVerdict:
-        if self.unconfirmed is None or news.version < self.unconfirmed.version:
+    def _classify_older(self, request: ListRequest, update: face.BackendList, now: int) -> ListVerdict:
+        if self.unconfirmed is None or update.version < self.unconfirmed.version:
             self.unconfirmed = UnconfirmedVersion(
-                now, news.version
-            )  # older still: it is not settled what holds
-        elif news.scope == "full" and ask.sent_at >= self.unconfirmed.first_seen_at + self.CONFIRM_AFTER:
+                now, update.version
+            )  # older still: the confirmation starts again
+        elif (
+            update.scope == "full" and request.sent_at >= self.unconfirmed.first_seen_at + self.CONFIRM_AFTER
+        ):
             self.unconfirmed = None
             self._epoch += 1
-            self.current = news.version
+            self.current = update.version
             return ListVerdict.RESET
         self.unconfirmed.response_count += 1
         return ListVerdict.UNCONFIRMED
 
     def _advance(self, version: int) -> None:
         if version > self.current:
-            self._requests_before_current, self.current = self._request_count, version
+            self._requests_before_current = self._request_count
+            self.current = version
--- a/indigohitch/settings.py
+++ b/indigohitch/settings.py
@@ -1,10 +1,14 @@
-"""What both fronts read alike: the start settings as the module's plain map, and load reports.
+"""Parses the start settings and load reports, for both fronts.
 
-The settings are the object that the bench sends first and that the platform's configuration holds; the
-names in it, their paths and which of them are times stand here, once."""
+The settings are the object that the bench sends first and that the platform's configuration contains. Their
+names, their paths and which of them are times are defined here only.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+from typing import Any
+
 from . import interface as face
 from .errors import InvalidRequestError
 
@@ -12,7 +16,7 @@
 
 _RETRY_SAFETY = {"read_like": "idempotent", "idempotency_key": "tokened", "non_idempotent": "non_idempotent"}
 
-# A load report's names: as the settings' columns have them, and as the proxies and backends say them.
+# Names in load reports: those of the settings' columns, and those that proxies and backends send.
 _LOAD_NAMES = {
     "busy_reqs": "held",
     "inflight": "held",
@@ -100,8 +104,9 @@
 ]
 
 
-def ticks_from_ms(ms: float) -> int:
-    return round(ms * 10)
+def ticks_from_ms(milliseconds: float) -> int:
+    """Convert milliseconds to ticks of a tenth of a millisecond, rounded."""
+    return round(milliseconds * 10)
 
 
 def _parse_method(given: dict) -> face.Method:
@@ -116,16 +121,18 @@
     )
 
 
-def _check_usable(found: dict) -> None:
-    """Guards against a coordinator that starts, and then fails at every turn."""
-    every = found.get("report_every")
-    if not isinstance(every, int):
+def _check_usable(settings: dict) -> None:
+    """Raise InvalidRequestError for settings with which every decision round would fail."""
+    report_interval = settings.get("report_every")
+    if not isinstance(report_interval, int):
         raise InvalidRequestError("family-info.report-every is missing", "settings", REMEDY)
-    if every <= 0:
-        raise InvalidRequestError(f"family-info.report-every is {every / 10} ms", "settings", REMEDY)
-    if not found["methods"]:
+    if report_interval <= 0:
+        raise InvalidRequestError(
+            f"family-info.report-every is {report_interval / 10} ms", "settings", REMEDY
+        )
+    if not settings["methods"]:
         raise InvalidRequestError("classes names no method", "settings", REMEDY)
-    for method in found["methods"]:
+    for method in settings["methods"]:
         if min(method.soft_deadline, method.deadline) <= 0:
             raise InvalidRequestError(
                 f"{method.name}: aim and deadline have to be above 0", "settings", REMEDY
@@ -133,25 +140,27 @@
 
 
 def parse_settings(params: dict) -> tuple[dict, list[str]]:
-    """The start settings as a flat map, and the names of the load report's columns.  ValueError says
-    what can't be read."""
-    found = {}
+    """Return the start settings as a flat map, and the names of the load report's columns.
+
+    Raises InvalidRequestError, a ValueError, for settings that can't be parsed.
+    """
+    settings: dict[str, Any] = {}
     try:
         for path, name, in_ms in _SETTINGS:
             node = params
             for step in path.split("."):
                 node = node.get(step) if isinstance(node, dict) else None
             if node is not None:
-                found[name] = ticks_from_ms(node) if in_ms else node
-        found["methods"] = tuple(map(_parse_method, params["classes"]))
-        _check_usable(found)
-        return found, list((params.get("report") or {}).get("columns") or ())
-    except (KeyError, TypeError, AttributeError, OverflowError) as bad:
-        raise InvalidRequestError(f"{type(bad).__name__}: {bad}", "settings", REMEDY) from None
+                settings[name] = ticks_from_ms(node) if in_ms else node
+        settings["methods"] = tuple(map(_parse_method, params["classes"]))
+        _check_usable(settings)
+        return settings, list((params.get("report") or {}).get("columns") or ())
+    except (KeyError, TypeError, AttributeError, OverflowError) as error:
+        raise InvalidRequestError(f"{type(error).__name__}: {error}", "settings", REMEDY) from None
 
 
-def parse_load_report(pairs) -> dict[str, float]:
-    """A load report from its (name, value) pairs; names unknown and values missing are left out."""
+def parse_load_report(pairs: Iterable[tuple[str, Any]]) -> dict[str, float]:
+    """Parse a load report from (name, value) pairs; unknown names and missing values are left out."""
     return {
         _LOAD_NAMES[name]: ticks_from_ms(value) if _LOAD_NAMES[name] == "service_time" else value
         for name, value in pairs
