--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -1,10 +1,10 @@
-"""Between the platform's protocol and the decision module: what is heard becomes events, orders become
-calls.  It decides nothing."""
+"""Connects the platform's protocol with the decision module; makes no decisions itself."""
 
 from __future__ import annotations
 
 import socket
 from collections.abc import Callable
+from typing import Any
 
 from .. import interface as face
 from ..event_batch import EventBatch
@@ -16,60 +16,73 @@
 from ..net.connection import parse_address
 from ..net.loop import EventLoop
 from ..net.ring_buffer import BufferPool
-from ..settings import parse_settings
 from .backend_list_log import log_list
 from .backend_source import BackendSource, ListCallback
 from .backend_start_times import BackendStartTimes
-from .call_codec import UNSUPPORTED_ORDERS
 from .channel_backlog import ChannelBacklog
 from .configuration_changes import names_of_changes
-from .discovery import Discovery, parse_backend_list
+from .discovery import Discovery
 from .drain_monitor import DrainMonitor
+from .front_configuration import FrontConfiguration
 from .inbound_connections import InboundConnections
 from .messages import KnownNames
+from .order_execution import OrderExecutor
 from .probes import HealthProbes
 from .relay import Relay
 from .relay_watch import RelayWatch
-from .resource_limits import ResourceLimits
 from .store_mirror import StoreMirror
 
 
 class Front:
-    MAX_REMOVED_IDS = 256  # ids off the list that may still be named, as many as the module keeps
-    RESTART_DELAY = SECOND // 2  # until a new module is told all: what broke the last one may still be there
+    """A running front: the decision module with its connections and the state of the platform."""
+
+    MAX_REMOVED_IDS = 256  # unlisted ids still accepted, as many as the decision module keeps
+    RESTART_DELAY = SECOND // 2  # before a new module gets the full state: the cause may persist
 
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
-        found: dict,
+        document: dict[str, Any],
         listening: socket.socket | None = None,
         source: Callable[[ListCallback], BackendSource] | None = None,
     ) -> None:
-        """Of the configuration `found`, ValueError and KeyError tell what can't be read; of the address
-        to listen on, OSError.  `source`: of the backends, where that is not discovery."""
-        self.loop, self.log = loop, log
-        self.configuration = found
-        self.seed, limits, self.settings, columns, known, self.addresses, store, discovery = self._read(found)
-        loop.pool = BufferPool(limits.outbound_pool_bytes)
+        """Create a front from its configuration; `source` replaces discovery as the source of backends.
+
+        Raises ValueError and KeyError for a configuration that can't be parsed, and OSError if the address
+        can't be listened on.
+        """
+        self.loop = loop
+        self.log = log
+        self.configuration = document
+        parsed = FrontConfiguration.from_document(document)
+        self.seed = parsed.seed
+        self.settings = parsed.settings
+        self.addresses = parsed.backend_addresses
+        loop.pool = BufferPool(parsed.limits.outbound_pool_bytes)
         self.start_times = BackendStartTimes()
-        known = self.start_times.to_local_clock(known, loop.clock.now(), loop.clock.wall())
+        known = self.start_times.to_local_clock(parsed.known_backends, loop.clock.now(), loop.clock.wall())
         self.entries = {entry.backend: entry for entry in known.entries}
-        self.known_backend_ids = dict.fromkeys(self.entries)  # oldest first: reports on those gone come late
+        self.known_backend_ids = dict.fromkeys(
+            self.entries
+        )  # oldest first: reports on removed ones arrive late
         self.event_batch = EventBatch(loop, self.settings.get("batch_gap", 0), self.handle)
         self.add_events = self.event_batch.add
         self.add_events(known)
-        self.coordinator, self.restart_pending = Coordinator(self.seed, self.settings), False
+        self.coordinator = Coordinator(self.seed, self.settings)
+        self.restart_pending = False
         self.discovery: BackendSource = (
             source(self.on_backend_list)
             if source is not None
-            else Discovery(loop, log, discovery, known.version, self.on_backend_list)
+            else Discovery(loop, log, parsed.discovery_address, known.version, self.on_backend_list)
+        )
+        self.probes = HealthProbes(
+            loop, log, bool(parsed.load_report_columns), parsed.limits.probes, self.add_events
         )
-        self.probes = HealthProbes(loop, log, bool(columns), limits.probes, self.add_events)
         self.relay = Relay(
             loop,
             log,
-            store,
+            parsed.store_address,
             [method.name for method in self.settings["methods"]],
             self.settings.get("messages_most", 0),
             self.settings.get("counted_over", 0),
@@ -100,73 +113,81 @@
             self.store_mirror.has_started or bool(self.store_mirror.tables)
         )
         self.relay.invariants.is_grace_over = self.drain_monitor.is_grace_over
-        self.relay_watch = RelayWatch(loop, log, store, self.store_mirror)
+        self.relay_watch = RelayWatch(loop, log, parsed.store_address, self.store_mirror)
         self.relay.in_flight_call.read_stored_tables = lambda: self.store_mirror.tables
         self.relay.outbox.urgent = lambda orders: urgent_tables(
             self.coordinator, orders, self.store_mirror.tables
         )
         self.relay.on_unresolved_drop = self.relay_watch.restart
-        zones, slices = self.settings.get("zones"), self.settings.get("slices")
+        self.order_executor = OrderExecutor(
+            loop,
+            log,
+            self.event_batch,
+            self.discovery,
+            self.probes,
+            self.relay,
+            self._address_of,
+        )
+        zones = self.settings.get("zones")
         self.known_names = KnownNames(
-            frozenset(zones if zones is not None else (e.zone for e in known.entries)),
+            frozenset(zones if zones is not None else (entry.zone for entry in known.entries)),
             frozenset(method.name for method in self.settings["methods"]),
-            slices if slices else face.ALL_TABLES,
+            self.settings.get("slices") or face.ALL_TABLES,
             self.known_backend_ids,
         )
         self.inbound = InboundConnections(
-            loop, log, self.add_events, parse_address(found["listen"]), limits, self.known_names, listening
+            loop,
+            log,
+            self.add_events,
+            parse_address(document["listen"]),
+            parsed.limits,
+            self.known_names,
+            listening,
         )
 
-    @staticmethod
-    def _read(found: dict) -> tuple:
-        """All that is read of a configuration, before any of it counts."""
-        boot, columns = parse_settings(found["settings"])
-        boot["discovery"] = "ask"  # on sockets nothing comes unasked, also where the settings say `push`
-        known, addresses = parse_backend_list(found["known"], remembered=True)
-        return (
-            int(str(found["seed"]), 16),
-            ResourceLimits.from_config(found["limits"]),
-            boot,
-            columns,
-            known,
-            addresses,
-            parse_address(found["store"]["address"]),
-            parse_address(found["discovery"]),
-        )
+    def _address_of(self, backend: str) -> str | None:
+        return self.addresses.get(backend)
 
     def _numeric_setting(self, name: str) -> float:
-        """Of the settings; what is no number bounds nothing here, and breaks the module's turns."""
+        """Return a setting, or 0 if it is no number: then it sets no bound here."""
         value = self.settings.get(name, 0)
         return value if isinstance(value, (int, float)) else 0
 
     def start(self) -> None:
+        """Open the watch on the store."""
         self.relay_watch.open()
 
-    def reload(self, found: dict) -> None:
-        """Go over to a new configuration: discovery, the relay's calls and its news move to the addresses in
-        it.  All else stays as it is; what differs there is logged by name, as it takes a restart."""
-        *_, store, discovery = self._read(found)
-        left = names_of_changes(self.configuration, found)
+    def reload(self, document: dict[str, Any]) -> None:
+        """Move discovery, the relay and the watch on the store to the addresses of a new configuration.
+
+        Other differences need a restart and are logged by name.
+        """
+        parsed = FrontConfiguration.from_document(document)
+        needs_restart = names_of_changes(self.configuration, document)
         moved = [
-            part.move(to)
-            for part, to in ((self.discovery, discovery), (self.relay, store), (self.relay_watch, store))
+            self.discovery.move(parsed.discovery_address),
+            self.relay.move(parsed.store_address),
+            self.relay_watch.move(parsed.store_address),
         ]
         self.log.count("reloads")
-        self.log.event("reloaded", moved=any(moved), **({"needs_restart": left} if left else {}))
+        self.log.event(
+            "reloaded", moved=any(moved), **({"needs_restart": needs_restart} if needs_restart else {})
+        )
 
     def handle(self, now: int, events: list[face.Event]) -> None:
+        """Pass a batch of events to the decision module and execute its orders."""
         self.log.count("decision_rounds")
         self.log.count("events", len(events))
         try:
             orders = self.coordinator.handle(now, events)
-        except Exception as broken:
-            self._restart_module(broken)
+        except Exception as error:
+            self._restart_module(error)
         else:
             self.execute_orders(orders)
 
-    def _restart_module(self, broken: Exception) -> None:
-        """A defect of the module must not end the service: a new one is told what stands."""
-        self.loop.failed(broken)
+    def _restart_module(self, error: Exception) -> None:
+        """Replace a decision module that failed, so that its defect does not end the service."""
+        self.loop.failed(error)
         self.log.count("decision_module_restarted")
         self.coordinator = Coordinator(self.seed, self.settings)
         if not self.restart_pending:
@@ -174,44 +195,17 @@
             self.loop.call_after(self.RESTART_DELAY, self.replay_state)
 
     def replay_state(self) -> None:
+        """Report the current backends, proxies and tables to a new decision module."""
         self.restart_pending = False
         self.add_events(face.BackendList("remembered", self.discovery.version, tuple(self.entries.values())))
         self.store_mirror.report_all()
 
     def execute_orders(self, orders: list[face.Order]) -> None:
-        call = []
-        for order in orders:
-            match order:
-                case (
-                    face.SetRoute()
-                    | face.ClearTable()
-                    | face.SetAdmission()
-                    | face.EjectBackend()
-                    | face.UpdateMarker()
-                ):
-                    call.append(order)
-                case face.SetTimer(due, tag):
-                    self.loop.call_at(due, lambda tag=tag: self.event_batch.add_timer(face.TimerFired(tag)))
-                case face.ProbeBackend(backend):
-                    self.probes.send(backend, self.addresses.get(backend))
-                case face.WatchBackends(on):
-                    self.discovery.subscribe(on)
-                case face.FetchBackends():
-                    self.discovery.fetch()
-                case face.LogMessage(text):
-                    self.log.event("decision", text=text)
-                case _:  # Bind, TellPeer: the protocol has no word for them
-                    self.log.warning(
-                        "order_without_a_call", order=UNSUPPORTED_ORDERS.get(type(order), "unknown")
-                    )
-        if call:
-            self.log.count("orders", len(call))
-            self.relay.order(call)
-        else:
-            self.relay.reconsider()
+        """Execute the orders of one round."""
+        self.order_executor.execute(orders)
 
     def _order_repairs(self, orders: list[face.Order]) -> None:
-        """What makes an event true, a slice at a time: many slices are one call."""
+        """Order repairs of the store, which come one slice at a time, as one call."""
         self.relay.order(orders, joins=True)
 
     def _on_orders_applied(self, orders: list[face.Order]) -> None:
@@ -219,32 +213,36 @@
         self.drain_monitor.on_applied(orders)
 
     def on_relay_events(self, *events: face.Event) -> None:
+        """Apply events of the store to the relay and pass them on."""
         for event in events:
             match event:
-                case face.UpdateAcknowledged(proxy, mark):
-                    self.relay.acknowledge_marker(proxy, mark)
+                case face.UpdateAcknowledged(proxy, marker):
+                    self.relay.acknowledge_marker(proxy, marker)
                 case face.ProxyLeft(proxy):
                     self.relay.on_proxy_left(proxy)
         self.add_events(*events)
 
-    def on_backend_list(self, news: face.BackendList, addresses: dict[str, str]) -> None:
-        news = self.start_times.to_local_clock(news, self.loop.clock.now(), self.loop.clock.wall())
-        log_list(self.log, self.entries, news)
-        if news.scope == "full":
+    def on_backend_list(self, received: face.BackendList, addresses: dict[str, str]) -> None:
+        """Apply a list from the source of backends and pass it on."""
+        update = self.start_times.to_local_clock(received, self.loop.clock.now(), self.loop.clock.wall())
+        log_list(self.log, self.entries, update)
+        if update.scope == "full":
             self.entries.clear()
             self.addresses = {}
         self.addresses |= addresses
-        for entry in news.entries:
+        for entry in update.entries:
             self.entries[entry.backend] = entry
             self.known_backend_ids.pop(entry.backend, None)
             self.known_backend_ids[entry.backend] = None
-            if entry.state == "gone":  # or the ids of replaced machines would pile up
+            if entry.state == "gone":  # else the ids of replaced machines would accumulate
                 del self.entries[entry.backend], self.addresses[entry.backend]
-        for id in [id for id in self.known_backend_ids if id not in self.entries][: -self.MAX_REMOVED_IDS]:
-            del self.known_backend_ids[id]
-        self.drain_monitor.on_backend_list(news)
-        self.add_events(news)
+        removed = [backend for backend in self.known_backend_ids if backend not in self.entries]
+        for backend in removed[: -self.MAX_REMOVED_IDS]:
+            del self.known_backend_ids[backend]
+        self.drain_monitor.on_backend_list(update)
+        self.add_events(update)
 
     def close(self) -> None:
+        """Close all connections."""
         for part in (self.relay_watch, self.relay, self.discovery, self.probes, self.inbound):
             part.close()
--- /dev/null
+++ b/indigohitch/platform_protocol/front_configuration.py
@@ -0,0 +1,46 @@
+"""Reads the configuration of a front."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from .. import interface as face
+from ..net.connection import parse_address
+from ..settings import parse_settings
+from .discovery import parse_backend_list
+from .resource_limits import ResourceLimits
+
+
+@dataclass(slots=True, frozen=True)
+class FrontConfiguration:
+    """The parsed configuration of a front."""
+
+    seed: int
+    limits: ResourceLimits
+    settings: dict[str, Any]  # for the decision module
+    load_report_columns: list[str]
+    known_backends: face.BackendList
+    backend_addresses: dict[str, str]
+    store_address: tuple[str, int]
+    discovery_address: tuple[str, int]
+
+    @classmethod
+    def from_document(cls, document: dict[str, Any]) -> FrontConfiguration:
+        """Parse the whole document before any of it takes effect.
+
+        Raises ValueError and KeyError for what can't be parsed.
+        """
+        settings, columns = parse_settings(document["settings"])
+        settings["discovery"] = "ask"  # over sockets nothing is pushed, even if the settings say `push`
+        known_backends, addresses = parse_backend_list(document["known"], remembered=True)
+        return cls(
+            int(str(document["seed"]), 16),
+            ResourceLimits.from_config(document["limits"]),
+            settings,
+            columns,
+            known_backends,
+            addresses,
+            parse_address(document["store"]["address"]),
+            parse_address(document["discovery"]),
+        )
