--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -38,6 +38,7 @@
 
     MAX_REMOVED_IDS = 256  # unlisted ids still accepted, as many as the decision module keeps
     RESTART_DELAY = SECOND // 2  # before a new module gets the full state: the cause may persist
+    _read = staticmethod(FrontConfiguration.from_document)
 
     def __init__(
         self,
@@ -55,7 +56,7 @@
         self.loop = loop
         self.log = log
         self.configuration = document
-        parsed = FrontConfiguration.from_document(document)
+        parsed = self._read(document)
         self.seed = parsed.seed
         self.settings = parsed.settings
         self.addresses = parsed.backend_addresses
@@ -162,7 +163,7 @@
 
         Other differences need a restart and are logged by name.
         """
-        parsed = FrontConfiguration.from_document(document)
+        parsed = self._read(document)
         needs_restart = names_of_changes(self.configuration, document)
         moved = [
             self.discovery.move(parsed.discovery_address),
--- a/indigohitch/platform_protocol/front_configuration.py
+++ b/indigohitch/platform_protocol/front_configuration.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from .. import interface as face
 from ..net.connection import parse_address
@@ -12,8 +11,7 @@
 from .resource_limits import ResourceLimits
 
 
-@dataclass(slots=True, frozen=True)
-class FrontConfiguration:
+class FrontConfiguration(NamedTuple):
     """The parsed configuration of a front."""
 
     seed: int
