--- a/indigohitch/logic/__init__.py
+++ b/indigohitch/logic/__init__.py
@@ -7,7 +7,7 @@
 from heapq import heappop
 
 from ..interface import SECOND, Event, Order, UpdateAcknowledged
-from .event_handlers import HEAR
+from .event_handlers import EVENT_HANDLERS
 from .health import assess
 from .planner import evacuate, plan
 from .reconciler import emit
@@ -26,8 +26,8 @@
         self.orders = []
         self.next_beat_at = self.next_beat_at or now + self.BEAT
         for event in events:
-            if type(event) in HEAR:  # events of other types hold nothing that is used here
-                HEAR[type(event)](self, event)
+            if type(event) in EVENT_HANDLERS:  # events of other types hold nothing that is used here
+                EVENT_HANDLERS[type(event)](self, event)
         while self.due_actions and self.due_actions[0][0] <= now:
             match heappop(self.due_actions)[1]:
                 case DueAction.SUBSCRIBE:
--- a/indigohitch/logic/event_handlers.py
+++ b/indigohitch/logic/event_handlers.py
@@ -143,7 +143,7 @@
             set_state(state, backend, "gone")
 
 
-HEAR = {
+EVENT_HANDLERS = {
     interface.BackendList: on_list,
     interface.ProbeResult: on_probed,
     interface.SliceDemand: on_demand,
--- a/indigohitch/platform_protocol/inbound_connection.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -9,7 +9,7 @@
 from ..net.connection import Connection
 from ..net.loop import EventLoop
 from .messages import (
-    GarbledConnectionError,
+    CorruptConnectionError,
     InvalidLineError,
     KnownNames,
     parse_message,
@@ -117,7 +117,7 @@
             else:
                 owner.add_event(parse_report(kind, fields, owner.known_names))
                 owner.log.count(f"lines_{kind}")
-        except GarbledConnectionError as error:
+        except CorruptConnectionError as error:
             owner.drop(connection, "connection_garbled", **error.log_fields(), line=line[:80])
             return
         except InvalidLineError as error:
--- a/indigohitch/platform_protocol/messages.py
+++ b/indigohitch/platform_protocol/messages.py
@@ -16,7 +16,7 @@
     remedy = "bring the sender to this program's version of the protocol"
 
 
-class GarbledConnectionError(errors.InvalidDataError):
+class CorruptConnectionError(errors.InvalidDataError):
     """The input is no message at all, so the start of the next one is unknown."""
 
     remedy = "find who connects there"
@@ -76,14 +76,14 @@
 
 
 def parse_message(line: bytes) -> tuple[str, dict[str, str]]:
-    """Return the kind and the fields of a message; raises GarbledConnectionError."""
+    """Return the kind and the fields of a message; raises CorruptConnectionError."""
     try:
         kind, *pairs = line.decode("ascii").split()
         if not (kind.isidentifier() and line.isascii()):
             raise ValueError("no kind of message")
         return kind, dict(pair.split("=", 1) for pair in pairs)
     except ValueError as error:
-        raise GarbledConnectionError(str(error)) from None
+        raise CorruptConnectionError(str(error)) from None
 
 
 def _parse_joined(fields: Mapping[str, str]) -> face.ProxyJoined:
--- a/indigohitch/request.py
+++ b/indigohitch/request.py
@@ -26,7 +26,7 @@
 class RouteTable:
     """The routes of one slice, its admission ratios and its retry level, as the orders set them."""
 
-    __slots__ = ("servers", "weights", "edges", "level", "levels", "tries")
+    __slots__ = ("servers", "weights", "edges", "level", "levels", "retry_level")
 
     def __init__(self) -> None:
         self.servers: list[Server] = []
@@ -34,7 +34,7 @@
         self.edges: list[float] = []  # the cumulated weights
         self.level = 1.0  # the admission ratio
         self.levels: dict[str, float] = {}  # by method, where one is set
-        self.tries = 1  # the retry level
+        self.retry_level = 1  # the retry level
 
     def set(self, server: Server, weight: float) -> None:
         """Set the weight of the route to a server; 0 removes the route."""
@@ -71,7 +71,7 @@
         )
         return min(fit, key=lambda server: server.held, default=None)
 
-    def lets_in(self, method: str, uniform: Callable[[], float]) -> bool:
+    def admits(self, method: str, uniform: Callable[[], float]) -> bool:
         """Return whether an RPC of this method is admitted; draws a number where the ratio is below 1."""
         level = self.levels.get(method, self.level) if self.levels else self.level
         return level >= 1.0 or uniform() < level
@@ -87,11 +87,11 @@
     have been processed. For an idempotent one the retry level decides; a kept connection that its server
     closed in transit is proof enough for it, as it may run twice.
     """
-    if remaining <= 0 or not is_buffered or attempts > (0, 1, 1, 2)[table.tries]:
+    if remaining <= 0 or not is_buffered or attempts > (0, 1, 1, 2)[table.retry_level]:
         return False
     if repeat != "idempotent":
         return outcome == UNSENT
-    return outcome in (UNSENT, CLOSED_IN_TRANSIT) or table.tries >= 2
+    return outcome in (UNSENT, CLOSED_IN_TRANSIT) or table.retry_level >= 2
 
 
 def final_status(outcome: str, remaining: int, boot: dict) -> tuple[int, int | None]:
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -40,7 +40,7 @@
         [shots.ServerRow(s.name, *s.address, s.withdrawn, s.listed, s.load) for s in servers],
         [
             shots.TableRow(
-                [(place[s], float(w)) for s, w in zip(t.servers, t.weights)], t.level, t.levels, t.tries
+                [(place[s], float(w)) for s, w in zip(t.servers, t.weights)], t.level, t.levels, t.retry_level
             )
             for t in pool.tables
         ],
@@ -67,7 +67,7 @@
     for table, found in zip(pool.tables, row.tables):
         for at, weight in found.lines:
             table.set(servers[at], weight)
-        table.level, table.levels, table.tries = found.level, found.levels, found.tries
+        table.level, table.levels, table.retry_level = found.level, found.levels, found.tries
     pool.version, pool._turn, pool.reported = row.version, row.turn, row.reported
     pool.text.servers = {
         name: Told(name, (host, port), weight, zone, kind, 0)
--- a/indigohitch/sidecar/pool.py
+++ b/indigohitch/sidecar/pool.py
@@ -201,7 +201,7 @@
             case face.SetAdmission(number, places, level, tries):
                 some = self.tables if number == face.ALL_TABLES else [self.tables[number]]
                 for table in some:
-                    table.tries = tries
+                    table.retry_level = tries
                     if not places:
                         table.level, table.levels = level, {}
                     for place in places:
--- a/indigohitch/sidecar/rpc.py
+++ b/indigohitch/sidecar/rpc.py
@@ -66,7 +66,7 @@
 
     def start(self) -> None:
         pool = self.pool
-        if not self.table.lets_in(self.route.rpc.name, pool.uniform):
+        if not self.table.admits(self.route.rpc.name, pool.uniform):
             self.give_up("pushed_back")
             return
         self.deadline = pool.host.loop.call_at(self.due, self.too_late)
--- a/tests/golden_told.py
+++ b/tests/golden_told.py
@@ -18,7 +18,7 @@
     "unfit": errors.InvalidRequestError,
     "not now": errors.UnavailableError,
     "line unreadable": messages.InvalidLineError,
-    "line garbled": messages.GarbledConnectionError,
+    "line garbled": messages.CorruptConnectionError,
 }
 
 
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -30,7 +30,7 @@
 def test_a_reservation_goes_out_once_whatever_its_connection_does(seam, kept, how):
     """And the client hears in the turn that shows it."""
     sock, client, server = seam.kept() if kept else (*seam.client(), None)
-    seam.pool.tables[0].tries = 3  # whatever the orders say
+    seam.pool.tables[0].retry_level = 3  # whatever the orders say
     sock.sendall(RESERVE)
     server, _ = seam.asked(server)
     at = client.rpc.upstream.stream.sock
--- a/tests/test_crossing_settings.py
+++ b/tests/test_crossing_settings.py
@@ -31,7 +31,7 @@
 @pytest.fixture(autouse=True)
 def nothing_is_kept_at_module_or_class_level():
     before = apart.kept()
-    assert len(before) > 10 and "indigohitch.logic.event_handlers.HEAR" in before
+    assert len(before) > 10 and "indigohitch.logic.event_handlers.EVENT_HANDLERS" in before
     yield
     assert apart.kept() == before
 
--- a/tests/test_golden_places.py
+++ b/tests/test_golden_places.py
@@ -127,7 +127,7 @@
             assert [server.withdrawn, server.listed, server.load] == found[3:]
         for found, table in zip(row[4], pool.tables, strict=True):
             assert [server.name for server in table.servers] == [row[3][at][0] for at, _ in found[0]]
-            assert [table.level, table.levels, table.tries] == found[1:]
+            assert [table.level, table.levels, table.retry_level] == found[1:]
         assert [pool.version, pool._turn, pool.reported] == row[6:9]
         assert [side.rows[pool.name].probing] == row[10:]
 
--- a/tests/test_platform_words.py
+++ b/tests/test_platform_words.py
@@ -17,7 +17,7 @@
 from indigohitch.platform_protocol.discovery import parse_backend_list
 from indigohitch.platform_protocol.messages import (
     RELAY_EVENT_PARSERS,
-    GarbledConnectionError,
+    CorruptConnectionError,
     InvalidLineError,
     KnownNames,
     parse_message,
@@ -166,7 +166,7 @@
         with pytest.raises(InvalidLineError):
             parse_report("upstream_stats", parse_message(traffic.encode())[1] | {"util": util}, known)
     for line in (b"", b"\xff a=1", b"range_stats range", b"GET / HTTP/1.1", b"a\0b=1", b"-1 a=1"):
-        with pytest.raises(GarbledConnectionError):
+        with pytest.raises(CorruptConnectionError):
             parse_message(line)
     assert RELAY_EVENT_PARSERS["attach"](words("id=17 site=a rps=21.5 new=1")) == face.ProxyJoined(
         17, "a", 21.5, True
--- a/tests/test_request.py
+++ b/tests/test_request.py
@@ -32,8 +32,8 @@
 def test_levels_let_in_their_share():
     table, uniform = request.RouteTable(), random.Random(1).random
     table.level, table.levels = 0.3, {"search": 1.0}
-    assert table.lets_in("search", uniform)
-    assert 200 < sum(table.lets_in("reserve", uniform) for _ in range(1000)) < 400
+    assert table.admits("search", uniform)
+    assert 200 < sum(table.admits("reserve", uniform) for _ in range(1000)) < 400
 
 
 @pytest.mark.parametrize("tries", [0, 1, 2, 3])
@@ -42,7 +42,7 @@
 def test_a_reservation_never_goes_out_twice(tries, whole, tried):
     """Whatever the orders say: only if not one byte of it can have been acted on."""
     table = request.RouteTable()
-    table.tries = tries
+    table.retry_level = tries
     for outcome in (request.SENT, request.CLOSED_IN_TRANSIT):
         assert not request.should_retry(table, "non_idempotent", outcome, tried, whole, 1000)
     again = request.should_retry(table, "non_idempotent", request.UNSENT, tried, whole, 1000)
