--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -14,8 +14,8 @@
 from indigohitch.platform_protocol import stored_tables
 from indigohitch.platform_protocol.backend_list_log import log_list
 from indigohitch.platform_protocol.call_log import CallLog, ChannelOccupancy
-from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.invariants import Invariant, InvariantChecker
+from indigohitch.platform_protocol.order_execution import OrderExecutor
 from listroom import Hands
 from log_names import former_line, former_pattern
 from relay_room import Room
@@ -94,13 +94,14 @@
 
 def _not_carried(log: Kept) -> None:
     """Orders that the protocol has no word for, and the module's own lines."""
-    stub = SimpleNamespace(log=log, relay=SimpleNamespace(reconsider=lambda: None))
+    relay = SimpleNamespace(reconsider=lambda: None)
+    executor = OrderExecutor(None, log, None, None, None, relay, None)
     said = [
         {"order": "bind", "proxy": 1, "table": 2, "methods": []},
         {"order": "tell peer", "peer": 1, "body": "x"},
         {"order": "log line", "text": "as decided"},
     ]
-    Front.execute_orders(stub, [order(one) for one in said])
+    executor.execute([order(one) for one in said])
 
 
 def _asked(log: Kept, after: dict[str, float]) -> None:
