--- a/indigohitch/benchlink/__init__.py
+++ b/indigohitch/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: its codec and the host of the coordinators that speak over it."""
+"""The bench's wire: its lines both ways and the host of the coordinators that speak over it."""
--- a/indigohitch/benchlink/__main__.py
+++ b/indigohitch/benchlink/__main__.py
@@ -2,8 +2,8 @@
 
 import sys
 
-from .codec import WireError
 from .host import serve
+from .incoming import WireError
 
 try:
     serve(sys.stdin.buffer, sys.stdout.buffer)
--- /dev/null
+++ b/indigohitch/benchlink/outgoing.py
@@ -0,0 +1,53 @@
+"""The module's orders to the bench's lines.  The wire page is WIRE-indigohitch.md.
+
+Every name on the wire stands here as text: the names of classes and fields have no part in it."""
+
+from __future__ import annotations
+
+import base64
+
+import msgspec
+
+from .. import interface as face
+
+
+def _mask(methods: tuple[int, ...]) -> int:
+    return sum(1 << m for m in methods)
+
+
+def _b64(body: bytes) -> str:
+    return base64.b64encode(body).decode("ascii")
+
+
+_ORDERS = {
+    face.SetLine: lambda o: {"type": "SetWeight", "table": o.table, "backend": o.backend, "share": o.weight},
+    face.ClearTable: lambda o: {"type": "DropLines", "table": o.table},
+    face.SetLevel: lambda o: {
+        "type": "SetLevel",
+        "table": o.table,
+        "only": _mask(o.methods),
+        "level": o.level,
+        "again": o.tries,
+    },
+    face.Withdraw: lambda o: {"type": "HoldBack", "backend": o.backend, "active": o.out},
+    face.Bind: lambda o: {"type": "Point", "edge": o.proxy, "table": o.table, "only": _mask(o.methods)},
+    face.Mark: lambda o: {"type": "Nonce", "number": o.mark, "active": o.everyone},
+    face.Probe: lambda o: {"type": "Inspect", "backend": o.backend},
+    face.TellPeer: lambda o: {"type": "Announce", "target": o.peer, "body": _b64(o.body)},
+    face.Subscribe: lambda o: {"type": "KeepInformed", "active": o.on},
+    face.FetchList: lambda o: {"type": "QueryAll"},
+    face.SetTimer: lambda o: {"type": "NotifyMe", "moment": o.due / 10, "tag": o.tag},
+    face.LogLine: lambda o: {"type": "SayLog", "message": o.text},
+}
+_encode = msgspec.json.Encoder().encode
+OK = _encode({"type": "Ok"}) + b"\n"
+
+
+def encode(coordinator: int, order: face.Order) -> bytes:
+    body = _ORDERS[type(order)](order)
+    body["coordinator"] = coordinator
+    return _encode(body) + b"\n"
+
+
+def give_in(coordinator: int, text: str) -> bytes:
+    return _encode({"type": "GiveIn", "coordinator": coordinator, "message": text}) + b"\n"
