--- a/proofs/previous_version.py
+++ b/proofs/previous_version.py
@@ -7,8 +7,8 @@
 
 The previous version is a worktree of the commit in PREVIOUS (else previouskit/program_texts.py's).  QUICK=1:
 under 50 s.  PARTS="sidecar stores": these only.  BROKEN=names starts the present version from a copy in which
-one wire name of upgrade/events.py is altered, and the proof has to fail.  The last line is one JSON object;
-the exit code is 1 where a promise is broken."""
+one wire name of upgrade/event_codec.py is altered, and the proof has to fail.  The last line is one JSON
+object; the exit code is 1 where a promise is broken."""
 
 from __future__ import annotations
 
--- a/proofs/previouskit/names.py
+++ b/proofs/previouskit/names.py
@@ -4,12 +4,14 @@
     python names.py previous|present read FOLDER         what the folder holds, as JSON
     python names.py previous|present requests FILE       what a trace holds, as JSON
 
-Run by the interpreter of a ProgramText.  `Previous` has the names of that commit and is never renamed;
-`Present` overrides each method in which this checkout has another name."""
+Run by the interpreter of a ProgramText.  The previous version is the commit in the environment variable
+PREVIOUS; `Previous` has the names of the default one and is never renamed, nor are the classes of later
+commits.  `Present` overrides each method in which this checkout has another name."""
 
 from __future__ import annotations
 
 import json
+import os
 import sys
 
 
@@ -88,8 +90,8 @@
         return found
 
 
-class Present(Previous):
-    """Names of this checkout, where they differ."""
+class StorageRenamed(Previous):
+    """Names of commit 6b94763, where they differ from 41d95bd.  Never renamed either."""
 
     def open(self, folder: str, size: int):
         from indigohitch.fleet.storage.files import FileSystem
@@ -100,8 +102,16 @@
         return store
 
 
+class Present(StorageRenamed):
+    """Names of this checkout, where they differ from 6b94763."""
+
+
+LATER_COMMITS = {"6b94763": StorageRenamed}  # previous versions with other names than the default one
+
+
 def main(which: str, action: str, path: str, size: str = "0") -> None:
-    names = {"previous": Previous, "present": Present}[which]()
+    previous = LATER_COMMITS.get(os.environ.get("PREVIOUS", ""), Previous)
+    names = {"previous": previous, "present": Present}[which]()
     if action == "write":
         names.write(path, int(size), json.load(sys.stdin))
     else:
--- a/proofs/previouskit/program_texts.py
+++ b/proofs/previouskit/program_texts.py
@@ -63,7 +63,7 @@
     subprocess.run(["git", *words], cwd=ROOT, check=True)
 
 
-# Appended to the copy's upgrade/events.py.  It names none of that file's functions: whichever returns or
+# Appended to the copy's upgrade/event_codec.py.  It names none of that file's functions: whichever returns or
 # takes a row of the wire name gets it under the altered one.
 ALTERATION = """
 
@@ -91,6 +91,6 @@
     shutil.copytree(
         ROOT / "indigohitch", folder / "indigohitch", ignore=shutil.ignore_patterns("__pycache__")
     )
-    with open(folder / "indigohitch" / "upgrade" / "events.py", "a") as file:
-        file.write(ALTERATION)
+    codec = folder / "indigohitch" / "upgrade" / "event_codec.py"
+    codec.write_text(codec.read_text() + ALTERATION)  # fails where the module has another name
     return folder
