--- a/tests/test_crossing_wire.py
+++ b/tests/test_benchlink_isolation.py
@@ -12,9 +12,9 @@
 
 import apart
 from apart import ALL, short, shuffled, splits
+from bench_lines import batches, flat
 from indigohitch.benchlink import backend_lists, incoming, wire_messages
 from indigohitch.benchlink.host import Host
-from wire_days import batches, flat
 
 STATE, SCOPE, OUTCOME = (
     {ours: wire for wire, ours in table.items()}
@@ -136,7 +136,7 @@
 
 OWN_PROCESS = """
 import sys; sys.path[:0] = ["tests", "."]
-import hashlib, pytest, apart, test_crossing_wire as wire
+import hashlib, pytest, apart, test_benchlink_isolation as wire
 day = apart.day({0}, pytest.MonkeyPatch())
 print(hashlib.blake2b(b"".join(apart.alone({0}, day))).hexdigest())
 print(hashlib.blake2b(repr(wire.alone(wire.batches({0}, day), {0})).encode()).hexdigest())
