--- a/indigohitch/benchlink/host.py
+++ b/indigohitch/benchlink/host.py
@@ -32,8 +32,8 @@
             raise incoming.WireError(f"bad Configure for coordinator {number}: {error}") from None
         self.instances[number] = Coordinator(message.rng_seed, settings)
 
-    def _run(self, now: int, pending: dict[int, list], number: int) -> None:
-        events = pending.pop(number, None)
+    def _run(self, now: int, pending_events: dict[int, list], number: int) -> None:
+        events = pending_events.pop(number, None)
         if events is None or number not in self.instances:
             return
         try:
@@ -48,21 +48,21 @@
         Raises:
             WireError: Settings, a value or a list number are invalid under the protocol.
         """
-        pending: dict[int, list] = {}
+        pending_events: dict[int, list] = {}
         for kind, message in messages:
             if kind == "List":
                 self.lists[message.buffer] = self._convert(kind, message.entries)
             elif kind == "PowerOff":
-                pending.pop(message.coordinator, None)
+                pending_events.pop(message.coordinator, None)
                 self.instances.pop(message.coordinator, None)
             elif kind == "Configure":
                 self._start(message)
-                pending[message.coordinator] = []
+                pending_events[message.coordinator] = []
             elif message.coordinator in self.instances:
                 event = self._convert(kind, message.to_event, self.columns[message.coordinator], self.lists)
-                pending.setdefault(message.coordinator, []).append(event)
-        for number in list(pending):
-            self._run(now, pending, number)
+                pending_events.setdefault(message.coordinator, []).append(event)
+        for number in list(pending_events):
+            self._run(now, pending_events, number)
 
     @staticmethod
     def _convert(kind: str, build: Callable[..., Converted], *args: object) -> Converted:
--- a/tests/golden_bench.py
+++ b/tests/golden_bench.py
@@ -1,4 +1,4 @@
-"""The bench's wire as golden files hold it: a line to what it reads as, an order to its line, and a talk."""
+"""Runs the cases of the golden files of the bench protocol: decoded lines, encoded orders and a session."""
 
 import io
 from unittest import mock
@@ -16,7 +16,7 @@
 
 
 def line_in(given: str) -> dict:
-    """A line of the bench, and what it reads as."""
+    """Decodes a line; returns its type and content, or that it was refused."""
     lists = {number: incoming.decode(line)[1].entries() for number, line in LISTS.items()}
     try:
         kind, message = incoming.decode(given.encode("latin-1"))
@@ -46,28 +46,31 @@
 
 
 def order_out(given: dict) -> str:
-    """An order's line."""
+    """Returns the line of an order."""
     return outgoing.encode(given["coordinator"], order(given)).decode("latin-1")
 
 
-class Canned:
-    """In the coordinator's place: gives out prepared orders, and keeps what it was told."""
+class StubCoordinator:
+    """Stands in for a coordinator: returns prepared orders and records its calls."""
 
-    def __init__(self, seed: int, boot: dict, given: dict, heard: list) -> None:
-        self.given, self.heard = given, heard
-        heard.append({"seed": seed, "batch_gap": boot["batch_gap"]})
+    def __init__(self, seed: int, settings: dict, given: dict, calls: list) -> None:
+        self.given = given
+        self.calls = calls
+        calls.append({"seed": seed, "batch_gap": settings["batch_gap"]})
 
     def handle(self, now: int, events: list) -> list:
-        self.heard.append({"now": now, "events": [plain(event) for event in events]})
+        self.calls.append({"now": now, "events": [plain(event) for event in events]})
         if self.given["breaks_at"] == now:
             raise ValueError("as asked")
-        return [order(one) for one in self.given["orders"]]
+        return [order(prepared) for prepared in self.given["orders"]]
 
 
 def talk(given: dict) -> dict:
-    """What a whole input gives, byte for byte, and what the module heard."""
-    heard: list = []
+    """Serves a whole session; returns the output byte for byte and the calls of the coordinator."""
+    calls: list = []
     sink = io.BytesIO()
-    with mock.patch.object(host, "Coordinator", lambda seed, boot: Canned(seed, boot, given, heard)):
+    with mock.patch.object(
+        host, "Coordinator", lambda seed, settings: StubCoordinator(seed, settings, given, calls)
+    ):
         host.serve(io.BytesIO("".join(f"{line}\n" for line in given["lines"]).encode("latin-1")), sink)
-    return {"out": sink.getvalue().decode("latin-1"), "heard": heard}
+    return {"out": sink.getvalue().decode("latin-1"), "heard": calls}
--- a/tests/golden_settings.py
+++ b/tests/golden_settings.py
@@ -1,4 +1,4 @@
-"""The configuration as golden files hold it: settings to the module's values, by their paths on the wire."""
+"""Runs the cases of the golden files of the configuration: settings, load reports and files."""
 
 import json
 import os
@@ -12,10 +12,12 @@
 from indigohitch.settings import parse_load_report, parse_settings
 
 PACKAGE = Path(service.__file__).parent
-ASKED = re.compile(r'(?:\b(?:boot|bootstrap|settings)(?:\.get\(|\[)|\b(?:_figure|_numeric_setting)\()"(\w+)"')
+LOOKUP = re.compile(
+    r'(?:\b(?:boot|bootstrap|settings)(?:\.get\(|\[)|\b(?:_figure|_numeric_setting)\()"(\w+)"'
+)
 
-# Path on the wire: the name that the module asks its value by.
-READ_AS = {
+# Path on the wire: the name under which the decision module reads the value.
+SETTING_NAMES = {
     "balancers": "coordinators",
     "slot-no": "own_number",
     "zone": "zone",
@@ -86,42 +88,42 @@
 }
 
 
-def _method(m) -> dict:
+def _method(method) -> dict:
     return {
-        "name": m.name,
-        "soft deadline": m.soft_deadline,
-        "deadline": m.deadline,
-        "criticality": m.criticality,
-        "repeat": m.repeat,
-        "dedup scope": m.dedup_scope,
-        "memory span": m.memory_span,
+        "name": method.name,
+        "soft deadline": method.soft_deadline,
+        "deadline": method.deadline,
+        "criticality": method.criticality,
+        "repeat": method.repeat,
+        "dedup scope": method.dedup_scope,
+        "memory span": method.memory_span,
     }
 
 
 def settings(given: dict) -> dict:
-    """The start settings: each value by its path on the wire, the methods and the report's columns."""
+    """Parses start settings; returns values by path on the wire, methods and load report columns."""
     try:
-        found, columns = parse_settings(given)
+        parsed, columns = parse_settings(given)
     except ValueError:
         return {"refused": True}
-    assert found.keys() <= {*READ_AS.values(), "methods"}
+    assert parsed.keys() <= {*SETTING_NAMES.values(), "methods"}
     return {
-        "values": {path: found[name] for path, name in READ_AS.items() if name in found},
-        "methods": [_method(method) for method in found["methods"]],
+        "values": {path: parsed[name] for path, name in SETTING_NAMES.items() if name in parsed},
+        "methods": [_method(method) for method in parsed["methods"]],
         "columns": columns,
     }
 
 
 def load(given: list) -> dict:
-    """A load report out of its pairs of name and value."""
+    """Parses a load report given as (name, value) pairs."""
     return parse_load_report(given)
 
 
-class Watched(dict):
-    """Knows which of its keys were asked for."""
+class ReadRecordingDict(dict):
+    """Records which of its keys were read."""
 
-    def __init__(self, found: dict) -> None:
-        super().__init__(found)
+    def __init__(self, values: dict) -> None:
+        super().__init__(values)
         self.read: set[str] = set()
 
     def __getitem__(self, key: str) -> object:
@@ -130,20 +132,20 @@
 
 
 def configuration(given: dict) -> dict:
-    """The file of BALANCER_CONFIG and the variables beside it, up to what the front takes from them."""
+    """Reads the file that BALANCER_CONFIG names and the environment; returns what the front uses."""
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "c.json")
         with open(path, "w", encoding="ascii") as file:
             json.dump(given["file"], file)
         environ = given["environ"] | {"BALANCER_CONFIG": path}
-        found = service.read_configuration(environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY")
-    found["limits"] = Watched(found["limits"])
-    seed, _, boot, columns, known, addresses, store, discovery = Front._read(found)
+        loaded = service.read_configuration(environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY")
+    loaded["limits"] = ReadRecordingDict(loaded["limits"])
+    seed, _, start_settings, columns, known, addresses, store, discovery = Front._read(loaded)
     return {
-        "listen": found["listen"],
+        "listen": loaded["listen"],
         "seed": seed,
-        "limits read": sorted(found["limits"].read),
-        "discovery asked": boot[READ_AS["discovery"]],
+        "limits read": sorted(loaded["limits"].read),
+        "discovery asked": start_settings[SETTING_NAMES["discovery"]],
         "columns": columns,
         "known": plain(known),
         "addresses": addresses,
@@ -152,7 +154,7 @@
     }
 
 
-def asked_for() -> set[str]:
-    """The names by which the module and the platform's front ask for values of the settings."""
+def requested_names() -> set[str]:
+    """Returns the setting names that the sources of the decision module and the front look up."""
     paths = [*(PACKAGE / "logic").glob("*.py"), *(PACKAGE / "platform_protocol").glob("*.py")]
-    return {name for path in paths for name in ASKED.findall(path.read_text())}
+    return {name for path in paths for name in LOOKUP.findall(path.read_text())}
--- a/tests/golden_wire.py
+++ b/tests/golden_wire.py
@@ -1,130 +1,148 @@
-"""What the tests of golden wire files share: the files, and events and orders in words that no name in the
-program has a part in.
+"""Reads golden files of the wire protocols, and converts events and orders to and from their JSON form.
 
-A file holds one case a line, `{"given": ..., "gives": ...}`.  Bytes stand in it as text, each byte one
-character (latin-1).  A rename in the program changes the attributes named here, never the files."""
+A file holds one case per line: `{"given": ..., "gives": ...}`.  Bytes are stored as text with one character
+per byte (latin-1).  The keys of events and orders in the files are independent of names in the program: a
+rename in the program changes the attributes in this module, never the files.
+"""
 
 import json
 from pathlib import Path
 
-from indigohitch import interface as face
+from indigohitch import interface
 
 FOLDER = Path(__file__).resolve().parent / "golden" / "wire"
 
 
 def cases(name: str) -> list[dict]:
-    """The cases of a file, in order."""
+    """Returns the cases of a file, in order."""
     return [json.loads(line) for line in (FOLDER / name).read_text("ascii").splitlines()]
 
 
-def text(found: object) -> str:
-    """As it stands in a file: tells 1 from 1.0, and one order of keys from another."""
-    return json.dumps(found)
+def text(value: object) -> str:
+    """Returns a value as JSON, in which 1 differs from 1.0 and the order of keys matters."""
+    return json.dumps(value)
 
 
 def check(name: str, function) -> list[dict]:
-    """Every case of a file gives what it gave when the file was written; returns the cases."""
-    found = cases(name)
-    assert found
-    for case in found:
+    """Asserts that `function` returns the recorded result of every case of a file; returns the cases."""
+    all_cases = cases(name)
+    assert all_cases
+    for case in all_cases:
         assert text(function(case["given"])) == text(case["gives"]), case["given"]
-    return found
+    return all_cases
 
 
-def _entry(e: face.BackendEntry) -> dict:
+def _entry(entry: interface.BackendEntry) -> dict:
     return {
-        "backend": e.backend,
-        "state": e.state,
-        "weight": e.weight,
-        "zone": e.zone,
-        "cell": e.cell,
-        "machine": e.kind,
-        "started": e.started_at,
+        "backend": entry.backend,
+        "state": entry.state,
+        "weight": entry.weight,
+        "zone": entry.zone,
+        "cell": entry.cell,
+        "machine": entry.kind,
+        "started": entry.started_at,
     }
 
 
-def entries(found) -> list[dict]:
-    return [_entry(e) for e in found]
+def entries(backends) -> list[dict]:
+    return [_entry(backend) for backend in backends]
 
 
-def _demand(e, what: str, where: str, number: int) -> dict:
+def _demand(event, name: str, number_key: str, number: int) -> dict:
     return {
-        "event": what,
-        where: number,
-        "method": e.method,
-        "total": e.total,
-        "unanswered": e.unanswered,
-        "elapsed": e.elapsed,
+        "event": name,
+        number_key: number,
+        "method": event.method,
+        "total": event.total,
+        "unanswered": event.unanswered,
+        "elapsed": event.elapsed,
     }
 
 
-def plain(e: face.Event) -> dict:
-    """An event by explicit keys."""
-    match e:
-        case face.BackendList():
-            return {"event": "list", "scope": e.scope, "version": e.version, "entries": entries(e.entries)}
-        case face.ProbeResult():
+def plain(event: interface.Event) -> dict:
+    """Returns an event in the form of the golden files."""
+    match event:
+        case interface.BackendList():
+            return {
+                "event": "list",
+                "scope": event.scope,
+                "version": event.version,
+                "entries": entries(event.entries),
+            }
+        case interface.ProbeResult():
             return {
                 "event": "probe answer",
-                "backend": e.backend,
-                "outcome": e.outcome,
-                "duration": e.duration,
-                "load": e.load,
+                "backend": event.backend,
+                "outcome": event.outcome,
+                "duration": event.duration,
+                "load": event.load,
             }
-        case face.SliceDemand():
-            return _demand(e, "demand of a slice", "slice", e.slice)
-        case face.ProxyDemand():
-            return _demand(e, "demand of a proxy", "proxy", e.proxy)
-        case face.BackendTraffic():
+        case interface.SliceDemand():
+            return _demand(event, "demand of a slice", "slice", event.slice)
+        case interface.ProxyDemand():
+            return _demand(event, "demand of a proxy", "proxy", event.proxy)
+        case interface.BackendTraffic():
             return {
                 "event": "traffic",
-                "zone": e.zone,
-                "backend": e.backend,
-                "tries": e.attempts,
-                "failures": e.failures,
-                "duration": e.duration,
-                "elapsed": e.elapsed,
-                "load": e.load,
+                "zone": event.zone,
+                "backend": event.backend,
+                "tries": event.attempts,
+                "failures": event.failures,
+                "duration": event.duration,
+                "elapsed": event.elapsed,
+                "load": event.load,
             }
-        case face.ProxyJoined():
+        case interface.ProxyJoined():
             return {
                 "event": "proxy came",
-                "proxy": e.proxy,
-                "zone": e.zone,
-                "rate": e.request_rate,
-                "fresh": e.has_no_tables,
+                "proxy": event.proxy,
+                "zone": event.zone,
+                "rate": event.request_rate,
+                "fresh": event.has_no_tables,
+            }
+        case interface.ProxyLeft():
+            return {"event": "proxy went", "proxy": event.proxy}
+        case interface.UpdateAcknowledged():
+            return {
+                "event": "mark answered",
+                "proxy": event.proxy,
+                "mark": event.marker,
+                "duration": event.duration,
+            }
+        case interface.SliceOwnership():
+            return {"event": "slice owned", "slice": event.slice, "held": event.is_owned}
+        case interface.StoredRoute():
+            return {
+                "event": "line stored",
+                "slice": event.slice,
+                "backend": event.backend,
+                "weight": event.weight,
             }
-        case face.ProxyLeft():
-            return {"event": "proxy went", "proxy": e.proxy}
-        case face.UpdateAcknowledged():
-            return {"event": "mark answered", "proxy": e.proxy, "mark": e.marker, "duration": e.duration}
-        case face.SliceOwnership():
-            return {"event": "slice owned", "slice": e.slice, "held": e.is_owned}
-        case face.StoredRoute():
-            return {"event": "line stored", "slice": e.slice, "backend": e.backend, "weight": e.weight}
-        case face.PeerMessage():
-            return {"event": "peer said", "peer": e.peer, "body": e.body.decode("latin-1")}
-        case face.TimerFired():
-            return {"event": "timer", "tag": e.tag}
-    raise AssertionError(f"an event that no golden file knows: {e}")
+        case interface.PeerMessage():
+            return {"event": "peer said", "peer": event.peer, "body": event.body.decode("latin-1")}
+        case interface.TimerFired():
+            return {"event": "timer", "tag": event.tag}
+    raise AssertionError(f"an event without a form in the golden files: {event}")
 
 
 ORDERS = {
-    "set line": lambda o: face.SetRoute(o["table"], o["backend"], o["weight"]),
-    "clear table": lambda o: face.ClearTable(o["table"]),
-    "set level": lambda o: face.SetAdmission(o["table"], tuple(o["methods"]), o["level"], o["tries"]),
-    "withdraw": lambda o: face.EjectBackend(o["backend"], o["out"]),
-    "bind": lambda o: face.BindTable(o["proxy"], o["table"], tuple(o["methods"])),
-    "mark": lambda o: face.UpdateMarker(o["mark"], o["everyone"]),
-    "probe": lambda o: face.ProbeBackend(o["backend"]),
-    "tell peer": lambda o: face.SendToPeer(o["peer"], o["body"].encode("latin-1")),
-    "subscribe": lambda o: face.WatchBackends(o["on"]),
-    "fetch list": lambda o: face.FetchBackends(),
-    "set timer": lambda o: face.SetTimer(o["due"], o["tag"]),
-    "log line": lambda o: face.LogMessage(o["text"]),
+    "set line": lambda given: interface.SetRoute(given["table"], given["backend"], given["weight"]),
+    "clear table": lambda given: interface.ClearTable(given["table"]),
+    "set level": lambda given: interface.SetAdmission(
+        given["table"], tuple(given["methods"]), given["level"], given["tries"]
+    ),
+    "withdraw": lambda given: interface.EjectBackend(given["backend"], given["out"]),
+    "bind": lambda given: interface.BindTable(given["proxy"], given["table"], tuple(given["methods"])),
+    "mark": lambda given: interface.UpdateMarker(given["mark"], given["everyone"]),
+    "probe": lambda given: interface.ProbeBackend(given["backend"]),
+    "tell peer": lambda given: interface.SendToPeer(given["peer"], given["body"].encode("latin-1")),
+    "subscribe": lambda given: interface.WatchBackends(given["on"]),
+    "fetch list": lambda given: interface.FetchBackends(),
+    "set timer": lambda given: interface.SetTimer(given["due"], given["tag"]),
+    "log line": lambda given: interface.LogMessage(given["text"]),
 }
 
 
-def order(told: dict) -> face.Order:
-    """An order out of explicit keys."""
-    return ORDERS[told["order"]](told)
+def order(given: dict) -> interface.Order:
+    """Builds an order from the form of the golden files."""
+    return ORDERS[given["order"]](given)
--- a/tests/test_benchlink_isolation.py
+++ b/tests/test_benchlink_isolation.py
@@ -1,5 +1,7 @@
-"""Several instances on one wire, with settings far apart: the lines of each are those that it writes alone,
-however their batches and messages come one between the other."""
+"""Tests that coordinators with very different settings do not affect each other on one pipe to the bench.
+
+Each gives the lines that it gives alone, however their batches and messages are interleaved.
+"""
 
 import hashlib
 import random
@@ -17,7 +19,7 @@
 from indigohitch.benchlink.host import Host
 
 STATE, SCOPE, OUTCOME = (
-    {ours: wire for wire, ours in table.items()}
+    {internal: wire for wire, internal in table.items()}
     for table in (backend_lists._STATE, wire_messages._SCOPE, wire_messages._OUTCOME)
 )
 
@@ -28,141 +30,152 @@
 
 
 @pytest.fixture(autouse=True)
-def nothing_is_kept_at_module_or_class_level():
+def state_of_modules_and_classes_is_unchanged():
     before = apart.kept()
     assert len(before) > 10 and "indigohitch.benchlink.backend_lists._STATE" in before
     yield
     assert apart.kept() == before
 
 
-class Watched(Host):
-    """Keeps what each instance heard too: a load report read by another's columns may change no order."""
+class RecordingHost(Host):
+    """Records the events of each coordinator: a load report parsed by wrong columns may change no order."""
 
     def __init__(self):
         super().__init__()
-        self.heard = {}
+        self.events = {}
 
-    def _run(self, now, waiting, number):
-        self.heard[number] = [repr(event) for event in waiting.get(number) or ()]
-        super()._run(now, waiting, number)
+    def _run(self, now, pending_events, number):
+        self.events[number] = [repr(event) for event in pending_events.get(number) or ()]
+        super()._run(now, pending_events, number)
 
 
-def said(host):
-    """By instance, what it heard and the lines that it wrote, since the last time."""
-    found, host.heard = host.heard, {}
+def take_traffic(host):
+    """Returns by coordinator the events that it received and the lines that it wrote since the last call."""
+    traffic, host.events = host.events, {}
     for line in host.output:
         assert b"GiveIn" not in line, line
-        found[msgspec.json.decode(line)["coordinator"]].append(line)
+        traffic[msgspec.json.decode(line)["coordinator"]].append(line)
     host.output.clear()
-    return found
+    return traffic
 
 
-def alone(batches, number):
-    host, out = Watched(), []
-    for now, batch in batches:
+def run_alone(day, number):
+    host = RecordingHost()
+    results = []
+    for now, batch in day:
         host.handle_batch(now, flat(batch))
-        out.append(said(host).get(number, []))
-    return out
+        results.append(take_traffic(host).get(number, []))
+    return results
 
 
-def interleaved(host, days, split):
-    at, out = [0] * len(days), [[] for _ in days]
-    for place in split:
-        now, batch = days[place][at[place]]
+def run_interleaved(host, days, schedule):
+    next_batch = [0] * len(days)
+    results = [[] for _ in days]
+    for place in schedule:
+        now, batch = days[place][next_batch[place]]
         host.handle_batch(now, flat(batch))
-        found = said(host)
-        assert found.keys() <= {place}
-        out[place].append(found.get(place, []))
-        at[place] += 1
-    return out
+        traffic = take_traffic(host)
+        assert traffic.keys() <= {place}
+        results[place].append(traffic.get(place, []))
+        next_batch[place] += 1
+    return results
 
 
-def test_three_under_every_split_of_a_short_day(monkeypatch):
+def test_three_coordinators_in_every_interleaving_of_a_short_day_act_as_alone(monkeypatch):
     days = [batches(place, short(apart.day(place, monkeypatch, 5), 3 - place // 2)) for place in range(3)]
-    wanted, tried = [alone(day, place) for place, day in enumerate(days)], 0
-    assert all(len(set(map(tuple, orders))) == len(orders) for orders in wanted)
-    for split in splits(3, 3, 2):
-        assert interleaved(Watched(), days, split) == wanted, split
-        tried += 1
-    assert tried == 560
+    expected = [run_alone(day, place) for place, day in enumerate(days)]
+    count = 0
+    assert all(len(set(map(tuple, results))) == len(results) for results in expected)
+    for schedule in splits(3, 3, 2):
+        assert run_interleaved(RecordingHost(), days, schedule) == expected, schedule
+        count += 1
+    assert count == 560
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_three_under_drawn_splits_of_a_long_day(days, seed):
+def test_three_coordinators_in_random_interleavings_of_a_long_day_act_as_alone(days, seed):
     days = [batches(place, day) for place, day in enumerate(days)]
-    wanted = [alone(day, place) for place, day in enumerate(days)]
-    assert all(len(set(map(tuple, orders))) > 40 for orders in wanted)
-    assert interleaved(Watched(), days, shuffled(random.Random(seed), *map(len, days))) == wanted
+    expected = [run_alone(day, place) for place, day in enumerate(days)]
+    assert all(len(set(map(tuple, results))) > 40 for results in expected)
+    assert run_interleaved(RecordingHost(), days, shuffled(random.Random(seed), *map(len, days))) == expected
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_messages_of_three_in_each_batch(days, seed):
-    """All three in one batch, message between message, each list under the same number."""
+def test_three_coordinators_with_interleaved_messages_in_each_batch_act_as_alone(days, seed):
+    """All three use the same list number, so a list must be resolved before the next one replaces it."""
     days = [
         batches(place, [(now, events) for (now, _), (_, events) in zip(days[0], day)])
         for place, day in enumerate(days)
     ]
     count = min(map(len, days))
-    wanted = [alone(day[:count], place) for place, day in enumerate(days)]
-    host, rng, out = Watched(), random.Random(seed), [[] for _ in days]
-    for n in range(count):
-        left, mixed = [list(day[n][1]) for day in days], []
-        for place in shuffled(rng, *map(len, left)):
-            mixed += left[place].pop(0)
-        host.handle_batch(days[0][n][0], mixed)
-        found = said(host)
+    expected = [run_alone(day[:count], place) for place, day in enumerate(days)]
+    host = RecordingHost()
+    rng = random.Random(seed)
+    results = [[] for _ in days]
+    for index in range(count):
+        groups_left = [list(day[index][1]) for day in days]
+        messages = []
+        for place in shuffled(rng, *map(len, groups_left)):
+            messages += groups_left[place].pop(0)
+        host.handle_batch(days[0][index][0], messages)
+        traffic = take_traffic(host)
         for place in range(3):
-            out[place].append(found.get(place, []))
-    assert out == wanted
+            results[place].append(traffic.get(place, []))
+    assert results == expected
 
 
-def test_one_that_comes_back_with_other_settings_is_a_new_one(days):
-    """Under the number of one that was switched off, in the batch of its end or later."""
-    host, other = Watched(), alone(batches(2, days[2], 0), 0)
-    off = [incoming.decode(b'{"type":"PowerOff","coordinator":0}')]
-    for together in (False, True):
+def test_a_restart_under_the_same_number_with_other_settings_starts_fresh(days):
+    """The restart comes in the batch with the `PowerOff` message or in a later one."""
+    host = RecordingHost()
+    expected = run_alone(batches(2, days[2], 0), 0)
+    power_off = [incoming.decode(b'{"type":"PowerOff","coordinator":0}')]
+    for in_same_batch in (False, True):
         for now, batch in batches(1, days[1], 0)[:40]:
             host.handle_batch(now, flat(batch))
-        said(host)
-        if not together:
-            host.handle_batch(now, off)
-            assert not said(host) and not host.instances
-        out = []
-        for n, (now, batch) in enumerate(batches(2, days[2], 0)):
-            host.handle_batch(now, [*(off if together and n == 0 else ()), *flat(batch)])
-            out.append(said(host).get(0, []))
-        assert out == other
-
-
-OWN_PROCESS = """
+        take_traffic(host)
+        if not in_same_batch:
+            host.handle_batch(now, power_off)
+            assert not take_traffic(host) and not host.instances
+        results = []
+        for index, (now, batch) in enumerate(batches(2, days[2], 0)):
+            host.handle_batch(now, [*(power_off if in_same_batch and index == 0 else ()), *flat(batch)])
+            results.append(take_traffic(host).get(0, []))
+        assert results == expected
+
+
+RUN_ALONE_SCRIPT = """
 import sys; sys.path[:0] = ["tests", "."]
-import hashlib, pytest, apart, test_benchlink_isolation as wire
+import hashlib, pytest, apart, test_benchlink_isolation as isolation
 day = apart.day({0}, pytest.MonkeyPatch())
 print(hashlib.blake2b(b"".join(apart.alone({0}, day))).hexdigest())
-print(hashlib.blake2b(repr(wire.alone(wire.batches({0}, day), {0})).encode()).hexdigest())
+print(hashlib.blake2b(repr(isolation.run_alone(isolation.batches({0}, day), {0})).encode()).hexdigest())
 """
 
 
-def test_each_as_in_a_process_of_its_own(days):
-    """What the first one leaves in the process would be in all that is tried here, also of one alone."""
+def test_interleaved_coordinators_act_as_in_separate_processes(days):
+    """State left behind in this process would affect runs alone too, so these run in separate processes."""
 
-    def own(place):
+    def digests_of_own_process(place):
         return subprocess.run(
-            [sys.executable, "-c", OWN_PROCESS.format(place)],
+            [sys.executable, "-c", RUN_ALONE_SCRIPT.format(place)],
             capture_output=True,
             check=True,
             text=True,
             cwd=Path(__file__).parents[1],
         ).stdout.split()
 
-    wanted = [own(place) for place in range(3)]
-    split = shuffled(random.Random(9), *map(len, days))
-    ones, at, ordered = [apart.instance(place) for place in range(3)], [0] * 3, [b""] * 3
-    for place in split:
-        ordered[place] += apart.letters(ones[place].handle(*days[place][at[place]]))
-        at[place] += 1
-    lines = interleaved(Watched(), [batches(place, day) for place, day in enumerate(days)], split)
-    assert wanted == [
-        [hashlib.blake2b(one).hexdigest(), hashlib.blake2b(repr(other).encode()).hexdigest()]
-        for one, other in zip(ordered, lines)
+    expected = [digests_of_own_process(place) for place in range(3)]
+    schedule = shuffled(random.Random(9), *map(len, days))
+    coordinators = [apart.instance(place) for place in range(3)]
+    next_batch = [0] * 3
+    orders = [b""] * 3
+    for place in schedule:
+        orders[place] += apart.letters(coordinators[place].handle(*days[place][next_batch[place]]))
+        next_batch[place] += 1
+    lines = run_interleaved(
+        RecordingHost(), [batches(place, day) for place, day in enumerate(days)], schedule
+    )
+    assert expected == [
+        [hashlib.blake2b(encoded).hexdigest(), hashlib.blake2b(repr(results).encode()).hexdigest()]
+        for encoded, results in zip(orders, lines)
     ]
--- a/tests/test_coordinator_isolation.py
+++ b/tests/test_coordinator_isolation.py
@@ -1,5 +1,8 @@
-"""Instances with settings far apart in one process: each acts as it does alone, to the byte, however they
-come one between the other; and nothing at module or class level keeps what came with any of them."""
+"""Tests that coordinators with very different settings do not affect each other in one process.
+
+Each gives byte for byte the orders that it gives alone, however their batches are interleaved, and no module
+or class keeps state of any of them.
+"""
 
 import copy
 import os
@@ -29,27 +32,32 @@
 
 
 @pytest.fixture(autouse=True)
-def nothing_is_kept_at_module_or_class_level():
+def state_of_modules_and_classes_is_unchanged():
     before = apart.kept()
     assert len(before) > 10 and "indigohitch.logic.event_handlers.EVENT_HANDLERS" in before
     yield
     assert apart.kept() == before
 
 
-def ordered(one, now, events):
-    return letters(one.handle(now, events))
+def encoded_orders(coordinator, now, events):
+    return letters(coordinator.handle(now, events))
+
 
+def run_interleaved(places, days, schedule, make=instance, handle=encoded_orders):
+    """Runs the batches of the days at `places` in the order of `schedule`, which holds indexes of `places`.
 
-def interleaved(who, days, split, make=instance, hand=ordered):
-    """Each is made when its first batch comes; by place in `who`, what it ordered."""
-    ones, at, out = {}, [0] * len(who), [[] for _ in who]
-    for place in split:
-        if place not in ones:
-            ones[place] = make(who[place])
-        now, events = days[who[place]][at[place]]
-        out[place].append(hand(ones[place], now, events))
-        at[place] += 1
-    return out
+    An instance is created at its first batch.  Returns the results of `handle` for each of `places`.
+    """
+    instances = {}
+    next_batch = [0] * len(places)
+    results = [[] for _ in places]
+    for index in schedule:
+        if index not in instances:
+            instances[index] = make(places[index])
+        now, events = days[places[index]][next_batch[index]]
+        results[index].append(handle(instances[index], now, events))
+        next_batch[index] += 1
+    return results
 
 
 @pytest.fixture
@@ -57,82 +65,87 @@
     return [apart.day(place, monkeypatch, 5) for place in range(len(ALL))]
 
 
-@pytest.mark.parametrize("who", PAIRS)
-def test_two_under_every_split_of_a_short_day(short_days, who):
+@pytest.mark.parametrize("places", PAIRS)
+def test_two_coordinators_in_every_interleaving_of_a_short_day_act_as_alone(short_days, places):
     days = [short(day, 6) for day in short_days]
-    wanted = [alone(place, days[place]) for place in who]
-    assert min(len(set(orders)) for orders in wanted) > 4 and wanted[0] != wanted[1]
-    tried = 0
-    for split in splits(6, 6):
-        assert interleaved(who, days, split) == wanted, split
-        tried += 1
-    assert tried == 924
-
-
-def test_three_under_every_split_of_a_shorter_day(short_days):
-    days, who = [short(day, 3) for day in short_days], (0, 1, 2)
-    wanted = [alone(place, days[place]) for place in who]
-    tried = 0
-    for split in splits(3, 3, 3):
-        assert interleaved(who, days, split) == wanted, split
-        tried += 1
-    assert tried == 1680
+    expected = [alone(place, days[place]) for place in places]
+    assert min(len(set(orders)) for orders in expected) > 4 and expected[0] != expected[1]
+    count = 0
+    for schedule in splits(6, 6):
+        assert run_interleaved(places, days, schedule) == expected, schedule
+        count += 1
+    assert count == 924
+
+
+def test_three_coordinators_in_every_interleaving_of_a_shorter_day_act_as_alone(short_days):
+    days = [short(day, 3) for day in short_days]
+    places = (0, 1, 2)
+    expected = [alone(place, days[place]) for place in places]
+    count = 0
+    for schedule in splits(3, 3, 3):
+        assert run_interleaved(places, days, schedule) == expected, schedule
+        count += 1
+    assert count == 1680
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_three_under_drawn_splits_of_a_long_day(days, seed):
-    who = (0, 1, 2)
-    wanted = [alone(place, days[place]) for place in who]
-    assert all(len(set(orders)) > 50 for orders in wanted)
-    assert interleaved(who, days, shuffled(random.Random(seed), *map(len, days))) == wanted
+def test_three_coordinators_in_random_interleavings_of_a_long_day_act_as_alone(days, seed):
+    places = (0, 1, 2)
+    expected = [alone(place, days[place]) for place in places]
+    assert all(len(set(orders)) > 50 for orders in expected)
+    assert run_interleaved(places, days, shuffled(random.Random(seed), *map(len, days))) == expected
 
 
-def test_two_with_the_same_settings_share_nothing_either(days):
-    """What an instance holds under the id of a backend is its own: the second hears less of it."""
+def test_two_coordinators_with_the_same_settings_share_nothing(days):
+    """Both see the same backend IDs, but the second receives only a part of the events."""
     days = [days[0], days[0][:1] + days[0][40:]]
-    wanted = [alone(0, day) for day in days]
+    expected = [alone(0, day) for day in days]
     rng = random.Random(1)
-    assert interleaved((0, 1), days, shuffled(rng, *map(len, days)), make=lambda who: instance(0)) == wanted
+    assert (
+        run_interleaved((0, 1), days, shuffled(rng, *map(len, days)), make=lambda place: instance(0))
+        == expected
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_one_that_is_taken_over_between_the_others(days, seed):
-    """Frozen and thawed in one process, as a copy is to try a state: it draws no chance of the others."""
-    who, boots = (0, 1, 2), [parse_settings(settings)[0] for settings in ALL]
-
-    def hand(one, now, events):
-        made = letters(one.handle(now, events))
-        again = thaw(freeze(one), boots[boots.index(one.settings)])
-        one.__dict__.update(again.__dict__)
-        return made
-
-    assert interleaved(who, days, shuffled(random.Random(seed), *map(len, days)), hand=hand) == [
-        alone(place, days[place]) for place in who
+def test_freezing_and_thawing_between_batches_of_others_changes_nothing(days, seed):
+    """A copy for trying a state runs in the same process; it must not draw random numbers of the others."""
+    places = (0, 1, 2)
+    parsed_settings = [parse_settings(settings)[0] for settings in ALL]
+
+    def handle(coordinator, now, events):
+        orders = letters(coordinator.handle(now, events))
+        thawed = thaw(freeze(coordinator), parsed_settings[parsed_settings.index(coordinator.settings)])
+        coordinator.__dict__.update(thawed.__dict__)
+        return orders
+
+    assert run_interleaved(places, days, shuffled(random.Random(seed), *map(len, days)), handle=handle) == [
+        alone(place, days[place]) for place in places
     ]
 
 
-# ---- what stays in the process ---------------------------------------------------------------------
+# ---- inputs ----------------------------------------------------------------------------------------
 
 
-def test_what_is_handed_in_stays_as_it_was(days):
-    boots = [parse_settings(settings) for settings in ALL]
-    given = copy.deepcopy((ALL, boots, days))
-    interleaved(
+def test_inputs_are_not_modified(days):
+    parsed_settings = [parse_settings(settings) for settings in ALL]
+    before = copy.deepcopy((ALL, parsed_settings, days))
+    run_interleaved(
         (0, 1, 2),
         days,
         shuffled(random.Random(1), *map(len, days)),
-        make=lambda place: Coordinator(7, boots[place][0]),
+        make=lambda place: Coordinator(7, parsed_settings[place][0]),
     )
-    assert (ALL, boots, days) == given
+    assert (ALL, parsed_settings, days) == before
 
 
-# ---- two of the platform's fronts ------------------------------------------------------------------
+# ---- the platform's fronts -------------------------------------------------------------------------
 
 
 def front(place, loop):
-    """Its relay's calls and what it asks of others are kept as words; nothing goes out."""
+    """Creates a front that records its relay calls, probes and subscriptions as text and sends nothing."""
     limits = {"cores": 1.0, "memory_mb": 64 << place, "sockets": 512 << place}
-    made = Front(
+    created = Front(
         loop,
         Log(loop.clock, f"n{place}", os.open(os.devnull, os.O_WRONLY)),
         {
@@ -146,19 +159,23 @@
             "store": {"address": free_address()},
         },
     )
-    made.out = []
-    methods = made.relay.methods
-    made.relay.order = lambda orders: made.out.extend(encode_order(order, methods) for order in orders)
-    made.probes.send = lambda backend, at: made.out.append(f"probe {backend} {made.probes.path}")
-    made.discovery.subscribe = lambda on: made.out.append("subscribe")
-    return made
+    created.recorded = []
+    methods = created.relay.methods
+    created.relay.order = lambda orders: created.recorded.extend(
+        encode_order(order, methods) for order in orders
+    )
+    created.probes.send = lambda backend, due_at: created.recorded.append(
+        f"probe {backend} {created.probes.path}"
+    )
+    created.discovery.subscribe = lambda enabled: created.recorded.append("subscribe")
+    return created
 
 
-def heard(front, now, events):
-    front.out = []
+def front_results(front, now, events):
+    front.recorded = []
     front.handle(now, events)
     return (
-        tuple(front.out),
+        tuple(front.recorded),
         front.log.counts["decision_rounds"],
         front.event_batch.min_interval,
         front.relay.channel_limits.message_rate.max_messages,
@@ -169,16 +186,19 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_fronts_in_one_process(days, seed):
-    loop, made = EventLoop(Clock(), lambda broken: pytest.fail(repr(broken))), []
+def test_three_fronts_in_one_process_act_as_alone(days, seed):
+    loop = EventLoop(Clock(), lambda error: pytest.fail(repr(error)))
+    fronts = []
 
     def make(place):
-        made.append(front(place, loop))
-        return made[-1]
-
-    wanted = [interleaved((place,), days, [0] * len(days[place]), make, heard)[0] for place in range(3)]
-    assert all(len({words for words, *_ in orders}) > 5 for orders in wanted)
-    split = shuffled(random.Random(seed), *map(len, days))
-    assert interleaved((0, 1, 2), days, split, make, heard) == wanted
-    for one in made:
-        one.close()
+        fronts.append(front(place, loop))
+        return fronts[-1]
+
+    expected = [
+        run_interleaved((place,), days, [0] * len(days[place]), make, front_results)[0] for place in range(3)
+    ]
+    assert all(len({recorded for recorded, *_ in results}) > 5 for results in expected)
+    schedule = shuffled(random.Random(seed), *map(len, days))
+    assert run_interleaved((0, 1, 2), days, schedule, make, front_results) == expected
+    for created in fronts:
+        created.close()
--- a/tests/test_golden_settings.py
+++ b/tests/test_golden_settings.py
@@ -1,30 +1,30 @@
-"""The configuration as golden files pin it: what the module gets of each setting."""
+"""Tests that settings, load reports and configuration files are parsed as the golden files record."""
 
 import golden_settings
 from golden_wire import cases, check
 
 
-def test_settings():
-    found = check("settings.jsonl", golden_settings.settings)
-    assert found[0]["gives"]["values"].keys() == golden_settings.READ_AS.keys()
-    assert {"refused": True} in [case["gives"] for case in found]
+def test_settings_are_parsed_as_recorded():
+    results = check("settings.jsonl", golden_settings.settings)
+    assert results[0]["gives"]["values"].keys() == golden_settings.SETTING_NAMES.keys()
+    assert {"refused": True} in [case["gives"] for case in results]
 
 
-def test_each_value_of_the_first_case_shows_its_setting():
-    """No two are alike, so none can stand for another unseen."""
+def test_the_values_of_the_first_case_all_differ():
+    """A parser that confuses two settings would go unnoticed if their values were equal."""
     values = list(cases("settings.jsonl")[0]["gives"]["values"].values())
     assert len(set(values)) == len(values)
 
 
-def test_load_reports():
+def test_load_reports_are_parsed_as_recorded():
     check("load_reports.jsonl", golden_settings.load)
 
 
-def test_the_configuration_and_its_variables():
+def test_configuration_files_and_environment_are_read_as_recorded():
     check("configuration.jsonl", golden_settings.configuration)
 
 
-def test_each_value_that_is_asked_for_is_one_that_is_read():
-    """A value asked for by a name that nothing reads would be its default without a word."""
-    asked = golden_settings.asked_for()
-    assert len(asked) > 20 and asked <= {*golden_settings.READ_AS.values(), "methods"}
+def test_each_setting_that_is_looked_up_is_one_that_is_parsed():
+    """A lookup of a name that the parser never sets would silently return the default."""
+    names = golden_settings.requested_names()
+    assert len(names) > 20 and names <= {*golden_settings.SETTING_NAMES.values(), "methods"}
