--- a/indigohitch/platform_protocol/configuration_changes.py
+++ b/indigohitch/platform_protocol/configuration_changes.py
@@ -4,13 +4,14 @@
 
 from typing import Any
 
-# These are read again at a reload or are new with each start; "settings" is compared by its entries.
-NOT_COMPARED = frozenset({"store", "discovery", "settings", "known", "seed"})
+# A reload applies "store" and "discovery"; "known" and "seed" differ at each start; "settings" is
+# compared entry by entry.
+IGNORED_ENTRIES = frozenset({"store", "discovery", "settings", "known", "seed"})
 
 
-def names_of_changes(current: dict[str, Any], new: dict[str, Any]) -> list[str]:
-    """Names of the entries that differ, sorted; those of the settings follow as `settings.NAME`."""
-    names = [name for name in _differing(current, new) if name not in NOT_COMPARED]
+def changed_entry_names(current: dict[str, Any], new: dict[str, Any]) -> list[str]:
+    """Return the sorted names of the entries that differ, then those of the settings as `settings.NAME`."""
+    names = [name for name in _differing(current, new) if name not in IGNORED_ENTRIES]
     return names + [f"settings.{name}" for name in _differing(current["settings"], new["settings"])]
 
 
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -20,7 +20,7 @@
 from .backend_source import BackendSource, ListCallback
 from .backend_start_times import BackendStartTimes
 from .channel_backlog import ChannelBacklog
-from .configuration_changes import names_of_changes
+from .configuration_changes import changed_entry_names
 from .discovery import Discovery
 from .drain_monitor import DrainMonitor
 from .front_configuration import FrontConfiguration
@@ -37,7 +37,7 @@
     """A running front: the decision module with its connections and the state of the platform."""
 
     MAX_REMOVED_IDS = 256  # unlisted ids still accepted, as many as the decision module keeps
-    RESTART_DELAY = SECOND // 2  # before a new module gets the full state: the cause may persist
+    RESTART_DELAY = SECOND // 2  # before a new module gets the full state: the same error may recur at once
     _read = staticmethod(FrontConfiguration.from_document)
 
     def __init__(
@@ -50,8 +50,8 @@
     ) -> None:
         """Create a front from its configuration; `source` replaces discovery as the source of backends.
 
-        Raises ValueError and KeyError for a configuration that can't be parsed, and OSError if the address
-        can't be listened on.
+        Raises ValueError or KeyError if the configuration can't be parsed, and OSError if listening on the
+        address fails.
         """
         self.loop = loop
         self.log = log
@@ -64,9 +64,8 @@
         self.start_times = BackendStartTimes()
         known = self.start_times.to_local_clock(parsed.known_backends, loop.clock.now(), loop.clock.wall())
         self.entries = {entry.backend: entry for entry in known.entries}
-        self.known_backend_ids = dict.fromkeys(
-            self.entries
-        )  # oldest first: reports on removed ones arrive late
+        # Oldest first.  Removed backends stay for a while, as reports on them arrive late.
+        self.known_backend_ids = dict.fromkeys(self.entries)
         self.event_batch = EventBatch(loop, self.settings.get("batch_gap", 0), self.handle)
         self.add_events = self.event_batch.add
         self.add_events(known)
@@ -150,7 +149,7 @@
         return self.addresses.get(backend)
 
     def _numeric_setting(self, name: str) -> float:
-        """Return a setting, or 0 if it is no number: then it sets no bound here."""
+        """Return a setting, or 0, which means no limit, if it is not a number."""
         value = self.settings.get(name, 0)
         return value if isinstance(value, (int, float)) else 0
 
@@ -164,7 +163,7 @@
         Other differences need a restart and are logged by name.
         """
         parsed = self._read(document)
-        needs_restart = names_of_changes(self.configuration, document)
+        needs_restart = changed_entry_names(self.configuration, document)
         moved = [
             self.discovery.move(parsed.discovery_address),
             self.relay.move(parsed.store_address),
@@ -206,7 +205,7 @@
         self.order_executor.execute(orders)
 
     def _order_repairs(self, orders: list[face.Order]) -> None:
-        """Order repairs of the store, which come one slice at a time, as one call."""
+        """Queue repairs of the store, which arrive one slice at a time, as one call."""
         self.relay.order(orders, joins=True)
 
     def _on_orders_applied(self, orders: list[face.Order]) -> None:
@@ -214,7 +213,7 @@
         self.drain_monitor.on_applied(orders)
 
     def on_relay_events(self, *events: face.Event) -> None:
-        """Apply events of the store to the relay and pass them on."""
+        """Apply events of the store to the relay and pass them to the decision module."""
         for event in events:
             match event:
                 case face.UpdateAcknowledged(proxy, marker):
@@ -224,7 +223,7 @@
         self.add_events(*events)
 
     def on_backend_list(self, received: face.BackendList, addresses: dict[str, str]) -> None:
-        """Apply a list from the source of backends and pass it on."""
+        """Apply a list from the source of backends and pass it to the decision module."""
         update = self.start_times.to_local_clock(received, self.loop.clock.now(), self.loop.clock.wall())
         log_list(self.log, self.entries, update)
         if update.scope == "full":
@@ -235,7 +234,7 @@
             self.entries[entry.backend] = entry
             self.known_backend_ids.pop(entry.backend, None)
             self.known_backend_ids[entry.backend] = None
-            if entry.state == "gone":  # else the ids of replaced machines would accumulate
+            if entry.state == "gone":  # otherwise the ids of replaced machines would accumulate
                 del self.entries[entry.backend], self.addresses[entry.backend]
         removed = [backend for backend in self.known_backend_ids if backend not in self.entries]
         for backend in removed[: -self.MAX_REMOVED_IDS]:
@@ -245,5 +244,5 @@
 
     def close(self) -> None:
         """Close all connections."""
-        for part in (self.relay_watch, self.relay, self.discovery, self.probes, self.inbound):
-            part.close()
+        for component in (self.relay_watch, self.relay, self.discovery, self.probes, self.inbound):
+            component.close()
--- a/indigohitch/platform_protocol/front_configuration.py
+++ b/indigohitch/platform_protocol/front_configuration.py
@@ -27,10 +27,10 @@
     def from_document(cls, document: dict[str, Any]) -> FrontConfiguration:
         """Parse the whole document before any of it takes effect.
 
-        Raises ValueError and KeyError for what can't be parsed.
+        Raises ValueError or KeyError if an entry can't be parsed.
         """
         settings, columns = parse_settings(document["settings"])
-        settings["discovery"] = "ask"  # over sockets nothing is pushed, even if the settings say `push`
+        settings["discovery"] = "ask"  # nothing is pushed over sockets, even if the settings say `push`
         known_backends, addresses = parse_backend_list(document["known"], remembered=True)
         return cls(
             int(str(document["seed"]), 16),
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -1,4 +1,4 @@
-"""Converts the platform's front to plain data and back, for an upgrade."""
+"""Converts the state of a front to plain data and back, for an upgrade."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def front_state(front: Front) -> shots.CoordinatorState:
-    """Return the state of the front as rows."""
+    """Return the state of the front as serializable rows."""
     relay = front.relay
     store_mirror = front.store_mirror
     return shots.CoordinatorState(
@@ -50,7 +50,7 @@
 def restore_front(front: Front, state: shots.CoordinatorState) -> None:
     """Load the state into a front that has not started."""
     front.coordinator = thaw(state.module, front.settings)
-    front.event_batch.take()  # the list of the configuration is older than the state
+    front.event_batch.take()  # the backend list of the configuration is older than the state
     front.entries = {entry.backend: entry for entry in map(event_codec.unpack_entry, state.listed)}
     front.addresses = dict(state.addresses)
     front.start_times.starts_by_backend = {
@@ -58,14 +58,14 @@
     }
     front.start_times.last_list_at = state.list_heard
     front.known_backend_ids.clear()
-    front.known_backend_ids.update(dict.fromkeys(state.heard_of))  # the line parser shares this dict
+    front.known_backend_ids.update(dict.fromkeys(state.heard_of))  # in place: the message parser shares it
     front.discovery.restore(state.version)
     relay = front.relay
     store_mirror = front.store_mirror
     relay.is_paused = True
-    waiting = [[event_codec.unpack(order) for order in call] for call in state.waiting]
+    pending_calls = [[event_codec.unpack(order) for order in call] for call in state.waiting]
     relay.restore(
-        waiting, state.written, state.failures, [event_codec.unpack(order) for order in state.maybe]
+        pending_calls, state.written, state.failures, [event_codec.unpack(order) for order in state.maybe]
     )
     _restore_backlog(front)
     store_mirror.proxies = {joined.proxy: joined for joined in map(event_codec.unpack, state.proxies)}
@@ -91,7 +91,8 @@
         for marker, (lines, proxies) in channel.unacked.items()
         if marker not in unsent
     ]
-    # All lines: the decision module counts from the order, and a call may have been sent much later.
+    # No line counts as drained yet: the decision module counts from the time of the order, and a call may
+    # have been sent much later.
     relay.backlog.calls = calls
     relay.backlog.updated_at = front.loop.clock.now()
     relay.backlog.lines = sum(call.lines for call in calls)
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -1,9 +1,9 @@
 """Handover of the platform's front to the next process: its state and its connections.
 
-Inbound connections are passed on with their unfinished line.  Pending relay calls are passed on too: none is
-in flight while the snapshot is taken, so each is sent by one process, and the send times of earlier calls
-count in the next process.  The watches on the store and on discovery and the probes start again, as after a
-reconnect.
+Inbound connections are passed on with their incomplete line.  Pending relay calls are passed on too: none is
+in flight while the snapshot is taken, so each is sent by one process only, and the next process applies the
+rate limits with the send times of earlier calls.  The watches on the store and on discovery and the probes
+start again, as after a reconnect.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from .. import interface as face
 from ..logic.state import DEPARTING_STATES
-from ..net.connection import Connection as Wire
+from ..net.connection import Connection
 from ..net.listener import Listener
 from ..upgrade import event_codec
 from ..upgrade import snapshot as shots
@@ -25,44 +25,44 @@
 from .front import Front
 from .front_state import front_state, restore_front
 
-# Events that the old process receives after the snapshot and passes on; the new process requests everything
+# Events that the old process forwards if they arrive after the snapshot.  The new process requests everything
 # else itself and repeats unanswered probes.
-HANDED_ON = (face.SliceDemand, face.ProxyDemand, face.BackendTraffic, face.UpdateAcknowledged)
+FORWARDED_EVENTS = (face.SliceDemand, face.ProxyDemand, face.BackendTraffic, face.UpdateAcknowledged)
 
 
 class CoordinatorHandover:
     """Hands over a front; implements upgrade.handover_participant.
 
-    In the new process `make(listening_socket)` creates the front.
+    In the new process `create_front(listening_socket)` creates the front.
     """
 
     def __init__(
         self,
         front: Front | None,
-        make: Callable[[socket.socket | None], Front],
-        controls: Callable[[], Listener | None],
-        control_taken: Callable[[socket.socket], None],
+        create_front: Callable[[socket.socket | None], Front],
+        control_listener: Callable[[], Listener | None],
+        take_over_control: Callable[[socket.socket], None],
         reload: Callable[[], None],
     ) -> None:
         self.front = front
-        self.make = make
-        self.controls = controls
-        self.control_taken = control_taken
+        self.create_front = create_front
+        self.control_listener = control_listener
+        self.take_over_control = take_over_control
         self.reload = reload
-        self.given: dict[str, socket.socket] = {}
-        self.kept: list[face.Event] = []  # passed on, kept until the upgrade is complete
+        self.inherited_listeners: dict[str, socket.socket] = {}
+        self.events_since_snapshot: list[face.Event] = []  # until the upgrade is complete, for `thaw`
         self.state: shots.CoordinatorState | None = None
         self.taken = 0
         self.pass_on: Callable[[PassedConnection], bool] = lambda connection: False
-        self.passing = False
+        self.is_passing_connections = False
 
     # ---- in the old process ------------------------------------------------------------------------
 
     def listeners(self) -> dict[str, socket.socket]:
         """Return the listening sockets to pass on, by name."""
-        control = self.controls()
-        callers = {"callers": self.front.inbound.listener.sock}
-        return callers | ({"control": control.sock} if control else {})
+        control = self.control_listener()
+        inbound = {"callers": self.front.inbound.listener.sock}
+        return inbound | ({"control": control.sock} if control else {})
 
     def settle(self, enabled: bool) -> None:
         """Pause or resume calls to the relay."""
@@ -103,13 +103,13 @@
         return shots.Snapshot("coordinator", self.front.loop.clock.now(), None, front_state(self.front))
 
     def thaw(self) -> None:
-        """Resume after a failed upgrade, with the events that were passed on."""
+        """Resume after a failed upgrade, with the events since the snapshot."""
         front = self.front
-        self.passing = False
+        self.is_passing_connections = False
         front.event_batch.is_paused = False
-        kept = self.kept
-        self.kept = []
-        front.event_batch.restore(kept)
+        events = self.events_since_snapshot
+        self.events_since_snapshot = []
+        front.event_batch.restore(events)
         self.restart_timer()
 
     def restart_timer(self) -> None:
@@ -120,54 +120,58 @@
     def set_accepting(self, enabled: bool) -> None:
         """Start or stop accepting connections."""
         self.front.inbound.listener.accept(enabled)
-        control = self.controls()
+        control = self.control_listener()
         if control:
             control.accept(enabled)
 
     def late_events(self) -> bytes:
         """Return the encoded events that arrived after the snapshot."""
-        taken = self.front.event_batch.take()
-        self.kept += taken
+        events = self.front.event_batch.take()
+        self.events_since_snapshot += events
         return msgspec.msgpack.encode(
-            event_codec.pack_all(event for event in taken if isinstance(event, HANDED_ON))
+            event_codec.pack_all(event for event in events if isinstance(event, FORWARDED_EVENTS))
         )
 
     def take_idle_connections(self) -> list[PassedConnection]:
         """Detach and return the inbound connections that have nothing left to write."""
-        hub = self.front.inbound
-        return [self.take_out(c) for c in [*hub.unidentified, *hub.collectors] if not len(c.outgoing)]
-
-    def take_out(self, connection: Wire) -> PassedConnection:
-        """Detach one inbound connection with its parser state."""
-        caller = connection.reader
+        inbound = self.front.inbound
+        return [
+            self.detach_connection(c)
+            for c in [*inbound.unidentified, *inbound.collectors]
+            if not len(c.outgoing)
+        ]
+
+    def detach_connection(self, connection: Connection) -> PassedConnection:
+        """Detach an inbound connection and return its parser state, socket and unparsed bytes."""
+        reader = connection.reader
         self.front.inbound.remove(connection)
-        kind = orjson.dumps(
+        parser_state = orjson.dumps(
             [
-                caller.zone,
-                caller.connected_at,
-                caller.last_line_at,
-                caller.line_started_at,
-                caller.invalid_line_count,
+                reader.zone,
+                reader.connected_at,
+                reader.last_line_at,
+                reader.line_started_at,
+                reader.invalid_line_count,
             ]
         )
-        return (kind.decode(), *connection.detach())
+        return (parser_state.decode(), *connection.detach())
 
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
         """Take over a connection: its parser state as JSON, its socket and its unparsed bytes."""
         self.front.inbound.adopt(sock, rest, *orjson.loads(kind))
 
     def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
-        """Pass on the remaining connections as soon as their output is written."""
+        """Pass the remaining connections to `pass_on` as soon as their output is written."""
         self.pass_on = pass_on
-        self.passing = True
+        self.is_passing_connections = True
 
     def is_drained(self) -> bool:
         """Pass on connections whose output is written now; return whether none is left."""
-        for connection in self.take_idle_connections() if self.passing else ():
+        for connection in self.take_idle_connections() if self.is_passing_connections else ():
             if not self.pass_on(connection):
                 connection[1].close()
-        hub = self.front.inbound
-        return not hub.unidentified and not hub.collectors
+        inbound = self.front.inbound
+        return not inbound.unidentified and not inbound.collectors
 
     def rehearse(self, now: int) -> bytes:
         """Return the digest of the orders the decision module would give at `now`, in ticks."""
@@ -178,7 +182,9 @@
     def restore(self, state: shots.Snapshot, listeners: dict[str, socket.socket]) -> None:
         """Create the front from a snapshot; raises UnusableSnapshotError if it is of another kind."""
         if state.coordinator is None:
-            raise shots.UnusableSnapshotError(f"the state of a {state.kind}")
+            raise shots.UnusableSnapshotError(
+                f"snapshot holds the state of a {state.kind}, not of a coordinator"
+            )
         self.start_empty(listeners)
         self.state = state.coordinator
         self.taken = state.taken
@@ -201,20 +207,20 @@
 
     def start_empty(self, listeners: dict[str, socket.socket]) -> None:
         """Create a front without state that accepts no connections yet."""
-        self.given = listeners
-        self.front = self.make(listeners.get("callers"))
+        self.inherited_listeners = listeners
+        self.front = self.create_front(listeners.get("callers"))
         self.front.inbound.listener.accept(False)
 
     def start_serving(self, restored: bool) -> None:
         """Accept connections and continue the restored work, if `restored`."""
         front = self.front
-        if "control" in self.given:
-            self.control_taken(self.given["control"])
+        if "control" in self.inherited_listeners:
+            self.take_over_control(self.inherited_listeners["control"])
         front.inbound.listener.accept(True)
         front.start()
         if not restored:
             return
-        if not front.coordinator.next_beat_at:  # it failed during the snapshot and has no events since
+        if not front.coordinator.next_beat_at:  # it failed during the snapshot and got no events since
             front.replay_state()
         self.restart_timer()
         if self.state.watching:
--- a/indigohitch/platform_protocol/inbound_connection.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -17,8 +17,8 @@
     parse_text,
 )
 
-# Counters of closed connections carry the reason in their names; these reasons have another name there.
-COUNTED_AS = {"flooded": "unread_limit_exceeded"}
+# The counter of closed connections is `accepted_REASON`; these reasons have another name there.
+COUNTER_NAMES_BY_REASON = {"flooded": "unread_limit_exceeded"}
 
 
 class ConnectionOwner(Protocol):
@@ -48,17 +48,18 @@
 
     MAX_UNIDENTIFIED_LINE = 4096  # enough for any line that names a zone
     MAX_LINE = 1 << 20  # the protocol's bound on a message
-    # Invalid lines in a row that close a connection: on bad days about one line in forty was invalid, so as
-    # many in a row do not come by chance.
+    # Invalid lines in a row that close a connection.  On bad days about one line in forty was invalid, so
+    # this many in a row do not occur by chance.
     MAX_INVALID_LINES = 20
-    # Bounds on reads per turn of the event loop: an unidentified connection needs the shortest messages only,
-    # a collector's sums of a period come at once (half of them would look like a jump of demand).
+    # Bounds on reads per turn of the event loop.  An unidentified connection needs only the shortest
+    # messages.  A collector sends its totals of a period at once, and half of them would look like a jump in
+    # demand.
     UNIDENTIFIED_READS = 1
     UNIDENTIFIED_READ_BYTES = 256
     READS = 16
     READ_BYTES = 4096
-    # Bounds on queued output, enough for the heartbeats of one read.  Unidentified connections stay within
-    # the first block of their ring buffer: the pool is for collectors.
+    # Bounds on queued output, enough to answer the heartbeats of one read.  Unidentified connections
+    # stay within the first block of their ring buffer, as the pool is for collectors.
     UNIDENTIFIED_OUTPUT_BYTES = 4096
     OUTPUT_BYTES = 8192
 
@@ -68,7 +69,7 @@
         self.zone = ""
         self.connected_at = owner.loop.clock.now()
         self.last_line_at = self.connected_at
-        self.line_started_at = 0  # when the incomplete line began, 0: none
+        self.line_started_at = 0  # when the incomplete line began, 0 if there is none
         self.invalid_line_count = 0  # since the last valid line
         self.pending_heartbeats = 0  # received and not answered yet
 
@@ -81,7 +82,7 @@
             connection.pace(self.UNIDENTIFIED_READS, self.UNIDENTIFIED_READ_BYTES, crowd=True)
 
     def on_data(self, connection: Connection) -> bool:
-        """Handle the complete lines; returns whether heartbeats came, which limits it to one read a turn."""
+        """Handle the complete lines; return whether one was a heartbeat, which ends this turn's reads."""
         ring = connection.incoming
         owner = self.owner
         while connection.open and (line := ring.line()) is not None:
@@ -108,7 +109,7 @@
             kind, fields = parse_message(line)
             if kind == "hb":
                 self.pending_heartbeats += 1
-                return  # no proof of a collector: the time to identify runs on
+                return  # does not identify a collector: the identification timeout keeps running
             if kind == "telemetry":
                 self.identify(connection, parse_text(fields, "site"))
             elif not self.zone:
@@ -130,7 +131,7 @@
         self.last_line_at = owner.loop.clock.now()
 
     def write_heartbeats(self, connection: Connection) -> bool:
-        """Answer all pending heartbeats with one write; returns whether there were any."""
+        """Answer all pending heartbeats with one write; return whether there were any."""
         pending = self.pending_heartbeats
         self.pending_heartbeats = 0
         if pending and connection.open:
@@ -139,7 +140,7 @@
         return pending > 0
 
     def identify(self, connection: Connection, zone: str) -> None:
-        """Make it the collector of a zone; raises InvalidLineError for an unknown zone."""
+        """Make the connection a collector of the zone; raises InvalidLineError for an unknown zone."""
         if zone not in self.owner.known_names.zones:
             raise InvalidLineError("site: no such zone")
         if not self.zone:
@@ -153,5 +154,5 @@
         log = self.owner.log
         if len(connection.incoming):
             log.warning("line_truncated", zone=self.zone)
-        log.count(f"accepted_{COUNTED_AS.get(why, why)}")
+        log.count(f"accepted_{COUNTER_NAMES_BY_REASON.get(why, why)}")
         self.owner.remove(connection)
--- a/indigohitch/platform_protocol/inbound_connections.py
+++ b/indigohitch/platform_protocol/inbound_connections.py
@@ -20,19 +20,21 @@
 class InboundConnections:
     """The table of accepted connections, unidentified ones and collectors."""
 
-    # A connection that has named no zone by then is closed: the protocol requires that within 3 s, and a
+    # Time for a connection to name its zone before it is closed.  The protocol requires it within 3 s, and a
     # collector names its zone with its first bytes.
     IDENTIFY_TIMEOUT = SECOND * 3 // 2
-    # A collector reports every few seconds while there is traffic.  One silent for so long may have lost its
-    # machine; one with an incomplete line for so long is stuck, and connects again.
+    # A collector reports every few seconds while there is traffic.  The machine of an idle one may be gone;
+    # one that does not complete a line is stuck, and reconnects when it is dropped.
     IDLE_TIMEOUT = 120 * SECOND
     LINE_TIMEOUT = 3 * SECOND
     SWEEP_INTERVAL = SECOND // 5
-    # Bounds on the last reads at the end.  Unidentified connections: bytes of all together, so that a flood
-    # does not delay the end and a pause of the machine costs no peer its answer.  Collectors: a duration.
+    # Bounds on the last reads at shutdown.  Unidentified connections have a total of bytes, so that a flood
+    # does not delay the shutdown and a pause of the machine costs no peer its answer.  Collectors have a
+    # duration.
     FINAL_READ_BYTES = 50 * InboundConnection.UNIDENTIFIED_READ_BYTES
     FINAL_READ_DURATION = SECOND // 20
-    # Connections of a zone: its collector's, a previous one that broke unnoticed, and two spare ones.
+    # Connections per zone: that of its collector, a previous one whose loss was not noticed, and two
+    # spare ones.
     MAX_PER_ZONE = 4
 
     def __init__(
@@ -52,7 +54,7 @@
         self.max_connections = limits.inbound_connections
         self.known_names = known
         self.pool = BufferPool(limits.inbound_pool_bytes)
-        # Oldest first, both.
+        # Both are ordered oldest first.
         self.unidentified: OrderedDict[Connection, None] = OrderedDict()
         self.collectors: OrderedDict[Connection, None] = OrderedDict()
         self.listener = Listener(
@@ -61,10 +63,10 @@
         self.sweep_timer: Deadline = loop.call_after(self.SWEEP_INTERVAL, self.drop_overdue)
 
     def accept(self, sock: socket.socket) -> bool:
-        """Take a connection in, evicting another at the limit; returns False where none can be evicted."""
+        """Add a connection, evicting another at the limit; return False if none can be evicted."""
         while len(self.unidentified) + len(self.collectors) >= self.max_connections:
-            # Unidentified connections may fill the table.  The new one may be a collector, and so may the
-            # oldest, if its data has not been read yet.
+            # Unidentified connections may fill the table.  The new connection may be a collector's, and so
+            # may the oldest one, if its data has not been read yet.
             oldest = next(iter(self.unidentified), None)
             if oldest is None:
                 if (spare := self.find_spare_collector()) is None:
@@ -84,9 +86,9 @@
         return True
 
     def find_spare_collector(self) -> Connection | None:
-        """Return the oldest collector whose zone has a newer one; None if there is none."""
-        last = {c.reader.zone: c for c in self.collectors}
-        return next((c for c in self.collectors if last[c.reader.zone] is not c), None)
+        """Return the oldest collector whose zone has a newer one, or None."""
+        newest = {c.reader.zone: c for c in self.collectors}
+        return next((c for c in self.collectors if newest[c.reader.zone] is not c), None)
 
     def adopt(
         self,
@@ -99,30 +101,30 @@
         invalid_line_count: int,
     ) -> None:
         """Take over a connection of the previous process, with its state and its unread data."""
-        caller = InboundConnection(self)
-        bound = InboundConnection.MAX_UNIDENTIFIED_LINE + (InboundConnection.MAX_LINE if zone else 0)
-        connection = Connection.accepted(self.loop, sock, caller, bound, self.pool)
+        reader = InboundConnection(self)
+        max_buffered = InboundConnection.MAX_UNIDENTIFIED_LINE + (InboundConnection.MAX_LINE if zone else 0)
+        connection = Connection.accepted(self.loop, sock, reader, max_buffered, self.pool)
         (self.collectors if zone else self.unidentified)[connection] = None
-        caller.zone = zone
-        caller.connected_at = connected_at
-        caller.last_line_at = last_line_at
-        caller.line_started_at = line_started_at
-        caller.invalid_line_count = invalid_line_count
-        caller.apply_limits(connection)
+        reader.zone = zone
+        reader.connected_at = connected_at
+        reader.last_line_at = last_line_at
+        reader.line_started_at = line_started_at
+        reader.invalid_line_count = invalid_line_count
+        reader.apply_limits(connection)
         if not connection.incoming.push(unread):
             self.drop(connection, "accepted_no_memory")  # the peer connects and sends again
         elif unread:
-            caller.on_data(connection)
+            reader.on_data(connection)
 
     def on_identified(self, connection: Connection) -> None:
         """Move a connection that has named its zone to the collectors."""
         zone = connection.reader.zone
         self.unidentified.pop(connection, None)
         self.collectors[connection] = None
-        self.log.warning("collector", zone=zone)  # at a bounded rate: some reconnect repeatedly
-        same = [c for c in self.collectors if c.reader.zone == zone]
-        if len(same) > self.MAX_PER_ZONE:
-            self.drop(same[0], "collector_replaced")
+        self.log.warning("collector", zone=zone)  # rate-limited, as some reconnect repeatedly
+        of_zone = [c for c in self.collectors if c.reader.zone == zone]
+        if len(of_zone) > self.MAX_PER_ZONE:
+            self.drop(of_zone[0], "collector_replaced")
 
     def remove(self, connection: Connection) -> None:
         """Forget a closed connection."""
@@ -146,15 +148,15 @@
                 break
             self.drop(connection, "unidentified_connection_timed_out")
         for connection in list(self.collectors):
-            caller = connection.reader
-            if now - caller.last_line_at > self.IDLE_TIMEOUT:
+            reader = connection.reader
+            if now - reader.last_line_at > self.IDLE_TIMEOUT:
                 self.drop(connection, "idle_collector_dropped")
-            elif caller.line_started_at and now - caller.line_started_at > self.LINE_TIMEOUT:
+            elif reader.line_started_at and now - reader.line_started_at > self.LINE_TIMEOUT:
                 self.drop(connection, "line_unfinished")
         self.sweep_timer = self.loop.call_after(self.SWEEP_INTERVAL, self.drop_overdue)
 
     def close(self) -> None:
-        """Read and answer once more what was received until now, then close everything."""
+        """Read and answer what was received until now, then close everything."""
         self.sweep_timer.cancel()
         self.listener.accept_last()
         self.listener.close()
@@ -169,14 +171,14 @@
         for connection in list(self.unidentified):
             if remaining <= 0:
                 return
-            before = connection.received
+            received_before = connection.received
             self.loop.guarded(connection.ready, True, False)
-            remaining -= connection.received - before
+            remaining -= connection.received - received_before
 
     def drain_collectors(self) -> None:
         """Read the collectors once more, for FINAL_READ_DURATION at most."""
-        until = self.loop.clock.now() + self.FINAL_READ_DURATION
+        deadline = self.loop.clock.now() + self.FINAL_READ_DURATION
         for connection in list(self.collectors):
-            if self.loop.clock.now() >= until:
+            if self.loop.clock.now() >= deadline:
                 return
             self.loop.guarded(connection.ready, True, False)
--- a/indigohitch/platform_protocol/resource_limits.py
+++ b/indigohitch/platform_protocol/resource_limits.py
@@ -1,4 +1,4 @@
-"""The division of the configured descriptors and memory among the kinds of connections."""
+"""Divides the configured descriptors and memory among the kinds of connections."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResourceLimits:
-    """The share of each kind of connection.
+    """The limits of each kind of connection.
 
     Half of the descriptors are for accepted connections and a quarter for probes, less where the last
     quarter does not hold RESERVED_DESCRIPTORS.
@@ -21,15 +21,15 @@
     outbound_pool_bytes: int  # bytes queued on outbound connections
     inbound_pool_bytes: int  # bytes of incomplete messages of collectors
 
-    # Python with the modules loaded takes 21 MB; a tenth more for the tables, the list and garbage.
+    # Python with the modules loaded takes 21 MB; a tenth more for the tables, the backend list and garbage.
     PROGRAM_BYTES = 24 * BYTES_PER_MB
-    # Two connections to the relay and one of its event stream, twice while its address changes, as many to
-    # discovery, the ten of the process itself, one accepted before another is evicted, and a file reread.
+    # Two connections to the relay and one for its event stream, twice while its address changes, as many to
+    # discovery, ten of the process itself, one accepted before another is evicted, and a file that is reread.
     RESERVED_DESCRIPTORS = 24
-    # Minimums to serve at all, also where the limits hold less; a lack then shows as failed calls.
+    # Minimums to serve at all, even if the configured limits allow less; calls fail if that is too few.
     MIN_INBOUND_CONNECTIONS = 4
     MIN_PROBES = 2
-    # A single ring at its bound, so that one message of the longest kind always fits.
+    # One ring buffer at its maximum size, so that a single message of the longest kind always fits.
     MIN_POOL_BYTES = 2 * BYTES_PER_MB
 
     @classmethod
@@ -40,9 +40,10 @@
         if allowed != resource.RLIM_INFINITY:
             sockets = min(sockets, allowed)
         spare = int(limits["memory_mb"]) * BYTES_PER_MB - cls.PROGRAM_BYTES
-        # A quarter each: a ring that grows holds its old block a moment longer, and the rest is not ours.
+        # A quarter each: a ring buffer that grows briefly holds its old block too, and the rest has
+        # other uses.
         share = max(cls.MIN_POOL_BYTES, spare // 4)
-        rest = sockets - cls.RESERVED_DESCRIPTORS
-        callers = max(cls.MIN_INBOUND_CONNECTIONS, min(sockets // 2, rest * 2 // 3))
-        probes = max(cls.MIN_PROBES, min(sockets // 4, rest // 3))
-        return cls(callers, probes, min(16 * BYTES_PER_MB, share), min(32 * BYTES_PER_MB, share))
+        unreserved = sockets - cls.RESERVED_DESCRIPTORS
+        inbound = max(cls.MIN_INBOUND_CONNECTIONS, min(sockets // 2, unreserved * 2 // 3))
+        probes = max(cls.MIN_PROBES, min(sockets // 4, unreserved // 3))
+        return cls(inbound, probes, min(16 * BYTES_PER_MB, share), min(32 * BYTES_PER_MB, share))
