--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -61,8 +61,8 @@
     def listeners(self) -> dict[str, socket.socket]:
         """Return the listening sockets to pass on, by name."""
         control = self.control_listener()
-        inbound = {"callers": self.front.inbound.listener.sock}
-        return inbound | ({"control": control.sock} if control else {})
+        sockets = {"callers": self.front.inbound.listener.sock}
+        return sockets | ({"control": control.sock} if control else {})
 
     def settle(self, enabled: bool) -> None:
         """Pause or resume calls to the relay."""
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -1,4 +1,4 @@
-"""The platform's wires as golden files hold them: lines, news, calls, answers, lists and requests."""
+"""Produces and parses the messages of the platform protocol, for comparison with golden files."""
 
 import os
 from types import SimpleNamespace
@@ -7,8 +7,8 @@
 import orjson
 from pytest import MonkeyPatch
 
-from collector_room import Hall
 from golden_wire import order, plain
+from inbound_harness import InboundHarness
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
 from indigohitch.net.http_client import form as http_form
@@ -28,65 +28,66 @@
 from relay_room import Room
 
 METHODS = ["search", "reserve"]
-TO = ("127.0.0.1", 7070)
+ADDRESS = ("127.0.0.1", 7070)
 
 
 def collector(given: str) -> dict:
-    """What one who connects says: what it is answered, what is heard, and what is counted."""
-    hall = Hall()
+    """Return the answer to a client that sends `given`, the events and the counters."""
+    harness = InboundHarness()
     try:
-        sock = hall.call(given.encode("latin-1"))
+        sock = harness.connect(given.encode("latin-1"))
         for _ in range(8):
-            hall.loop.call_after(5, lambda: None)
-            hall.loop.turn()
+            harness.loop.call_after(5, lambda: None)
+            harness.loop.turn()
         try:
-            said = sock.recv(4096)
+            received = sock.recv(4096)
         except OSError:
-            said = b""
+            received = b""
         return {
-            "answer": said.decode("latin-1"),
-            "hears": [plain(event) for event in hall.heard],
-            "counts": former_counts(hall.log.counts),
+            "answer": received.decode("latin-1"),
+            "hears": [plain(event) for event in harness.events],
+            "counts": former_counts(harness.log.counts),
         }
     finally:
-        hall.close()
+        harness.close()
 
 
 def stream(given: str) -> dict:
-    """The relay's stream of events: each with what it reads as, and how many signs of life came."""
-    found, alive = [], []
+    """Parse the relay's event stream; return its events and the number of keepalives."""
+    events = []
+    keepalives = []
 
-    def said(kind: str, data: str) -> None:
+    def on_event(kind: str, data: str) -> None:
         event = parse_relay_event(kind, data)
-        found.append({"kind": kind, "reads": None if event is None else plain(event)})
+        events.append({"kind": kind, "reads": None if event is None else plain(event)})
 
     try:
-        EventStream(said, lambda: alive.append(1)).feed(given.encode("latin-1"))
+        EventStream(on_event, lambda: keepalives.append(1)).feed(given.encode("latin-1"))
     except ValueError:
-        return {"refused": True, "before": found}
-    return {"news": found, "signs_of_life": len(alive)}
+        return {"refused": True, "before": events}
+    return {"news": events, "signs_of_life": len(keepalives)}
 
 
 def call(given: list) -> dict:
-    """Orders as the body of a call to the relay, and as the request that carries it."""
+    """Return orders as the body of a call to the relay, and as the request with this body."""
     body = encode_form(";".join(encode_order(order(one), METHODS) for one in given))
     request = http_form("POST", "/", "127.0.0.1:7070", body, FORM_CONTENT_TYPE)
     return {"body": body.decode("latin-1"), "request": request.decode("latin-1")}
 
 
 def answer(given: dict) -> dict:
-    """What the relay's answer says."""
+    """Return the number of accepted orders or the error of the relay's response."""
     try:
-        said = parse_response(
+        parsed = parse_response(
             HttpResponse(given["outcome"], given["status"], given["body"].encode("latin-1"))
         )
     except ValueError:
         return {"refused": True}
-    return {"taken": said} if isinstance(said, int) else {"error": said}
+    return {"taken": parsed} if isinstance(parsed, int) else {"error": parsed}
 
 
 def registry(given: dict) -> dict:
-    """A list of discovery's, and the addresses in it."""
+    """Parse a response of discovery; return its backend list and addresses."""
     try:
         found, addresses = discovery.parse_backend_list(orjson.loads(given["body"]), given["remembered"])
     except ValueError:
@@ -94,100 +95,117 @@
     return plain(found) | {"addresses": addresses}
 
 
-class Recorder:
-    """In the client's place: keeps each request as bytes, and who waits for its answer."""
+class RecordingClient:
+    """Replaces HttpClient; records each request as bytes, and the callback for its response."""
 
-    asked: list
+    recorded: list
 
-    def __init__(self, loop: EventLoop, to: tuple[str, int], *spans: int, **more: int) -> None:
-        self.address, self.asked, self.done = to, Recorder.asked, None
+    def __init__(self, loop: EventLoop, address: tuple[str, int], *timeouts: int, **options: int) -> None:
+        self.address = address
+        self.recorded = RecordingClient.recorded
+        self.done = None
 
     def request(self, method, target, span, done, body=b"", kind="", stream=None) -> SimpleNamespace:
         data = http_form(method, target, f"{self.address[0]}:{self.address[1]}", body, kind).decode("latin-1")
-        self.asked.append({"request": data, "streams": stream is not None})
-        Recorder.done = done
+        self.recorded.append({"request": data, "streams": stream is not None})
+        RecordingClient.done = done
         return SimpleNamespace(drop=lambda: None, connection=None)
 
     def close(self) -> None:
         pass
 
 
-class Desk:
-    """A loop and a log with a clock that stands; clients of `module` are recorders."""
+class RecordedModule:
+    """A loop and a log with a stopped clock; records the requests of `module`."""
 
     def __init__(self, module) -> None:
-        self.module, Recorder.asked = module, []
+        self.module = module
+        RecordingClient.recorded = []
 
-    def __enter__(self) -> "Desk":
+    def __enter__(self) -> "RecordedModule":
         self.defects: list = []
         self.loop = EventLoop(Hands(), self.defects.append)
-        self.out = os.open(os.devnull, os.O_WRONLY)
-        self.log = Log(self.loop.clock, "n0", self.out)
-        self.patch = mock.patch.object(self.module, "HttpClient", Recorder)
+        self.log_fd = os.open(os.devnull, os.O_WRONLY)
+        self.log = Log(self.loop.clock, "n0", self.log_fd)
+        self.patch = mock.patch.object(self.module, "HttpClient", RecordingClient)
         self.patch.start()
         return self
 
-    def __exit__(self, *why) -> None:
+    def __exit__(self, *exception) -> None:
         self.patch.stop()
         self.loop.close()
-        os.close(self.out)
+        os.close(self.log_fd)
         assert not self.defects
 
-    def answered(self, status: int, body: str, outcome: str = "answered", duration: int = 0) -> None:
-        Recorder.done(HttpResponse(outcome, status, body.encode("latin-1"), duration))
+    def respond(self, status: int, body: str, outcome: str = "answered", duration: int = 0) -> None:
+        RecordingClient.done(HttpResponse(outcome, status, body.encode("latin-1"), duration))
 
 
 def probe(given: dict) -> dict:
-    """The request of a probe, and what its answer tells."""
-    with Desk(probes) as desk:
-        told: list = []
-        sender = probes.HealthProbes(desk.loop, desk.log, given["reports"], 8, told.append)
+    """Return the request of a probe, the events of its response and the counters."""
+    with RecordedModule(probes) as recording:
+        events: list = []
+        sender = probes.HealthProbes(recording.loop, recording.log, given["reports"], 8, events.append)
         sender.send("b1", given["at"])
-        if Recorder.asked:
-            desk.answered(given["status"], given["body"], given["outcome"], given["duration"])
-        counts = former_counts(desk.log.counts)
-        return {"asks": Recorder.asked, "tells": [plain(event) for event in told], "counts": counts}
+        if RecordingClient.recorded:
+            recording.respond(given["status"], given["body"], given["outcome"], given["duration"])
+        counts = former_counts(recording.log.counts)
+        return {
+            "asks": RecordingClient.recorded,
+            "tells": [plain(event) for event in events],
+            "counts": counts,
+        }
 
 
-def _watches(bodies: list[str]) -> list[dict]:
-    with Desk(discovery) as desk, mock.patch.object(discovery.Discovery, "WATCH_WAIT", 2 * SECOND):
-        found = discovery.Discovery(desk.loop, desk.log, TO, 41, lambda news, addresses: None)
+def _discovery_requests(bodies: list[str]) -> list[dict]:
+    with (
+        RecordedModule(discovery) as recording,
+        mock.patch.object(discovery.Discovery, "WATCH_WAIT", 2 * SECOND),
+    ):
+        found = discovery.Discovery(
+            recording.loop, recording.log, ADDRESS, 41, lambda backends, addresses: None
+        )
         found.subscribe(True)
         for body in bodies:
-            desk.answered(200, body)
+            recording.respond(200, body)
         found.fetch()
-        return Recorder.asked
+        return RecordingClient.recorded
 
 
-def _news(_: list[str]) -> list[dict]:
-    with Desk(relay_watch) as desk:
-        hearer = SimpleNamespace(on_watch_requested=lambda: None, on_keepalive=lambda: None)
-        relay_watch.RelayWatch(desk.loop, desk.log, TO, hearer).open()
-        return Recorder.asked
+def _relay_watch_requests(_: list[str]) -> list[dict]:
+    with RecordedModule(relay_watch) as recording:
+        store_mirror = SimpleNamespace(on_watch_requested=lambda: None, on_keepalive=lambda: None)
+        relay_watch.RelayWatch(recording.loop, recording.log, ADDRESS, store_mirror).open()
+        return RecordingClient.recorded
 
 
-def _inquiry(_: list[str]) -> list[dict]:
-    with Desk(call_resolution) as desk:
-        inquiry = OutcomeQuery(desk.loop, lambda effect, proved: None)
-        inquiry.start(TO, desk.loop.clock.now() - SECOND, TableEvidence({}, []), False)
-        desk.loop.turn()
-        return Recorder.asked
+def _outcome_query_requests(_: list[str]) -> list[dict]:
+    with RecordedModule(call_resolution) as recording:
+        query = OutcomeQuery(recording.loop, lambda effect, is_proven: None)
+        query.start(ADDRESS, recording.loop.clock.now() - SECOND, TableEvidence({}, []), False)
+        recording.loop.turn()
+        return RecordingClient.recorded
 
 
-def _relay(_: list[str]) -> list[dict]:
+def _relay_requests(_: list[str]) -> list[dict]:
     with MonkeyPatch.context() as patch:
-        Recorder.asked = []
+        RecordingClient.recorded = []
         room = Room(patch)
-        patch.setattr(call_queue, "HttpClient", Recorder)
-        room.relay.client = Recorder(room.loop, TO)
+        patch.setattr(call_queue, "HttpClient", RecordingClient)
+        room.relay.client = RecordingClient(room.loop, ADDRESS)
         room.order(1.0, 2.5)
         room.loop.close()
-        return Recorder.asked
+        return RecordingClient.recorded
 
 
-ASKS = {"discovery": _watches, "news": _news, "inquiry": _inquiry, "relay": _relay}
+REQUESTS_BY_PART = {
+    "discovery": _discovery_requests,
+    "news": _relay_watch_requests,
+    "inquiry": _outcome_query_requests,
+    "relay": _relay_requests,
+}
 
 
 def requests(given: dict) -> list[dict]:
-    """The requests that a part sends, as bytes and in order."""
-    return ASKS[given["part"]](given["answers"])
+    """Return the requests that a part of the program sends, as text and in order."""
+    return REQUESTS_BY_PART[given["part"]](given["answers"])
--- a/tests/golden_told.py
+++ b/tests/golden_told.py
@@ -1,11 +1,11 @@
-"""More of the log as golden files hold it: lines about callers, errors as fields, words of enumerations."""
+"""Produces log lines about connections, error fields and enumeration values for golden files."""
 
 import errno
 import os
 
 import orjson
 
-from collector_room import Hall
+from inbound_harness import InboundHarness
 from indigohitch import errors, service
 from indigohitch.platform_protocol import messages
 from indigohitch.platform_protocol.invariants import Invariant
@@ -23,27 +23,27 @@
 
 
 def callers(given: str) -> list[str]:
-    """The log's lines about one who connects and says this, but for the time and what is told to people."""
-    hall = Hall()
-    hall.log.output_fd = os.memfd_create("log")
+    """Return the log lines about a client that sends `given`, without time, reason and remedy."""
+    harness = InboundHarness()
+    harness.log.output_fd = os.memfd_create("log")
     try:
-        hall.call(given.encode("latin-1"))
+        harness.connect(given.encode("latin-1"))
         for _ in range(8):
-            hall.loop.call_after(5, lambda: None)
-            hall.loop.turn()
-        data = os.pread(hall.log.output_fd, 1 << 20, 0)
+            harness.loop.call_after(5, lambda: None)
+            harness.loop.turn()
+        data = os.pread(harness.log.output_fd, 1 << 20, 0)
     finally:
-        os.close(hall.log.output_fd)
-        hall.close()
+        os.close(harness.log.output_fd)
+        harness.close()
     found = []
     for line in map(orjson.loads, data.splitlines()):
-        left_out = {name: "" for name in ("ms", "why", "remedy") if name in line}
-        found.append(former_line(orjson.dumps(line | left_out).decode("latin-1")))
+        blanked = {name: "" for name in ("ms", "why", "remedy") if name in line}
+        found.append(former_line(orjson.dumps(line | blanked).decode("latin-1")))
     return found
 
 
 def error(given: dict) -> dict:
-    """An error as the fields of a log line, and as the command line tells it."""
+    """Return an error as fields of a log line, and as the text on the command line."""
     if "errno" in given:
         return {"fields": errors.error_fields(OSError(getattr(errno, given["errno"]), "so"), given["remedy"])}
     found = ERRORS[given["error"]](given["what"], given["where"], given["remedy"])
@@ -51,5 +51,5 @@
 
 
 def enumeration(given: str) -> list[str]:
-    """The words of an enumeration as the log tells them."""
+    """Return the values of an enumeration as the log contains them."""
     return [member.value for member in ENUMERATIONS[given]]
--- a/tests/test_callers.py
+++ b/tests/test_collector_connections.py
@@ -1,26 +1,26 @@
-"""The program spoken to over sockets: collectors and strangers."""
+"""Connections of collectors and of unidentified clients to a running coordinator."""
 
 import time
 
 import pytest
 
-from callers import ended
+from inbound_clients import read_until_closed
 from stage import heartbeat
 from waiting import eventually
 
-GOOD = b"range_stats range=3 lane=search count=40 fail=1 over=1000.0\r\n"
+VALID_REPORT = b"range_stats range=3 lane=search count=40 fail=1 over=1000.0\r\n"
 
 
-def test_sums_reach_the_module(platform):
-    """The busiest gives to the least loaded: all that is asked for lies on b0."""
+def test_reports_reach_the_decision_module(platform):
+    """All demand is for slices on b0, so the decision module moves one of them to a less loaded backend."""
     platform.serving()
     with platform.call() as sock:
         sock.sendall(b"telemetry site=east\r\n")
 
-        def moved():
+        def send_reports():
             lines = [
-                f"range_stats range={s} lane=search count={80 if s % 6 == 0 else 4} fail=0 over=100.0"
-                for s in range(12)
+                f"range_stats range={slice} lane=search count={80 if slice % 6 == 0 else 4} fail=0 over=100.0"
+                for slice in range(12)
             ]
             lines += [
                 f"upstream_stats site=east target=b{n} count=20 fail=0 mean=41.7 over=100.0 "
@@ -30,15 +30,15 @@
             sock.sendall(("\r\n".join(lines) + "\r\n").encode())
             return "b0" not in platform.tables[0] or "b0" not in platform.tables[6]
 
-        eventually(moved)
+        eventually(send_reports)
         sock.settimeout(0.05)
         with pytest.raises(TimeoutError):  # nothing is ever written to a collector
             sock.recv(1)
 
 
-def test_spoilt_lines_are_dropped_and_good_ones_round_them_count(platform):
+def test_invalid_lines_are_dropped_and_valid_lines_between_them_count(platform):
     program = platform.serving()
-    bad = [
+    invalid = [
         b"range_stats range=3 lane=search count=40 fail=1",
         b"range_stats range=x lane=search count=4",
         b"range_stats range=99999 lane=search count=2 fail=1 over=9",
@@ -56,16 +56,18 @@
     ]
     with platform.call() as sock:
         sock.sendall(b"telemetry site=east\r\n")
-        for line in bad * 3:  # never many in a row
-            sock.sendall(line + b"\r\n" + GOOD)
-        for n in range(len(GOOD)):
-            sock.sendall(GOOD[n : n + 1])  # in pieces
+        for line in invalid * 3:  # one at a time, as many in a row close the connection
+            sock.sendall(line + b"\r\n" + VALID_REPORT)
+        for i in range(len(VALID_REPORT)):
+            sock.sendall(VALID_REPORT[i : i + 1])  # byte by byte
         sock.sendall(b"upstream_stats site=east target=b1 count=2 fail=0 mean=4 over=1 util=pending:2\r\n")
         eventually(lambda: program.counters().get("lines_upstream_stats") == 1)
         counters = program.counters()
-        assert counters["lines_range_stats"] == 3 * len(bad) + 1 and counters["line_invalid"] == 3 * len(bad)
-        platform.change("b5", "DELETED")  # what is told of it comes late, and is no spoilt line
-        eventually(lambda: any(e["text"].startswith("b5 gone") for e in program.said("decision")))
+        assert counters["lines_range_stats"] == 3 * len(invalid) + 1 and counters["line_invalid"] == 3 * len(
+            invalid
+        )
+        platform.change("b5", "DELETED")  # a late report on a removed backend is valid
+        eventually(lambda: any(event["text"].startswith("b5 gone") for event in program.said("decision")))
         sock.sendall(b"upstream_stats site=east target=b5 count=2 fail=2 mean=0.0 over=1\r\n")
         eventually(lambda: program.counters()["lines_upstream_stats"] == 2)
         sock.sendall(b"range_stats ran")
@@ -74,37 +76,37 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "data",
     [
         b"\xff\xfe\x00 range=1\r\n",
         b"x" * ((1 << 20) + 9000),
         b"hb hb hb\r\n",
-        (GOOD[:20] + b"\r\n") * 20,
+        (VALID_REPORT[:20] + b"\r\n") * 20,
         b"range_stats range=3 lane=",
     ],
 )
-def test_a_collector_that_goes_on_unreadable_is_closed_so_that_it_returns(platform, said):
+def test_a_collector_that_sends_invalid_data_is_closed_and_can_reconnect(platform, data):
     program = platform.serving()
     with platform.call() as sock:
-        sock.sendall(b"telemetry site=east\r\n" + GOOD)
+        sock.sendall(b"telemetry site=east\r\n" + VALID_REPORT)
         eventually(lambda: program.counters().get("lines_range_stats"))
         try:
-            sock.sendall(said)
-        except ConnectionError:  # closed in the middle of it
+            sock.sendall(data)
+        except ConnectionError:  # closed while the data is sent
             pass
-        assert ended(sock, 5.0) == b""  # nothing is ever written to a collector
+        assert read_until_closed(sock, 5.0) == b""  # nothing is ever written to a collector
     with platform.call() as sock:
-        sock.sendall(b"telemetry site=east\r\n" + GOOD)
+        sock.sendall(b"telemetry site=east\r\n" + VALID_REPORT)
         eventually(lambda: program.counters()["lines_range_stats"] == 2)
 
 
 @pytest.mark.parametrize(
-    "said",
+    "data",
     [
         b"\x16\x03\x01\x02\0\x01",
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
         b"attach id=9 site=east rps=1 new=1\r\n",
-        GOOD,
+        VALID_REPORT,
         b"telemetry site=nowhere\r\n",
         b"put,4,b1,1.5\r\n",
         b"x" * 9000,
@@ -114,18 +116,20 @@
         b"*3\r\n$-1\r\n",
     ],
 )
-def test_strangers_are_rejected_or_closed(platform, said):
+def test_unidentified_connections_are_rejected_or_closed(platform, data):
     program = platform.serving()
-    before = program.counters()["events"]
+    events_before = program.counters()["events"]
     with platform.call() as sock:
-        sock.sendall(said)
-        heard = ended(sock)
-        assert heard in (b"", b"reject\r\n", b"hb_ok\r\nreject\r\n")
-        assert heard.startswith(b"hb_ok") == (said == b"hb\r\n")
-    with platform.call() as sock:  # one that asks again and again has no more time for it
-        end = time.monotonic() + 3
+        sock.sendall(data)
+        received = read_until_closed(sock)
+        assert received in (b"", b"reject\r\n", b"hb_ok\r\nreject\r\n")
+        assert received.startswith(b"hb_ok") == (data == b"hb\r\n")
+    with platform.call() as sock:  # repeated heartbeats do not extend the identification timeout
+        deadline = time.monotonic() + 3
         with pytest.raises(OSError):
-            while time.monotonic() < end:
+            while time.monotonic() < deadline:
                 sock.sendall(b"hb\r\n")
                 time.sleep(0.05)
-    assert not program.counters().get("lines_range_stats") and program.counters()["events"] < before + 99
+    assert (
+        not program.counters().get("lines_range_stats") and program.counters()["events"] < events_before + 99
+    )
--- a/tests/test_golden_log.py
+++ b/tests/test_golden_log.py
@@ -1,24 +1,26 @@
-"""The log as golden files pin it: its lines as bytes, the names of events, fields and counters."""
+"""Compares log lines, and the names of events, fields and counters, with golden files."""
 
 import golden_log
 from golden_wire import cases, check
 
 
-def test_lines():
+def test_log_lines_match_the_golden_file():
     check("log_lines.jsonl", golden_log.lines)
 
 
-def test_lines_of_parts_of_the_program():
+def test_log_lines_of_parts_of_the_program_match_the_golden_file():
     found = check("log_jobs.jsonl", golden_log.job)
     assert {case["given"] for case in found} == set(golden_log.JOBS) and all(case["gives"] for case in found)
 
 
 def test_every_event_keeps_its_name_and_its_fields():
-    """Further events, and further fields in calls of their own, may come."""
-    wanted, found = cases("log_events.jsonl"), golden_log.told_by_source()
-    assert len(wanted) > 100 and [one for one in wanted if one not in found] == []
+    """New events, and new calls that log an event with other fields, are allowed."""
+    expected = cases("log_events.jsonl")
+    found = golden_log.told_by_source()
+    assert len(expected) > 100 and [event for event in expected if event not in found] == []
 
 
 def test_every_counter_keeps_its_name():
-    wanted, found = cases("log_counters.jsonl"), golden_log.counted_by_source()
-    assert len(wanted) > 30 and [one for one in wanted if one not in found] == []
+    expected = cases("log_counters.jsonl")
+    found = golden_log.counted_by_source()
+    assert len(expected) > 30 and [name for name in expected if name not in found] == []
