--- a/tests/test_crossing_reload.py
+++ b/tests/test_reload_overlaps.py
@@ -1,4 +1,4 @@
-"""A reload that meets another reload, the end, an upgrade; and what of a file has to wait for a restart."""
+"""Reloads that coincide with other reloads, shutdown or an upgrade, and changes that need a restart."""
 
 import json
 import os
@@ -18,8 +18,8 @@
 from waiting import eventually, free_address
 
 
-class Stopped:
-    """The program stands still: what is sent meanwhile meets in its next turn."""
+class StoppedProcess:
+    """Stops the program, so that signals sent meanwhile are handled in the same turn of its loop."""
 
     def __init__(self, program):
         self.process = program.process
@@ -29,43 +29,44 @@
         stat = f"/proc/{self.process.pid}/stat"
         eventually(lambda: open(stat).read().rpartition(")")[2].split()[0] == "T")
 
-    def __exit__(self, *broken):
+    def __exit__(self, *exception):
         self.process.send_signal(signal.SIGCONT)
 
 
-def test_two_reloads_in_one_turn_are_one_to_the_later_file(platform):
-    program, passed_by = platform.serving(), [Peer(platform._relay), Peer(platform._discovery)]
-    with Stopped(program):
-        platform.reload(store={"address": passed_by[0].address}, discovery=passed_by[1].address)
-        left = platform.move()
+def test_two_reloads_in_one_turn_apply_only_the_later_file(platform):
+    program = platform.serving()
+    skipped = [Peer(platform._relay), Peer(platform._discovery)]
+    with StoppedProcess(program):
+        platform.reload(store={"address": skipped[0].address}, discovery=skipped[1].address)
+        previous_peers = platform.move()
     eventually(lambda: len(program.said("relay_watch_started")) == 2)
-    for peer in left:
+    for peer in previous_peers:
         peer.close()
     drain(platform, "b1")
     assert len(program.said("reloaded", moved=True)) == 1 and none_lost(platform)
-    assert [peer.connections for peer in passed_by] == [0, 0]
-    for peer in passed_by:
+    assert [peer.connections for peer in skipped] == [0, 0]
+    for peer in skipped:
         peer.close()
 
 
-def test_a_reload_in_the_turn_of_the_end(platform):
-    """First the reload, then the end, whichever was sent first; the move holds nothing up."""
+def test_a_reload_in_the_same_turn_as_sigterm_is_applied_first(platform):
+    """The order of the signals does not matter, and the change of addresses does not delay the shutdown."""
     program = platform.serving()
-    with Stopped(program):
+    with StoppedProcess(program):
         program.process.send_signal(signal.SIGTERM)
         platform.reload(store={"address": free_address()}, discovery=free_address())
     assert program.process.wait(10) == 0
     program.reader.join(5)
-    told = [e["event"] if e["event"] != "phase" else e["now"] for e in program.log]
-    # What the addresses say at which nobody listens may come between.
+    events = [line["event"] if line["event"] != "phase" else line["now"] for line in program.log]
+    # Events about the new addresses, at which nobody listens, may come in between.
     assert [
-        word
-        for word in told[told.index("reloaded") :]
-        if not word.startswith(("discovery_", "news_", "relay_"))
+        event
+        for event in events[events.index("reloaded") :]
+        if not event.startswith(("discovery_", "news_", "relay_"))
     ] == ["reloaded", "ending", "ended", "counters"]
 
 
-def test_a_signal_that_fails_does_not_take_the_others_of_its_turn_along():
+def test_a_failing_signal_handler_does_not_prevent_others_in_the_same_turn():
     code = """
 import enum, os, signal
 from indigohitch.process import Process
@@ -81,43 +82,45 @@
     os.kill(os.getpid(), number)
 failing.loop.turn()
 """
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
-    assert [json.loads(line)["event"] for line in done.stdout.splitlines()] == ["defect", "phase"]
+    completed = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
+    assert [json.loads(line)["event"] for line in completed.stdout.splitlines()] == ["defect", "phase"]
 
 
-def test_an_upgrade_after_a_reload_stays_at_the_new_addresses(tmp_path):
-    """The variable that told of discovery at the start is older than the file by then."""
+def test_an_upgrade_after_a_reload_keeps_the_new_addresses(tmp_path):
+    """The environment variable with the address of discovery is older than the reloaded file."""
     platform = Platform(tmp_path)
-    operator = tmp_path / "operator.conf"
-    operator.write_text(f"control {tmp_path / 'control'}\nwait watch 200ms\n")
-    program = platform.serving(["run", "--operator", str(operator)])
+    operator_file = tmp_path / "operator.conf"
+    operator_file.write_text(f"control {tmp_path / 'control'}\nwait watch 200ms\n")
+    program = platform.serving(["run", "--operator", str(operator_file)])
     try:
         eventually(lambda: program.said("relay_watch_started"))
-        left = platform.move()
+        previous_peers = platform.move()
         eventually(lambda: program.said("reloaded", moved=True))
         eventually(lambda: len(program.said("relay_watch_started")) == 2)
-        for peer in left:
+        for peer in previous_peers:
             peer.close()
         drain(platform, "b1")
-        asked = subprocess.run(
-            [sys.executable, "-m", "indigohitch", "upgrade", str(operator)], capture_output=True, check=True
+        upgrade = subprocess.run(
+            [sys.executable, "-m", "indigohitch", "upgrade", str(operator_file)],
+            capture_output=True,
+            check=True,
         )
-        assert json.loads(asked.stdout)["result"] == "upgraded"
+        assert json.loads(upgrade.stdout)["result"] == "upgraded"
         eventually(lambda: program.said("phase", now="ended"))
         drain(platform, "b2")
         assert not program.said("discovery_failed") and none_lost(platform)
     finally:
-        for e in program.said("starts"):
+        for event in program.said("starts"):
             try:
-                os.kill(e["pid"], signal.SIGKILL)
+                os.kill(event["pid"], signal.SIGKILL)
             except ProcessLookupError:
                 pass
         platform.close()
 
 
-# ---- what takes a restart --------------------------------------------------------------------------
+# ---- changes that need a restart -------------------------------------------------------------------
 
-OTHERS = SETTINGS | {
+CHANGED_SETTINGS = SETTINGS | {
     "period": 400.0,
     "balancers": 3,
     "slot-no": 2,
@@ -129,8 +132,8 @@
 
 @pytest.fixture
 def front():
-    loop = EventLoop(Clock(), lambda broken: pytest.fail(repr(broken)))
-    found = {
+    loop = EventLoop(Clock(), lambda error: pytest.fail(repr(error)))
+    document = {
         "name": "n0",
         "listen": free_address(),
         "discovery": free_address(),
@@ -140,14 +143,16 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "store": {"address": free_address()},
     }
-    front = Front(loop, Log(loop.clock, "t", os.open(os.devnull, os.O_WRONLY)), found)
+    front = Front(loop, Log(loop.clock, "t", os.open(os.devnull, os.O_WRONLY)), document)
     yield front
     front.close()
 
 
-def standing(front):
-    """All that was dealt out of settings and limits, where it is held."""
-    relay, hub, known = front.relay, front.inbound, front.known_names
+def settings_in_use(front):
+    """Return the identities and values of all that was derived from settings and limits, where it is used."""
+    relay = front.relay
+    inbound = front.inbound
+    known = front.known_names
     return [
         id(part)
         for part in (
@@ -155,7 +160,7 @@
             front.coordinator,
             front.coordinator.settings,
             front.loop.pool,
-            hub.pool,
+            inbound.pool,
             known,
             front.configuration,
         )
@@ -171,26 +176,28 @@
             relay.methods,
             relay.channel_limits.message_rate.max_messages,
             relay.channel_limits.message_rate.window,
-            hub.max_connections,
+            inbound.max_connections,
             known,
             front.loop.pool.available,
-            hub.pool.available,
+            inbound.pool.available,
         )
     )
 
 
-def test_nothing_of_other_settings_or_limits_comes_in(front):
-    before, found, told = standing(front), front.configuration, []
-    front.log.event = lambda event, **words: told.append((event, words))
-    changed = found | {
-        "settings": OTHERS,
+def test_changed_settings_and_limits_do_not_apply_before_a_restart(front):
+    before = settings_in_use(front)
+    document = front.configuration
+    logged = []
+    front.log.event = lambda event, **fields: logged.append((event, fields))
+    changed = document | {
+        "settings": CHANGED_SETTINGS,
         "limits": {"cores": 2.0, "memory_mb": 32, "sockets": 64},
         "known": {"generation": 9, "reset": True, "instances": []},
         "name": "n1",
         "seed": "1",
     }
     changed |= {"discovery": free_address(), "store": {"address": free_address()}}
-    left = [
+    needs_restart = [
         "limits",
         "name",
         "settings.balancers",
@@ -199,20 +206,23 @@
         "settings.period",
         "settings.slot-no",
     ]
-    for moved in (True, False):  # the same again: it still takes a restart, nothing moves
+    for moved in (True, False):  # the second time nothing moves, and the rest still needs a restart
         front.reload(changed)
-        assert told[-1] == ("reloaded", {"moved": moved, "needs_restart": left})
-        assert standing(front) == before
-    front.reload(found | {"settings": OTHERS | {"period": SETTINGS["period"]}})
-    assert told[-1] == (
+        assert logged[-1] == ("reloaded", {"moved": moved, "needs_restart": needs_restart})
+        assert settings_in_use(front) == before
+    front.reload(document | {"settings": CHANGED_SETTINGS | {"period": SETTINGS["period"]}})
+    assert logged[-1] == (
         "reloaded",
-        {"moved": True, "needs_restart": [n for n in left if n not in ("limits", "name", "settings.period")]},
+        {
+            "moved": True,
+            "needs_restart": [n for n in needs_restart if n not in ("limits", "name", "settings.period")],
+        },
     )
-    front.reload(found)  # back to what is in force: nothing waits any more
-    assert told[-1] == ("reloaded", {"moved": False}) and standing(front) == before
-    assert front.discovery.client.address == parse_address(found["discovery"])
+    front.reload(document)  # the configuration in force: nothing needs a restart any more
+    assert logged[-1] == ("reloaded", {"moved": False}) and settings_in_use(front) == before
+    assert front.discovery.client.address == parse_address(document["discovery"])
     assert (
         front.relay.client.address
         == front.relay_watch.client.address
-        == parse_address(found["store"]["address"])
+        == parse_address(document["store"]["address"])
     )
