--- a/indigohitch/settings.py
+++ b/indigohitch/settings.py
@@ -131,7 +131,7 @@
             f"family-info.report-every is {report_interval / 10} ms", "settings", REMEDY
         )
     if not settings["methods"]:
-        raise InvalidRequestError("classes is empty; at least one method is needed", "settings", REMEDY)
+        raise InvalidRequestError("classes is empty: there is no method to serve", "settings", REMEDY)
     for method in settings["methods"]:
         if min(method.soft_deadline, method.deadline) <= 0:
             raise InvalidRequestError(
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -139,7 +139,7 @@
         zone="east", connected_at=1, last_line_at=20_000_000, line_started_at=None, invalid_line_count=False
     )
     connection = SimpleNamespace(reader=caller, detach=lambda: (None, b""))
-    of_caller = CoordinatorHandover.take_out(SimpleNamespace(front=front), connection)
+    of_caller = CoordinatorHandover.detach_connection(SimpleNamespace(front=front), connection)
     assert of_client == ("client", None, b"GET /a") and of_caller[1:] == (None, b"")
     (kinds,) = [given[2] for name, _, given in FRAMES if name == "passed"]
     assert [of_client[0], of_caller[0]] == kinds
