--- a/indigohitch/interface/__init__.py
+++ b/indigohitch/interface/__init__.py
@@ -1,8 +1,8 @@
-"""The events that the decision module takes and the orders it returns, independent of any wire.
+"""Events that the decision module takes and orders that it returns, independent of any wire format.
 
-Times and durations are ints of ticks; a tick is a tenth of a millisecond.  Backends, proxies and slices are
-named by the ids that the front uses; the module turns them into objects of its own.  A front hands the events
-of one moment to `Coordinator.handle` and sends what it returns, in order.
+Times and durations are integers in ticks of a tenth of a millisecond. Backends, proxies and slices are
+identified by the ids that the front uses; the module maps them to objects of its own. A front passes the
+events of one moment to `Coordinator.handle` and sends the returned orders in their sequence.
 """
 
 from .events import (
@@ -39,7 +39,7 @@
     WatchBackends,
 )
 
-SECOND = 10_000  # ticks: tenths of a millisecond
+SECOND = 10_000  # in ticks of a tenth of a millisecond
 
 __all__ = [
     "ALL_TABLES",
--- a/indigohitch/interface/events.py
+++ b/indigohitch/interface/events.py
@@ -1,4 +1,4 @@
-"""The events that the decision module takes."""
+"""Events that the decision module takes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendEntry:
-    """One entry of a list of backends."""
+    """Describes one backend in a list of backends."""
 
     backend: str
     state: str  # "ready", "draining" or "gone"
@@ -15,15 +15,15 @@
     zone: str
     cell: int
     kind: str
-    started_at: int  # 0: long ago
+    started_at: int  # 0: unknown, and long enough ago to be warm
 
 
 @dataclass(slots=True, frozen=True)
 class BackendList:
-    """A list of backends, or changes of it.
+    """Carries a list of backends, or the changes to it.
 
-    `scope` is "changes", "full", "remembered" (full, maybe stale) or "failed" (a call or the subscription
-    broke; no entries).
+    `scope` is "changes", "full", "remembered" (a full list that may be stale) or "failed" (a call or the
+    subscription failed; there are no entries).
     """
 
     scope: str
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """The outcome of a health probe."""
+    """Reports the outcome of a health probe."""
 
     backend: str
     outcome: str  # "ok", "error", "full", "timeout", "connect_failed", "reset"
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SliceDemand:
-    """RPCs of a method that came for a slice over `elapsed`."""
+    """Counts the RPCs of a method for a slice that arrived within `elapsed`."""
 
     slice: int
     method: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyDemand:
-    """RPCs of a method that came to a proxy over `elapsed` (deployments without slices)."""
+    """Counts the RPCs of a method that arrived at a proxy within `elapsed`, in deployments without slices."""
 
     proxy: int
     method: str
@@ -65,24 +65,24 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendTraffic:
-    """Attempts by the joined proxies of a zone at a backend.
+    """Counts the attempts that the joined proxies of a zone made at a backend.
 
-    `load` holds the newest load report by name: held, queued, busy (share of the cores), service_time,
-    ok_rate, failure_rate.
+    `load` holds the latest load report by field name: held, queued, busy (share of the cores in use),
+    service_time, ok_rate, failure_rate.
     """
 
     zone: str
     backend: str
     attempts: int
     failures: int
-    duration: int  # mean of the ok ones, 0 if none
+    duration: int  # mean over the successful attempts, 0 without any
     elapsed: int
     load: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
 class ProxyJoined:
-    """A proxy has joined."""
+    """Reports that a proxy has joined."""
 
     proxy: int
     zone: str
@@ -92,14 +92,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ProxyLeft:
-    """A proxy has left."""
+    """Reports that a proxy has left."""
 
     proxy: int
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateAcknowledged:
-    """A proxy has applied all orders up to a marker."""
+    """Reports that a proxy has applied all orders up to a marker."""
 
     proxy: int
     marker: int
@@ -108,7 +108,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SliceOwnership:
-    """This coordinator becomes the owner of a slice, or no longer is; its stored routes follow."""
+    """Makes this coordinator the owner of a slice, or ends its ownership.
+
+    The stored routes of the slice follow as `StoredRoute` events.
+    """
 
     slice: int
     is_owned: bool
@@ -116,7 +119,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StoredRoute:
-    """A route of a slice as the store holds it."""
+    """Reports a route of a slice as the store holds it."""
 
     slice: int
     backend: str
@@ -125,7 +128,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message of another coordinator."""
+    """Carries a message from another coordinator."""
 
     peer: int
     body: bytes
@@ -133,7 +136,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer of this tag is due."""
+    """Reports that the timer with this tag is due."""
 
     tag: str
 
--- a/indigohitch/interface/methods.py
+++ b/indigohitch/interface/methods.py
@@ -1,4 +1,4 @@
-"""The methods of RPCs, as the settings describe them."""
+"""RPC methods as the settings describe them."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Method:
-    """A method as the start settings describe it (their entry `methods`)."""
+    """Describes an RPC method, from the entry `methods` of the start settings."""
 
     name: str
     soft_deadline: int
     deadline: int
     criticality: float
     repeat: str  # "idempotent", "tokened" or "non_idempotent"
-    dedup_scope: str  # tokened: who drops a duplicate: "all", "zone" or "cell"
-    memory_span: int  # tokened: for how long
+    dedup_scope: str  # tokened: the backends that detect a duplicate: "all", "zone" or "cell"
+    memory_span: int  # tokened: ticks for which a duplicate is detected
--- a/indigohitch/interface/orders.py
+++ b/indigohitch/interface/orders.py
@@ -1,15 +1,15 @@
-"""The orders that the decision module returns."""
+"""Orders that the decision module returns."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-ALL_TABLES = 65535  # a SetAdmission for every table of this coordinator
+ALL_TABLES = 65535  # table id of a SetAdmission for every table of this coordinator
 
 
 @dataclass(slots=True, frozen=True)
 class SetRoute:
-    """Set a route of a table; weight 0 removes it."""
+    """Sets the weight of a route in a table; weight 0 removes the route."""
 
     table: int
     backend: str
@@ -18,17 +18,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ClearTable:
-    """Remove all routes of a table."""
+    """Removes all routes of a table."""
 
     table: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetAdmission:
-    """Set the share of some methods that is admitted, and their retries.
+    """Sets the share of RPCs of some methods to admit, and how they are retried.
 
-    `methods` are indexes of the settings' methods; none: all.  `retry_level`: 0 no retry, 1 one after proof
-    that the first attempt never ran, 2 one after any failure, 3 two.
+    `methods` holds indexes into the methods of the settings; empty means all of them. `retry_level` is 0 for
+    no retry, 1 for one retry after proof that the first attempt never ran, 2 for one retry after any failure,
+    3 for two of them.
     """
 
     table: int
@@ -39,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EjectBackend:
-    """Eject a backend from all tables, or end its ejection."""
+    """Ejects a backend from all tables, or ends its ejection."""
 
     backend: str
     ejected: bool
@@ -47,7 +48,10 @@
 
 @dataclass(slots=True, frozen=True)
 class BindTable:
-    """Give a proxy a table for some methods (none: all); for deployments without slices."""
+    """Assigns a table to a proxy for some methods, in deployments without slices.
+
+    Empty `methods` mean all of them.
+    """
 
     proxy: int
     table: int
@@ -56,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class UpdateMarker:
-    """Request an acknowledgement from the proxies that these orders reach, or from all."""
+    """Requests an acknowledgement from the proxies that receive these orders, or from all proxies."""
 
     marker: int
     to_all_proxies: bool
@@ -64,14 +68,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeBackend:
-    """Send a health probe."""
+    """Sends a health probe to a backend."""
 
     backend: str
 
 
 @dataclass(slots=True, frozen=True)
 class SendToPeer:
-    """Send a message to another coordinator."""
+    """Sends a message to another coordinator, or to all of them."""
 
     peer: int  # -1: all
     body: bytes
@@ -79,19 +83,19 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchBackends:
-    """Subscribe to the list of backends, or end the subscription."""
+    """Subscribes to the list of backends, or ends the subscription."""
 
     enabled: bool
 
 
 @dataclass(slots=True, frozen=True)
 class FetchBackends:
-    """Request the full list of backends once."""
+    """Requests the full list of backends once."""
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Fire a timer at a time."""
+    """Sets a timer that fires at `due_at`."""
 
     due_at: int
     tag: str
@@ -99,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """Write a text to the log."""
+    """Writes a text to the log."""
 
     text: str
 
--- a/indigohitch/logic/__init__.py
+++ b/indigohitch/logic/__init__.py
@@ -1,7 +1,7 @@
-"""The decision module: which backend owns which slice, and the orders that bring this to the proxies.
+"""The decision module: assigns slices to backends and returns the orders that tell the proxies.
 
-Each coordinator instance holds one `Coordinator(seed, bootstrap)`, where `bootstrap` are the start settings.
-The terms are those of interface.py; the reasons are in docs/design.md.
+Each coordinator process holds one `Coordinator(seed, bootstrap)`, where `bootstrap` holds the start settings.
+The package `interface` defines the events and orders; the reasons are in docs/design.md.
 """
 
 from heapq import heappop
@@ -15,18 +15,18 @@
 
 
 class Coordinator(CoordinatorState):
-    """Decides on the owners of slices from batches of events; times are ticks of a tenth of a millisecond."""
+    """Decides which backends own the slices, from batches of events; times are in ticks."""
 
-    ROUND = 2 * SECOND  # between two planning rounds, by docs/design.md
-    BEAT = SECOND // 2  # probes and updates depend on it: half of what an update may wait
+    ROUND = 2 * SECOND  # ticks between two planning rounds, as in docs/design.md
+    BEAT = SECOND // 2  # ticks between probes and between updates: half of what an update may wait
 
     def handle(self, now: int, events: list[Event]) -> list[Order]:
-        """Apply a batch of events at the time `now` and return the orders that follow from it."""
+        """Applies a batch of events at the time `now` and returns the resulting orders."""
         self.now = now
         self.orders = []
         self.next_beat_at = self.next_beat_at or now + self.BEAT
         for event in events:
-            if type(event) in EVENT_HANDLERS:  # events of other types hold nothing that is used here
+            if type(event) in EVENT_HANDLERS:  # events of other types affect no decision
                 EVENT_HANDLERS[type(event)](self, event)
         while self.due_actions and self.due_actions[0][0] <= now:
             match heappop(self.due_actions)[1]:
@@ -43,28 +43,31 @@
         return self.orders
 
     def subscribe(self) -> None:
-        """Request the list of backends with the next orders, where the settings let coordinators do so."""
+        """Schedules a subscription to the list of backends, where the settings let coordinators subscribe."""
         self.subscribe_pending = self.settings.get("discovery") == "ask"
 
     def decide(self) -> None:
-        """Settle the owners of every slice; the reconciler turns them into orders."""
+        """Decides the owners of every slice; the reconciler turns them into orders."""
         for slice_ in self.slices.values():
-            if not slice_.assignments:  # stored routes of small weight are dropped
+            if not slice_.assignments:  # stored routes below half of the highest weight are dropped
                 highest = max(slice_.stored_routes.values(), default=0.0)
-                kept = [backend for backend, weight in slice_.stored_routes.items() if 2 * weight >= highest]
-                slice_.assignments = [Assignment(slice_, backend) for backend in kept] or [
+                kept_backends = [
+                    backend for backend, weight in slice_.stored_routes.items() if 2 * weight >= highest
+                ]
+                slice_.assignments = [Assignment(slice_, backend) for backend in kept_backends] or [
                     Assignment(slice_, None)
                 ]
         assess(self)
         evacuate(self)
-        # Rounds by the clock, coordinators in turn: two with the same view would make the same moves.
-        turn = (self.now + self.ROUND * self.own_index // self.coordinator_count) // self.ROUND
-        if turn != self.planning_round and self.now >= self.planning_allowed_at:
-            self.planning_round = turn
+        # Coordinators plan one after another, by the clock: two that plan at once on the same view would make
+        # the same moves.
+        planning_round = (self.now + self.ROUND * self.own_index // self.coordinator_count) // self.ROUND
+        if planning_round != self.planning_round and self.now >= self.planning_allowed_at:
+            self.planning_round = planning_round
             plan(self)
 
     def beat(self) -> None:
-        """Start the next beat: choose the backends to probe and forget backends that are long gone."""
+        """Starts the next beat: chooses the backends to probe and forgets backends that are long gone."""
         self.next_beat_at = self.now + self.BEAT
         self.beat_count += 1
         self.probe_targets = [
@@ -75,7 +78,8 @@
             and not backend.probe_sent_at
             and (backend.missed_probes or (self.beat_count + index) % (4 * self.coordinator_count) == 0)
         ]
-        # Machines are replaced under new ids: of those gone, without a route and not ejected, 256 are kept.
+        # Replacement machines get new ids, so entries would accumulate. Of the backends that are gone, have
+        # no route and are not ejected, the latest 256 are kept.
         used = self.ejected.union(self.readmitted, *(slice_.stored_routes for slice_ in self.slices.values()))
         removable = [
             backend
--- a/indigohitch/logic/event_handlers.py
+++ b/indigohitch/logic/event_handlers.py
@@ -1,27 +1,27 @@
-"""Event handlers: each applies one type of event to the state and has no other effect."""
+"""Event handlers: each one applies one type of event to the state and has no other effect."""
 
 from heapq import heappush
 
 from .. import interface
-from .health import judge
+from .health import update_admission_ratio
 from .state import DEPARTING_STATES, Backend, CoordinatorState, DueAction, Slice, mean_cost
 
 
-def on_list(state: CoordinatorState, backend_list: interface.BackendList) -> None:
-    """Apply a list of backends: complete, of changes only, or the failure of the call for it."""
+def on_backend_list(state: CoordinatorState, backend_list: interface.BackendList) -> None:
+    """Applies a list of backends: a full one, changes to it, or the failure of the call for it."""
     if backend_list.scope == "failed":
-        # Retry with jitter and exponential backoff, after four seconds at most.
+        # Retry with exponential backoff and jitter, within four seconds at most.
         state.failed_list_calls += 1
-        span = interface.SECOND // 4 * 2 ** min(state.failed_list_calls, 3)
-        heappush(state.due_actions, (state.now + span + int(span * state.uniform()), DueAction.SUBSCRIBE))
+        delay = interface.SECOND // 4 * 2 ** min(state.failed_list_calls, 3)
+        heappush(state.due_actions, (state.now + delay + int(delay * state.uniform()), DueAction.SUBSCRIBE))
         state.log("no news of the backends: the list's call failed, asking again")
         return
     state.is_list_current = state.is_list_current or backend_list.scope != "remembered"
     state.failed_list_calls = 0
-    named = {state.backend(entry.backend): entry for entry in backend_list.entries}
-    for backend, entry in named.items():
+    listed = {state.backend(entry.backend): entry for entry in backend_list.entries}
+    for backend, entry in listed.items():
         if entry.started_at > backend.started_at and backend.state != "unheard":
-            backend.forget()  # a later start: nothing known of the old process holds
+            backend.forget()  # it was restarted: what is known of the old process no longer applies
             backend.notified_at = state.now
             backend.state = "unheard"
         set_state(state, backend, entry.state)
@@ -29,19 +29,21 @@
         backend.started_at = max(backend.started_at, entry.started_at)
         backend.kind = entry.kind
         backend.zone = entry.zone
-    # A backend that a complete list lacks is gone; one known only from the store is, once a list is current.
+    # A backend that a full list lacks is gone. One that is known only from stored routes is gone once a list
+    # is current.
     for backend in state.backends.values():
-        if backend not in named and (
+        if backend not in listed and (
             state.is_list_current if backend.state == "unheard" else backend_list.scope != "changes"
         ):
             set_state(state, backend, "gone")
 
 
 def set_state(state: CoordinatorState, backend: Backend, new_state: str) -> None:
-    """Set the state of a backend as the list gives it.
+    """Sets the state of a backend as the list gives it.
 
-    Where a removal from the list does not bind, a backend that answers stays until it misses a probe. One
-    that returns without a new start gets no slices before it answers a probe.
+    Where the settings do not make a removal from the list binding, a backend that answers stays ready until
+    it misses a probe. A backend that returns to the list without a restart gets no slices before it
+    answers a probe.
     """
     backend.is_unlisted = (
         new_state == "gone"
@@ -60,8 +62,8 @@
     backend.state = new_state
 
 
-def on_probed(state: CoordinatorState, result: interface.ProbeResult) -> None:
-    """Apply the result of a probe: count the probes missed in a row."""
+def on_probe_result(state: CoordinatorState, result: interface.ProbeResult) -> None:
+    """Applies the result of a probe and counts the probes missed in a row."""
     backend = state.backend(result.backend)
     sent_at = backend.probe_sent_at
     backend.probe_sent_at = 0
@@ -72,31 +74,34 @@
         set_state(state, backend, "gone")
 
 
-def on_demand(state: CoordinatorState, sums: interface.SliceDemand) -> None:
-    """Add the RPCs of one method for a slice to the demand of the slice."""
-    slice_ = state.slices.get(sums.slice)
-    method = state.methods.get(sums.method)
+def on_slice_demand(state: CoordinatorState, demand: interface.SliceDemand) -> None:
+    """Adds the RPCs of one method for a slice to the demand of the slice."""
+    slice_ = state.slices.get(demand.slice)
+    method = state.methods.get(demand.method)
     if slice_ is not None and method is not None:
-        # No event holds the cost of an RPC; its soft deadline grows with it.
-        cost = sums.total * method.soft_deadline / interface.SECOND
+        # No event holds the cost of an RPC. The soft deadline grows with the cost and stands in for it.
+        cost = demand.total * method.soft_deadline / interface.SECOND
         for average in (slice_.demand, slice_.long_term_demand):
-            average.add(state.now, cost, sums.total)
-        slice_.latest_demand.add(state.now, cost, sums.total, sums.total * sums.elapsed / interface.SECOND)
+            average.add(state.now, cost, demand.total)
+        slice_.latest_demand.add(
+            state.now, cost, demand.total, demand.total * demand.elapsed / interface.SECOND
+        )
 
 
-def on_traffic(state: CoordinatorState, traffic: interface.BackendTraffic) -> None:
-    """Apply the attempts, failures and load report of a backend to its health and pace."""
+def on_backend_traffic(state: CoordinatorState, traffic: interface.BackendTraffic) -> None:
+    """Applies the attempts, failures and load report of a backend to its statistics and admission ratio."""
     backend = state.backend(traffic.backend)
     backend.attempts.add(state.now, traffic.attempts, traffic.failures)
     backend.unanswered += traffic.failures
     if traffic.attempts > traffic.failures:
         backend.last_success_at = state.now
         backend.unanswered = 0
-    judge(state, backend, traffic)
+    update_admission_ratio(state, backend, traffic)
     cost = mean_cost(assignment.slice for assignment in backend.assignments)
-    if backend.warmup_fraction < 1 or not cost:  # slow during its warm-up, or without a cost to compare with
+    # A backend in its warm-up is slow, and without a cost there is nothing to compare its time with.
+    if backend.warmup_fraction < 1 or not cost:
         return
-    # Service time without the queue wait, or the share of cores in use, against the work done.
+    # Pace is the service time without the queue wait, or the cores in use, relative to the cost of the work.
     load = traffic.load
     if load.get("service_time"):
         backend.pace.add(state.now, load["service_time"] / interface.SECOND, cost)
@@ -104,38 +109,40 @@
         backend.pace.add(state.now, load["busy"] * backend.weight, load.get("ok_rate", 0.0) * cost)
 
 
-def on_joined(state: CoordinatorState, joined: interface.ProxyJoined) -> None:
-    """Add a proxy."""
+def on_proxy_joined(state: CoordinatorState, joined: interface.ProxyJoined) -> None:
+    """Adds a proxy that has joined."""
     state.proxies[joined.proxy] = joined.zone
     state.last_join_at = state.now
-    state.departed_proxies[joined.proxy] = state.now  # until then it may have written by an old table
+    state.departed_proxies[joined.proxy] = state.now  # up to now it may have sent writes by an old table
     state.levels_sent.discard(joined.proxy)
-    state.ejected |= state.readmitted  # it may hold ejections whose end it never received
+    state.ejected |= state.readmitted  # it may have missed the end of these ejections
 
 
-def on_left(state: CoordinatorState, departure: interface.ProxyLeft) -> None:
-    """Remove a proxy; its updates count as acknowledged, so that nothing waits for it."""
+def on_proxy_left(state: CoordinatorState, departure: interface.ProxyLeft) -> None:
+    """Removes a proxy and counts its updates as acknowledged, so that nothing waits for it."""
     state.proxies.pop(departure.proxy, None)
     state.departed_proxies[departure.proxy] = state.now + state.settings.get("keeps_writing", 0)
     state.channel.acknowledge(departure.proxy, next(reversed(state.channel.unacked), None))
 
 
-def on_acked(state: CoordinatorState, ack: interface.UpdateAcknowledged) -> None:
-    """Record that a proxy has applied the updates up to a marker."""
-    state.channel.acknowledge(ack.proxy, ack.marker)
+def on_update_acknowledged(state: CoordinatorState, acknowledgement: interface.UpdateAcknowledged) -> None:
+    """Records that a proxy has applied the updates up to a marker."""
+    state.channel.acknowledge(acknowledgement.proxy, acknowledgement.marker)
 
 
-def on_charge(state: CoordinatorState, charge: interface.SliceOwnership) -> None:
-    """Start or end this coordinator's responsibility for a slice."""
-    for assignment in state.slices.pop(charge.slice).assignments if charge.slice in state.slices else ():
+def on_slice_ownership(state: CoordinatorState, ownership: interface.SliceOwnership) -> None:
+    """Starts or ends this coordinator's ownership of a slice."""
+    for assignment in (
+        state.slices.pop(ownership.slice).assignments if ownership.slice in state.slices else ()
+    ):
         assignment.assign_to(None)
-    if charge.is_owned:
-        state.slices[charge.slice] = Slice(charge.slice, state.now)
+    if ownership.is_owned:
+        state.slices[ownership.slice] = Slice(ownership.slice, state.now)
         state.defer_planning()
 
 
-def on_stored(state: CoordinatorState, route: interface.StoredRoute) -> None:
-    """Take over a route from the store."""
+def on_stored_route(state: CoordinatorState, route: interface.StoredRoute) -> None:
+    """Adds a route that the store holds for an owned slice."""
     if route.slice in state.slices and route.weight > 0:
         backend = state.backend(route.backend)
         state.slices[route.slice].stored_routes[backend] = route.weight
@@ -144,13 +151,13 @@
 
 
 EVENT_HANDLERS = {
-    interface.BackendList: on_list,
-    interface.ProbeResult: on_probed,
-    interface.SliceDemand: on_demand,
-    interface.BackendTraffic: on_traffic,
-    interface.ProxyJoined: on_joined,
-    interface.ProxyLeft: on_left,
-    interface.SliceOwnership: on_charge,
-    interface.StoredRoute: on_stored,
-    interface.UpdateAcknowledged: on_acked,
+    interface.BackendList: on_backend_list,
+    interface.ProbeResult: on_probe_result,
+    interface.SliceDemand: on_slice_demand,
+    interface.BackendTraffic: on_backend_traffic,
+    interface.ProxyJoined: on_proxy_joined,
+    interface.ProxyLeft: on_proxy_left,
+    interface.SliceOwnership: on_slice_ownership,
+    interface.StoredRoute: on_stored_route,
+    interface.UpdateAcknowledged: on_update_acknowledged,
 }
--- a/indigohitch/logic/ownership_transfer.py
+++ b/indigohitch/logic/ownership_transfer.py
@@ -1,30 +1,32 @@
-"""Ownership transfer of exclusive slices: at no time do two backends receive writes of the same slice."""
+"""Ownership transfer of exclusive slices: two backends never receive writes of the same slice at a time."""
 
 from ..interface import SECOND, Order, SetAdmission, SetRoute
 from .state import DEPARTING_STATES, CoordinatorState, Slice
 
 
-def in_steps(state: CoordinatorState, slice_: Slice, orders: list[Order]) -> list[Order]:
-    """Return those orders of a change of owner that may be sent now.
+def orders_allowed_now(state: CoordinatorState, slice_: Slice, orders: list[Order]) -> list[Order]:
+    """Returns those orders of a change of owner that may be sent now.
 
-    Proxies apply a change at different times. So the slice is first closed to writes (to all methods where
-    its owner departs), and the new owner gets its route once no RPC can be in flight to the former one.
+    Proxies apply a change at different times. The slice is therefore first closed to writes, or to all
+    methods if its owner departs. The new owner gets its route once no RPC can be in flight to the former one.
     """
-    # Without admission ratios a slice is closed by the removal of its route.
+    # Where proxies do not apply admission ratios, a slice is closed by the removal of its route.
     closes_by_route = state.settings.get("admission") == "none"
-    # A slice that came without a route was closed by its former coordinator.
+    # In that mode a slice that arrives without a route was closed by its former coordinator.
     if not state.settings.get("exclusive") or not (slice_.stored_routes or closes_by_route):
         return orders
-    closed = (
+    methods_to_close = (
         ()
         if closes_by_route or any(backend.state in DEPARTING_STATES for backend in slice_.stored_routes)
-        else tuple(place for place, writes in enumerate(state.settings.get("method_writes") or ()) if writes)
+        else tuple(
+            index for index, is_write in enumerate(state.settings.get("method_writes") or ()) if is_write
+        )
     )
     if (
         slice_.stored_routes
         and orders
         and (
-            slice_.closed_methods not in ((), closed)
+            slice_.closed_methods not in ((), methods_to_close)
             or state.last_join_at > slice_.closed_at
             and not closes_by_route
         )
@@ -32,7 +34,7 @@
         return (
             [SetRoute(slice_.number, backend.id, 0.0) for backend in slice_.stored_routes]
             if closes_by_route
-            else [SetAdmission(slice_.number, closed, 0.0, 1)]
+            else [SetAdmission(slice_.number, methods_to_close, 0.0, 1)]
         )
     if orders and not is_closed_everywhere(state, slice_, closes_by_route):
         return []
@@ -40,9 +42,9 @@
 
 
 def is_closed_everywhere(state: CoordinatorState, slice_: Slice, closes_by_route: bool) -> bool:
-    """Return whether all proxies have closed the slice and no RPC can be in flight any more.
+    """Returns whether all proxies have closed the slice and no RPC can be in flight any more.
 
-    A proxy that joins later does not read admission ratios.
+    A proxy that joins after the close gets the stored routes, but not the admission ratios.
     """
     if state.channel.unacked.get(slice_.closing_marker, (0, ()))[1]:
         return False
@@ -52,6 +54,6 @@
         *state.departed_proxies.values(),
         slice_.owned_since + state.settings.get("keeps_writing", 0),
     ) + state.settings.get("settle", 0)
-    # How long a proxy may be without a route, less a quarter for the transit of the update.
+    # Ticks for which a proxy may be without a route, less a quarter for the transit of the update.
     max_closed = state.settings.get("bare_limit", SECOND) * 3 // 4
     return state.now >= (min(quiet_at, slice_.closed_at + max_closed) if closes_by_route else quiet_at)
--- a/indigohitch/logic/planner.py
+++ b/indigohitch/logic/planner.py
@@ -1,13 +1,13 @@
-"""Assigns slices to backends: the greedy planner of docs/design.md, and the moves that can't wait for it."""
+"""Assigns slices to backends: the greedy planner of docs/design.md, and moves that are too urgent for it."""
 
 from ..interface import SECOND
 from .state import DEPARTING_STATES, Assignment, Backend, CoordinatorState, Slice
 
 
 def allowance(state: CoordinatorState, backend: Backend) -> float:
-    """Return the load that a cold backend may get: its share of what warm backends were seen to answer."""
-    # Half of the multiple that overloads it, as empty caches double the work; a third while many attempts
-    # fail.
+    """Returns the load that a cold backend may get, in proportion to what warm backends have answered."""
+    # Half of the multiple that overloads the backend, as empty caches double the work. About a third while
+    # many attempts fail, as their retries add load.
     fraction = 0.35 if state.is_failing() else 0.5
     return (
         state.throughput_per_weight
@@ -19,62 +19,69 @@
     )
 
 
-def may_take(state: CoordinatorState, backend: Backend, slice_: Slice, mean: float) -> bool:
-    """Return whether a backend may get the slice: a warm one always, a cold one within its allowance."""
+def may_accept(state: CoordinatorState, backend: Backend, slice_: Slice, mean: float) -> bool:
+    """Returns whether a backend may get the slice: a warm one always, a cold one within its allowance."""
     return backend.warmup_fraction >= 1 or (
         backend.received_slices < 2
         and backend.load + slice_.recent_load <= min(mean * backend.capacity, allowance(state, backend))
     )
 
 
-def mean_use(state: CoordinatorState, opened: list[Backend]) -> float:
-    """Return the load of all backends for a unit of capacity of the ready ones."""
+def mean_utilization(state: CoordinatorState, ready_backends: list[Backend]) -> float:
+    """Returns the load of all backends per unit of capacity of the ready ones."""
     return sum(backend.load for backend in state.backends.values()) / (
-        sum(backend.capacity for backend in opened) or 1.0
+        sum(backend.capacity for backend in ready_backends) or 1.0
     )
 
 
-def place(state: CoordinatorState, assignment: Assignment) -> None:
-    """Move an assignment to a backend by weighted rendezvous hashing over the free capacity."""
+def place_assignment(state: CoordinatorState, assignment: Assignment) -> None:
+    """Moves an assignment to a backend by weighted rendezvous hashing over the free capacity."""
     slice_ = assignment.slice
     load = assignment.load
-    opened = state.ready_backends()
-    choice = [backend for backend in opened if backend not in slice_.owners()]
-    mean = mean_use(state, opened)
-    fit = [backend for backend in choice if not backend.is_suspect and may_take(state, backend, slice_, mean)]
+    ready_backends = state.ready_backends()
+    candidates = [backend for backend in ready_backends if backend not in slice_.owners()]
+    mean = mean_utilization(state, ready_backends)
+    eligible = [
+        backend
+        for backend in candidates
+        if not backend.is_suspect and may_accept(state, backend, slice_, mean)
+    ]
     with_capacity = [
-        (backend, free) for backend in fit if (free := 1.25 * mean * backend.capacity - backend.load) >= load
+        (backend, free)
+        for backend in eligible
+        if (free := 1.25 * mean * backend.capacity - backend.load) >= load
     ]
-    # Backends with free capacity, else those that may take the slice, else warm ones; never a cold one past
-    # its allowance.
-    weighted = with_capacity or [
+    # Backends with free capacity, else eligible ones, else warm ones; never a cold one beyond its allowance.
+    weighted_candidates = with_capacity or [
         (backend, backend.capacity)
-        for backend in fit or [backend for backend in choice if backend.warmup_fraction >= 1]
+        for backend in eligible or [backend for backend in candidates if backend.warmup_fraction >= 1]
     ]
-    if weighted:
-        chosen = max(weighted, key=lambda pair: (pair[0].rank(slice_.number, pair[1]), pair[0].id))[0]
+    if weighted_candidates:
+        chosen = max(
+            weighted_candidates, key=lambda pair: (pair[0].rank(slice_.number, pair[1]), pair[0].id)
+        )[0]
         move(state, assignment, chosen)
         if not with_capacity:
-            assignment.next_move_at = state.now  # without free capacity it may move again at once
+            assignment.next_move_at = state.now  # it may move again at once, as it lacks free capacity here
     elif assignment.owner is not None and assignment.owner.state in DEPARTING_STATES:
         assignment.assign_to(None)
 
 
 def move(state: CoordinatorState, assignment: Assignment, target: Backend) -> None:
-    """Assign to a backend, and move the load with it."""
+    """Assigns to the target backend, and updates the loads of both backends."""
     load = assignment.load
     if assignment.owner is not None:
         assignment.owner.load -= load
     assignment.assign_to(target)
     target.load += load
     target.received_slices += target.warmup_fraction < 1
-    # Half the interval of docs/design.md: demand shifts in 12 to 24 s.
+    # Half of the interval in docs/design.md, as demand shifts within 12 to 24 s.
     assignment.next_move_at = state.now + 10 * SECOND
 
 
 def evacuate(state: CoordinatorState) -> None:
-    """Move slices of departing and of overloaded cold backends at once, outside the planner's budget."""
-    opened = state.ready_backends()
+    """Moves slices off departing and overloaded cold backends at once, not counted as moves of a round."""
+    ready_backends = state.ready_backends()
     for backend in state.backends.values():
         is_departing = backend.state in DEPARTING_STATES
         if is_departing and backend.assignments:
@@ -82,11 +89,11 @@
         if (
             is_departing
             or backend.warmup_fraction < 1
-            and any(other.warmup_fraction >= 1 and not other.is_unresponsive for other in opened)
+            and any(other.warmup_fraction >= 1 and not other.is_unresponsive for other in ready_backends)
         ):
             for assignment in sorted(backend.assignments, key=_largest_load_first):
-                # Slices owned since before its start count against our share of its allowance, those that
-                # another coordinator assigned against all of it.
+                # Slices that this coordinator has owned since before the start of the backend count against
+                # its own share of the allowance, those that another one assigned there against all of it.
                 allowed = allowance(state, backend) * (
                     1
                     if assignment.slice.owned_since <= backend.started_at
@@ -95,34 +102,35 @@
                 if is_departing or 0 < 1.5 * allowed < sum(
                     other.slice.recent_load for other in backend.assignments
                 ):
-                    place(state, assignment)
-    # A list: placing changes the assignments.
+                    place_assignment(state, assignment)
+    # Iterates over a copy, as placing changes the assignments.
     for assignment in [assignment for slice_ in state.slices.values() for assignment in slice_.assignments]:
         if assignment.owner is None or len(assignment.slice.assignments) > 1 and assignment.owner.is_suspect:
-            place(state, assignment)
+            place_assignment(state, assignment)
 
 
 def _largest_load_first(assignment: Assignment) -> tuple[float, int]:
-    """Sort key: the largest load first, equal ones by the number of the slice."""
+    """Returns a sort key that puts the largest load first, and equal loads by slice number."""
     return -assignment.load, assignment.slice.number
 
 
 def plan(state: CoordinatorState) -> None:
-    """Run one planning round: move slices from the busiest to the least loaded, for positive gain only."""
-    opened = sorted(state.ready_backends(), key=lambda backend: backend.id)
-    mean = mean_use(state, opened)
-    if len(opened) < 2 or mean <= 0:
+    """Runs one planning round, moving slices from the busiest to the least utilized backends for a gain."""
+    ready_backends = sorted(state.ready_backends(), key=lambda backend: backend.id)
+    mean = mean_utilization(state, ready_backends)
+    if len(ready_backends) < 2 or mean <= 0:
         return
-    for backend in opened:
+    for backend in ready_backends:
         backend.received_slices = 0
-    if not state.settings.get("exclusive"):  # an exclusive slice has one owner
-        split(state, opened, mean)
-    uses = [backend.utilization() / mean for backend in opened]
-    state.is_balancing |= max(uses) > 1.25 or min(uses) < 1 / 1.25  # a change of members triggers too
-    # Moves in a round: a thirtieth of our slices (more did worse), and one for each new backend still empty.
-    idle = sum(not backend.assignments and backend.warmup_fraction < 1 for backend in opened)
+    if not state.settings.get("exclusive"):  # an exclusive slice has a single owner
+        update_splits(state, ready_backends, mean)
+    uses = [backend.utilization() / mean for backend in ready_backends]
+    state.is_balancing |= max(uses) > 1.25 or min(uses) < 1 / 1.25  # also after a change of backends
+    # Moves in a round: a thirtieth of the owned slices, as more gave worse results, and one for each new
+    # backend that is still empty.
+    idle = sum(not backend.assignments and backend.warmup_fraction < 1 for backend in ready_backends)
     for _ in range(max(2, len(state.slices) // 30 + idle // state.coordinator_count)):
-        by_use = sorted(opened, key=Backend.utilization)
+        by_use = sorted(ready_backends, key=Backend.utilization)
         best = next(
             filter(
                 None,
@@ -142,15 +150,20 @@
         move(state, *best)
 
 
-def split(state: CoordinatorState, opened: list[Backend], mean: float) -> None:
-    """Split slices with over four fifths of a backend's target load, and merge them when the load falls."""
-    # Our part grows by the root of the number of coordinators: docs/fleet.md.
-    target = mean * sum(backend.capacity for backend in opened) / len(opened) * state.coordinator_count**0.5
+def update_splits(state: CoordinatorState, ready_backends: list[Backend], mean: float) -> None:
+    """Splits slices above four fifths of a backend's target load, and merges them when their load falls."""
+    # This coordinator's part of the load grows by the root of the number of coordinators: docs/fleet.md.
+    target = (
+        mean
+        * sum(backend.capacity for backend in ready_backends)
+        / len(ready_backends)
+        * state.coordinator_count**0.5
+    )
     for slice_ in state.slices.values():
         parts = len(slice_.assignments)
-        if slice_.load > 0.8 * target * parts and parts < min(4, len(opened)):
+        if slice_.load > 0.8 * target * parts and parts < min(4, len(ready_backends)):
             slice_.assignments.append(Assignment(slice_, None))
-            place(state, slice_.assignments[-1])
+            place_assignment(state, slice_.assignments[-1])
         elif parts > 1 and slice_.load < 0.48 * target * (parts - 1):
             last = max(slice_.assignments, key=_owner_utilization)
             last.assign_to(None)
@@ -160,20 +173,23 @@
         count = len(slice_.assignments)
         backends_needed = slice_.load / target
         state.log(f"slice {slice_.number} in {count} parts: asks for {backends_needed:.1f} backends")
-    for backend in opened:
+    for backend in ready_backends:
         backend.load = sum(assignment.load for assignment in backend.assignments)
 
 
 def _owner_utilization(assignment: Assignment) -> float:
-    """Return the utilization of the owner; infinite without one."""
+    """Returns the utilization of the owner; infinite without one."""
     return assignment.owner.utilization() if assignment.owner else float("inf")
 
 
 def best_move(
     state: CoordinatorState, source: Backend, by_use: list[Backend], mean: float
 ) -> tuple[Assignment, Backend] | None:
-    """Return the move from the source with the largest gain, or None; `by_use`: the least utilized first."""
-    # The two loads have to differ by a quarter of the mean load; any gain counts while many attempts fail.
+    """Returns the move off the source with the largest gain, or None.
+
+    `by_use` holds the possible targets, the least utilized first.
+    """
+    # The two loads must differ by a quarter of the mean load; while many attempts fail any gain is enough.
     min_difference = 0.0 if state.is_failing() else 0.25 * state.coordinator_count * mean * source.weight
     best = None
     best_gain = 0.0
@@ -186,7 +202,7 @@
                 for backend in by_use
                 if backend not in owners
                 and not backend.is_suspect
-                and may_take(state, backend, assignment.slice, mean)
+                and may_accept(state, backend, assignment.slice, mean)
                 and backend.load + load <= 1.25 * mean * backend.capacity
             ),
             None,
--- a/indigohitch/logic/reconciler.py
+++ b/indigohitch/logic/reconciler.py
@@ -1,43 +1,43 @@
-"""Orders that turn the stored routes into the target routes, within the free capacity of the channel."""
+"""Orders the changes from the stored to the target routes, within the free capacity of the channel."""
 
 from dataclasses import dataclass, field
 
 from .. import interface
-from .ownership_transfer import in_steps
+from .ownership_transfer import orders_allowed_now
 from .state import DEPARTING_STATES, Backend, CoordinatorState, Slice
 
-ADMISSION_STEPS = 5  # admission ratios are multiples of a fifth: fewer updates
-MIN_ORDINARY_CHANGES = 6  # per update, also where a third of the ordinary changes is less
-RETRY_AFTER_PROOF = 1  # retry level: one retry after proof that the first attempt never ran
+ADMISSION_STEPS = 5  # ratios are rounded to multiples of a fifth, which needs fewer updates
+MIN_ORDINARY_CHANGES = 6  # per update, where a third of the pending ones is less
+RETRY_AFTER_PROOF = 1  # retry level 1: one retry after proof that the first attempt never ran
 
 
 @dataclass(slots=True)
 class Update:
-    """The changes that go out together, in the order in which they get room."""
+    """Changes that are sent together, in the order in which they use up the free capacity."""
 
-    changed: list[Slice] = field(default_factory=list)  # routes
-    trimmed: list[Slice] = field(default_factory=list)  # admission ratios
-    announces_retries: bool = False  # some proxy does not know the retry level
+    changed: list[Slice] = field(default_factory=list)  # slices with changed routes
+    trimmed: list[Slice] = field(default_factory=list)  # slices with changed admission ratios
+    announces_retries: bool = False  # some proxy lacks the retry level
     urgent: bool = False
-    readmitted: list[Backend] = field(default_factory=list)  # ready again
+    readmitted: list[Backend] = field(default_factory=list)  # ejected backends that are ready again
 
 
 def target_ratio(slice_: Slice) -> float:
-    """Return the lowest admission ratio of the owners, rounded to a step."""
+    """Returns the lowest admission ratio of the owners, rounded to a step."""
     lowest = min((backend.admission_ratio for backend in slice_.owners()), default=1.0)
     return round(ADMISSION_STEPS * lowest) / ADMISSION_STEPS
 
 
 def target_routes(slice_: Slice) -> dict[Backend, float]:
-    """Return the routes by the assignments, all of the same weight."""
+    """Returns the routes that the assignments require, all of the same weight."""
     return dict.fromkeys(slice_.owners(), 1.0)
 
 
 def urgent_since(slice_: Slice) -> int | None:
-    """Return since when a change is urgent; None: it is not.
+    """Returns the time since which a change is urgent, or None if it is not.
 
-    Urgent are a closed slice, one without a route, and a route to a departing backend or to a cold one
-    that is no longer an owner.
+    A change is urgent for a closed slice, for one without a route, and for one with a route to a departing
+    backend or to a cold one that is no longer an owner.
     """
     if slice_.closed_methods is not None:
         return slice_.owned_since
@@ -53,15 +53,15 @@
 
 
 def emit(state: CoordinatorState) -> None:
-    """Order the timer, the requests for lists and probes, and the update that is due."""
+    """Orders the timer, the requests for lists and probes, and the update that is due."""
     _emit_requests(state)
     update = _due_update(state)
     if update.urgent or update.changed or update.announces_retries or update.trimmed:
-        push(state, update)
+        send_update(state, update)
 
 
 def _emit_requests(state: CoordinatorState) -> None:
-    """Order the timer of the next beat, a pending subscription and probes."""
+    """Orders the timer of the next beat, a pending subscription and probes."""
     if state.timer_due_at != state.next_beat_at:
         state.timer_due_at = state.next_beat_at
         state.orders.append(interface.SetTimer(state.timer_due_at, "beat"))
@@ -75,7 +75,7 @@
 
 
 def _due_update(state: CoordinatorState) -> Update:
-    """Collect what should go out now: urgent changes at once, ordinary ones each second beat."""
+    """Collects the changes that are due: urgent ones at once, ordinary ones at every second beat."""
     slices = state.slices.values()
     urgent: list[Slice] = []
     suspect: list[Slice] = []  # a former owner is suspect
@@ -90,41 +90,41 @@
         else:
             ordinary.append(slice_)
     urgent.sort(key=urgent_since)
-    state.has_pending_routes = bool(urgent) or any(s.closed_methods is not None for s in slices)
+    state.has_pending_routes = bool(urgent) or any(slice_.closed_methods is not None for slice_ in slices)
     update = Update()
     update.announces_retries = _must_announce_retries(state)
     update.readmitted = [b for b in state.backends.values() if b in state.ejected and b.state == "ready"]
     update.urgent = bool(urgent or update.readmitted)
     update.changed = urgent + suspect
     if not update.urgent and (state.beat_count % 2 == 0 or suspect):
-        ordinary.sort(key=_busiest_first)
+        ordinary.sort(key=_highest_utilization_first)
         third = max(MIN_ORDINARY_CHANGES, len(ordinary) // 3)
         update.changed += ordinary if state.is_failing() else ordinary[:third]
-        update.trimmed = [s for s in slices if target_ratio(s) != s.admission_ratio]
+        update.trimmed = [slice_ for slice_ in slices if target_ratio(slice_) != slice_.admission_ratio]
     return update
 
 
 def _has_orders(state: CoordinatorState, slice_: Slice) -> bool:
-    """Return whether something may be ordered for the slice now."""
+    """Returns whether an order for the slice is needed and may be sent now."""
     differs = target_routes(slice_) != slice_.stored_routes
     return (differs or slice_.closed_methods is not None) and bool(route_changes(state, slice_))
 
 
 def _leaves_suspect(slice_: Slice) -> bool:
-    """Return whether a route to a suspect backend is no longer a target."""
+    """Returns whether a stored route leads to a suspect backend that is no longer an owner."""
     owners = slice_.owners()
     return any(backend.is_suspect for backend in slice_.stored_routes if backend not in owners)
 
 
-def _busiest_first(slice_: Slice) -> float:
-    """Sort key: the highest utilization of a stored owner comes first."""
+def _highest_utilization_first(slice_: Slice) -> float:
+    """Returns a sort key that puts the highest utilization of a stored owner first."""
     return -max(backend.utilization() for backend in slice_.stored_routes)
 
 
 def _must_announce_retries(state: CoordinatorState) -> bool:
-    """Return whether a proxy lacks the retry level.
+    """Returns whether a proxy lacks the retry level.
 
-    Its order carries an admission ratio of 1, which admits all only where ratios are shares and not rates.
+    Its order carries an admission ratio of 1, which admits all RPCs only where ratios are shares, not rates.
     """
     if state.settings.get("admission") == "rate":
         return False
@@ -132,7 +132,7 @@
 
 
 def route_changes(state: CoordinatorState, slice_: Slice) -> list[interface.Order]:
-    """Return the orders that may go now towards the target routes of a slice."""
+    """Returns the orders towards the target routes of a slice that may be sent now."""
     target = target_routes(slice_)
     stored = slice_.stored_routes
     orders: list[interface.Order] = []
@@ -142,16 +142,16 @@
     for backend in stored:
         if backend not in target:
             orders.append(interface.SetRoute(slice_.number, backend.id, 0.0))
-    return in_steps(state, slice_, orders)
+    return orders_allowed_now(state, slice_, orders)
 
 
-def push(state: CoordinatorState, update: Update) -> None:
-    """Order as much of the update as the channel takes now, and a marker after it."""
+def send_update(state: CoordinatorState, update: Update) -> None:
+    """Orders as much of the update as the channel takes now, followed by a marker."""
     changes = [route_changes(state, slice_) for slice_ in update.changed]
     readmitted = len(update.readmitted)
-    need = sum(map(len, changes)) + len(update.trimmed) + readmitted
+    needed = sum(map(len, changes)) + len(update.trimmed) + readmitted
     capacity = state.channel.free_capacity(
-        state.now, len(state.proxies), update.urgent, need, state.is_failing()
+        state.now, len(state.proxies), update.urgent, needed, state.is_failing()
     )
     capacity -= readmitted
     if capacity <= 0:
@@ -160,9 +160,9 @@
     if update.announces_retries:
         state.orders.append(interface.SetAdmission(interface.ALL_TABLES, (), 1.0, RETRY_AFTER_PROOF))
         state.levels_sent = set(state.proxies)
-    late = _late_departing(state, update.changed, need)
+    late = _late_departing(state, update.changed, needed)
     sent = 0
-    postponed: set[Backend] = set()  # have a route that does not go out now
+    postponed: set[Backend] = set()  # backends with a stored route whose change does not fit
     closed: list[Slice] = []
     for slice_, orders in zip(update.changed, changes):
         if sent + len(orders) > capacity - len(late):
@@ -183,41 +183,41 @@
 
 
 def _readmit(state: CoordinatorState, backends: list[Backend]) -> None:
-    """Order the end of the ejection of these."""
+    """Orders the end of the ejection of these backends."""
     state.orders += [interface.EjectBackend(backend.id, False) for backend in backends]
     state.ejected.difference_update(backends)
     state.readmitted.update(backends)
 
 
 def _eject(state: CoordinatorState, backends: list[Backend]) -> None:
-    """Order the ejection of these from all tables."""
+    """Orders the ejection of these backends from all tables."""
     state.orders += [interface.EjectBackend(backend.id, True) for backend in backends]
     state.ejected = state.ejected.union(backends)
     state.readmitted = state.readmitted.difference(backends)
 
 
-def _late_departing(state: CoordinatorState, slices: list[Slice], need: int) -> list[Backend]:
-    """Return departing backends whose routes can't all be removed within the drain grace, each once."""
-    latest_notice = (
+def _late_departing(state: CoordinatorState, slices: list[Slice], needed: int) -> list[Backend]:
+    """Returns the departing backends whose routes cannot all be removed within the drain grace."""
+    earliest_timely_notice = (
         state.now
-        + (state.channel.backlog + need * len(state.proxies)) / state.channel.pace()
+        + (state.channel.backlog + needed * len(state.proxies)) / state.channel.drain_rate()
         + state.settings.get("transit_most", 0)
         - state.settings.get("drain_grace", interface.SECOND)
     )
-    known = state.ejected - state.readmitted
+    ejected_everywhere = state.ejected - state.readmitted
     late = {
         backend: None
         for slice_ in slices
         for backend in slice_.stored_routes
         if backend.state in DEPARTING_STATES
-        and backend not in known
-        and latest_notice > max(backend.notified_at, slice_.owned_since)
+        and backend not in ejected_everywhere
+        and earliest_timely_notice > max(backend.notified_at, slice_.owned_since)
     }
     return list(late)
 
 
 def _apply(state: CoordinatorState, slice_: Slice, orders: list[interface.Order]) -> bool:
-    """Take the orders into the state; returns whether they only close the slice for a change of owner."""
+    """Applies the orders to the state; returns whether they only close the slice for a change of owner."""
     target = target_routes(slice_)
     closes = (
         target != slice_.stored_routes
@@ -232,7 +232,7 @@
     match orders[0]:
         case interface.SetAdmission(_, methods):
             slice_.closed_methods = methods
-        case _:  # its only route was removed: closed to all
+        case _:  # its only route was removed, which closes it to all methods
             slice_.closed_methods = ()
     slice_.closed_at = state.now
     slice_.quiet_since = 0
@@ -240,7 +240,7 @@
 
 
 def _trim(state: CoordinatorState, slices: list[Slice], capacity: int) -> int:
-    """Order the admission ratios of the slices that are not closed; returns how many."""
+    """Orders the admission ratios of the slices that are not closed; returns their number."""
     trimmed = [slice_ for slice_ in slices if slice_.closed_methods is None][:capacity]
     for slice_ in trimmed:
         slice_.admission_ratio = target_ratio(slice_)
