--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,5 +1,8 @@
-"""Several coordinators' modules over one set of backends: each has its part of the slices and hears its own
-late sums, as `world.World` checks the rules of each; what all of them do to a backend is seen here."""
+"""A simulation of several coordinators over one set of backends.
+
+Each coordinator owns a part of the slices and gets its own reports, which arrive late; `world.World` checks
+the rules for each of them. The load that all of them together put on a backend is simulated here.
+"""
 
 import random
 
@@ -7,22 +10,29 @@
 from indigohitch.logic import SECOND
 from world import World, entry
 
-BASE = 2500  # service time of an RPC at a warm backend, tenths of a ms
+BASE = 2500  # service time of an RPC at a warm backend, in ticks
 
 
 class Node:
-    """A backend as a fluid: it does `weight` x its warmth of core seconds a second, two seconds wait."""
+    """A fluid model of a backend.
+
+    It does `weight` times its warm-up fraction core seconds of work per second, and queues up to two seconds
+    of work.
+    """
 
-    WAITS = 2.0
+    WAITS = 2.0  # seconds of work that the queue holds
 
     def __init__(self, id, weight, started, zone):
         self.id, self.weight, self.started, self.zone = id, weight, started, zone
         self.state, self.slow, self.silent = "ready", 1.0, False
-        self.queue = self.over = 0.0  # core seconds that wait; seconds over the felling multiple
-        self.met = {}  # when each slice last came
+        self.queue = self.overloaded_for = 0.0  # core seconds of waiting work; seconds of overload while cold
+        self.cached = {}  # time of the last RPC of each slice
 
 
 class Fleet:
+    """The simulated backends, and a `World` for each coordinator."""
+
+    # Ticks of a time step; of the warm-up; capacity at its start; ticks for which a backend caches a slice.
     TICK, WARM, COLD, MEMORY = SECOND // 4, 10 * SECOND, 0.3, 15 * SECOND
 
     def __init__(self, seed=1, coordinators=5, backends=24, slices=140, proxies=8, load=0.5, **boot):
@@ -35,142 +45,153 @@
             World(seed + n, self.now, coordinators=coordinators, own_number=n, **boot)
             for n in range(coordinators)
         ]
-        weigh = [self.random.lognormvariate(0, 0.6) for _ in range(slices)]
-        total = load * 6.0 * backends / (BASE / SECOND) / sum(weigh)
-        self.rates = {s: w * total for s, w in enumerate(weigh)}  # RPCs a second
+        shares = [self.random.lognormvariate(0, 0.6) for _ in range(slices)]
+        total = load * 6.0 * backends / (BASE / SECOND) / sum(shares)
+        self.rates = {
+            number: share * total for number, share in enumerate(shares)
+        }  # RPCs per second by slice
         ids = list(self.nodes)
-        where = {s: ids[s % backends] for s in self.rates}
-        for s, b in where.items():
-            self.nodes[b].met[s] = self.now
-        self.late = []  # (when, coordinator, events)
-        self.tries, self.came = {}, {}  # since the last report, by coordinator
-        self.served = self.asked = 0.0
-        self.fell, self.uses = [], []
-        self.down = set()  # coordinators that are lost
-        for n, w in enumerate(self.worlds):
+        owners = {number: ids[number % backends] for number in self.rates}
+        for number, owner in owners.items():
+            self.nodes[owner].cached[number] = self.now
+        self.in_transit = []  # (time, coordinator, events)
+        self.attempts, self.received = {}, {}  # by coordinator, since its last report
+        self.served = self.demand = 0.0
+        self.overload_failures, self.uses = [], []
+        self.down = set()  # coordinators that have failed
+        for index, world in enumerate(self.worlds):
             events = [self.listing("full")]
-            for s in self.held(n):
-                events += [face.SliceOwnership(s, True), face.StoredRoute(s, where[s], 1.0)]
-            w.step(0, *events, *(face.ProxyJoined(p, "east", 5.0, True) for p in range(proxies)))
+            for number in self.owned_slices(index):
+                events += [face.SliceOwnership(number, True), face.StoredRoute(number, owners[number], 1.0)]
+            world.step(0, *events, *(face.ProxyJoined(p, "east", 5.0, True) for p in range(proxies)))
 
-    def held(self, n):
-        return [s for s in self.rates if s % len(self.worlds) == n]
+    def owned_slices(self, coordinator):
+        return [number for number in self.rates if number % len(self.worlds) == coordinator]
 
     def listing(self, scope, nodes=None):
         return face.BackendList(
             scope,
             1,
             tuple(
-                entry(b.id, b.state, b.started, b.weight, zone=b.zone)
-                for b in (self.nodes.values() if nodes is None else nodes)
+                entry(node.id, node.state, node.started, node.weight, zone=node.zone)
+                for node in (self.nodes.values() if nodes is None else nodes)
             ),
         )
 
-    def tell(self, *nodes, after=0):
-        for n in range(len(self.worlds)):
-            self.late.append((self.now + after, n, [self.listing("changes", nodes)]))
+    def notify(self, *nodes, after=0):
+        """Sends the state of these backends to all coordinators."""
+        for index in range(len(self.worlds)):
+            self.in_transit.append((self.now + after, index, [self.listing("changes", nodes)]))
 
     def start_node(self, id):
         self.nodes[id] = Node(id, 6.0, self.now, "east")
-        self.tell(self.nodes[id])
+        self.notify(self.nodes[id])
 
     def drain(self, id):
         self.nodes[id].state = "draining"
-        self.tell(self.nodes[id])
+        self.notify(self.nodes[id])
 
-    def return_cold(self, *ids):
+    def restart(self, *ids):
         for id in ids:
             self.nodes[id].started, self.nodes[id].silent = self.now, False
-            self.nodes[id].queue, self.nodes[id].met = 0.0, {}
-        self.tell(*(self.nodes[id] for id in ids))
-
-    def power(self, b):
-        age = (self.now - b.started) / self.WARM if b.started else 1.0
-        return b.weight / b.slow * min(1.0, self.COLD + (1 - self.COLD) * age)
-
-    def carry(self, span):
-        """What the proxies send in a tick, and what the backends make of it."""
-        dt, come = span / SECOND, {}
-        for n, w in enumerate(self.worlds):
-            for s, table in w.tables.items():
-                rate = self.rates[s] * dt
-                many = max(0.0, self.random.gauss(rate, rate**0.5))
-                self.asked += many
-                seen = self.came.setdefault(n, {})
-                seen[s] = seen.get(s, 0.0) + many
-                lines = {b: x for b, x in table.items() if b not in w.out}
-                for b, weight in lines.items():
-                    node, part = self.nodes[b], many * weight / sum(lines.values())
-                    known = self.now - node.met.get(s, -self.now) < self.MEMORY
-                    node.met[s] = self.now
-                    come.setdefault(b, []).append((n, part, part * BASE / SECOND * (1 if known else 2)))
-        for b, node in self.nodes.items():
-            parts, can = come.get(b, []), self.power(node) * dt
-            work = sum(p[2] for p in parts)
+            self.nodes[id].queue, self.nodes[id].cached = 0.0, {}
+        self.notify(*(self.nodes[id] for id in ids))
+
+    def capacity(self, node):
+        """Returns the core seconds of work that a backend does per second."""
+        age = (self.now - node.started) / self.WARM if node.started else 1.0
+        return node.weight / node.slow * min(1.0, self.COLD + (1 - self.COLD) * age)
+
+    def simulate(self, span):
+        """Simulates the RPCs that the proxies send within a time step, and the work of the backends."""
+        seconds, arrivals = span / SECOND, {}
+        for index, world in enumerate(self.worlds):
+            for number, table in world.tables.items():
+                expected = self.rates[number] * seconds
+                count = max(0.0, self.random.gauss(expected, expected**0.5))
+                self.demand += count
+                received = self.received.setdefault(index, {})
+                received[number] = received.get(number, 0.0) + count
+                routes = {id: weight for id, weight in table.items() if id not in world.ejected}
+                for id, weight in routes.items():
+                    node, part = self.nodes[id], count * weight / sum(routes.values())
+                    is_cached = self.now - node.cached.get(number, -self.now) < self.MEMORY
+                    node.cached[number] = self.now
+                    arrivals.setdefault(id, []).append(
+                        (index, part, part * BASE / SECOND * (1 if is_cached else 2))
+                    )
+        for id, node in self.nodes.items():
+            parts, possible = arrivals.get(id, []), self.capacity(node) * seconds
+            work = sum(part[2] for part in parts)
             cold = node.started and self.now - node.started < self.WARM
-            node.over = node.over + dt if cold and work > 4.0 * can else 0.0
-            if node.over * SECOND >= 2 * SECOND:
-                self.fell.append((self.now, b))
-            room = 0.0 if node.silent else max(0.0, can + node.WAITS * can / dt - node.queue)
-            kept = min(1.0, room / work) if work else 1.0
-            node.queue = max(0.0, node.queue + kept * work - can)
-            for n, many, _ in parts:
-                tries = self.tries.setdefault(n, {}).setdefault(b, [0.0, 0.0])
-                tries[0] += many
-                tries[1] += many * (1 - kept)
-                self.served += many * kept * (node.queue < 1.2 * self.power(node))
+            node.overloaded_for = node.overloaded_for + seconds if cold and work > 4.0 * possible else 0.0
+            if node.overloaded_for * SECOND >= 2 * SECOND:
+                self.overload_failures.append((self.now, id))
+            room = 0.0 if node.silent else max(0.0, possible + node.WAITS * possible / seconds - node.queue)
+            accepted = min(1.0, room / work) if work else 1.0
+            node.queue = max(0.0, node.queue + accepted * work - possible)
+            for index, count, _ in parts:
+                attempts = self.attempts.setdefault(index, {}).setdefault(id, [0.0, 0.0])
+                attempts[0] += count
+                attempts[1] += count * (1 - accepted)
+                self.served += count * accepted * (node.queue < 1.2 * self.capacity(node))
             if node.state == "ready":
-                self.uses.append((self.now, b, work / can))
-
-    def report(self, n):
-        events, every = [], 2 * SECOND
-        for s, many in sorted(self.came.pop(n, {}).items()):
-            events.append(face.SliceDemand(s, "search", round(many), 0, every))
-        for b, (tries, failed) in sorted(self.tries.pop(n, {}).items()):
-            node = self.nodes[b]
-            if round(tries):
-                answered = round(tries) > round(failed)
+                self.uses.append((self.now, id, work / possible))
+
+    def report(self, coordinator):
+        """Sends a coordinator the sums since its last report, which arrive a second later."""
+        events, period = [], 2 * SECOND
+        for number, count in sorted(self.received.pop(coordinator, {}).items()):
+            events.append(face.SliceDemand(number, "search", round(count), 0, period))
+        for id, (attempts, failed) in sorted(self.attempts.pop(coordinator, {}).items()):
+            node = self.nodes[id]
+            if round(attempts):
+                answered = round(attempts) > round(failed)
                 load = {"service_time": round(BASE * node.slow), "queued": node.queue / (BASE / SECOND)}
                 events.append(
                     face.BackendTraffic(
                         "east",
-                        b,
-                        round(tries),
-                        min(round(failed), round(tries)),
+                        id,
+                        round(attempts),
+                        min(round(failed), round(attempts)),
                         BASE if answered else 0,
-                        every,
+                        period,
                         load if answered else {},
                     )
                 )
-        self.late.append((self.now + SECOND, n, events))
+        self.in_transit.append((self.now + SECOND, coordinator, events))
 
     def run(self, span):
         for _ in range(span // self.TICK):
             self.now += self.TICK
-            due = [x for x in self.late if x[0] <= self.now]
-            self.late = [x for x in self.late if x[0] > self.now]
-            for n, w in enumerate(self.worlds):
-                if n in self.down:
+            due = [message for message in self.in_transit if message[0] <= self.now]
+            self.in_transit = [message for message in self.in_transit if message[0] > self.now]
+            for index, world in enumerate(self.worlds):
+                if index in self.down:
                     continue
-                events = [e for _, to, some in due if to == n for e in some]
-                w.step(self.now - w.now, *events, *w.probes({b.id for b in self.nodes.values() if b.silent}))
-            self.carry(self.TICK)
+                events = [event for _, to, received in due if to == index for event in received]
+                world.step(
+                    self.now - world.now,
+                    *events,
+                    *world.probes({node.id for node in self.nodes.values() if node.silent}),
+                )
+            self.simulate(self.TICK)
             if self.now // self.TICK % 8 == 0:
-                for n in range(len(self.worlds)):
-                    self.report(n)
+                for index in range(len(self.worlds)):
+                    self.report(index)
 
-    def share(self, span):
-        """Served of what is asked for over a span."""
-        self.served = self.asked = 0.0
+    def served_share(self, span):
+        """Returns the share of RPCs that are served within a span."""
+        self.served = self.demand = 0.0
         self.run(span)
-        return self.served / self.asked
-
-    def on(self, ids):
-        """Slices by backend, of those named."""
-        count = dict.fromkeys(ids, 0)
-        for w in self.worlds:
-            for table in w.tables.values():
-                for b in table:
-                    if b in count:
-                        count[b] += 1
-        return count
+        return self.served / self.demand
+
+    def slice_counts(self, ids):
+        """Returns the number of slices with a route to each of these backends."""
+        counts = dict.fromkeys(ids, 0)
+        for world in self.worlds:
+            for table in world.tables.values():
+                for id in table:
+                    if id in counts:
+                        counts[id] += 1
+        return counts
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -1,11 +1,13 @@
-"""Words that tests of the decision module share."""
+"""Helpers for events and orders that tests of the decision module share."""
 
 from indigohitch import interface as face
 
 
 def changes(*entries):
+    """Returns a list of backends that holds only these changes."""
     return face.BackendList("changes", 2, entries)
 
 
 def lines(orders):
-    return [o for o in orders if isinstance(o, face.SetRoute)]
+    """Returns the orders that set or remove a route."""
+    return [order for order in orders if isinstance(order, face.SetRoute)]
--- a/tests/test_crossing_proxies.py
+++ b/tests/test_crossing_proxies.py
@@ -40,7 +40,7 @@
     """It may have lost the message that was out; what it answers from here on counts."""
     waiting = [proxies for _, proxies in world.c.channel.unacked.values()]
     assert all(2 in proxies for proxies in waiting)
-    world.marks.clear()  # nobody answers
+    world.unacked.clear()  # nobody answers
     world.step(0, face.ProxyLeft(2), JOINED)
     assert not any(2 in proxies for proxies in waiting)
     world.step(0, face.UpdateAcknowledged(2, world.c.channel.last_marker, 0))  # a late one, of before
--- a/tests/test_logic_sending.py
+++ b/tests/test_logic_reconciler.py
@@ -90,7 +90,7 @@
     assert left and left <= {o.backend for o in orders if isinstance(o, face.EjectBackend) and o.ejected}
     w.step(0, face.ProxyLeft(0))
     for _ in range(20):
-        w.step(SECOND, *w.probes(), *w.acks())
+        w.step(SECOND, *w.probes(), *w.empty_channel())
     orders = w.step(0, changes(*(entry(b, started=w.now) for b in struck))) + w.step(5 * SECOND)
     assert left <= {o.backend for o in orders if isinstance(o, face.EjectBackend) and not o.ejected}
     assert [o for o in w.step(0, face.ProxyJoined(0, "east", 5.0, False)) if isinstance(o, face.EjectBackend)]
@@ -104,7 +104,7 @@
     struck = [f"b{i}" for i in range(24)]
     w.step(0, changes(*(entry(b, "draining") for b in struck)))
     for _ in range(20):
-        w.step(SECOND, *w.probes(), *w.acks())
+        w.step(SECOND, *w.probes(), *w.empty_channel())
     w.step(0, changes(*(entry(b, started=w.now) for b in struck)))
     w.run(160 * SECOND)
     drains = changes(*(entry(b, "draining") for b in struck))
@@ -113,7 +113,7 @@
     shut = [o.backend for o in orders if isinstance(o, face.EjectBackend) and o.ejected]
     assert left and left <= set(shut) and len(shut) == len(set(shut))
     for _ in range(20):  # World.check: out within the grace
-        orders = w.step(SECOND, *w.probes(), *w.acks())
+        orders = w.step(SECOND, *w.probes(), *w.empty_channel())
         assert not [o for o in orders if isinstance(o, face.EjectBackend)]
 
 
@@ -145,6 +145,6 @@
         w.run(10 * SECOND)
         w.step(0, changes(*(entry(f"b{i}", "gone") for i in range(15))))
         for _ in range(10):
-            w.step(SECOND // 10, *w.probes(), *(w.acks() if answered else ()))
+            w.step(SECOND // 10, *w.probes(), *(w.empty_channel() if answered else ()))
         left.append(sum(int(b[1:]) < 15 for b in w.owners().values()))
     assert left[1] == 0 < left[0]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -27,7 +27,7 @@
         elif roll < 0.16:
             version += 1
             started = w.now - rng.randint(0, 3 * SECOND)
-            old = [b for b in w.told if b not in w.listed or w.listed[b].state == "gone"]
+            old = [b for b in w.notified_at if b not in w.listed or w.listed[b].state == "gone"]
             again = rng.random() < 0.5 and old
             if not again:
                 fresh += 1
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,4 +1,4 @@
-"""A stand-in for proxies, store and channel: applies orders, and checks the rules after every step."""
+"""A simulation of proxies, store and channel that applies orders and checks the rules after every step."""
 
 from collections import deque
 
@@ -39,169 +39,196 @@
 
 
 class World:
+    """One coordinator's module with the proxies, tables and channel that its orders act on."""
+
     def __init__(self, seed=1, now=1000 * SECOND, **boot):
         self.now, self.boot = now, BOOT | boot
         self.c = Coordinator(seed, self.boot)
-        self.tables, self.listed, self.told, self.proxies = {}, {}, {}, set()
-        self.bare, self.given, self.queue, self.sent, self.log = {}, {}, 0.0, deque(), []
-        self.taken = deque()  # when a cold backend was given a slice: (time, backend)
+        self.tables, self.listed, self.notified_at, self.proxies = {}, {}, {}, set()
+        self.no_route_since, self.owned_since, self.queue, self.sent, self.log = {}, {}, 0.0, deque(), []
+        self.cold_routes = deque()  # routes ordered to cold backends: (time, backend)
         self.timers = [now]
-        self.out = set()  # withdrawn
-        self.marks, self.total = [], 0.0  # marks not answered, with all lines sent up to them
+        self.ejected = set()
+        self.unacked, self.total_lines = [], 0.0  # markers, with the total of lines sent up to them
 
     def start(self, backends=6, slices=12, proxies=4, scope="full"):
         owners = [f"b{i}" for i in range(backends)]
-        events = [face.BackendList(scope, 1, tuple(entry(b) for b in owners))]
-        for s in range(slices):
-            events += [face.SliceOwnership(s, True), face.StoredRoute(s, owners[s % backends], 1.0)]
+        events = [face.BackendList(scope, 1, tuple(entry(owner) for owner in owners))]
+        for number in range(slices):
+            events += [
+                face.SliceOwnership(number, True),
+                face.StoredRoute(number, owners[number % backends], 1.0),
+            ]
         return self.step(0, *events, *(face.ProxyJoined(p, "east", 5.0, True) for p in range(proxies)))
 
     def step(self, span, *events):
-        """Let `span` pass in beats, then hand over the events; returns all orders."""
-        end, out = self.now + span, []
+        """Advances time by `span` beat by beat, then passes the events; returns all orders."""
+        end, orders = self.now + span, []
         while span and self.now < end:
             due = min(self.timers, default=end)
             if due > end:
                 break
-            out += self._handle(max(due, self.now), [face.TimerFired("beat")])
+            orders += self._handle(max(due, self.now), [face.TimerFired("beat")])
         self.now = max(self.now, end)
-        return out + self._handle(self.now, list(events))
+        return orders + self._handle(self.now, list(events))
 
     def run(self, span, rates=None, bad=(), service=None, queued=None, probe=True):
-        """Plain traffic: sums each report period, from every slice in charge."""
-        out, every = [], self.boot["report_every"]
-        for _ in range(0, span, every):
-            events, tries = [], {}
-            for s, lines in sorted(self.tables.items()):
-                rate = (rates or {}).get(s, 2.0) * every / SECOND
-                events.append(face.SliceDemand(s, "search", round(rate), 0, every))
-                for b, weight in lines.items():
-                    tries[b] = tries.get(b, 0) + rate * weight / sum(lines.values())
-            for b, n in sorted(tries.items()):
-                n = round(n)
-                load = {"service_time": (service or {}).get(b, 2500), "queued": (queued or {}).get(b, 0)}
-                load = {} if b in bad else load
-                failed, took = (n, 0) if b in bad else (0, 2500)
-                events.append(face.BackendTraffic("east", b, n, failed, took, every, load))
+        """Simulates steady traffic, with one report per report period on every owned slice.
+
+        `rates` are RPCs per second by slice, 2 by default; all attempts at the backends in `bad` fail.
+        """
+        orders, period = [], self.boot["report_every"]
+        for _ in range(0, span, period):
+            events, attempts = [], {}
+            for number, table in sorted(self.tables.items()):
+                total = (rates or {}).get(number, 2.0) * period / SECOND
+                events.append(face.SliceDemand(number, "search", round(total), 0, period))
+                for backend, weight in table.items():
+                    attempts[backend] = attempts.get(backend, 0) + total * weight / sum(table.values())
+            for backend, count in sorted(attempts.items()):
+                count = round(count)
+                load = {
+                    "service_time": (service or {}).get(backend, 2500),
+                    "queued": (queued or {}).get(backend, 0),
+                }
+                load = {} if backend in bad else load
+                failed, duration = (count, 0) if backend in bad else (0, 2500)
+                events.append(face.BackendTraffic("east", backend, count, failed, duration, period, load))
             events += self.probes(bad) if probe else []
-            out += self.step(every, *events)
-        return out
+            orders += self.step(period, *events)
+        return orders
 
     def probes(self, bad=()):
-        found = [face.ProbeResult(b, "timeout" if b in bad else "ok", 6000) for b in self.asked]
-        self.asked = []
-        return found
-
-    def acks(self):
-        self.queue = 0.0  # all of it has left the channel
+        """Returns the results of the probes that were ordered; those of the backends in `bad` time out."""
+        results = [face.ProbeResult(b, "timeout" if b in bad else "ok", 6000) for b in self.probe_targets]
+        self.probe_targets = []
+        return results
+
+    def empty_channel(self):
+        """Makes all lines leave the channel, so that the next step acknowledges them; returns no events."""
+        self.queue = 0.0
         return ()
 
-    def answered(self):
-        """Marks whose lines have left the channel."""
-        done = [mark for mark, at in self.marks if at <= self.total - self.queue]
-        self.marks = self.marks[len(done) :]
-        return [face.UpdateAcknowledged(p, mark, 0) for mark in done for p in sorted(self.proxies)]
+    def acknowledgements(self):
+        """Returns an acknowledgement from each proxy for the markers whose lines have left the channel."""
+        done = [marker for marker, total in self.unacked if total <= self.total_lines - self.queue]
+        self.unacked = self.unacked[len(done) :]
+        return [face.UpdateAcknowledged(p, marker, 0) for marker in done for p in sorted(self.proxies)]
 
-    asked: list = []
+    probe_targets: list = []
 
     def _handle(self, now, events):
         self.now = now
-        self.timers = [t for t in self.timers if t > now]
-        for e in events:
-            self.hear(e)
-        orders = self.c.handle(now, self.answered() + events)
+        self.timers = [due for due in self.timers if due > now]
+        for event in events:
+            self.observe(event)
+        orders = self.c.handle(now, self.acknowledgements() + events)
         self.log.append((now, orders))
         lines = sum(
             isinstance(o, (face.SetRoute, face.SetAdmission, face.EjectBackend, face.UpdateMarker))
             for o in orders
         )
-        self.asked = self.asked + [o.backend for o in orders if isinstance(o, face.ProbeBackend)]
-        for o in orders:
-            self.apply(o)
+        self.probe_targets = self.probe_targets + [
+            o.backend for o in orders if isinstance(o, face.ProbeBackend)
+        ]
+        for order in orders:
+            self.apply(order)
         self.check(now, lines)
         return orders
 
-    def hear(self, e):
-        if isinstance(e, face.BackendList):
-            for x in e.entries:
-                self.listed[x.backend] = x
-                if x.state == "ready":
-                    self.told.pop(x.backend, None)
+    def observe(self, event):
+        """Keeps what an event tells the module, for the checks."""
+        if isinstance(event, face.BackendList):
+            for listed in event.entries:
+                self.listed[listed.backend] = listed
+                if listed.state == "ready":
+                    self.notified_at.pop(listed.backend, None)
                 else:
-                    self.told.setdefault(x.backend, self.now)
-            if e.scope in ("full", "remembered"):
-                for b in set(self.listed) - {x.backend for x in e.entries}:
+                    self.notified_at.setdefault(listed.backend, self.now)
+            if event.scope in ("full", "remembered"):
+                for backend in set(self.listed) - {listed.backend for listed in event.entries}:
                     if not self.boot.get("dropped_stay_open"):
-                        del self.listed[b]
-                        self.told.setdefault(b, self.now)
-        elif isinstance(e, face.SliceOwnership):
-            self.tables.pop(e.slice, None)
-            self.given[e.slice] = self.now
-            if e.is_owned:
-                self.tables[e.slice] = {}
-        elif isinstance(e, face.StoredRoute):
-            self.tables[e.slice][e.backend] = e.weight
-        elif isinstance(e, face.ProxyJoined):
-            self.proxies.add(e.proxy)
-        elif isinstance(e, face.ProxyLeft):
-            self.proxies.discard(e.proxy)
-
-    def cold(self, b):
-        x = self.listed.get(b)
-        return x is not None and x.started_at and self.now - x.started_at < self.boot["warm_within"]
-
-    def apply(self, o):
-        if isinstance(o, face.SetTimer):
-            assert o.due_at > self.now
-            self.timers.append(o.due_at)
-        elif isinstance(o, face.SetRoute):
-            table = self.tables[o.table]  # only slices in charge
-            assert o.backend in self.listed or o.backend in self.told or o.backend in table
-            assert table.get(o.backend, 0.0) != o.weight, "a standing value repeated"
-            if o.weight:
-                assert self.listed[o.backend].state == "ready", "a line to one that drains"
-                if self.cold(o.backend):
-                    self.taken.append((self.now, o.backend))
-                table[o.backend] = o.weight
+                        del self.listed[backend]
+                        self.notified_at.setdefault(backend, self.now)
+        elif isinstance(event, face.SliceOwnership):
+            self.tables.pop(event.slice, None)
+            self.owned_since[event.slice] = self.now
+            if event.is_owned:
+                self.tables[event.slice] = {}
+        elif isinstance(event, face.StoredRoute):
+            self.tables[event.slice][event.backend] = event.weight
+        elif isinstance(event, face.ProxyJoined):
+            self.proxies.add(event.proxy)
+        elif isinstance(event, face.ProxyLeft):
+            self.proxies.discard(event.proxy)
+
+    def is_cold(self, backend):
+        listed = self.listed.get(backend)
+        return (
+            listed is not None
+            and listed.started_at
+            and self.now - listed.started_at < self.boot["warm_within"]
+        )
+
+    def apply(self, order):
+        """Applies an order, and checks that it is allowed."""
+        if isinstance(order, face.SetTimer):
+            assert order.due_at > self.now
+            self.timers.append(order.due_at)
+        elif isinstance(order, face.SetRoute):
+            table = self.tables[order.table]  # fails for a slice that is not owned
+            assert order.backend in self.listed or order.backend in self.notified_at or order.backend in table
+            assert table.get(order.backend, 0.0) != order.weight, "sets a route to the weight that it has"
+            if order.weight:
+                assert self.listed[order.backend].state == "ready", "sets a route to one that is not ready"
+                if self.is_cold(order.backend):
+                    self.cold_routes.append((self.now, order.backend))
+                table[order.backend] = order.weight
             else:
-                del table[o.backend]
-        elif isinstance(o, face.EjectBackend):
-            (self.out.add if o.ejected else self.out.discard)(o.backend)
-            assert not o.ejected or self.listed[o.backend].state != "ready", "shut out though ready"
-        elif isinstance(o, face.SetAdmission):
-            kinds = [self.boot["methods"][k] for k in o.methods or range(len(self.boot["methods"]))]
-            assert o.admission_ratio >= 0 and (
-                o.retry_level < 2 or all(m.repeat == "idempotent" for m in kinds)
+                del table[order.backend]
+        elif isinstance(order, face.EjectBackend):
+            (self.ejected.add if order.ejected else self.ejected.discard)(order.backend)
+            assert not order.ejected or self.listed[order.backend].state != "ready", "ejects a ready backend"
+        elif isinstance(order, face.SetAdmission):
+            methods = [
+                self.boot["methods"][index] for index in order.methods or range(len(self.boot["methods"]))
+            ]
+            assert order.admission_ratio >= 0 and (
+                order.retry_level < 2 or all(method.repeat == "idempotent" for method in methods)
             )
 
     def check(self, now, lines):
-        assert self.timers, "no timer left"
-        warm = [b for b, x in self.listed.items() if x.state == "ready" and not self.cold(b)]
-        for s, lines_out in self.tables.items():
-            table = [b for b in lines_out if b not in self.out]
-            # Bare: no slice without a line while a warm backend is known.
+        """Checks the rules of the system after a step that ordered so many lines."""
+        assert self.timers, "no timer is set"
+        warm = [b for b, listed in self.listed.items() if listed.state == "ready" and not self.is_cold(b)]
+        for number, routes in self.tables.items():
+            table = [backend for backend in routes if backend not in self.ejected]
+            # No slice is without a route for longer than the limit while a warm backend is known.
             if table or not warm or not self.proxies:
-                self.bare.pop(s, None)
+                self.no_route_since.pop(number, None)
             assert (
-                now - self.bare.setdefault(s, now) < self.boot["bare_limit"]
+                now - self.no_route_since.setdefault(number, now) < self.boot["bare_limit"]
                 if not table and warm and self.proxies
                 else True
-            ), f"slice {s} bare"
-            # Drain: out in good time for the way to the proxies.
-            for b in table:
+            ), f"slice {number} has no route"
+            # Routes to a draining backend go early enough for the transit to the proxies.
+            for backend in table:
                 left = self.boot["drain_grace"] - self.boot["transit_most"]
-                since = max(self.told.get(b, now), self.given[s])
-                assert not self.proxies or now - since <= left, f"{b} drains, still in {s}"
-        # Queue: lines that wait, messages to a proxy.
+                since = max(self.notified_at.get(backend, now), self.owned_since[number])
+                assert not self.proxies or now - since <= left, f"{backend} drains, still in slice {number}"
+        # The lines that wait in the channel and the messages to a proxy stay within their bounds.
         if self.sent:
-            pace = self.boot["lines_per_s"] / self.boot.get("slow", 2) / SECOND  # a slow day
-            passed = (now - self.sent[-1][1]) * pace
-            self.queue = max(0.0, self.queue - passed)
+            drain_rate = self.boot["lines_per_s"] / self.boot.get("slow", 2) / SECOND  # of a slow channel
+            drained = (now - self.sent[-1][1]) * drain_rate
+            self.queue = max(0.0, self.queue - drained)
         if lines and self.proxies:
             self.queue += len(self.proxies) * (lines + self.boot["envelope"])
-            self.total += len(self.proxies) * (lines + self.boot["envelope"])
-            self.marks.append(
-                (next(o.marker for o in self.log[-1][1] if isinstance(o, face.UpdateMarker)), self.total)
+            self.total_lines += len(self.proxies) * (lines + self.boot["envelope"])
+            self.unacked.append(
+                (
+                    next(o.marker for o in self.log[-1][1] if isinstance(o, face.UpdateMarker)),
+                    self.total_lines,
+                )
             )
             self.sent.append((now, now))
         elif self.sent:
@@ -213,4 +240,5 @@
             assert len(self.sent) <= self.boot["messages_most"], "too many messages"
 
     def owners(self):
-        return {s: max(t, key=t.get) for s, t in self.tables.items() if t}
+        """Returns the backend with the highest weight by slice."""
+        return {number: max(table, key=table.get) for number, table in self.tables.items() if table}
