--- a/tests/test_crossing_proxies.py
+++ b/tests/test_crossing_proxies.py
@@ -1,4 +1,4 @@
-"""Proxies that leave and join across a call that is out: what the module takes them for having heard."""
+"""Proxies that leave and join while a call is in flight: what the module assumes that they have received."""
 
 import pytest
 
@@ -7,47 +7,52 @@
 from world import World
 
 
-def levels(orders):
+def retry_levels(orders):
+    """Returns the orders that set the retry level of all tables."""
     return [o for o in orders if isinstance(o, face.SetAdmission) and o.table == face.ALL_TABLES]
 
 
 @pytest.fixture
 def world():
-    """All has been told and answered but the last message, which is out."""
-    w = World(messages_most=0)
-    w.start()
-    w.run(4 * SECOND)
-    w.step(
+    """A world in which all messages but the last one, which is in flight, are acknowledged."""
+    world = World(messages_most=0)
+    world.start()
+    world.run(4 * SECOND)
+    world.step(
         0, face.BackendList("changes", 2, (face.BackendEntry("b1", "draining", 6.0, "east", 0, "std", 0),))
     )
-    assert any(w.c.channel.unacked.values())
-    return w
+    assert any(world.c.channel.unacked.values())
+    return world
 
 
 JOINED = face.ProxyJoined(2, "east", 5.0, True)
 
 
-@pytest.mark.parametrize("news", [[face.ProxyLeft(2), JOINED], [JOINED]])
-def test_one_that_joins_anew_is_told_once_more(world, news):
-    """In one piece, or named by news that begin anew.  Whether the call met it before it joined can't be
-    known: it is told the levels again, in one message, and no line of a table goes again."""
-    orders = world.step(0, *news) + world.step(4 * SECOND)
-    assert len(levels(orders)) == 1
+@pytest.mark.parametrize("events", [[face.ProxyLeft(2), JOINED], [JOINED]])
+def test_a_proxy_that_joins_again_gets_the_retry_level_once(world, events):
+    """It leaves and joins in one batch, or a new subscription reports it as joined.
+
+    Whether the call reached it before it joined is unknown, so it gets the retry level again in one message.
+    No route of a table is sent again.
+    """
+    orders = world.step(0, *events) + world.step(4 * SECOND)
+    assert len(retry_levels(orders)) == 1
     assert not [o for o in orders if isinstance(o, face.SetRoute)]
 
 
-def test_no_mark_is_waited_for_of_one_that_left_and_joined_in_one_piece(world):
-    """It may have lost the message that was out; what it answers from here on counts."""
+def test_markers_do_not_wait_for_a_proxy_that_left_and_joined_in_one_batch(world):
+    """It may have lost the message in flight; only its acknowledgements from now on count."""
     waiting = [proxies for _, proxies in world.c.channel.unacked.values()]
     assert all(2 in proxies for proxies in waiting)
-    world.unacked.clear()  # nobody answers
+    world.unacked.clear()  # no proxy acknowledges
     world.step(0, face.ProxyLeft(2), JOINED)
     assert not any(2 in proxies for proxies in waiting)
-    world.step(0, face.UpdateAcknowledged(2, world.c.channel.last_marker, 0))  # a late one, of before
+    # A late acknowledgement from before it left.
+    world.step(0, face.UpdateAcknowledged(2, world.c.channel.last_marker, 0))
     assert all(0 in proxies for proxies in waiting)
 
 
-def test_joined_and_left_in_one_piece_is_as_if_it_had_not_come(world):
+def test_a_proxy_that_joins_and_leaves_in_one_batch_has_no_effect(world):
     orders = world.step(0, face.ProxyJoined(40, "east", 5.0, True), face.ProxyLeft(40))
     orders += world.step(4 * SECOND)
-    assert not levels(orders) and 40 not in world.c.proxies
+    assert not retry_levels(orders) and 40 not in world.c.proxies
--- a/tests/test_golden_decisions.py
+++ b/tests/test_golden_decisions.py
@@ -1,5 +1,6 @@
-"""The module orders what it did when the days in golden/decisions were recorded, byte for byte; and what is
-recorded holds all that it can order."""
+"""The module orders, byte for byte, what the files in golden/decisions recorded, and these files hold all
+kinds of orders that it can return.
+"""
 
 import re
 from collections import Counter
@@ -14,8 +15,8 @@
 from indigohitch.upgrade import event_codec
 from indigohitch.upgrade.module_state import ModuleRow, freeze, thaw
 
-DAYS = [(name, seed) for name in SETTINGS for seed in SEEDS]
-HEARD = {
+RECORDINGS = [(name, seed) for name in SETTINGS for seed in SEEDS]
+EVENT_KINDS = {
     "BackendList",
     "Probed",
     "SliceDemand",
@@ -28,36 +29,37 @@
     "StoredLine",
     "TimerDue",
 }
-ORDERED = {"SetLine", "SetLevel", "Withdraw", "Mark", "Probe", "Subscribe", "SetTimer", "LogLine"}
+ORDER_KINDS = {"SetLine", "SetLevel", "Withdraw", "Mark", "Probe", "Subscribe", "SetTimer", "LogLine"}
 
 
 def replayed(lines: list[bytes], upgraded_every: int = 0) -> list[bytes]:
-    """The same lines, with the orders of the module as it is now."""
+    """Returns the recorded lines with the orders that the present module returns for their events."""
     head = msgspec.json.decode(lines[0])
     boot, _ = parse_settings(head["settings"])
-    module, found = Coordinator(head["seed"], boot), [lines[0]]
+    module, replay = Coordinator(head["seed"], boot), [lines[0]]
     for number, line in enumerate(lines[1:]):
         batch = msgspec.json.decode(line)
-        heard = event_codec.unpack_all(batch["events"])
+        events = event_codec.unpack_all(batch["events"])
         if upgraded_every and number % upgraded_every == 0:
             frozen = msgspec.msgpack.encode(freeze(module))
             module = thaw(msgspec.msgpack.decode(frozen, type=ModuleRow), boot)
-        orders = module.handle(batch["now"], heard)
-        again = {
+        orders = module.handle(batch["now"], events)
+        replayed_batch = {
             "now": batch["now"],
-            "events": event_codec.pack_all(heard),
+            "events": event_codec.pack_all(events),
             "orders": event_codec.pack_all(orders),
         }
-        found.append(msgspec.json.encode(again))
-    return found
+        replay.append(msgspec.json.encode(replayed_batch))
+    return replay
 
 
-def compare(found: list[bytes], lines: list[bytes]) -> None:
-    for number, (new, old) in enumerate(zip(found, lines, strict=True)):
+def compare(replay: list[bytes], lines: list[bytes]) -> None:
+    """Checks that each line of a replay is the recorded one."""
+    for number, (new, old) in enumerate(zip(replay, lines, strict=True)):
         assert new == old, f"line {number + 1}"
 
 
-@pytest.mark.parametrize("name, seed", DAYS)
+@pytest.mark.parametrize("name, seed", RECORDINGS)
 def test_orders_are_as_recorded(name, seed):
     lines = read(name, seed)
     assert len(lines) > 100
@@ -65,13 +67,13 @@
 
 
 @pytest.mark.parametrize("name, seed", [(name, SEEDS[0]) for name in SETTINGS])
-def test_orders_of_a_module_that_is_handed_over_now_and_then_are_as_recorded(name, seed):
+def test_orders_are_as_recorded_where_the_state_is_handed_over_at_intervals(name, seed):
     lines = read(name, seed)
     compare(replayed(lines, upgraded_every=5), lines)
 
 
-def test_another_seed_or_a_changed_event_is_found():
-    """The comparison can fail."""
+def test_another_seed_or_a_missing_event_is_found():
+    """The comparison is able to fail."""
     lines = read("shares", SEEDS[0])
     head = msgspec.json.decode(lines[0])
     assert replayed([msgspec.json.encode(head | {"seed": 99}), *lines[1:]])[1:] != lines[1:]
@@ -79,8 +81,8 @@
     assert len(fewer) < len(lines) and replayed(fewer)[1:] != fewer[1:]
 
 
-@pytest.mark.parametrize("name, seed", DAYS)
-def test_files_say_what_their_rows_mean(name, seed):
+@pytest.mark.parametrize("name, seed", RECORDINGS)
+def test_files_describe_their_rows(name, seed):
     head, *batches = map(msgspec.json.decode, read(name, seed))
     assert head["settings"] == SETTINGS[name] and head["seed"] == seed
     assert {kind: tuple(places) for kind, places in head["kinds"].items()} == KINDS
@@ -92,18 +94,19 @@
 
 
 def recorded() -> dict[str, list[dict]]:
+    """Returns the recorded batches by the name of the settings."""
     return {
         name: [msgspec.json.decode(line) for seed in SEEDS for line in read(name, seed)[1:]]
         for name in SETTINGS
     }
 
 
-def test_each_kind_is_recorded():
-    days = recorded()
-    batches = [batch for day in days.values() for batch in day]
-    assert {row[0] for batch in batches for row in batch["events"]} == HEARD
-    assert {row[0] for batch in batches for row in batch["orders"]} == ORDERED
-    assert set(KINDS) == HEARD | ORDERED
+def test_each_kind_of_event_and_order_is_recorded():
+    recordings = recorded()
+    batches = [batch for recording in recordings.values() for batch in recording]
+    assert {row[0] for batch in batches for row in batch["events"]} == EVENT_KINDS
+    assert {row[0] for batch in batches for row in batch["orders"]} == ORDER_KINDS
+    assert set(KINDS) == EVENT_KINDS | ORDER_KINDS
     outcomes = {row[2] for batch in batches for row in batch["events"] if row[0] == "Probed"}
     assert outcomes == {"ok", "error", "full", "timeout", "connect_failed", "reset"}
     scopes = {row[1] for batch in batches for row in batch["events"] if row[0] == "BackendList"}
@@ -118,24 +121,27 @@
     assert states == {"ready", "draining", "gone"}
 
 
-def test_each_way_to_decide_is_recorded():
-    days = recorded()
-    orders = {name: [row for batch in day for row in batch["orders"]] for name, day in days.items()}
-    ways = Counter()
+def test_each_kind_of_decision_is_recorded():
+    recordings = recorded()
+    orders = {
+        name: [row for batch in recording for row in batch["orders"]]
+        for name, recording in recordings.items()
+    }
+    counts = Counter()
     for name, rows in orders.items():
         for row in rows:
             if row[0] == "LogLine":
-                ways[re.sub(r"\b(b\d+|stranger|[\d.]+)\b", "_", row[1])] += 1
+                counts[re.sub(r"\b(b\d+|stranger|[\d.]+)\b", "_", row[1])] += 1
             elif row[0] == "Withdraw":
-                ways[f"withdraw {row[2]}"] += 1
+                counts[f"withdraw {row[2]}"] += 1
             elif row[0] == "SetLevel":
-                ways[
+                counts[
                     f"level {name} {'closed' if row[3] == 0.0 else 'whole' if row[3] == 1.0 else 'part'}"
                 ] += 1
-                ways[f"level of {row[2]}"] += row[3] == 0.0
+                counts[f"level of {row[2]}"] += row[3] == 0.0
             elif row[0] == "SetLine":
-                ways[f"line {name} {bool(row[3])}"] += 1
-    wanted = {
+                counts[f"line {name} {bool(row[3])}"] += 1
+    expected = {
         "withdraw True": 1,
         "withdraw False": 1,
         "level shares part": 10,
@@ -151,12 +157,13 @@
         "_ gone: _ slices leave": 5,
         "slice _ in _ parts: asks for _ backends": 10,
     } | {f"line {name} {on}": 100 for name in SETTINGS for on in (True, False)}
-    assert {way: ways[way] for way, least in wanted.items() if ways[way] < least} == {}
+    assert {kind: counts[kind] for kind, minimum in expected.items() if counts[kind] < minimum} == {}
     assert not any(row[0] == "Probe" for row in orders["bare"])
     repeated = [row for row in orders["shares"] if row[0] == "Subscribe"]
-    assert len(repeated) > len(SEEDS)  # asked for again after a failed call: the heap of what is due
+    # The request is repeated after a failed call, by the heap of due actions.
+    assert len(repeated) > len(SEEDS)
     assert not any(row[0] == "SetLevel" and row[1] == 65535 for row in orders["rates"])
 
 
 def test_the_files_are_small():
-    assert sum(path(name, seed).stat().st_size for name, seed in DAYS) < 3 << 20
+    assert sum(path(name, seed).stat().st_size for name, seed in RECORDINGS) < 3 << 20
--- a/tests/test_logic_call_scheduling.py
+++ b/tests/test_logic_call_scheduling.py
@@ -1,4 +1,4 @@
-"""Which orders go next, how soon a proxy gets another message, and when a call goes again."""
+"""The sequence of pending orders, the rate limit of messages, and the delays before retries."""
 
 import random
 from types import SimpleNamespace
@@ -19,113 +19,116 @@
 from orders import changes
 from world import World, entry
 
-MOST, WINDOW = 12, 10 * SECOND
+MAX_MESSAGES, WINDOW = 12, 10 * SECOND
 
 
 def table(**lines):
+    """Returns a stored table with these weights by backend."""
     return SimpleNamespace(lines=lines)
 
 
-@pytest.mark.parametrize("most", [1, 2, 3, 5, 12, 40])
+@pytest.mark.parametrize("max_messages", [1, 2, 3, 5, 12, 40])
 @pytest.mark.parametrize("seed", range(5))
-def test_no_window_holds_more_messages_than_it_may(most, seed):
-    chance, pace, sent, now = random.Random(seed), MessageRateLimit(most, WINDOW), [], 0
+def test_no_window_holds_more_messages_than_the_bound(max_messages, seed):
+    rng, limit, sent, now = random.Random(seed), MessageRateLimit(max_messages, WINDOW), [], 0
     for _ in range(3000):
-        now += chance.choice([1, 100, 2000, SECOND])
-        if pace.free_at(now, chance.random() < 0.7) <= now:
-            pace.record_sent(now)
+        now += rng.choice([1, 100, 2000, SECOND])
+        if limit.free_at(now, rng.random() < 0.7) <= now:
+            limit.record_sent(now)
             sent.append(now)
-    assert len(sent) > 2 * most
-    assert all(late - early >= WINDOW for early, late in zip(sent, sent[most:]))
+    assert len(sent) > 2 * max_messages
+    assert all(late - early >= WINDOW for early, late in zip(sent, sent[max_messages:]))
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_an_urgent_message_is_never_far_away(seed):
-    """Whatever went before: also after a burst, and with a window as full as it gets."""
-    chance, pace, now = random.Random(seed), MessageRateLimit(MOST, WINDOW), 0
+def test_an_urgent_message_waits_for_one_refill_at_most(seed):
+    """This holds after any sequence of messages, also after a burst and with a full window."""
+    rng, limit, now = random.Random(seed), MessageRateLimit(MAX_MESSAGES, WINDOW), 0
     for _ in range(2000):
-        now += chance.choice([1, 100, 2000])
-        free = pace.free_at(now, True)
-        assert free - now <= WINDOW / (MOST - MOST // 3) + 1
-        if free <= now and chance.random() < 0.9:
-            pace.record_sent(now)
+        now += rng.choice([1, 100, 2000])
+        free = limit.free_at(now, True)
+        assert free - now <= WINDOW / (MAX_MESSAGES - MAX_MESSAGES // 3) + 1
+        if free <= now and rng.random() < 0.9:
+            limit.record_sent(now)
 
 
-def test_what_can_wait_leaves_messages_to_what_is_urgent():
-    pace, now = MessageRateLimit(MOST, WINDOW), 0
+def test_ordinary_messages_leave_some_to_urgent_ones():
+    limit, now = MessageRateLimit(MAX_MESSAGES, WINDOW), 0
     while now < 3 * WINDOW:
-        if pace.free_at(now, False) <= now:
-            pace.record_sent(now)
+        if limit.free_at(now, False) <= now:
+            limit.record_sent(now)
         now += 100
-    while pace.free_at(now, False) <= now:
-        pace.record_sent(now)
+    while limit.free_at(now, False) <= now:
+        limit.record_sent(now)
     for _ in range(2):
-        assert pace.free_at(now, True) <= now
-        pace.record_sent(now)
+        assert limit.free_at(now, True) <= now
+        limit.record_sent(now)
 
 
-def test_one_that_did_not_go_out_is_given_back():
-    pace = MessageRateLimit(2, WINDOW)
-    pace.record_sent(0)
-    assert pace.free_at(0, True) == WINDOW
-    pace.undo_last()
-    assert pace.free_at(0, True) == 0
+def test_a_message_that_was_not_sent_does_not_count():
+    limit = MessageRateLimit(2, WINDOW)
+    limit.record_sent(0)
+    assert limit.free_at(0, True) == WINDOW
+    limit.undo_last()
+    assert limit.free_at(0, True) == 0
     assert MessageRateLimit(0, WINDOW).free_at(5, False) == 5
 
 
-def test_blind_repeats_use_up_no_more_messages_than_come_back():
-    pace = MessageRateLimit(MOST, WINDOW)
-    assert pace.refill_interval <= BLIND_RETRY_DELAY
+def test_blind_retries_use_no_more_messages_than_are_refilled():
+    limit = MessageRateLimit(MAX_MESSAGES, WINDOW)
+    assert limit.refill_interval <= BLIND_RETRY_DELAY
     assert [retry_delay(n) for n in (1, 4, 99)] == [SECOND // 20, SECOND // 2, SECOND // 2]
     assert [resend_delay(n) for n in (1, 2, 99)] == [0, SECOND // 20, SECOND // 2]
 
 
 @pytest.fixture
-def module():
-    w = World()
-    w.start(6, 12)
-    w.run(2 * SECOND)
-    return w
-
-
-def test_tables_with_a_time_limit_to_keep(module):
-    c = module.c
-    assert isinstance(c, Coordinator)
-    put = [face.SetRoute(number, "b5", 1.0) for number in range(5)]
-    stood = {0: table(b0=1.0), 1: table(b1=1.0), 2: table(), 3: table(b3=1.0), 4: table(b4=1.0)}
-    assert urgent_tables(c, put, stood) == {2}  # it has no line at all
-    module.step(0, changes(entry("b1", "draining")))
-    assert urgent_tables(c, put, stood) == {1, 2}
-    # Ordered away before the drain was told: the line stands still, and so does the time limit.
-    assert urgent_tables(c, [face.SetRoute(1, "b1", 0.0)], {}) == {1}
-    assert urgent_tables(c, [face.SetRoute(0, "b0", 0.0)], {}) == set()
-    c.backends["b0"].warmup_fraction = 0.5
-    assert urgent_tables(c, [face.SetRoute(0, "b0", 0.0)], {}) == {0}
-    c.slices[3].closed_methods = ()
-    assert urgent_tables(c, [face.SetAdmission(3, (), 1.0, 1)], stood) == {3}
+def world():
+    world = World()
+    world.start(6, 12)
+    world.run(2 * SECOND)
+    return world
+
+
+def test_tables_with_a_time_limit_are_urgent(world):
+    coordinator = world.c
+    assert isinstance(coordinator, Coordinator)
+    orders = [face.SetRoute(number, "b5", 1.0) for number in range(5)]
+    stored = {0: table(b0=1.0), 1: table(b1=1.0), 2: table(), 3: table(b3=1.0), 4: table(b4=1.0)}
+    assert urgent_tables(coordinator, orders, stored) == {2}  # it has no route
+    world.step(0, changes(entry("b1", "draining")))
+    assert urgent_tables(coordinator, orders, stored) == {1, 2}
+    # The removal was ordered before the drain was known, but the route is still stored: the time limit holds.
+    assert urgent_tables(coordinator, [face.SetRoute(1, "b1", 0.0)], {}) == {1}
+    assert urgent_tables(coordinator, [face.SetRoute(0, "b0", 0.0)], {}) == set()
+    coordinator.backends["b0"].warmup_fraction = 0.5
+    assert urgent_tables(coordinator, [face.SetRoute(0, "b0", 0.0)], {}) == {0}
+    coordinator.slices[3].closed_methods = ()
+    assert urgent_tables(coordinator, [face.SetAdmission(3, (), 1.0, 1)], stored) == {3}
     assert (
-        urgent_tables(c, [face.SetAdmission(face.ALL_TABLES, (), 1.0, 1), face.UpdateMarker(1, False)], stood)
+        urgent_tables(
+            coordinator, [face.SetAdmission(face.ALL_TABLES, (), 1.0, 1), face.UpdateMarker(1, False)], stored
+        )
         == set()
     )
 
 
-def test_urgent_orders_lead_and_the_mark_is_last():
+def test_urgent_orders_come_first_and_markers_last():
     moved = [face.SetRoute(1, "b1", 1.0), face.SetRoute(1, "b2", 0.0)]
     drained = [face.SetRoute(2, "b1", 1.0), face.SetRoute(2, "b3", 0.0)]
-    shut, level, mark = (
+    ejection, retry_level, marker = (
         face.EjectBackend("b3", True),
         face.SetAdmission(face.ALL_TABLES, (), 1.0, 1),
         face.UpdateMarker(4, False),
     )
-    assert urgent_orders_first([*moved, mark, *drained, level, shut], {2}) == [
+    assert urgent_orders_first([*moved, marker, *drained, retry_level, ejection], {2}) == [
         *drained,
-        level,
-        shut,
+        retry_level,
+        ejection,
         *moved,
-        mark,
+        marker,
     ]
-    assert urgent_orders_first([*moved, mark], ()) == [*moved, mark]
-    assert [is_urgent(order, {2}) for order in (moved[0], drained[0], shut, level, mark)] == [
+    assert urgent_orders_first([*moved, marker], ()) == [*moved, marker]
+    assert [is_urgent(order, {2}) for order in (moved[0], drained[0], ejection, retry_level, marker)] == [
         False,
         True,
         True,
