--- a/indigohitch/interface/events.py
+++ b/indigohitch/interface/events.py
@@ -15,7 +15,7 @@
     zone: str
     cell: int
     kind: str
-    started_at: int  # 0: unknown, and long enough ago to be warm
+    started_at: int  # 0: so long ago that it is warm
 
 
 @dataclass(slots=True, frozen=True)
--- a/indigohitch/interface/methods.py
+++ b/indigohitch/interface/methods.py
@@ -14,5 +14,5 @@
     deadline: int
     criticality: float
     repeat: str  # "idempotent", "tokened" or "non_idempotent"
-    dedup_scope: str  # tokened: the backends that detect a duplicate: "all", "zone" or "cell"
-    memory_span: int  # tokened: ticks for which a duplicate is detected
+    dedup_scope: str  # tokened: where a duplicate is dropped: "all", "zone" or "cell"
+    memory_span: int  # tokened: ticks for which a duplicate is dropped
--- a/indigohitch/logic/state.py
+++ b/indigohitch/logic/state.py
@@ -55,7 +55,7 @@
         self.kind = ""
         self.zone = ""
         self.weight = 1.0
-        self.started_at = 0  # 0: unknown, and long enough ago to be warm
+        self.started_at = 0  # 0: so long ago that it is warm
         self.state = "unheard"  # or "ready", "draining", "gone"; "unheard": known only from stored routes
         self.is_unlisted = False  # the list no longer has it, but it still responds
         self.notified_at = 0  # when the list last reported it draining, removed or restarted
@@ -83,7 +83,7 @@
         self.missed_probes = 0  # in a row
         self.unanswered = 0  # failed attempts since the last successful one
         self.health = 1.0
-        self.is_unresponsive = False  # answers neither probes nor attempts
+        self.is_unresponsive = False  # answers neither probes nor attempts: its health is at the minimum
 
     def utilization(self) -> float:
         """Returns the load relative to the capacity."""
@@ -100,7 +100,7 @@
 
     DEMAND_WINDOW = 7 * SECOND  # the 10 s of docs/design.md react too late to demand that lasts 14 s
     LONG_TERM_WINDOW = 30 * SECOND  # over a shorter time a few RPCs a second are mostly noise
-    LATEST_WINDOW = SECOND // 2  # about the latest report only
+    LATEST_WINDOW = SECOND // 2  # covers about the latest report
 
     def __init__(self, number: int, now: int) -> None:
         self.number = number
@@ -156,7 +156,7 @@
 class CoordinatorState:
     """Holds all that a coordinator knows, and the orders of the current call of `handle`."""
 
-    # Above this ratio retries add load: relieving backends then matters more than warm caches and stability.
+    # Above this ratio failures cause retries, so relieving backends goes before warm caches and stability.
     FAILING_RATIO = 0.05
     REPORTS_BEFORE_PLANNING = 3  # with fewer reports the sums are mostly noise
 
--- a/indigohitch/logic/update_channel.py
+++ b/indigohitch/logic/update_channel.py
@@ -9,7 +9,7 @@
 from ..interface import SECOND
 from .rate_limit import MessageRateLimit
 
-MAX_PENDING_SHARE = 0.9  # share of the bound `queue_cap` that may wait, with all calls that are resent
+MAX_PENDING_SHARE = 0.9  # share of the bound `queue_cap` that may wait, with all calls sent again
 UNACKNOWLEDGED_DRAIN_SHARE = 1 / 8  # share of `lines_per_s` assumed to leave without acknowledgements
 WINDOW_MARGIN = 1.1  # factor on the window `counted_over`, to stay clear of the bound
 URGENT_SHARE = 0.8  # share of the bound `queue_cap` that an urgent update may fill
--- a/indigohitch/request.py
+++ b/indigohitch/request.py
@@ -13,7 +13,7 @@
 # Outcomes of an attempt.
 UNSENT = "unsent"  # no byte was sent on an established connection
 CLOSED_IN_TRANSIT = "crossed"  # a reused connection closed during the send, without any response byte
-SENT = "sent"  # bytes were sent, so the RPC may have run
+SENT = "sent"  # any other outcome: the RPC may have run
 
 
 class Server(Protocol):
--- a/tests/test_logic_reconciler.py
+++ b/tests/test_logic_reconciler.py
@@ -38,8 +38,8 @@
 def test_a_drain_is_in_time_after_a_burst_of_messages():
     world = World()
     world.start(8, 60)
-    for k in range(1, 5):
-        world.step(SECOND, changes(entry(f"b{k}", "draining")))  # World.check: grace and message limit
+    for number in range(1, 5):
+        world.step(SECOND, changes(entry(f"b{number}", "draining")))  # World.check: grace and message limit
     world.step(3 * SECOND)
     assert set(world.owners().values()) <= {"b0", "b5", "b6", "b7"}
 
@@ -134,7 +134,7 @@
     with_routes = {b for b in departing if any(b in t for t in world.tables.values())}
     ejected = [o.backend for o in orders if isinstance(o, face.EjectBackend) and o.ejected]
     assert with_routes and with_routes <= set(ejected) and len(ejected) == len(set(ejected))
-    for _ in range(20):  # World.check: no routes are left after the grace
+    for _ in range(20):  # World.check: no routes remain after the grace
         orders = world.step(SECOND, *world.probes(), *world.empty_channel())
         assert not [o for o in orders if isinstance(o, face.EjectBackend)]
 
@@ -160,7 +160,7 @@
 
 def test_acknowledgements_free_capacity_for_pending_routes():
     """With 202 proxies, at half of the rate in the settings, a drain missed its grace."""
-    left = []
+    remaining = []
     for acknowledged in (False, True):
         world = World(queue_cap=26000, lines_per_s=17000, messages_most=0)
         world.start(60, 300, proxies=200)
@@ -168,5 +168,5 @@
         world.step(0, changes(*(entry(f"b{i}", "gone") for i in range(15))))
         for _ in range(10):
             world.step(SECOND // 10, *world.probes(), *(world.empty_channel() if acknowledged else ()))
-        left.append(sum(int(b[1:]) < 15 for b in world.owners().values()))
-    assert left[1] == 0 < left[0]
+        remaining.append(sum(int(b[1:]) < 15 for b in world.owners().values()))
+    assert remaining[1] == 0 < remaining[0]
--- a/tests/test_request.py
+++ b/tests/test_request.py
@@ -13,19 +13,20 @@
 
 
 def test_pick_follows_weights_load_and_ejections():
-    table, (a, b, c) = request.RouteTable(), (Server(), Server(), Server())
-    for server, weight in ((a, 6.0), (b, 3.0), (c, 1.0)):
+    table, (heavy, middle, light) = request.RouteTable(), (Server(), Server(), Server())
+    for server, weight in ((heavy, 6.0), (middle, 3.0), (light, 1.0)):
         table.set(server, weight)
-    uniform, counts = random.Random(1).random, {a: 0, b: 0, c: 0}
+    uniform, counts = random.Random(1).random, {heavy: 0, middle: 0, light: 0}
     for _ in range(3000):
         counts[table.pick(uniform)] += 1
-    assert counts[a] > counts[b] > counts[c] > 30
-    a.held = 100
-    assert sum(table.pick(uniform) is a for _ in range(1000)) < 450  # only where both draws are this server
-    a.withdrawn = True
-    assert all(table.pick(uniform) is not a for _ in range(200))
-    assert table.pick(uniform, [b]) is c
-    b.withdrawn = c.withdrawn = True
+    assert counts[heavy] > counts[middle] > counts[light] > 30
+    heavy.held = 100
+    # Only where both draws are this server.
+    assert sum(table.pick(uniform) is heavy for _ in range(1000)) < 450
+    heavy.withdrawn = True
+    assert all(table.pick(uniform) is not heavy for _ in range(200))
+    assert table.pick(uniform, [middle]) is light
+    middle.withdrawn = light.withdrawn = True
     assert table.pick(uniform) is None
 
 
