--- a/indigohitch/platform_protocol/backend_list_log.py
+++ b/indigohitch/platform_protocol/backend_list_log.py
@@ -1,4 +1,4 @@
-"""Log entry for a received list of backends."""
+"""Logs the lists of backends that discovery sends."""
 
 from __future__ import annotations
 
@@ -7,14 +7,17 @@
 from .. import interface as face
 from ..log import Log
 
-MAX_LOGGED_BACKENDS = 20  # backends in one line
+MAX_LOGGED_BACKENDS = 20  # per log line
 
 
 def log_list(log: Log, entries: Mapping[str, face.BackendEntry], update: face.BackendList) -> None:
-    """Log which states differ from the current `entries`; a failed request is not logged."""
+    """Log which backends of a list have another state than in the current `entries`.
+
+    A failed request is not logged.
+    """
     if update.scope == "failed":
         return
-    turned = {
+    changed_states = {
         entry.backend: entry.state
         for entry in update.entries
         if entry.backend not in entries or entries[entry.backend].state != entry.state
@@ -24,6 +27,6 @@
         generation=update.version,
         scope=update.scope,
         entries=len(update.entries),
-        turned=dict(list(turned.items())[:MAX_LOGGED_BACKENDS]),
-        turned_in_all=len(turned),
+        turned=dict(list(changed_states.items())[:MAX_LOGGED_BACKENDS]),
+        turned_in_all=len(changed_states),
     )
--- a/indigohitch/platform_protocol/backend_source.py
+++ b/indigohitch/platform_protocol/backend_source.py
@@ -1,4 +1,4 @@
-"""Interface of the sources of a front's list of backends."""
+"""Defines the interface of a source that provides a front with its list of backends."""
 
 from __future__ import annotations
 
@@ -7,19 +7,18 @@
 
 from .. import interface as face
 
-ListCallback = Callable[
-    [face.BackendList, dict[str, str]], None
-]  # a list, and the address of each backend in it
+# Receives a list and the address of each backend in it.
+ListCallback = Callable[[face.BackendList, dict[str, str]], None]
 
 
 class BackendSource(Protocol):
-    """Reports its list once the decision module subscribes, and changes from then on."""
+    """Reports its list when the decision module subscribes, and every change after that."""
 
-    watching: bool  # whether changes are reported
+    watching: bool  # whether changes are reported at present
 
     @property
     def version(self) -> int:
-        """Version of the last accepted list."""
+        """Return the version of the last accepted list."""
 
     def subscribe(self, enabled: bool) -> None:
         """Start or stop reporting changes."""
@@ -28,10 +27,10 @@
         """Report the full list once."""
 
     def move(self, address: tuple[str, int]) -> bool:
-        """Use discovery at another address; returns False if that changes nothing."""
+        """Switch to discovery at another address; returns False if that changes nothing."""
 
     def restore(self, version: int) -> None:
-        """Continue from the version another process had."""
+        """Continue from the version that another process had reached."""
 
     def close(self) -> None:
         """Release the connections."""
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -18,7 +18,7 @@
 from .backend_source import ListCallback
 from .list_versions import ListRequest, ListVerdict, ListVersions
 
-_STATE = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
+_STATE_BY_LIFECYCLE = {"SERVING": "ready", "DRAINING": "draining", "DELETED": "gone"}
 
 
 def parse_backend_list(
@@ -27,20 +27,20 @@
     """Parse a list from discovery into an event and the address of each backend.
 
     `remembered` marks a list from the configuration. Raises ValueError for any malformed entry: a
-    partial list would make backends vanish.
+    partial list would make backends disappear.
     """
     try:
-        entries: dict[str, face.BackendEntry] = {}  # of an id listed twice, the last entry counts
+        entries: dict[str, face.BackendEntry] = {}  # if an id is listed twice, its last entry counts
         addresses: dict[str, str] = {}
         for entry in document["instances"]:
             backend = entry["instanceId"]
             weight = float(entry["weight"])
             started = float(entry["startedAtMs"])
             if not isinstance(backend, str) or not math.isfinite(weight) or not math.isfinite(started):
-                raise ValueError("entry out of form")
+                raise ValueError("instanceId is no string, or weight or startedAtMs is not finite")
             entries[backend] = face.BackendEntry(
                 backend,
-                _STATE[entry["lifecycle"]],
+                _STATE_BY_LIFECYCLE[entry["lifecycle"]],
                 weight,
                 str(entry["zone"]),
                 int(entry["cell"]),
@@ -61,12 +61,12 @@
     # Long-poll wait: short enough that a silent watch is detected soon, long enough not to load discovery,
     # which serves one request at a time.
     WATCH_WAIT = 3 * SECOND
-    # Time for the response.  Requests queue at discovery for up to 2 s, and a change counts as reported after
-    # 6 s: two lost requests in a row have to be detected by then.  A watch's change counts as reported 2 s
-    # after its wait, so the watch times out before that.
+    # Timeout of a response.  Requests queue at discovery for up to 2 s, and the protocol takes a change as
+    # reported after 6 s: two lost requests in a row have to be detected by then.  It takes a watch's change
+    # as reported 2 s after the watch's wait, so the watch times out before that.
     TIMEOUT = SECOND * 23 // 10
     WATCH_TIMEOUT_MARGIN = SECOND * 3 // 2
-    # Between attempts at a new address while the previous watch still works; doubles up to a second.
+    # First delay between attempts at a new address while the previous watch works; doubles up to 1 s.
     RETRY_INTERVAL = SECOND // 10
 
     def __init__(
@@ -83,23 +83,23 @@
         self.versions = ListVersions(version)
         self.client = self._client(address)
         self.subscribed = False
-        self.watching = False  # ends where the decision module has to subscribe again
+        self.watching = False  # cleared when the decision module has to subscribe again
         self.watch_exchange: HttpExchange | None = None
         self.retry_timer: Deadline | None = None
         self.previous_watch: HttpExchange | None = None  # at the address before the last move
-        self.has_full_list = True  # from this address; without one, changes alone are not enough
-        self.attempts = 0
+        self.has_full_list = True  # from the current address; without one, changes alone are not enough
+        self.failed_attempts = 0
 
     def _client(self, address: tuple[str, int]) -> HttpClient:
         return HttpClient(self.loop, address, connect_span=SECOND, idle_span=SECOND)
 
     @property
     def version(self) -> int:
-        """Version of the last accepted list."""
+        """Return the version of the last accepted list."""
         return self.versions.current
 
     def restore(self, version: int) -> None:
-        """Continue from the version another process had.
+        """Continue from the version that another process had reached.
 
         Its decision module may not have processed the last list, so the next request is for the full list.
         """
@@ -118,11 +118,11 @@
         self.versions.on_address_change()
         if self.previous_watch is None:
             self.previous_watch = self.watch_exchange
-        elif self.watch_exchange is not None:  # moved again before the last address has answered
+        elif self.watch_exchange is not None:  # moved again before the last address has responded
             self.watch_exchange.drop()
         self.has_full_list = False
-        self.attempts = 0
-        if self.subscribed:  # also where the last address failed: the new one may not
+        self.failed_attempts = 0
+        if self.subscribed:  # even if the last address failed: the new one may work
             self.watching = True
             self._start_watch()
         return True
@@ -132,7 +132,7 @@
         self.watching = enabled
         self.subscribed = enabled
         if enabled and self.watch_exchange is None and self.retry_timer is None:
-            self._start_watch()  # without a wait: missed changes are returned at once
+            self._start_watch()  # without a long-poll wait, so that missed changes are returned at once
 
     def fetch(self) -> None:
         """Request the full list once."""
@@ -141,25 +141,27 @@
     def _request(
         self,
         client: HttpClient,
-        hold: int,
+        wait: int,
         full: bool,
         on_response: Callable[[HttpClient, ListRequest, HttpResponse], None],
     ) -> HttpExchange:
-        request = self.versions.new_request(self.loop.clock.now(), full, left=client is not self.client)
-        target = self.PATH if full else f"{self.PATH}?from={request.base}&hold_ms={hold * 1000 // SECOND}"
+        request = self.versions.new_request(
+            self.loop.clock.now(), full, to_previous=client is not self.client
+        )
+        target = self.PATH if full else f"{self.PATH}?from={request.base}&hold_ms={wait * 1000 // SECOND}"
         return client.request(
             "GET",
             target,
-            hold + self.WATCH_TIMEOUT_MARGIN if hold else self.TIMEOUT,
+            wait + self.WATCH_TIMEOUT_MARGIN if wait else self.TIMEOUT,
             lambda response: on_response(client, request, response),
         )
 
-    def _start_watch(self, hold: int = 0) -> None:
+    def _start_watch(self, wait: int = 0) -> None:
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
         full = not self.has_full_list or self.versions.unconfirmed is not None
-        self.watch_exchange = self._request(self.client, 0 if full else hold, full, self._on_watch_response)
+        self.watch_exchange = self._request(self.client, 0 if full else wait, full, self._on_watch_response)
 
     def _schedule_watch(self, when: int) -> None:
         self.retry_timer = self.loop.call_at(when, self._start_watch)
@@ -173,12 +175,14 @@
             verdict = self._apply_response(request, response)
         except ValueError as error:
             if self.previous_watch is None:
-                self.watching = False  # the decision module sees the failure and subscribes again
+                self.watching = False  # the failure makes the decision module subscribe again
                 self._report_failure(error, response)
                 return
             self.log.warning("discovery_new_address_unavailable", why=str(error), status=response.status)
-            self._schedule_watch(self.loop.clock.now() + min(self.RETRY_INTERVAL << self.attempts, SECOND))
-            self.attempts = min(self.attempts + 1, 4)
+            self._schedule_watch(
+                self.loop.clock.now() + min(self.RETRY_INTERVAL << self.failed_attempts, SECOND)
+            )
+            self.failed_attempts = min(self.failed_attempts + 1, 4)
             return
         if verdict.is_accepted:
             self.has_full_list = True
@@ -193,7 +197,7 @@
     def _on_previous_watch_response(
         self, client: HttpClient, request: ListRequest, response: HttpResponse
     ) -> None:
-        """Apply a response from the previous address; its failure says nothing about the new address."""
+        """Apply a response from the previous address; a failure there says nothing about the new address."""
         self.previous_watch = None
         try:
             if self._apply_response(request, response).is_accepted and self.watching:
@@ -216,7 +220,7 @@
         self.on_list(face.BackendList("failed", self.version, ()), {})
 
     def _apply_response(self, request: ListRequest, response: HttpResponse) -> ListVerdict:
-        """Pass on the list if it is accepted; raises ValueError if the response holds no list."""
+        """Pass the list on if it is accepted; raises ValueError if the response contains no list."""
         if response.outcome != "answered":
             raise ValueError(response.outcome)
         if response.status != 200:
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -1,8 +1,8 @@
-"""Runtime check, with a log, of how long routes remain at backends that drain or are gone.
+"""Checks at run time, and logs, how long routes to backends that drain or are gone remain.
 
-It makes no decisions and sends no orders. The rule: a backend that is listed as departing has no route later
-than the grace period after that was notified, or after the slice was acquired. The protocol pauses time
-limits while the relay fails, and so does the check.
+The monitor makes no decisions and sends no orders. The rule: once the grace period has passed since a backend
+was listed as departing, or since the slice was acquired if that is later, no route to the backend remains.
+The protocol pauses time limits while the relay fails, and so does the monitor.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class PausedTime:
-    """A clock that pauses for given spans; overlapping spans count once. All times are in ticks."""
+    """Measures time without given pauses; pauses that overlap count once. All times are in ticks."""
 
     def __init__(self) -> None:
         self._paused_until = 0
@@ -34,25 +34,25 @@
             self._paused_until = end
 
     def elapsed(self, now: int) -> int:
-        """Return the time at `now` without the paused spans."""
+        """Return the time at `now` without the pauses."""
         return now - self._total_paused + max(0, self._paused_until - now)
 
 
 @dataclass(slots=True)
 class DrainingBackend:
-    """A departing backend, since when, and the slices whose routes to it were reported as overdue."""
+    """Describes a departing backend: its state, when it was listed so, and what was already logged."""
 
     state: str
     notified_at: int  # by the loop's clock, in ticks
     notified_at_unpaused: int  # by the clock that pauses while the relay fails
-    late_slices: set[int] = field(default_factory=set)
-    emptied_at: int | None = None  # when it was first seen without a route
+    overdue_slices: set[int] = field(default_factory=set)  # slices already logged as overdue
+    emptied_at: int | None = None  # when a check first found no route to it
 
 
 class DrainMonitor:
     """Checks that departing backends lose their routes within the grace period, and logs violations."""
 
-    # The protocol's slack on sockets, for the time limits of drains.
+    # Slack that the protocol allows on the time limits of drains, for transmission over sockets.
     SOCKET_SLACK = SECOND * 3 // 10
     # The protocol pauses time limits for these spans after a failed call, after a call without a readable
     # response, and after the loss of the event stream.
@@ -60,8 +60,9 @@
     PAUSE_AFTER_SILENT_CALL = SECOND * 3 // 2
     PAUSE_AFTER_WATCH_LOSS = 4 * SECOND
     CHECK_INTERVAL = SECOND // 4
-    MAX_LOGGED_SLICES = 20  # slices in one log line
-    RETENTION = 30 * SECOND  # after its last route is removed: an old order may still restore one
+    MAX_LOGGED_SLICES = 20  # per log line
+    # Time a backend is kept after its last route is removed: an old order may still restore one.
+    RETENTION = 30 * SECOND
 
     def __init__(
         self,
@@ -72,9 +73,9 @@
         count_pending_calls: Callable[[], int],
         check_unlisted_backends: bool = True,
     ) -> None:
-        """Set up the check for a `grace` period in ticks (0: no check).
+        """Set up the monitor for a `grace` period in ticks (0: no checks).
 
-        If `check_unlisted_backends` is set, backends that are gone are checked as well as those that drain.
+        With `check_unlisted_backends`, backends that are gone are checked as well as those that drain.
         """
         self.loop = loop
         self.log = log
@@ -90,7 +91,7 @@
         self.is_check_scheduled = False
 
     def on_backend_list(self, backend_list: face.BackendList) -> None:
-        """Handle a backend list or changes to it; a failed request changes nothing."""
+        """Handle a list of backends or changes to it; a failed request changes nothing."""
         if backend_list.scope == "failed":
             return
         states = {entry.backend: entry.state for entry in backend_list.entries}
@@ -119,18 +120,18 @@
             known.state = state
 
     def is_grace_over(self, backend: str) -> bool:
-        """Whether the grace period of a backend is over, so that no route may be set to it."""
+        """Return whether the grace period of a backend is over, so that no route to it may be set."""
         departure = self.draining.get(backend)
         if departure is None or not self.grace:
             return False
         return self.paused_time.elapsed(self.loop.clock.now()) > departure.notified_at_unpaused + self.grace
 
     def on_slice_acquired(self, number: int) -> None:
-        """Record the acquisition of a slice, which may contain routes of its previous owner."""
+        """Record the acquisition of a slice, whose routes may still be those of its previous owner."""
         self.slice_acquired_at[number] = self.paused_time.elapsed(self.loop.clock.now())
 
     def on_call_failed(self, outcome: str) -> None:
-        """Pause time limits after a call that failed with this outcome of its exchange."""
+        """Pause time limits after a call whose HTTP exchange failed with `outcome`."""
         span = (
             self.PAUSE_AFTER_SILENT_CALL
             if outcome in ("timeout", "unreadable")
@@ -149,7 +150,7 @@
                 (self.ejected.add if order.ejected else self.ejected.discard)(order.backend)
 
     def check(self) -> None:
-        """Check for overdue routes; schedules the next check while any backend departs."""
+        """Check for overdue routes; schedules the next check while any backend is departing."""
         self.is_check_scheduled = False
         now = self.loop.clock.now()
         slices_by_backend: dict[str, list[int]] = {}
@@ -159,7 +160,7 @@
                     slices_by_backend.setdefault(backend, []).append(number)
         for backend, departure in list(self.draining.items()):
             self._check_backend(backend, departure, slices_by_backend.get(backend, []), now)
-        # An acquisition before this time no longer extends any limit.
+        # An acquisition before this time no longer extends any time limit.
         oldest_relevant = self.paused_time.elapsed(now) - self.grace - self.SOCKET_SLACK
         self.slice_acquired_at = {
             number: acquired_at
@@ -186,22 +187,23 @@
             self.log.warning(
                 "route_returned_to_draining_backend", backend=backend, slices=slices[: self.MAX_LOGGED_SLICES]
             )
-        bound = self.grace + self.SOCKET_SLACK
-        time = self.paused_time.elapsed(now)
-        late = [
+        time_limit = self.grace + self.SOCKET_SLACK
+        unpaused_now = self.paused_time.elapsed(now)
+        newly_overdue = [
             number
             for number in slices
-            if number not in departure.late_slices
-            and time - max(departure.notified_at_unpaused, self.slice_acquired_at.get(number, 0)) > bound
+            if number not in departure.overdue_slices
+            and unpaused_now - max(departure.notified_at_unpaused, self.slice_acquired_at.get(number, 0))
+            > time_limit
         ]
-        if late:
-            departure.late_slices.update(late)
-            self.log.count("invariant_drain_overdue", len(late))
+        if newly_overdue:
+            departure.overdue_slices.update(newly_overdue)
+            self.log.count("invariant_drain_overdue", len(newly_overdue))
             self.log.warning(
                 "drain_overdue",
                 backend=backend,
                 state=departure.state,
-                slices=late[: self.MAX_LOGGED_SLICES],
+                slices=newly_overdue[: self.MAX_LOGGED_SLICES],
                 told_ms_ago=(now - departure.notified_at) / 10,
                 calls_waiting=self.count_pending_calls(),
             )
--- a/indigohitch/platform_protocol/list_versions.py
+++ b/indigohitch/platform_protocol/list_versions.py
@@ -1,13 +1,13 @@
-"""Decides which responses of discovery to accept when requests overlap or discovery restarts.  No I/O.
+"""Decides which responses of discovery to accept when requests overlap or discovery restarts; does no I/O.
 
 The version grows while one discovery process runs, so an older version in a response has one of three causes:
 - the current version was received after the request was sent: the response is superseded and ignored;
 - the response comes from a replica that lags: a temporary state;
 - discovery has restarted and counts versions from the start: a permanent state.
 Only time distinguishes the last two.  Until older responses have continued for `CONFIRM_AFTER`, the current
-list is kept, so a drained backend stays drained; then the full list is accepted, and responses to earlier
-requests are ignored.  Limits: a replica that lags for longer than `CONFIRM_AFTER` is accepted, and a
-restarted count that has passed the old one before the next request is not detected; the full list is
+list is kept, so that a drained backend stays drained; then the full list is accepted, and responses to
+earlier requests are ignored.  Limits: a replica that lags for longer than `CONFIRM_AFTER` is accepted; a
+restart is not detected if the new count has passed the old one before the next request, so the full list is
 requested wherever that can happen.
 """
 
@@ -21,33 +21,33 @@
 
 
 class ListVerdict(enum.Enum):
-    """How a response is treated; the values appear in the log."""
+    """Classes of responses by how they are treated; the values appear in the log."""
 
     ACCEPTED = "counts"
-    RESET = "begun anew"  # accepted, and discovery counts from the start
+    RESET = "begun anew"  # accepted, as discovery has restarted its count
     SUPERSEDED = "crossed"  # requested before the current version or epoch was known
-    UNCONFIRMED = "doubted"  # older though requested since: has to be requested again
+    UNCONFIRMED = "doubted"  # older than the current version, yet requested after it: to be requested again
 
     @property
     def is_accepted(self) -> bool:
-        """Whether the list replaces or extends the current one."""
+        """Return whether the list replaces or extends the current one."""
         return self in (ListVerdict.ACCEPTED, ListVerdict.RESET)
 
 
 @dataclass(slots=True, frozen=True)
 class ListRequest:
-    """A request as sent: for the changes since version `base`, or for the full list (None)."""
+    """Describes a sent request: for the changes since version `base`, or for the full list (None)."""
 
     number: int
     base: int | None
     sent_at: int
-    epoch: int  # number of restarts of discovery seen so far
-    address_number: int
+    epoch: int  # number of restarts of discovery detected before the request
+    address_number: int  # number of address changes before the request; -1 for the previous address
 
 
 @dataclass(slots=True)
 class UnconfirmedVersion:
-    """Older responses: when the first arrived, the lowest version and how many there were."""
+    """Sums up older responses: when the first arrived, their lowest version, and their count."""
 
     first_seen_at: int
     version: int
@@ -57,8 +57,8 @@
 class ListVersions:
     """Tracks the current version and classifies each response against it."""
 
-    # A drain has 3 s from when its list was sent: this leaves it two thirds.  A replica that lags by more
-    # is faulty itself.
+    # A drain has to end within 3 s from when its list was sent: this leaves it two thirds of that.  A replica
+    # that lags for longer is itself at fault.
     CONFIRM_AFTER = SECOND
 
     def __init__(self, version: int) -> None:
@@ -69,29 +69,30 @@
         self._epoch = 0
         self._address_number = 0
 
-    def new_request(self, now: int, whole: bool, left: bool = False) -> ListRequest:
-        """Register a request at `now`, for the full list if `whole`.
+    def new_request(self, now: int, full: bool, to_previous: bool = False) -> ListRequest:
+        """Register a request at `now`, for the full list if `full`.
 
-        `left` marks one to the address before the last move.
+        `to_previous` marks one to the address before the last address change.
         """
         self._request_count += 1
         return ListRequest(
             self._request_count,
-            None if whole else self.current,
+            None if full else self.current,
             now,
             self._epoch,
-            -1 if left else self._address_number,
+            -1 if to_previous else self._address_number,
         )
 
     def on_address_change(self) -> None:
-        """Start at another address; responses of the old one confirm nothing about it."""
+        """Handle a change of address; responses from the old address confirm nothing about the new one."""
         self._address_number += 1
         self.unconfirmed = None
 
     def retry_at(self, now: int) -> int:
-        """Time of the next request while unconfirmed.
+        """Return when to send the next request while an older version is unconfirmed.
 
-        The first is immediate, as a stale response mostly comes alone; the next waits for confirmation.
+        The first repetition is immediate, as a stale response is mostly a single one; later ones wait until
+        a response could confirm the older version.
         """
         return (
             now
@@ -105,9 +106,9 @@
         Raises ValueError if changes arrive in response to a request for the full list.
         """
         if update.scope == "changes" and request.base is None:
-            raise ValueError("changes, where the whole list was asked for")
+            raise ValueError("received changes in response to a request for the full list")
         if request.epoch != self._epoch:
-            return ListVerdict.SUPERSEDED  # changes since a version of another epoch would leave a gap
+            return ListVerdict.SUPERSEDED  # changes from a version of another epoch would leave a gap
         if update.version >= self.current:
             if request.address_number == self._address_number:
                 self.unconfirmed = None
@@ -119,9 +120,8 @@
 
     def _classify_older(self, request: ListRequest, update: face.BackendList, now: int) -> ListVerdict:
         if self.unconfirmed is None or update.version < self.unconfirmed.version:
-            self.unconfirmed = UnconfirmedVersion(
-                now, update.version
-            )  # older still: the confirmation starts again
+            # The version is lower than any before: the confirmation starts again.
+            self.unconfirmed = UnconfirmedVersion(now, update.version)
         elif (
             update.scope == "full" and request.sent_at >= self.unconfirmed.first_seen_at + self.CONFIRM_AFTER
         ):
--- a/indigohitch/platform_protocol/messages.py
+++ b/indigohitch/platform_protocol/messages.py
@@ -1,4 +1,4 @@
-"""Parsers of the protocol's messages into events, for lines of collectors and of the relay."""
+"""Parses protocol messages, received as lines from collectors and from the relay, into events."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class InvalidLineError(errors.InvalidDataError):
-    """A message does not conform to the protocol."""
+    """Raised for a message that does not conform to the protocol."""
 
-    remedy = "bring the sender to this program's version of the protocol"
+    remedy = "update the sender to the protocol version of this program"
 
 
 class CorruptConnectionError(errors.InvalidDataError):
-    """The input is no message at all, so the start of the next one is unknown."""
+    """Raised for input that is no message at all, so that the start of the next message is unknown."""
 
-    remedy = "find who connects there"
+    remedy = "find out which program connects to this address"
 
 
 @dataclass(slots=True)
 class KnownNames:
-    """The zones, methods, slices and backends that a report may name."""
+    """Holds the zones, methods, slices and backends that a report may name."""
 
     zones: frozenset[str]
     methods: frozenset[str]
-    slices: int
+    slices: int  # number of slices
     backends: Container[str]
 
 
-MAX_VALUE = 10**9  # far above any count, share or time in ms of a report
+MAX_VALUE = 10**9  # far above any count, share or time (in ms) that a report contains
 
 
 def parse_number(fields: Mapping[str, str], name: str) -> float:
@@ -41,7 +41,7 @@
         value = float(fields[name])
     except (KeyError, TypeError, ValueError):
         raise InvalidLineError(f"{name}: not a number") from None
-    if not 0 <= value <= MAX_VALUE:  # nor is NaN
+    if not 0 <= value <= MAX_VALUE:  # NaN fails the comparison too
         raise InvalidLineError(f"{name}: out of range")
     return value
 
@@ -50,28 +50,28 @@
     """Return a field as a non-negative integer of at most 15 digits; raises InvalidLineError."""
     value = fields.get(name, "")
     if not (value.isascii() and value.isdigit() and len(value) < 16):
-        raise InvalidLineError(f"{name}: not a whole number")
+        raise InvalidLineError(f"{name}: not a non-negative integer of at most 15 digits")
     return int(value)
 
 
 def parse_flag(fields: Mapping[str, str], name: str) -> bool:
-    """Return a field that is 0 or 1 as a bool; raises InvalidLineError."""
+    """Return a field whose value must be 0 or 1 as a bool; raises InvalidLineError."""
     if fields.get(name) not in ("0", "1"):
         raise InvalidLineError(f"{name}: not 0 or 1")
     return fields[name] == "1"
 
 
 def parse_text(fields: Mapping[str, str], name: str) -> str:
-    """Return a field that must not be empty; raises InvalidLineError."""
+    """Return a field, which must not be empty; raises InvalidLineError."""
     if not fields.get(name):
         raise InvalidLineError(f"{name}: missing")
     return fields[name]
 
 
-def parse_name_among(fields: Mapping[str, str], name: str, among: Container[str]) -> str:
-    """Return a field whose value must be in `among`; raises InvalidLineError."""
-    if parse_text(fields, name) not in among:
-        raise InvalidLineError(f"{name}: does not exist")
+def parse_known_name(fields: Mapping[str, str], name: str, known_names: Container[str]) -> str:
+    """Return a field whose value must be in `known_names`; raises InvalidLineError."""
+    if parse_text(fields, name) not in known_names:
+        raise InvalidLineError(f"{name}: unknown value")
     return fields[name]
 
 
@@ -80,7 +80,7 @@
     try:
         kind, *pairs = line.decode("ascii").split()
         if not (kind.isidentifier() and line.isascii()):
-            raise ValueError("no kind of message")
+            raise ValueError("the kind of the message is not an identifier")
         return kind, dict(pair.split("=", 1) for pair in pairs)
     except ValueError as error:
         raise CorruptConnectionError(str(error)) from None
@@ -101,66 +101,66 @@
     )
 
 
-def _parse_sums(fields: Mapping[str, str]) -> tuple[int, int, float]:
-    """Return the count of requests, the count of failures, and their period in ms."""
+def _parse_totals(fields: Mapping[str, str]) -> tuple[int, int, float]:
+    """Return the number of requests, the number of failures, and the period of both in ms."""
     count = parse_integer(fields, "count")
-    fail = parse_integer(fields, "fail")
-    over = parse_number(fields, "over")
-    if max(count, fail) > MAX_VALUE:
-        raise InvalidLineError("count: out of range")
-    if not 0 < over <= MS_PER_HOUR:
+    failures = parse_integer(fields, "fail")
+    period_ms = parse_number(fields, "over")
+    if max(count, failures) > MAX_VALUE:
+        raise InvalidLineError("count or fail: out of range")
+    if not 0 < period_ms <= MS_PER_HOUR:
         raise InvalidLineError("over: out of range")
-    return count, fail, over
+    return count, failures, period_ms
 
 
-MS_PER_HOUR = 3_600_000.0  # no period and no response time of a report is as long
+MS_PER_HOUR = 3_600_000.0  # upper limit: periods and response times in reports are shorter
 
 
 def _parse_traffic(fields: Mapping[str, str], known: KnownNames) -> face.BackendTraffic:
-    count, fail, over = _parse_sums(fields)
-    if fail > count:
-        raise InvalidLineError("fail: more than there were")
-    mean = parse_number(fields, "mean")
-    if mean > MS_PER_HOUR:
+    count, failures, period_ms = _parse_totals(fields)
+    if failures > count:
+        raise InvalidLineError("fail: exceeds count")
+    mean_ms = parse_number(fields, "mean")
+    if mean_ms > MS_PER_HOUR:
         raise InvalidLineError("mean: out of range")
     pairs = [pair.partition(":")[::2] for pair in filter(None, fields.get("util", "").split(","))]
     return face.BackendTraffic(
-        parse_name_among(fields, "site", known.zones),
-        parse_name_among(fields, "target", known.backends),
+        parse_known_name(fields, "site", known.zones),
+        parse_known_name(fields, "target", known.backends),
         count,
-        fail,
-        ticks_from_ms(mean),
-        ticks_from_ms(over),
-        load_values(dict(pairs)),
+        failures,
+        ticks_from_ms(mean_ms),
+        ticks_from_ms(period_ms),
+        parse_load_values(dict(pairs)),
     )
 
 
 def _parse_demand(fields: Mapping[str, str], known: KnownNames) -> face.SliceDemand:
     if parse_integer(fields, "range") >= known.slices:
-        raise InvalidLineError("range: does not exist")
+        raise InvalidLineError("range: no slice has this number")
     # Failures may exceed the count: a request that fails in this period may have arrived in an earlier one.
-    count, fail, over = _parse_sums(fields)
+    count, failures, period_ms = _parse_totals(fields)
     return face.SliceDemand(
         parse_integer(fields, "range"),
-        parse_name_among(fields, "lane", known.methods),
+        parse_known_name(fields, "lane", known.methods),
         count,
-        fail,
-        ticks_from_ms(over),
+        failures,
+        ticks_from_ms(period_ms),
     )
 
 
-def load_values(found: Mapping[str, object]) -> dict[str, float]:
-    """Return the values of a load report; one invalid value makes the whole report invalid."""
-    return parse_load_report((name, parse_number(found, name)) for name in found)
+def parse_load_values(fields: Mapping[str, object]) -> dict[str, float]:
+    """Return the values of a load report; a single invalid value makes the whole report invalid."""
+    return parse_load_report((name, parse_number(fields, name)) for name in fields)
 
 
 REPORT_PARSERS = {"upstream_stats": _parse_traffic, "range_stats": _parse_demand}
 
 
 def parse_report(kind: str, fields: Mapping[str, str], known: KnownNames) -> face.Event:
-    """Return the event of a collector's report; raises InvalidLineError."""
+    """Return the event for a collector's report; raises InvalidLineError."""
     if kind not in REPORT_PARSERS:
-        raise InvalidLineError(f"{kind}: no such report")
+        raise InvalidLineError(f"{kind}: unknown kind of report")
     return REPORT_PARSERS[kind](fields, known)
 
 
