--- a/tests/listroom.py
+++ b/tests/listroom.py
@@ -1,5 +1,5 @@
-"""Discovery's client in process: the real loop and sockets, turn by turn, its other side in the same thread,
-which answers when told, and a clock that is put forward by hand."""
+"""The discovery client in one process with the test: the real event loop and sockets, run turn by turn, a
+discovery server in the same thread that responds on demand, and a clock that the test advances."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 
 
 class Hands:
-    """A clock that goes only as it is put forward."""
+    """A clock that only the test advances."""
 
     time = 1_700_000_000 * SECOND
 
@@ -36,35 +36,38 @@
 
 
 def listed(generation, *entries, full=False):
+    """Return the body of a list of backends."""
     return json.dumps({"generation": generation, "reset": full, "instances": entries}).encode()
 
 
 class Call:
-    """A request that has come; what is written to it is heard when the loop turns."""
+    """A received request; the client reads what is written in response when the loop runs."""
 
     def __init__(self, sock, target):
-        self.sock, self.target = sock, target
+        self.sock = sock
+        self.target = target
 
     def write(self, data):
         self.sock.sendall(data)
 
-    def answer(self, body, status="200 OK"):
+    def respond(self, body, status="200 OK"):
         self.write(f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body)
 
-    def changes(self, generation, *entries):
-        self.answer(listed(generation, *entries))
+    def send_changes(self, generation, *entries):
+        self.respond(listed(generation, *entries))
 
-    def full(self, generation, *entries):
-        self.answer(listed(generation, *entries, full=True))
+    def send_full(self, generation, *entries):
+        self.respond(listed(generation, *entries, full=True))
 
     def fail(self):
-        self.answer(b"", "503 Service Unavailable")
+        self.respond(b"", "503 Service Unavailable")
 
     def reset(self):
         reset(self.sock)
 
     @property
-    def given_up(self):
+    def is_abandoned(self):
+        """Return whether the client has closed the connection."""
         try:
             return self.sock.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
@@ -74,13 +77,18 @@
 
 
 class Registry:
+    """A discovery server at an address of its own."""
+
     def __init__(self, room):
-        self.room, self.socks, self.calls = room, [], []
+        self.room = room
+        self.socks = []
+        self.requests = []
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        self.to = self.sock.getsockname()
+        self.address = self.sock.getsockname()
 
-    def look(self):
+    def receive(self):
+        """Accept waiting connections and read waiting requests."""
         try:
             while True:
                 sock, _ = self.sock.accept()
@@ -94,86 +102,90 @@
             except OSError:
                 continue
             if head:
-                self.calls.append(Call(sock, head.split()[1].decode()))
+                self.requests.append(Call(sock, head.split()[1].decode()))
 
-    def call(self):
-        """The next request."""
-        self.room.until(lambda: self.look() or self.calls)
-        return self.calls.pop(0)
+    def next_request(self):
+        """Run the loop until a request arrives, and return it."""
+        self.room.run_until(lambda: self.receive() or self.requests)
+        return self.requests.pop(0)
 
-    def quiet(self):
-        """Whether no request has come that was not taken."""
-        self.room.turns()
-        self.look()
-        return not self.calls
+    def has_no_request(self):
+        """Return whether no further request arrives within a few turns of the loop."""
+        self.room.run_turns()
+        self.receive()
+        return not self.requests
 
 
 class Room:
+    """A discovery client with its event loop, clock and log, and three discovery servers."""
+
     def __init__(self, version=41):
-        self.clock, self.defects, self.told = Hands(), [], []
+        self.clock = Hands()
+        self.defects = []
+        self.updates = []  # the lists that the client passed on
         self.loop = EventLoop(self.clock, self.defects.append)
-        self.lines = os.memfd_create("log")
-        self.log = Log(self.clock, "n0", self.lines)
+        self.log_fd = os.memfd_create("log")
+        self.log = Log(self.clock, "n0", self.log_fd)
         self.registry = Registry(self)
-        self.others = [Registry(self), Registry(self)]
-        self.discovery = Discovery(self.loop, self.log, self.registry.to, version, self.hear)
+        self.other_registries = [Registry(self), Registry(self)]
+        self.discovery = Discovery(self.loop, self.log, self.registry.address, version, self.on_list)
 
-    def hear(self, news, addresses):
-        self.told.append(news)
+    def on_list(self, update, addresses):
+        self.updates.append(update)
 
-    def turns(self, count=5):
+    def run_turns(self, count=5):
         for _ in range(count):
-            end = self.loop.call_after(5, lambda: None)  # a turn ends though nothing comes
+            end = self.loop.call_after(5, lambda: None)  # ends the turn if nothing arrives
             self.loop.turn()
             end.cancel()
 
-    def until(self, holds, seconds=10.0):
+    def run_until(self, holds, seconds=10.0):
         end = time.monotonic() + seconds
         while not holds():
             assert time.monotonic() < end and not self.defects, f"never came true: {self.defects!r}"
-            self.turns(1)
+            self.run_turns(1)
 
-    def forward(self, span):
-        """So much later; what is due is met."""
+    def advance(self, span):
+        """Advance the clock, and run the loop so that due timers fire."""
         self.clock.time += span
-        self.turns()
+        self.run_turns()
 
-    def hears(self, call, count=1):
-        """Turn until so much more was told after `call` answered."""
-        before = len(self.told)
-        call()
-        self.until(lambda: len(self.told) >= before + count)
-        return self.told[-1]
+    def update_after(self, action, count=1):
+        """Run the loop until `count` lists were passed on after `action`; returns the last of them."""
+        before = len(self.updates)
+        action()
+        self.run_until(lambda: len(self.updates) >= before + count)
+        return self.updates[-1]
 
-    def answered(self, count):
-        """Turn until so many answers were read in all."""
-        self.until(lambda: self.log.counts["discovery_answers"] == count)
+    def wait_for_responses(self, count):
+        """Run the loop until `count` responses were read in total."""
+        self.run_until(lambda: self.log.counts["discovery_answers"] == count)
 
-    def said(self, event):
-        lines = map(json.loads, os.pread(self.lines, 1 << 20, 0).splitlines())
+    def log_entries(self, event):
+        lines = map(json.loads, os.pread(self.log_fd, 1 << 20, 0).splitlines())
         return [line for line in lines if line["event"] == event]
 
-    def begin(self, generation=41, *entries):
-        """Subscribed, the first list heard, a watch out: the call."""
+    def start_watch(self, generation=41, *entries):
+        """Subscribe, send the first full list, and return the request of the watch that follows."""
         self.discovery.subscribe(True)
-        self.registry.call().full(generation, *entries or (entry("b0"), entry("b1", "DRAINING")))
-        watch = self.registry.call()
+        self.registry.next_request().send_full(generation, *entries or (entry("b0"), entry("b1", "DRAINING")))
+        watch = self.registry.next_request()
         assert "hold_ms=3000" in watch.target
         return watch
 
     @property
     def state(self):
-        """Of each backend, as all that was told makes it."""
-        found = {}
-        for news in self.told:
-            found = {} if news.scope == "full" else found
-            found |= {e.backend: e.state for e in news.entries}
-        return found
+        """Return the state of each backend after all lists that were passed on."""
+        states = {}
+        for update in self.updates:
+            states = {} if update.scope == "full" else states
+            states |= {e.backend: e.state for e in update.entries}
+        return states
 
     def close(self):
         self.discovery.close()
         self.loop.close()
-        os.close(self.lines)
-        for registry in (self.registry, *self.others):
+        os.close(self.log_fd)
+        for registry in (self.registry, *self.other_registries):
             for sock in (registry.sock, *registry.socks):
                 sock.close()
