--- a/indigohitch/platform_protocol/backend_start_times.py
+++ b/indigohitch/platform_protocol/backend_start_times.py
@@ -26,10 +26,9 @@
 class BackendStartTimes:
     """Keeps the known start times of backends, least recently listed first."""
 
-    # In ticks, from a start to the list that reports it: discovery reports it within 6 s, and a request may
-    # queue.
+    # From a start to the list that reports it: discovery reports it within 6 s, and a request may queue.
     MAX_REPORT_DELAY = 10 * SECOND
-    MAX_REMOVED = 256  # removed backends that are kept here, as many as the decision module keeps
+    MAX_REMOVED = 256  # removed backends that are kept, as many as the decision module keeps
 
     def __init__(self) -> None:
         self.starts_by_backend: dict[str, BackendStart] = {}
@@ -38,8 +37,7 @@
     def to_local_clock(self, update: face.BackendList, now: int, wall_now: int) -> face.BackendList:
         """Return the list with start times by this process's clock.
 
-        `now` and `wall_now` are when the list arrived by this process's clock and by the wall clock, in
-        ticks.
+        `now` and `wall_now` tell, in ticks, when the list arrived by this process's and by the wall clock.
         """
         if update.scope == "failed":
             return update
--- a/indigohitch/platform_protocol/discovery.py
+++ b/indigohitch/platform_protocol/discovery.py
@@ -61,9 +61,9 @@
     # Long-poll wait: short enough that a silent watch is detected soon, long enough not to load discovery,
     # which serves one request at a time.
     WATCH_WAIT = 3 * SECOND
-    # Timeout of a response.  Requests queue at discovery for up to 2 s, and the protocol takes a change as
-    # reported after 6 s: two lost requests in a row have to be detected by then.  It takes a watch's change
-    # as reported 2 s after the watch's wait, so the watch times out before that.
+    # Timeout of a response.  Requests queue at discovery for up to 2 s, and a change counts as reported after
+    # 6 s: two lost requests in a row have to be detected by then.  A watch's change counts as reported 2 s
+    # after its wait, so the watch times out before that.
     TIMEOUT = SECOND * 23 // 10
     WATCH_TIMEOUT_MARGIN = SECOND * 3 // 2
     # First delay between attempts at a new address while the previous watch works; doubles up to 1 s.
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -52,7 +52,7 @@
 class DrainMonitor:
     """Checks that departing backends lose their routes within the grace period, and logs violations."""
 
-    # Slack that the protocol allows on the time limits of drains, for transmission over sockets.
+    # Slack that the protocol allows on the time limits of drains over sockets.
     SOCKET_SLACK = SECOND * 3 // 10
     # The protocol pauses time limits for these spans after a failed call, after a call without a readable
     # response, and after the loss of the event stream.
@@ -71,18 +71,18 @@
         grace: int,
         read_stored_tables: Callable[[], StoredTables],
         count_pending_calls: Callable[[], int],
-        check_unlisted_backends: bool = True,
+        check_gone_backends: bool = True,
     ) -> None:
         """Set up the monitor for a `grace` period in ticks (0: no checks).
 
-        With `check_unlisted_backends`, backends that are gone are checked as well as those that drain.
+        With `check_gone_backends`, backends that are gone are checked as well as those that drain.
         """
         self.loop = loop
         self.log = log
         self.grace = grace
         self.read_stored_tables = read_stored_tables
         self.count_pending_calls = count_pending_calls
-        self.checked_states = DEPARTING_STATES if check_unlisted_backends else DEPARTING_STATES[:1]
+        self.checked_states = DEPARTING_STATES if check_gone_backends else DEPARTING_STATES[:1]
         self.draining: dict[str, DrainingBackend] = {}
         self.ejected: set[str] = set()
         self.paused_time = PausedTime()
--- a/tests/listroom.py
+++ b/tests/listroom.py
@@ -1,5 +1,5 @@
-"""The discovery client in one process with the test: the real event loop and sockets, run turn by turn, a
-discovery server in the same thread that responds on demand, and a clock that the test advances."""
+"""Runs the discovery client in the process of a test: on the real event loop and sockets, turn by turn, with
+discovery servers in the same thread that respond on demand, and a clock that the test advances."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 
 
 class Hands:
-    """A clock that only the test advances."""
+    """Provides a clock that only the test advances."""
 
     time = 1_700_000_000 * SECOND
 
@@ -41,7 +41,7 @@
 
 
 class Call:
-    """A received request; the client reads what is written in response when the loop runs."""
+    """Holds a received request; the client reads what is written in response when the loop runs."""
 
     def __init__(self, sock, target):
         self.sock = sock
@@ -77,7 +77,7 @@
 
 
 class Registry:
-    """A discovery server at an address of its own."""
+    """Plays a discovery server at an address of its own."""
 
     def __init__(self, room):
         self.room = room
@@ -117,7 +117,7 @@
 
 
 class Room:
-    """A discovery client with its event loop, clock and log, and three discovery servers."""
+    """Sets up a discovery client with its event loop, clock and log, and three discovery servers."""
 
     def __init__(self, version=41):
         self.clock = Hands()
--- a/tests/test_discovery_address_change.py
+++ b/tests/test_discovery_address_change.py
@@ -1,4 +1,4 @@
-"""The discovery client is moved to another address while its watch at the old one is in flight."""
+"""Tests that the discovery client moves to another address while its watch at the old one is in flight."""
 
 import pytest
 
--- a/tests/test_discovered.py
+++ b/tests/test_discovery_and_probes.py
@@ -1,4 +1,4 @@
-"""The program, discovery that fails and backends that come, go and are probed."""
+"""Tests the program when discovery fails, and when backends are added, moved, removed and probed."""
 
 import pytest
 
@@ -7,16 +7,17 @@
 
 
 @pytest.mark.parametrize("fault", ["503", "reset", "silent", "garbage", "rubbish", "whole", "close"])
-def test_discovery_that_fails_is_asked_again(platform, fault):
+def test_failed_discovery_request_is_repeated(platform, fault):
     program = platform.serving()
-    platform.discovery_faults += [fault] * (2 if fault == "reset" else 1)  # one may cross the request
+    # A reset may be taken for the close of an idle connection, which is retried without a log entry.
+    platform.discovery_faults += [fault] * (2 if fault == "reset" else 1)
     drain(platform, "b1")
     eventually(lambda: not platform.discovery_faults)
     drain(platform, "b2")
     assert bool(program.said("discovery_failed")) == (fault not in ("whole", "close"))
 
 
-def test_backends_move_and_vanish_from_the_list(platform):
+def test_backends_that_move_or_disappear_from_the_list_are_followed(platform):
     platform.serving()
     moved = platform.backends["b0"]
     eventually(lambda: moved.connections)
@@ -24,22 +25,22 @@
     eventually(lambda: platform.backends["b0"].connections)
     del platform.listed["b3"]
     platform.discovery_faults.append("whole")
-    eventually(lambda: not any("b3" in t for t in platform.tables.values()))
+    eventually(lambda: not any("b3" in table for table in platform.tables.values()))
     moved.close()
 
 
-def test_a_backend_told_gone_twice_in_one_answer_does_not_deafen(platform):
+def test_backend_deleted_twice_in_one_response_does_not_stop_the_watch(platform):
     program = platform.serving()
-    with platform.lock:  # in one answer to the watch
+    with platform.lock:  # in one response to the watch
         platform.change("b5", "DELETED")
         platform.add("b5")
         platform.change("b5", "DELETED")
     drain(platform, "b1")
-    eventually(lambda: not any("b5" in t for t in platform.tables.values()))
+    eventually(lambda: not any("b5" in table for table in platform.tables.values()))
     assert not program.said("defect")
 
 
-def test_probes_tell_what_happened(platform):
+def test_probe_outcomes_are_counted(platform):
     platform.behaviour = {"b0": "503", "b1": "silent", "b2": "reset", "b3": "garbage", "b4": "rubbish"}
     platform.backends["b5"].close()
     platform.change("b5", address="127.0.0.1:1")
@@ -48,20 +49,21 @@
     program = platform.serving()
     program.start_seen = eventually(
         lambda: (
-            (c := program.counters()).get("probes_connect_failed", 0) > 1
-            and c.get("probes_timeout")
-            and c.get("probes_reset")
-            and c
+            (counters := program.counters()).get("probes_connect_failed", 0) > 1
+            and counters.get("probes_timeout")
+            and counters.get("probes_reset")
+            and counters
         )
     )
-    counters = eventually(lambda: (c := program.counters()).get("load_report_unreadable") and c)
+    counters = eventually(lambda: (found := program.counters()).get("load_report_unreadable") and found)
     assert counters["probes_error"] >= 2 and heartbeat(platform)
     assert {path for _, path in platform.probed} == {"/stats"}
 
 
-@pytest.mark.parametrize("said", ["push", "ask", None])
-def test_the_list_is_watched_whatever_the_settings_say_of_discovery(platform, said):
-    """Found at a site of our own: where they said `push` nobody watched, and no drain was ever heard."""
-    program = platform.start(settings=SETTINGS | {"discovery": said})
+@pytest.mark.parametrize("value", ["push", "ask", None])
+def test_list_is_watched_with_every_value_of_the_discovery_setting(platform, value):
+    """Found on an internal deployment: with the setting `push` the list was not watched, so no drain was
+    noticed."""
+    program = platform.start(settings=SETTINGS | {"discovery": value})
     eventually(lambda: program.said("phase", now="serving"))
     drain(platform, "b1")
--- a/tests/test_discovery_failures.py
+++ b/tests/test_discovery_failures.py
@@ -1,4 +1,4 @@
-"""The discovery client when responses are missing, partial, slow or late, and when connections end."""
+"""Tests the discovery client when responses are missing, partial, slow or late, and when connections end."""
 
 import socket
 
--- a/tests/test_discovery_response_order.py
+++ b/tests/test_discovery_response_order.py
@@ -1,4 +1,4 @@
-"""The discovery client with two requests in flight, answered in either order, and with older lists."""
+"""Tests the discovery client with two requests in flight, answered in either order, and with older lists."""
 
 import pytest
 
--- a/tests/test_crossing_lists_program.py
+++ b/tests/test_discovery_stale_lists.py
@@ -1,4 +1,4 @@
-"""The program, and lists that are older than what it holds or meet an upgrade."""
+"""Tests the program when discovery sends older lists, restarts its count, or sends a change in an upgrade."""
 
 import json
 import os
@@ -14,50 +14,52 @@
 from waiting import eventually, free_address
 
 
-def test_an_older_list_brings_no_drained_backend_back(platform):
+def test_older_list_restores_no_drained_backend(platform):
     program = platform.serving()
     older = platform.whole()
     drain(platform, "b1")
-    calls, answer, left = len(platform.calls), platform.discovery.answer, [older, older]
+    call_count = len(platform.calls)
+    answer = platform.discovery.answer
+    stale_responses = [older, older]
 
-    def stale(sock, method, target, body):
-        if not left:
+    def answer_stale(sock, method, target, body):
+        if not stale_responses:
             return answer(sock, method, target, body)
-        left.pop()
+        stale_responses.pop()
         http(sock, json.dumps(older))
 
-    platform.discovery.answer = stale
-    drain(platform, "b2")  # ends the watch; the next two calls get the older list
+    platform.discovery.answer = answer_stale
+    drain(platform, "b2")  # ends the watch; the next two requests get the older list
     eventually(lambda: len(program.said("discovery_stale_answer", verdict="doubted")) == 2)
-    drain(platform, "b3")  # asked for within a second, though nobody watched
+    drain(platform, "b3")  # requested within a second, although no watch was in flight
     assert not [
-        o
-        for call in platform.calls[calls:]
-        for o in call
-        if o.startswith("put") and ",b1," in o and not o.endswith((",0", ",0.0"))
+        order
+        for call in platform.calls[call_count:]
+        for order in call
+        if order.startswith("put") and ",b1," in order and not order.endswith((",0", ",0.0"))
     ]
     assert not program.said("discovery_version_reset") and not program.said("discovery_failed")
 
 
-def test_a_discovery_that_began_anew_is_believed(platform):
+def test_restarted_discovery_is_accepted(platform):
     program = platform.serving()
     drain(platform, "b1")
     with platform.lock:
         platform.version, platform.changes = 1, []
-    platform.change("b5", "DRAINING")  # its version is below the one asked from: the watch waits on
+    platform.change("b5", "DRAINING")  # below the version of the watch's request: the watch keeps waiting
     platform.add("b6")
     eventually(lambda: program.said("discovery_version_reset"))
     drain(platform, "b2")
-    assert not any({"b1", "b5"} & set(t) for t in platform.tables.values())
+    assert not any({"b1", "b5"} & set(table) for table in platform.tables.values())
 
 
-def test_a_change_heard_as_the_state_is_taken_reaches_the_next_process(platform):
-    """Its generation is in the state, and the module that goes with it had not heard it before."""
+def test_change_received_while_the_state_is_saved_reaches_the_next_process(platform):
+    """The saved state contains the generation of the change, which the decision module had not processed."""
     defects = []
     loop = EventLoop(Clock(), defects.append)
     log = Log(loop.clock, "n0", os.memfd_create("log"))
 
-    def made(listening=None):
+    def create_front(listening=None):
         return Front(
             loop,
             log,
@@ -73,7 +75,7 @@
             },
         )
 
-    def until(holds, *fronts):
+    def run_until(holds, *fronts):
         end = loop.clock.now() + 20 * SECOND
         while not holds():
             assert loop.clock.now() < end, "never came true"
@@ -82,18 +84,20 @@
             for front in fronts:
                 front.event_batch.flush_if_due()
 
-    front = made()
-    until(lambda: front.coordinator.is_list_current, front)
+    front = create_front()
+    run_until(lambda: front.coordinator.is_list_current, front)
     platform.change("b1", "DRAINING")
-    until(lambda: front.discovery.version == platform.version)  # the module is not asked meanwhile
-    old, states = CoordinatorHandover(front, made, lambda: None, None, None), []
+    # The decision module is not called meanwhile.
+    run_until(lambda: front.discovery.version == platform.version)
+    old = CoordinatorHandover(front, create_front, lambda: None, None, None)
+    states = []
     old.freeze(lambda state, broken: states.append(state))
-    assert front.coordinator.backends["b1"].state == "draining"  # it hears what waits, at the latest now
-    new = CoordinatorHandover(None, made, lambda: None, None, None)
+    assert front.coordinator.backends["b1"].state == "draining"  # waiting events are processed by now
+    new = CoordinatorHandover(None, create_front, lambda: None, None, None)
     new.restore(shots.decode(states[0]), {})
     new.take_late_events(old.late_events())
     new.start_serving(True)
-    until(
+    run_until(
         lambda: (
             new.front.discovery.watch_exchange and new.front.coordinator.backends["b1"].state == "draining"
         ),
--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -1,4 +1,4 @@
-"""ListVersions on its own, under seeded random schedules: requests are handled and answered in any order,
+"""Tests ListVersions alone under seeded random schedules: requests are handled and answered in any order,
 discovery restarts its count, and replicas lag.  The client's list always equals one list of discovery."""
 
 import random
@@ -13,7 +13,7 @@
 
 
 class Simulation:
-    """Discovery with the history of its list, and a client that sends requests at random times."""
+    """Simulates discovery, with the history of its list, and a client that sends requests at random times."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
