--- a/tests/test_crossing_doubt.py
+++ b/tests/test_call_resolution.py
@@ -7,7 +7,7 @@
 from indigohitch.platform_protocol.call_resolution import CallOutcome, MarkerEvidence, TableEvidence
 from indigohitch.platform_protocol.stored_tables import StoredTable
 from stage import drain, none_lost
-from test_crossing_backlog import UNCLEAR, bounded, moved, play, rounds, serving
+from test_channel_backlog import UNCLEAR, bounded, moved, play, rounds, serving
 from waiting import eventually
 
 
--- a/tests/test_crossing_news.py
+++ b/tests/test_relay_watch.py
@@ -10,7 +10,7 @@
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.relay_watch import RelayWatch
 from indigohitch.platform_protocol.store_mirror import StoreMirror
-from test_holdings import Told
+from test_store_mirror import Told
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
--- a/tests/test_crossing_handovers.py
+++ b/tests/test_store_mirror_handovers.py
@@ -9,7 +9,7 @@
 from indigohitch.net.loop import Deadline
 from indigohitch.platform_protocol import stored_tables
 from indigohitch.platform_protocol.store_mirror import StoreMirror
-from test_holdings import Told
+from test_store_mirror import Told
 
 SLICE = 5
 OURS = [face.SetRoute(SLICE, "b1", 1.0), face.SetRoute(SLICE, "b0", 0.0)]  # a move from b0 to b1
