--- a/indigohitch/platform_protocol/call_codec.py
+++ b/indigohitch/platform_protocol/call_codec.py
@@ -9,48 +9,52 @@
 from .. import interface as face
 from ..net.http_exchange import HttpResponse
 
-MAX_CALL_BYTES = 60_000  # limit of the protocol for the orders of one call
+MAX_CALL_BYTES = 60_000  # protocol limit for the encoded orders of one call
 FORM_CONTENT_TYPE = "application/x-www-form-urlencoded"
+# Orders that the relay has no command for, with their names in the log.
 UNSUPPORTED_ORDERS = {
     face.BindTable: "Bind",
     face.SendToPeer: "TellPeer",
-}  # orders the relay has no command for; their names in the log
+}
 
 
 def encode_form(orders: str) -> bytes:
-    """Return the form body of a call; `orders` is the encoded list of orders."""
+    """Return the form body of a call; `orders` holds the encoded orders, separated by semicolons."""
     return urlencode({"Action": "CommitChanges", "orders": orders}).encode("ascii")
 
 
 def encode_order(order: face.Order, methods: Sequence[str]) -> str:
-    """Return an order as text for the relay; TypeError if the relay has no command for it."""
+    """Return the relay command for an order; raises TypeError if the relay has none."""
     match order:
         case face.SetRoute(table, backend, weight):
             return f"put,{table},{backend},{weight}"
         case face.ClearTable(table):
             return f"wipe,{table}"
-        case face.EjectBackend(backend, out):
-            return f"{'eject' if out else 'uneject'},{backend}"
-        case face.SetAdmission(table, places, level, tries):
+        case face.EjectBackend(backend, ejected):
+            return f"{'eject' if ejected else 'uneject'},{backend}"
+        case face.SetAdmission(table, indexes, admission_ratio, retry_level):
             scope = "*" if table == face.ALL_TABLES else table
-            return f"gate,{scope},{'+'.join(methods[p] for p in places) or '*'},{level},{tries}"
-        case face.UpdateMarker(mark, everyone):
-            return f"fence,{mark},{int(everyone)}"
-    raise TypeError(f"not an order for the relay: {order}")
+            return (
+                f"gate,{scope},{'+'.join(methods[index] for index in indexes) or '*'}"
+                f",{admission_ratio},{retry_level}"
+            )
+        case face.UpdateMarker(marker, to_all_proxies):
+            return f"fence,{marker},{int(to_all_proxies)}"
+    raise TypeError(f"the relay has no command for this order: {order}")
 
 
 def order_key(order: face.Order) -> tuple:
-    """Return the key of what an order sets; a later order with the same key overrides it."""
+    """Return a key for the setting that an order changes; a later order with the same key overrides it."""
     match order:
         case face.SetRoute(table, backend, _):
-            return "line", table, backend
-        case face.SetAdmission(table, places, _, _):
-            return "level", table, places
+            return "route", table, backend
+        case face.SetAdmission(table, indexes, _, _):
+            return "admission", table, indexes
         case face.EjectBackend(backend, _):
-            return "out", backend
+            return "ejection", backend
         case face.ClearTable(table):
             return "table", table
-    return ("mark",)
+    return ("marker",)
 
 
 def merge_orders(orders: Sequence[face.Order]) -> list[face.Order]:
@@ -59,26 +63,28 @@
     Routes of a table are kept together, at the position of the last one: when they are sent in several
     calls, no table is without a route between two calls.
     """
-    last: dict[tuple, face.Order] = {}
-    lines: dict[int, dict[tuple, None]] = {}  # keys of each table's lines
+    merged: dict[tuple, face.Order] = {}
+    route_keys: dict[int, dict[tuple, None]] = {}  # keys of the routes of each table
     for order in orders:
         if isinstance(order, face.ClearTable):
-            for old in [k for k in last if k[0] in ("line", "level") and k[1] == order.table]:
-                del last[old]
-            lines.pop(order.table, None)
+            for cleared in [
+                key for key in merged if key[0] in ("route", "admission") and key[1] == order.table
+            ]:
+                del merged[cleared]
+            route_keys.pop(order.table, None)
         if isinstance(order, face.SetRoute):
-            before = lines.setdefault(order.table, {})
-            before.pop(order_key(order), None)
-            for old in before:
-                last[old] = last.pop(old)
-            before[order_key(order)] = None
-        last.pop(order_key(order), None)
-        last[order_key(order)] = order
-    return list(last.values())
+            table_keys = route_keys.setdefault(order.table, {})
+            table_keys.pop(order_key(order), None)
+            for route_key in table_keys:
+                merged[route_key] = merged.pop(route_key)
+            table_keys[order_key(order)] = None
+        merged.pop(order_key(order), None)
+        merged[order_key(order)] = order
+    return list(merged.values())
 
 
 def split_by_size(orders: Sequence[face.Order], methods: Sequence[str]) -> Iterator[list[face.Order]]:
-    """Split orders into calls of at most MAX_CALL_BYTES each."""
+    """Split orders into calls of at most `MAX_CALL_BYTES` each."""
     call: list[face.Order] = []
     free_bytes = MAX_CALL_BYTES + 1  # the last order has no separator
     for order in orders:
@@ -93,7 +99,7 @@
 
 
 def split_index(orders: Sequence[face.Order], max_orders: int) -> int:
-    """Return how many orders, at least one, go in a call of `max_orders`; a table's routes stay together."""
+    """Return how many orders, at least one, fit a call of `max_orders`; a table's routes stay together."""
     limit = max(1, max_orders)
     if limit >= len(orders):
         return len(orders)
@@ -109,19 +115,19 @@
     )
 
 
-def parse_response(answer: HttpResponse) -> int | str:
+def parse_response(response: HttpResponse) -> int | str:
     """Return the number of applied orders or the error code; ValueError if the response is unreadable."""
-    if answer.outcome != "answered":
-        raise ValueError(answer.outcome)
-    if b"<!" in answer.body:  # entities can expand without limit, no response needs them
-        raise ValueError("a document type")
+    if response.outcome != "answered":
+        raise ValueError(response.outcome)
+    if b"<!" in response.body:  # no response needs entities, and they can expand without limit
+        raise ValueError("response contains a document type declaration")
     try:
-        root = ElementTree.fromstring(answer.body)
+        root = ElementTree.fromstring(response.body)
     except ElementTree.ParseError as error:
-        raise ValueError(f"no XML: {error}") from None
+        raise ValueError(f"response is not XML: {error}") from None
     if (code := root.findtext(".//Code")) is not None:
         return code.strip()
     count = (root.findtext(".//results/item/ok_count") or "").strip()
-    if answer.status != 200 or not (count.isascii() and count.isdigit()):
-        raise ValueError(f"status {answer.status}, no count")
+    if response.status != 200 or not (count.isascii() and count.isdigit()):
+        raise ValueError(f"response with status {response.status} has no count of applied orders")
     return int(count)
--- a/indigohitch/platform_protocol/call_log.py
+++ b/indigohitch/platform_protocol/call_log.py
@@ -1,4 +1,4 @@
-"""Log entries on calls to the relay: a number for each call, and why it waits, is retried or ends."""
+"""Log entries about calls to the relay: the number of each call, and why it waits, is retried or ends."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class ChannelOccupancy:
     """Use of the two limits of the channel at the time a call is considered."""
 
-    messages: int  # sent within the window of the message rate limit
-    lines: int  # not known to have left the channel
+    messages: int  # messages sent within the window of the message rate limit
+    lines: int  # lines not known to have left the channel
     waiting: int  # calls in the queue, including this one
 
 
@@ -28,11 +28,11 @@
         self.attempts = 0
 
     def start_call(self) -> None:
-        """Begin a new number: the next call carries other orders than the last one sent."""
+        """Assign the next number: the next call carries other orders than the last one sent."""
         self.number += 1
         self.attempts = 0
 
-    def log_sent(self, orders: Sequence[face.Order], lines: int, found: ChannelOccupancy) -> None:
+    def log_sent(self, orders: Sequence[face.Order], lines: int, occupancy: ChannelOccupancy) -> None:
         """Log that a call is sent; `lines` is its total over all proxies."""
         self.attempts += 1
         self.log.event(
@@ -41,24 +41,24 @@
             tries=self.attempts,
             orders=len(orders),
             lines=lines,
-            messages=found.messages,
-            lines_waiting=found.lines,
-            calls=found.waiting,
+            messages=occupancy.messages,
+            lines_waiting=occupancy.lines,
+            calls=occupancy.waiting,
         )
 
-    def log_waiting(self, event: str, found: ChannelOccupancy, delay: int, **fields: object) -> None:
+    def log_waiting(self, event: str, occupancy: ChannelOccupancy, delay: int, **fields: object) -> None:
         """Log that the first call waits `delay` ticks for the limit that `event` names."""
         self.log.warning(
             event,
             after_call=self.number,
-            calls=found.waiting,
-            messages=found.messages,
-            lines_waiting=found.lines,
+            calls=occupancy.waiting,
+            messages=occupancy.messages,
+            lines_waiting=occupancy.lines,
             for_ms=delay / 10,
             **fields,
         )
 
-    def log_unresolved(self, why: str, orders: Sequence[face.Order], answer: HttpResponse) -> None:
+    def log_unresolved(self, why: str, orders: Sequence[face.Order], response: HttpResponse) -> None:
         """Log that it is unknown whether the call was applied."""
         self.log.warning(
             "relay_call_unresolved",
@@ -66,9 +66,9 @@
             why=why,
             orders=len(orders),
             tries=self.attempts,
-            after_ms=answer.duration / 10,
+            after_ms=response.duration / 10,
         )
 
     def log_applied(self, count: int, source: str) -> None:
-        """Log that `count` orders of the call are applied; `source`: the answer, a marker or the tables."""
+        """Log that `count` orders of the call are applied; `source`: "answer", "mark" or "tables"."""
         self.log.event("relay_call_applied", call=self.number, tries=self.attempts, orders=count, by=source)
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -29,22 +29,22 @@
 class CallQueue:
     """Sends the queued calls one at a time, within the limits of the channel and the invariants."""
 
-    RESPONSE_TIMEOUT = SECOND // 5  # a response takes at most 50 ms or never comes
-    CONNECT_TIMEOUT = SECOND // 4  # on one network a connect takes a few ms
-    IDLE_TIMEOUT = SECOND  # the relay closes idle connections, possibly before its stated time
-    TRANSIT_MARGIN = SECOND // 2  # how much longer one call may take to the relay than the next
+    RESPONSE_TIMEOUT = SECOND // 5  # the relay responds within 50 ms or not at all
+    CONNECT_TIMEOUT = SECOND // 4  # a connect within the network takes a few ms
+    IDLE_TIMEOUT = SECOND  # the relay may close idle connections before its stated time
+    TRANSIT_MARGIN = SECOND // 2  # how much longer a call may take to reach the relay than the next one
 
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
-        to: tuple[str, int],
+        address: tuple[str, int],
         methods: Sequence[str],
         max_messages: int,
         window: int,
         backlog: ChannelBacklog,
     ) -> None:
-        """A proxy may get `max_messages` (0: no limit) within `window` ticks; `backlog` limits lines."""
+        """Limit messages per proxy to `max_messages` (0: any) in `window` ticks, and lines by `backlog`."""
         self.loop = loop
         self.log = log
         self.methods = methods
@@ -56,13 +56,13 @@
         )
         self.in_flight_call = InFlightCall(loop, self._on_outcome)
         self.invariants = InvariantChecker(log, max_messages, window, backlog)
-        self.on_call_failed: Callable[[str], None] = lambda outcome: None  # called with the failure
+        self.on_call_failed: Callable[[str], None] = lambda outcome: None  # receives the outcome of the call
         self.on_applied: Callable[[list[face.Order]], None] = lambda orders: None
         self.on_dropped: Callable[[list[face.Order]], None] = lambda orders: None
-        # Optional check of each call's encoded orders right before it is sent; False blocks the call.
+        # Optional check of the encoded orders of each call right before it is sent; False blocks the call.
         self.is_allowed: Callable[[str], bool] | None = None
-        self.on_unresolved_drop: Callable[[], None] = lambda: None  # a dropped call may be applied
-        self.client = HttpClient(loop, to, self.CONNECT_TIMEOUT, self.IDLE_TIMEOUT)
+        self.on_unresolved_drop: Callable[[], None] = lambda: None  # a dropped call may have been applied
+        self.client = HttpClient(loop, address, self.CONNECT_TIMEOUT, self.IDLE_TIMEOUT)
         self.idle = True
         self.is_paused = False  # no call is started
         self.awaiting_response = False  # a call was sent and has no response or failure yet
@@ -81,37 +81,38 @@
 
     def restore(
         self,
-        waiting: Sequence[list[face.Order]],
-        written: Sequence[int],
+        calls: Sequence[list[face.Order]],
+        sent_at: Sequence[int],
         failures: int,
-        unresolved: Sequence[face.Order],
+        unresolved_orders: Sequence[face.Order],
     ) -> None:
         """Restore the state that another process handed over."""
-        self.outbox.calls = deque(waiting)
-        self.channel_limits.message_rate.sent = deque(written)
+        self.outbox.calls = deque(calls)
+        self.channel_limits.message_rate.sent = deque(sent_at)
         self.in_flight_call.failures = failures
-        self.in_flight_call.unresolved_orders = dict.fromkeys(unresolved)
-        self.idle = not waiting
+        self.in_flight_call.unresolved_orders = dict.fromkeys(unresolved_orders)
+        self.idle = not calls
 
     def pending(self) -> list[face.Order]:
         """Return all orders not known to be applied, in order."""
         return self.outbox.pending()
 
-    def move(self, to: tuple[str, int]) -> bool:
-        """Send later calls to another address, a call in flight ends at the old one; False if unchanged."""
-        if to == self.client.address:
+    def move(self, address: tuple[str, int]) -> bool:
+        """Send later calls to another address; a call in flight ends at the old one. False if unchanged."""
+        if address == self.client.address:
             return False
         self.client.retire()
-        self.client = HttpClient(self.loop, to, self.CONNECT_TIMEOUT, self.IDLE_TIMEOUT)
+        self.client = HttpClient(self.loop, address, self.CONNECT_TIMEOUT, self.IDLE_TIMEOUT)
         self.in_flight_call.outcome_query.drop()
         if self.in_flight_call.is_unresolved and not self.awaiting_response:
-            self._start_next_call()  # an unresolved call stays so, and is looked up there
+            self._start_next_call()  # the outcome of an unresolved call is queried at the new address
         return True
 
     def order(self, orders: list[face.Order], joins: bool = False) -> None:
-        """Queue orders; `joins`: they are no module reply and may share a call with others of that kind."""
+        """Queue orders; `joins`: they are not a module reply and may share a call with other such orders."""
         self.outbox.add(orders, joins)
-        if self.idle or self.waits_for_capacity:  # merged or not: one reply may be more calls than may wait
+        # Also checked after a merge: a single module reply may be more calls than the queue holds.
+        if self.idle or self.waits_for_capacity:
             self._start_next_call()
 
     def reconsider(self) -> None:
@@ -144,18 +145,18 @@
             self._batch_calls()
         if not self._remove_late_routes() or self._must_wait():
             return
-        orders = ";".join(encode_order(order, self.methods) for order in self.pending_calls[0])
-        if self.is_allowed is None or self.is_allowed(orders):
-            self._send(orders)
+        encoded_orders = ";".join(encode_order(order, self.methods) for order in self.pending_calls[0])
+        if self.is_allowed is None or self.is_allowed(encoded_orders):
+            self._send(encoded_orders)
         else:
             self._drop_blocked_orders()
 
     def _remove_late_routes(self) -> bool:
-        """Remove routes that would violate the drain rule from an unsent call; whether orders remain."""
+        """Remove routes that would violate the drain rule from an unsent call; return if orders remain."""
         late = [] if self.in_flight_call.is_unresolved else self.invariants.late_routes(self.pending_calls[0])
         if late:
             self.invariants.report_late_routes(late)
-            self.outbox.leave_out(late)
+            self.outbox.remove_from_first_call(late)
             self.on_dropped(late)
             if not self.pending_calls[0]:
                 self.pending_calls.popleft()
@@ -163,34 +164,34 @@
                 return False
         return True
 
-    def _wait_until(self, when: int | None, then: Callable[[], None] | None = None) -> None:
-        """Set the time of the next step; None cancels it."""
+    def _wait_until(self, when: int | None, action: Callable[[], None] | None = None) -> None:
+        """Run `action`, by default the start of the next call, at `when` (ticks); None cancels it."""
         if self.next_call_timer is not None:
             self.next_call_timer.cancel()
         self.next_call_timer = (
-            None if when is None else self.loop.call_at(when, then or self._start_next_call)
+            None if when is None else self.loop.call_at(when, action or self._start_next_call)
         )
 
     def _batch_calls(self) -> None:
-        """Merge all waiting orders, unresolved ones too: each call is a message to every proxy."""
+        """Merge all waiting orders, including unresolved ones, as each call is a message to every proxy."""
         if self.in_flight_call.is_unresolved:
             self.in_flight_call.merge_into_later_call(self.pending_calls[0])
         self.outbox.merge_calls()
 
     def _must_wait(self) -> bool:
-        """Whether the limits of the channel delay the first call."""
+        """Return whether the limits of the channel delay the first call."""
         now = self.loop.clock.now()
         when = self.channel_limits.free_at(now, self.in_flight_call.is_unresolved)
         self.waits_for_capacity = when > now
         if self.waits_for_capacity:
             self._wait_until(when)
-            if self.in_flight_call.is_unresolved:  # the store may show sooner that no retry is needed
+            if self.in_flight_call.is_unresolved:  # the store may show earlier that no retry is needed
                 self.in_flight_call.query_outcome(
                     self.client.address, self.pending_calls[0], until_known=True
                 )
         return self.waits_for_capacity
 
-    def _send(self, orders: str) -> None:
+    def _send(self, encoded_orders: str) -> None:
         now = self.loop.clock.now()
         previous_send = self.in_flight_call.sent_at if self.in_flight_call.is_unresolved else None
         lines = self.backlog.size(self.pending_calls[0])
@@ -207,23 +208,28 @@
         self.log.count("relay_calls")
         self.awaiting_response = True
         self.client.request(
-            "POST", "/", self.RESPONSE_TIMEOUT, self._on_response, encode_form(orders), FORM_CONTENT_TYPE
+            "POST",
+            "/",
+            self.RESPONSE_TIMEOUT,
+            self._on_response,
+            encode_form(encoded_orders),
+            FORM_CONTENT_TYPE,
         )
 
     def _drop_blocked_orders(self) -> None:
-        """Drop all orders: they are outdated by the time that a call is allowed again."""
-        void = self.pending()
-        self.log.count("orders_blocked", len(void))
+        """Drop all orders, as they will be outdated once a call is allowed again."""
+        blocked = self.pending()
+        self.log.count("orders_blocked", len(blocked))
         self.pending_calls.clear()
         self.idle = True
-        self._drop_orders(void)
+        self._drop_orders(blocked)
 
     # ---- implemented by Relay ------------------------------------------------------------------------
 
-    def _on_response(self, answer: HttpResponse) -> None:
+    def _on_response(self, response: HttpResponse) -> None:
         raise NotImplementedError
 
-    def _on_outcome(self, effect: CallOutcome, proved: int) -> None:
+    def _on_outcome(self, outcome: CallOutcome, applied_count: int) -> None:
         raise NotImplementedError
 
     def _retry_unresolved(self) -> None:
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -1,4 +1,4 @@
-"""Determine from the store's tables whether a call to the relay with unknown outcome was applied.
+"""Determines from the stored tables whether a call to the relay with unknown outcome was applied.
 
 The relay is also the store, and an event stream starts with the stored tables. A route that exists only
 before the call, or only after it, shows the outcome of the orders up to it, as the relay applies orders in
@@ -53,25 +53,25 @@
 
 
 class CallOutcome(Enum):
-    """Outcome of a call; the log shows the value."""
+    """Outcome of a call; the value appears in the log."""
 
     NOT_APPLIED = "none"  # none of its orders was applied
-    APPLIED = "stands"  # up to the last order that the tables can prove
+    APPLIED = "stands"  # all orders up to the last one that the tables can prove
     UNKNOWN = "unknown"
 
 
 @dataclass(slots=True, frozen=True)
-class _Sign:
-    """A table that shows whether the orders up to the place `end` were applied."""
+class _TableChange:
+    """The change of a table that shows whether the first `end` orders of a call were applied."""
 
     table: int
-    before: frozenset[tuple[str, float]]  # routes that it has only before the call
-    after: frozenset[tuple[str, float]]  # and only after it
+    before: frozenset[tuple[str, float]]  # routes that the table has only before the call
+    after: frozenset[tuple[str, float]]  # routes that the table has only after the call
     end: int
 
 
 class TableEvidence:
-    """What tables read later prove about a call, compared with the tables before it. No I/O."""
+    """Derives the outcome of a call by comparing tables read later with the tables before it. No I/O."""
 
     def __init__(
         self,
@@ -95,48 +95,51 @@
             for position, order in enumerate(orders, 1)
             if isinstance(order, face.SetRoute)
         }
-        signs = []
+        changes = []
         for number, end in ends.items():
             before = frozenset(earlier.get(number, ()))
             after = frozenset(changed[number].lines.items() if number in changed else ())
             if before - after and after - before:
-                signs.append(_Sign(number, before - after, after - before, end))
-        signs.sort(key=lambda sign: sign.end)
-        # The relay applies orders in sequence and stops at an invalid one: these two prove all between.
-        self._first = signs[0] if signs else None
-        self._last = signs[-1] if signs else None
-        self._end = signs[-1].end if signs else 0
-        while 0 < self._end < len(orders) and isinstance(orders[self._end], face.UpdateMarker):
-            self._end += 1
-        self._found: dict[int, bool] = {}  # by table: whether it is in the state after the call
+                changes.append(_TableChange(number, before - after, after - before, end))
+        changes.sort(key=lambda change: change.end)
+        # The relay applies orders in sequence and stops at an invalid one, so the first and the last change
+        # prove all orders between them.
+        self._first = changes[0] if changes else None
+        self._last = changes[-1] if changes else None
+        self._applied_count = changes[-1].end if changes else 0
+        while 0 < self._applied_count < len(orders) and isinstance(
+            orders[self._applied_count], face.UpdateMarker
+        ):
+            self._applied_count += 1
+        self._is_changed: dict[int, bool] = {}  # by table: whether it is in the state after the call
 
     @property
     def can_decide(self) -> bool:
-        """Whether the tables can prove an outcome."""
+        """Whether the tables can prove any outcome."""
         return self._first is not None
 
     @property
     def applied_count(self) -> int:
-        """Number of orders applied if the outcome is `APPLIED`.
+        """Number of orders proved to be applied if the outcome is `APPLIED`.
 
         The relay stops at an invalid order. A marker is never invalid, so markers that directly follow the
         applied orders are included.
         """
-        return self._end
+        return self._applied_count
 
     def add_route(self, table: int, backend: str, weight: float) -> None:
         """Record a route that the store contains."""
-        for sign in filter(None, (self._first, self._last)):
-            if table == sign.table and (backend, weight) in sign.before | sign.after:
-                self._found[table] = (backend, weight) in sign.after
+        for change in filter(None, (self._first, self._last)):
+            if table == change.table and (backend, weight) in change.before | change.after:
+                self._is_changed[table] = (backend, weight) in change.after
 
     @property
     def outcome(self) -> CallOutcome:
-        """The outcome that the routes recorded so far prove."""
+        """Outcome that the routes recorded so far prove."""
         if not self.can_decide:
             return CallOutcome.UNKNOWN
-        first = self._found.get(self._first.table)
-        last = self._found.get(self._last.table)
+        first = self._is_changed.get(self._first.table)
+        last = self._is_changed.get(self._last.table)
         if first and last:
             return CallOutcome.APPLIED
         return CallOutcome.NOT_APPLIED if first is False and last is False else CallOutcome.UNKNOWN
@@ -145,22 +148,22 @@
 class OutcomeQuery:
     """Reads the stored tables from its own stream until they prove an outcome or it is dropped."""
 
-    SETTLE_TIME = SECOND // 20  # after it was sent, a call is applied within this time or never
+    SETTLE_TIME = SECOND // 20  # a call is applied within this time of being sent, or never
     CONNECT_TIMEOUT = SECOND // 4
     READ_TIMEOUT = SECOND // 4  # for a whole initial snapshot, which takes a few ms
     RETRY_DELAY = SECOND // 10
-    MAX_DELAY_DOUBLINGS = 3  # of that delay, after inconclusive reads
+    MAX_DELAY_DOUBLINGS = 3  # each inconclusive read doubles `RETRY_DELAY`, up to this many times
 
     def __init__(self, loop: EventLoop, on_outcome: Callable[[CallOutcome, int], None]) -> None:
         """`on_outcome` receives the outcome and the number of orders proved to be applied."""
         self.loop = loop
         self.on_outcome = on_outcome
-        self.to: tuple[str, int] | None = None
+        self.address: tuple[str, int] | None = None
         self.evidence: TableEvidence | None = None  # None: no query is running
         self.until_known = False
         self.timer: Deadline | None = None
         self.exchange: HttpExchange | None = None
-        self.has_received = False  # in this attempt: the relay is reachable
+        self.has_received = False  # the relay has responded to this attempt
         self.inconclusive_reads = 0  # attempts with a response that proved nothing
 
     def start(
@@ -172,7 +175,7 @@
         """
         self.until_known = until_known
         if self.evidence is None:
-            self.to = address
+            self.address = address
             self.evidence = evidence
             self.inconclusive_reads = 0
             self.timer = self.loop.call_at(
@@ -183,18 +186,18 @@
         self.has_received = False
         stream = EventStream(self._on_event, lambda: None)
         self.timer = self.loop.call_after(self.READ_TIMEOUT, self._retry_later)
-        self.exchange = HttpClient(self.loop, self.to, self.CONNECT_TIMEOUT).request(
+        self.exchange = HttpClient(self.loop, self.address, self.CONNECT_TIMEOUT).request(
             "GET",
             "/stream",
             self.READ_TIMEOUT,
             self._on_stream_end,
-            stream=lambda part: self._on_data(stream, part),
+            stream=lambda data: self._on_data(stream, data),
         )
 
-    def _on_data(self, stream: EventStream, part: bytes) -> None:
+    def _on_data(self, stream: EventStream, data: bytes) -> None:
         try:
-            stream.feed(part)
-        except ValueError:  # a malformed stream proves nothing; the next one may
+            stream.feed(data)
+        except ValueError:  # a malformed stream proves nothing, but the next one may
             self._retry_later()
             return
         self.has_received = True
@@ -204,7 +207,7 @@
             self.drop()
             self.on_outcome(outcome, applied_count)
         elif not self.evidence.can_decide:
-            self._retry_later()  # there is nothing to wait for
+            self._retry_later()  # no further data can prove an outcome
 
     def _on_event(self, kind: str, data: str) -> None:
         if kind != "entry":
--- a/indigohitch/platform_protocol/channel_backlog.py
+++ b/indigohitch/platform_protocol/channel_backlog.py
@@ -1,7 +1,7 @@
-"""Limit on the lines that wait in the channel to the proxies, counting every call sent, retries included.
+"""Limit on the lines waiting in the channel to the proxies, with every sent call counted, also retries.
 
 The decision module counts each order once. A call with an unknown outcome may have been applied, so its retry
-may be in the channel a second time: two large ones together can exceed the limit of the settings.
+may be in the channel a second time: two large calls together can exceed the limit of the settings.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
     @property
     def lines(self) -> int:
-        """Lines of the call over all proxies that have not acknowledged it."""
+        """Lines of the call to all proxies that have not acknowledged it."""
         return self.lines_per_proxy * len(self.pending_proxies)
 
 
@@ -36,19 +36,23 @@
     """
 
     def __init__(
-        self, most: float, pace: float, head: int = 0, proxies: Callable[[], Collection[int]] = tuple
+        self,
+        max_lines: float,
+        drain_rate: float,
+        overhead_lines: int = 0,
+        proxies: Callable[[], Collection[int]] = tuple,
     ) -> None:
-        """Each call goes to all `proxies`, with `head` extra lines per proxy."""
-        self.max_lines = most
-        self.drain_rate = pace
-        self.overhead_lines = head
+        """Create an empty channel; each call goes to all `proxies` with `overhead_lines` more lines each."""
+        self.max_lines = max_lines
+        self.drain_rate = drain_rate
+        self.overhead_lines = overhead_lines
         self.proxies = proxies
         self.calls: list[SentCall] = []  # in the order they were sent
         self.lines = 0.0  # estimate of the lines in the channel, as of `updated_at`
         self.updated_at = 0
 
     def size(self, orders: Sequence[face.Order]) -> int:
-        """Return the lines of a call over all proxies."""
+        """Return the number of lines of a call to all proxies."""
         return (len(orders) + self.overhead_lines) * len(self.proxies())
 
     def split_index(self, orders: Sequence[face.Order]) -> int:
@@ -75,9 +79,9 @@
             self.lines = max(0.0, self.lines - call.lines)
 
     def acknowledge(self, proxy: int, marker: int) -> None:
-        """Record that a proxy acknowledged a marker: messages arrive in order, so all up to it has left.
+        """Record that a proxy acknowledged a marker: messages arrive in order, so all up to it have left.
 
-        A call that was sent twice may be acknowledged twice; the first time its second copy still waits.
+        A call that was sent twice may be acknowledged twice; after the first time one copy still waits.
         """
         ends = [
             position
@@ -93,7 +97,7 @@
             call.pending_proxies.discard(proxy)
 
     def fits_at(self, now: int, lines: int) -> int:
-        """Return when so many more lines fit, if no marker is acknowledged before.
+        """Return the time at which `lines` more lines fit, if no marker is acknowledged before.
 
         A call that exceeds the limit by itself fits once the channel is empty.
         """
--- a/indigohitch/platform_protocol/channel_limits.py
+++ b/indigohitch/platform_protocol/channel_limits.py
@@ -1,4 +1,4 @@
-"""When the limits of the channel allow the next call: messages per window, and lines in the channel."""
+"""Computes when the limits of the channel (messages per window, waiting lines) allow the next call."""
 
 from __future__ import annotations
 
@@ -19,40 +19,40 @@
         self.backlog = backlog
         self.call_log = call_log
         self.sent_copies: list[SentCall] = []  # the first call, once for each time it was sent
-        self.blocked_lines = 0  # lines of the first call while it waits for capacity
+        self.blocked_lines = 0  # lines of the first call while it waits for capacity, otherwise 0
 
     def free_at(self, now: int, is_unresolved: bool) -> int:
         """Return when the first call may be sent; unless it is unresolved, it is split to be sent sooner."""
         self.blocked_lines = 0
         if not is_unresolved:
-            self.outbox.cut_to_the_channel()
+            self.outbox.split_to_capacity()
         size = self.backlog.size(self.outbox.calls[0])
         if not is_unresolved and self.backlog.fits_at(now, size) > now and self.outbox.any_urgent_waits():
             size = self._split_urgent_part()
-        free = self.message_rate.free_at(now, self.outbox.any_urgent())
-        fits = self.backlog.fits_at(now, size)
-        if free > now:
-            self.call_log.log_waiting("call_rate_limited", self.occupancy(), free - now)
-        if fits > now:
-            # The decision module counts a call once, from when it was ordered: a retried call may be in the
-            # channel twice, and one that had to wait for the relay has not begun to leave.
+        rate_free_at = self.message_rate.free_at(now, self.outbox.is_first_urgent())
+        fits_at = self.backlog.fits_at(now, size)
+        if rate_free_at > now:
+            self.call_log.log_waiting("call_rate_limited", self.occupancy(), rate_free_at - now)
+        if fits_at > now:
+            # The decision module counts a call once, from the time it was ordered. A retried call may be in
+            # the channel twice, and a call that had to wait for the relay has not begun to leave it.
             self.blocked_lines = size
             self.call_log.log_waiting(
-                "call_waits_for_channel_capacity", self.occupancy(), fits - now, lines=size
+                "call_waits_for_channel_capacity", self.occupancy(), fits_at - now, lines=size
             )
-        return max(free, fits)
+        return max(rate_free_at, fits_at)
 
     def _split_urgent_part(self) -> int:
         """Reduce the first call to its urgent orders and return its lines."""
         self.outbox.merge_calls()
-        self.outbox.cut_to_the_channel()
-        leading = self.outbox.urgent_first()
+        self.outbox.split_to_capacity()
+        leading = self.outbox.leading_urgent_count()
         if 0 < leading < len(self.outbox.calls[0]):
-            self.outbox.cut(leading)
+            self.outbox.split_first_call(leading)
         return self.backlog.size(self.outbox.calls[0])
 
     def has_capacity(self, now: int) -> bool:
-        """Whether the channel now has capacity for the call that waits for it."""
+        """Return whether the channel now has capacity for the call that waits for it."""
         return bool(self.blocked_lines) and self.backlog.fits_at(now, self.blocked_lines) <= now
 
     def record_send(self, now: int) -> None:
--- a/indigohitch/platform_protocol/in_flight_call.py
+++ b/indigohitch/platform_protocol/in_flight_call.py
@@ -12,23 +12,22 @@
 
 
 class InFlightCall:
-    """The call at the head of the queue, its attempts and the evidence of their outcome."""
+    """Tracks the attempts of the call at the head of the queue and the evidence of their outcome."""
 
     def __init__(self, loop: EventLoop, on_outcome: Callable[[CallOutcome, int], None]) -> None:
         """`on_outcome` receives the outcome that OutcomeQuery finds for an unresolved call."""
         self.loop = loop
         self.failures = 0  # attempts that may have been applied
-        self.may_retry = False  # its outcome is unknown, and it may be sent again
+        self.may_retry = False  # the outcome is unknown, and the call may be sent again
         self.unsent_attempts = 0  # consecutive attempts that sent nothing
         self.sent_at = 0  # when the last attempt that may have been applied was sent
         self.previous_sent_at = 0  # the value of `sent_at` before that attempt
         self.marker_evidence = MarkerEvidence()
         self.outcome_query = OutcomeQuery(loop, on_outcome)
-        # Orders of earlier calls with unknown outcome, each once: this call sets the same values again.
+        # Orders of earlier calls with unknown outcome, each once. This call sets the same values again.
         self.unresolved_orders: dict[face.Order, None] = {}
-        self.read_stored_tables: Callable[[], stored_tables.StoredTables] = (
-            dict  # the tables in the store, without the effect of unresolved calls
-        )
+        # Returns the tables in the store without the effect of unresolved calls.
+        self.read_stored_tables: Callable[[], stored_tables.StoredTables] = dict
 
     @property
     def is_unresolved(self) -> bool:
@@ -41,7 +40,7 @@
         return self.failures > 0 or bool(self.unresolved_orders)
 
     def record_send(self, orders: Sequence[face.Order]) -> bool:
-        """Record an attempt; return whether its orders differ from those of the last attempt."""
+        """Record an attempt; return whether its orders differ from those of the previous attempt."""
         self.outcome_query.drop()
         self.previous_sent_at = self.sent_at
         self.sent_at = self.loop.clock.now()
@@ -72,21 +71,21 @@
         self.failures = 0
         self.may_retry = False
         if not more_to_come:
-            self.unresolved_orders = {}  # the calls applied since have set all of it again
+            self.unresolved_orders = {}  # the calls applied since have set all these values again
 
     def query_outcome(
         self, address: tuple[str, int], orders: Sequence[face.Order], until_known: bool = False
     ) -> None:
-        """Read the outcome from the store, which costs no message; a response permits a retry."""
+        """Query the outcome from the store, which costs no message; a response permits a retry."""
         evidence = TableEvidence(self.read_stored_tables(), orders, self.unresolved_orders)
         if evidence.can_decide or not until_known:
             self.outcome_query.start(address, self.sent_at, evidence, until_known)
 
     def retry_at(self, in_reach: bool) -> int:
-        """Return the time of the next attempt, in ticks: soon if the relay has responded since."""
-        wait = retry_delay(self.failures) if in_reach else BLIND_RETRY_DELAY
-        return max(self.loop.clock.now(), self.sent_at + wait)
+        """Return the time of the next attempt in ticks: sooner if the relay has responded (`in_reach`)."""
+        delay = retry_delay(self.failures) if in_reach else BLIND_RETRY_DELAY
+        return max(self.loop.clock.now(), self.sent_at + delay)
 
     def is_confirmed_by(self, marker: int, orders: Sequence[face.Order]) -> bool:
-        """Whether the acknowledgement of this marker proves that these orders were applied."""
+        """Return whether the acknowledgement of this marker proves that these orders were applied."""
         return self.marker_evidence.orders is orders and self.marker_evidence.acknowledge(marker)
--- a/indigohitch/platform_protocol/invariants.py
+++ b/indigohitch/platform_protocol/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of calls to the relay, checked before each send, retry, completion or abandonment.
+"""Invariants of calls to the relay, checked before each attempt to send one.
 
 Every call is checked here, with counts separate from those that the decisions use. A wrong decision or
 restored state shows as a violation, which is counted, logged and, where it would break a protocol rule,
@@ -19,14 +19,14 @@
 
 
 class Invariant(enum.Enum):
-    """What must hold of every call."""
+    """Rule that every call must satisfy; the value names the violation in the log and the counters."""
 
-    MESSAGES = "message_limit"  # a proxy gets at most the permitted messages within the window
-    LINES = "channel_full"  # the channel backlog stays within its limit
-    ONE_AT_A_TIME = "call_beside_another"  # a call is sent while another is in flight
-    REPEAT = "repeat_too_soon"  # a retry before the previous attempt has settled
-    LEAVING = "line_at_leaving"  # a route is set to a backend whose drain grace period is over
-    START = "call_before_start"  # a table is changed before any stored state is known
+    MESSAGE_LIMIT = "message_limit"  # a proxy gets at most the permitted messages within the window
+    BACKLOG_LIMIT = "channel_full"  # the channel backlog stays within its limit
+    ONE_AT_A_TIME = "call_beside_another"  # no call is sent while another is in flight
+    RETRY_TIME = "repeat_too_soon"  # a retry is sent only after the previous attempt has settled
+    DRAIN_GRACE = "line_at_leaving"  # no route is set to a backend whose drain grace period is over
+    STATE_KNOWN = "call_before_start"  # no table is changed before any stored state is known
 
 
 @dataclass(slots=True, frozen=True)
@@ -34,50 +34,52 @@
     """A call that is about to be sent."""
 
     orders: Sequence[face.Order]
-    lines: int  # to all proxies
-    previous_sent_at: int | None  # time of the previous attempt in ticks, None: there was none
+    lines: int  # lines to all proxies
+    previous_sent_at: int | None  # time of the previous attempt in ticks; None if there was none
     call_in_flight: bool  # another call is in flight
 
 
 class InvariantChecker:
     """Checks each call to the relay against the invariants and reports violations."""
 
-    MAX_LOGGED_BACKENDS = 20  # backends in one log line
+    MAX_LOGGED_BACKENDS = 20  # per log line
     RETRY_DELAY = SECOND // 4  # until a rejected call is checked again
-    SETTLE_TIME = SECOND // 20  # after it was sent, a call is applied within this time or never
+    SETTLE_TIME = SECOND // 20  # a call is applied within this time of being sent, or never
 
     def __init__(self, log: Log, max_messages: int, window: int, backlog: ChannelBacklog) -> None:
-        """A proxy may get `max_messages` messages (0: any number) within `window` ticks."""
+        """Allow each proxy `max_messages` messages (0: no limit) within `window` ticks."""
         self.log = log
         self.max_messages = max_messages
         self.window = window
         self.backlog = backlog
         self.sent_at: deque[int] = deque()  # send times within the last `window`
-        self.has_stored_state: Callable[[], bool] = lambda: True  # whether any table is known
-        self.is_grace_over: Callable[[str], bool] = lambda backend: False  # whether its grace period is over
+        self.has_stored_state: Callable[[], bool] = lambda: True  # returns whether any table is known
+        self.is_grace_over: Callable[[str], bool] = lambda backend: False  # by backend id
 
     def check_send(self, now: int, attempt: Attempt) -> bool:
-        """Whether the call may be sent; called directly before each attempt."""
+        """Return whether the call may be sent; called directly before each attempt."""
         while self.sent_at and self.sent_at[0] <= now - self.window:
             self.sent_at.popleft()
-        broken = [
+        violated = [
             invariant
             for invariant, holds in (
-                (Invariant.MESSAGES, not self.max_messages or len(self.sent_at) < self.max_messages),
+                (Invariant.MESSAGE_LIMIT, not self.max_messages or len(self.sent_at) < self.max_messages),
                 (Invariant.ONE_AT_A_TIME, not attempt.call_in_flight),
                 (
-                    Invariant.REPEAT,
+                    Invariant.RETRY_TIME,
                     attempt.previous_sent_at is None or now >= attempt.previous_sent_at + self.SETTLE_TIME,
                 ),
-                (Invariant.START, self.has_stored_state() or not self._changes_tables(attempt.orders)),
+                (Invariant.STATE_KNOWN, self.has_stored_state() or not self._changes_tables(attempt.orders)),
             )
             if not holds
         ]
-        for invariant in broken:
+        for invariant in violated:
             self._report_violation(invariant, orders=len(attempt.orders), messages=len(self.sent_at))
         if self.backlog.max_lines and self.backlog.lines > 0 and self._exceeds_backlog(attempt.lines):
-            self._report_violation(Invariant.LINES, lines=attempt.lines, waiting=round(self.backlog.lines))
-        return not broken
+            self._report_violation(
+                Invariant.BACKLOG_LIMIT, lines=attempt.lines, waiting=round(self.backlog.lines)
+            )
+        return not violated
 
     def _exceeds_backlog(self, lines: int) -> bool:
         return self.backlog.lines + lines > self.backlog.max_lines and lines <= self.backlog.max_lines
@@ -106,7 +108,8 @@
     def report_late_routes(self, late: Sequence[face.Order]) -> None:
         """Report routes that are not sent because they would break the drain rule."""
         self._report_violation(
-            Invariant.LEAVING, backends=sorted({order.backend for order in late})[: self.MAX_LOGGED_BACKENDS]
+            Invariant.DRAIN_GRACE,
+            backends=sorted({order.backend for order in late})[: self.MAX_LOGGED_BACKENDS],
         )
 
     def report_exit(self, urgent: int, waiting: int) -> None:
--- a/indigohitch/platform_protocol/order_execution.py
+++ b/indigohitch/platform_protocol/order_execution.py
@@ -15,7 +15,7 @@
 
 
 class OrderExecutor:
-    """Passes each order to the part of the front that carries it out."""
+    """Passes each order to the part of the front that executes it."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
                     self.discovery.fetch()
                 case face.LogMessage(text):
                     self.log.event("decision", text=text)
-                case _:  # Bind, TellPeer: not part of this protocol
+                case _:  # BindTable and SendToPeer have no command in this protocol
                     self.log.warning(
                         "order_without_a_call", order=UNSUPPORTED_ORDERS.get(type(order), "unknown")
                     )
--- a/indigohitch/platform_protocol/outbox.py
+++ b/indigohitch/platform_protocol/outbox.py
@@ -13,10 +13,10 @@
 
 
 class Outbox:
-    """Calls in the order they are sent; the first may be in flight or unresolved, then it stays unchanged."""
+    """Holds the calls in sending order; the first one stays unchanged while in flight or unresolved."""
 
-    # Calls that may wait, about ten seconds of the decision module's replies; beyond that they are merged, so
-    # that the queue is bounded.
+    # About ten seconds of the decision module's replies. Beyond that the waiting calls are merged, so that
+    # the queue is bounded.
     MAX_WAITING_CALLS = 8
 
     def __init__(self, log: Log, methods: Sequence[str], backlog: ChannelBacklog) -> None:
@@ -32,12 +32,12 @@
         return [order for call in self.calls for order in call]
 
     def add(self, orders: Sequence[face.Order], joins: bool = False) -> None:
-        """Append orders; `joins`: they may extend the last waiting call unless it is a module reply."""
+        """Append orders; `joins`: they may extend the last waiting call unless that is a module reply."""
         if joins and len(self.calls) > 1 and not isinstance(self.calls[-1][-1], face.UpdateMarker):
             orders = [*self.calls.pop(), *orders]
         self.calls += split_by_size(orders, self.methods)
         if len(self.calls) > 1 + self.MAX_WAITING_CALLS:
-            # The relay is unreachable: merged orders are bounded by what there is to set, and none is lost.
+            # The relay is unreachable. Merged orders are bounded by the number of settings, and none is lost.
             first = self.calls.popleft()
             later = self.pending()
             self.calls = deque([first, *split_by_size(merge_orders(later), self.methods)])
@@ -52,56 +52,56 @@
         self.calls = deque(split_by_size(orders, self.methods))
 
     def any_urgent_waits(self) -> bool:
-        """Whether any call has urgent orders."""
-        return any(map(self._urgent, self.calls))
+        """Return whether any call has urgent orders."""
+        return any(map(self._has_urgent_orders, self.calls))
 
-    def any_urgent(self) -> bool:
-        """Whether the first call has urgent orders, at any position."""
-        return self._urgent(self.calls[0])
+    def is_first_urgent(self) -> bool:
+        """Return whether the first call has urgent orders at any position."""
+        return self._has_urgent_orders(self.calls[0])
 
-    def _urgent(self, call: Sequence[face.Order]) -> bool:
+    def _has_urgent_orders(self, call: Sequence[face.Order]) -> bool:
         return any(isinstance(order, face.EjectBackend) for order in call) or bool(self.urgent(call))
 
-    def urgent_in(self, call: Sequence[face.Order]) -> int:
+    def urgent_count(self, call: Sequence[face.Order]) -> int:
         """Return the number of urgent orders in a call."""
         tables = self.urgent(call)
         return sum(is_urgent(order, tables) for order in call)
 
-    def urgent_first(self) -> int:
-        """Return how many urgent orders the first call begins with."""
+    def leading_urgent_count(self) -> int:
+        """Return the number of urgent orders that the first call begins with."""
         call = self.calls[0]
         tables = self.urgent(call)
         return next((index for index, order in enumerate(call) if not is_urgent(order, tables)), len(call))
 
-    def cut_to_the_channel(self) -> None:
-        """Split the first call if it exceeds the channel, as after a merge or when proxies have joined."""
+    def split_to_capacity(self) -> None:
+        """Split the first call if it exceeds the channel, as after a merge or after proxies have joined."""
         orders = self.calls[0]
         count = self.backlog.split_index(orders)
         if count < len(orders):
             self.log.count("calls_split_to_channel")
-            self.cut(count)
+            self.split_first_call(count)
 
-    def cut(self, count: int) -> None:
+    def split_first_call(self, count: int) -> None:
         """Split the first call in two, the first with `count` orders."""
         orders = self.calls.popleft()
         self.calls.extendleft([orders[count:], orders[:count]])
 
-    def leave_out(self, orders: Sequence[face.Order]) -> None:
-        """Remove these order objects from the first call."""
-        void = set(map(id, orders))
-        self.calls[0] = [order for order in self.calls[0] if id(order) not in void]
+    def remove_from_first_call(self, orders: Sequence[face.Order]) -> None:
+        """Remove these orders, compared by identity, from the first call."""
+        removed_ids = set(map(id, orders))
+        self.calls[0] = [order for order in self.calls[0] if id(order) not in removed_ids]
 
-    def take(self, count: int, refused: bool) -> tuple[list[face.Order], list[face.Order]]:
+    def take(self, count: int, next_is_rejected: bool) -> tuple[list[face.Order], list[face.Order]]:
         """Remove `count` applied orders from the first call; the rest stays queued.
 
-        With `refused` the order after them was rejected and is removed too. Returns the applied and the
-        rejected orders.
+        With `next_is_rejected` the order after them is removed too. Returns the applied and the rejected
+        orders.
         """
         orders = self.calls.popleft()
-        rest = orders[count:]
+        remaining = orders[count:]
         rejected: list[face.Order] = []
-        if rest and refused:
-            rejected.append(rest.pop(0))
-        if rest:
-            self.calls.appendleft(rest)
+        if remaining and next_is_rejected:
+            rejected.append(remaining.pop(0))
+        if remaining:
+            self.calls.appendleft(remaining)
         return orders[:count], rejected
--- a/indigohitch/platform_protocol/relay.py
+++ b/indigohitch/platform_protocol/relay.py
@@ -1,4 +1,4 @@
-"""Calls to the relay, one at a time, each retried until it is applied; handling of their outcomes."""
+"""Calls to the relay, sent one at a time and retried until applied, and the handling of their outcomes."""
 
 from __future__ import annotations
 
@@ -12,28 +12,29 @@
 
 
 class Relay(CallQueue):
-    """The queue of calls with the handling of responses and of calls with an unknown outcome."""
+    """Call queue that handles responses and calls with an unknown outcome."""
 
-    THROTTLE_DELAY = SECOND // 20  # short: before the run begins every call is throttled
-    UNSENT_OUTCOMES = ("connect_failed", "unreached")  # outcomes that exclude that the call was applied
+    THROTTLE_DELAY = SECOND // 20  # short, as the relay throttles every call before the run begins
+    # Outcomes after which the call cannot have been applied.
+    UNSENT_OUTCOMES = ("connect_failed", "unreached")
 
-    def _on_response(self, answer: HttpResponse) -> None:
+    def _on_response(self, response: HttpResponse) -> None:
         orders = self.pending_calls[0]
         self.awaiting_response = False
         try:
-            result = parse_response(answer)
+            result = parse_response(response)
             if isinstance(result, int) and result > len(orders):
-                raise ValueError(f"{result} taken of {len(orders)}")
+                raise ValueError(f"response counts {result} applied orders of {len(orders)} sent")
         except ValueError as error:
             result = str(error)
         self.in_flight_call.unsent_attempts = (
-            self.in_flight_call.unsent_attempts + 1 if answer.outcome in self.UNSENT_OUTCOMES else 0
+            self.in_flight_call.unsent_attempts + 1 if response.outcome in self.UNSENT_OUTCOMES else 0
         )
         if isinstance(result, int):
             self._take_applied(result, "answer")
             self._start_next_call()
         elif result == "ValidationError":
-            # A retry would be rejected again, so it is not retried.
+            # A retry would be rejected again.
             self.log.warning(
                 "relay_call_invalid", orders=len(orders), first=encode_order(orders[0], self.methods)
             )
@@ -44,8 +45,8 @@
             self.log.count("relay_throttled")
             self._retry_after(self.THROTTLE_DELAY)
         else:
-            self.call_log.log_unresolved(result, orders, answer)
-            self.on_call_failed(answer.outcome)
+            self.call_log.log_unresolved(result, orders, response)
+            self.on_call_failed(response.outcome)
             if self.in_flight_call.unsent_attempts:
                 self._retry_after(resend_delay(self.in_flight_call.unsent_attempts))
             else:
@@ -63,17 +64,17 @@
         self._wait_until(self.loop.clock.now() + delay)
 
     def _drop_orders(self, orders: list[face.Order]) -> None:
-        """Give up these orders; if they may have been applied, the actual state is read."""
+        """Drop these orders; if they may have been applied, the actual state is read again."""
         may_be_applied = self.in_flight_call.has_unresolved_orders
         self.in_flight_call.settle(more_to_come=False)
         self.on_dropped(orders)
         if may_be_applied:
             self.on_unresolved_drop()
 
-    # ---- a call of unknown outcome ------------------------------------------------------------------
+    # ---- a call with unknown outcome -----------------------------------------------------------------
 
     def _handle_unresolved(self) -> None:
-        """Look up whether the call was applied before it is retried; it is applied whole or not at all."""
+        """Find out whether the call was applied before it is retried; it is applied whole or not at all."""
         self.in_flight_call.record_unresolved()
         if self.in_flight_call.marker_evidence.is_confirmed:
             self._take_confirmed_call()
@@ -84,14 +85,14 @@
         self.in_flight_call.may_retry = True
         self._start_next_call()
 
-    def _on_outcome(self, effect: CallOutcome, proved: int) -> None:
-        """Act on the outcome that the tables of the store show; UNKNOWN: only that the relay is reachable."""
-        if effect is CallOutcome.UNKNOWN:
+    def _on_outcome(self, outcome: CallOutcome, applied_count: int) -> None:
+        """Act on the outcome that the stored tables show; UNKNOWN only means that the relay is reachable."""
+        if outcome is CallOutcome.UNKNOWN:
             self._wait_until(self.in_flight_call.retry_at(in_reach=True), self._retry_unresolved)
             return
-        self.log.event("call_outcome_resolved", effect=effect.value, orders=proved)
-        if effect is CallOutcome.APPLIED:
-            self._take_applied(proved, "tables")
+        self.log.event("call_outcome_resolved", effect=outcome.value, orders=applied_count)
+        if outcome is CallOutcome.APPLIED:
+            self._take_applied(applied_count, "tables")
         else:
             for _ in range(self.channel_limits.revert_all_sends()):
                 self.invariants.revert_send()
@@ -109,7 +110,7 @@
             self._start_next_call()
 
     def acknowledge_marker(self, proxy: int, marker: int) -> None:
-        """Record that a proxy applied all up to this marker, which confirms the call that ends with it."""
+        """Record that a proxy applied all orders up to a marker, which confirms a call that ends with it."""
         self.backlog.acknowledge(proxy, marker)
         is_confirmed = self.pending_calls and self.in_flight_call.is_confirmed_by(
             marker, self.pending_calls[0]
@@ -125,7 +126,7 @@
         self._start_next_call()
 
     def _take_applied(self, count: int, source: str) -> None:
-        """Remove `count` applied orders; if the source is the answer, the order after them was rejected."""
+        """Remove `count` applied orders; with the source "answer" an order that follows them was rejected."""
         self.log.count("orders_applied", count)
         self.call_log.log_applied(count, source)
         applied, rejected = self.outbox.take(count, source == "answer")
@@ -137,7 +138,7 @@
 
     def close(self) -> None:
         """Report the orders left in the queue and close the connections."""
-        urgent = sum(self.outbox.urgent_in(call) for call in self.pending_calls)
+        urgent = sum(self.outbox.urgent_count(call) for call in self.pending_calls)
         self.invariants.report_exit(urgent, len(self.pending()))
         self.in_flight_call.outcome_query.drop()
         self.client.close()
--- a/indigohitch/platform_protocol/relay_watch.py
+++ b/indigohitch/platform_protocol/relay_watch.py
@@ -1,4 +1,4 @@
-"""Watch of the relay's events: an event stream that is kept open, and reopened when it breaks."""
+"""Watch on the events of the relay: an event stream that is kept open, and reopened when it breaks."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RelayWatchListener(Protocol):
-    """Receiver of the watch's events."""
+    """Interface of the receiver of a watch's events."""
 
     def on_watch_requested(self) -> None:
         """Handle the request for a new stream."""
@@ -37,21 +37,21 @@
 class EventStream:
     """Incremental parser of server-sent events from the parts of a response body."""
 
-    MAX_LINE_BYTES = 1 << 20  # relay events are short; a longer unfinished line is invalid
+    MAX_LINE_BYTES = 1 << 20  # relay events are short, so a longer unfinished line is invalid
 
     def __init__(self, on_event: Callable[[str, str], None], on_comment: Callable[[], None]) -> None:
-        """`on_event(kind, data)` receives each event, `on_comment()` is called for each comment."""
+        """Pass each event to `on_event(kind, data)` and call `on_comment()` for each comment."""
         self.on_event = on_event
         self.on_comment = on_comment
-        self.unread = b""
+        self.unfinished_line = b""
         self.kind = ""
         self.data: list[str] = []
 
     def feed(self, part: bytes) -> None:
         """Parse the next part of the body; raises ValueError if it is malformed."""
-        *lines, self.unread = (self.unread + part).split(b"\n")
-        if len(self.unread) > self.MAX_LINE_BYTES:
-            raise ValueError("line too long")
+        *lines, self.unfinished_line = (self.unfinished_line + part).split(b"\n")
+        if len(self.unfinished_line) > self.MAX_LINE_BYTES:
+            raise ValueError(f"event stream line exceeds {self.MAX_LINE_BYTES} bytes")
         for raw in lines:
             line = raw.removesuffix(b"\r").decode("utf-8")
             if not line:
@@ -71,7 +71,7 @@
                 elif name == "data":
                     self.data.append(value)
                 elif name not in ("id", "retry"):
-                    raise ValueError(f"no field of an event stream: {name[:40]!r}")
+                    raise ValueError(f"unknown event stream field: {name[:40]!r}")
 
 
 def parse_relay_event(kind: str, data: str) -> face.Event | None:
@@ -83,20 +83,20 @@
 class RelayWatch:
     """Keeps a stream of relay events open and passes its events to a listener."""
 
-    SILENCE_TIMEOUT = 2 * SECOND  # keepalives come every second: two in a row are missing
-    CONNECT_TIMEOUT = SECOND // 4  # on one network a connect takes a few ms
-    RETRY_INTERVAL = SECOND // 10  # before the next attempt, to limit requests to an unreachable relay
+    SILENCE_TIMEOUT = 2 * SECOND  # keepalives are sent every second, so two in a row are missing
+    CONNECT_TIMEOUT = SECOND // 4  # a connect within the network takes a few ms
+    RETRY_INTERVAL = SECOND // 10  # limits the rate of requests to an unreachable relay
 
     def __init__(
         self, loop: EventLoop, log: Log, address: tuple[str, int], listener: RelayWatchListener
     ) -> None:
-        """`address` is the host and port of the relay; `open` sends the first request."""
+        """Prepare a watch on the relay at `address` (host, port); `open` sends the first request."""
         self.loop = loop
         self.log = log
         self.listener = listener
         self.client = HttpClient(loop, address, self.CONNECT_TIMEOUT)
         self.stream = EventStream(self._on_event, listener.on_keepalive)
-        self.current: HttpExchange | None = None  # the stream that delivers events
+        self.current: HttpExchange | None = None  # the stream that events are read from
         self.pending: HttpExchange | None = None  # a requested stream without data yet
         self.retry_timer: Deadline | None = None
 
@@ -133,9 +133,8 @@
         if exchange is self.pending:
             if self.current is not None:
                 if self.current.connection is not None:
-                    self.current.connection.ready(
-                        True, False
-                    )  # data that the old stream still has came first
+                    # Data that the old stream has not read yet precedes the data of the new stream.
+                    self.current.connection.ready(True, False)
                 if self.current is not None:
                     self.current.drop()
             self.current = exchange
@@ -144,13 +143,13 @@
             self.listener.on_watch_opened()
         try:
             self.stream.feed(part)
-        except ValueError as error:  # includes UnicodeDecodeError and the parsers' errors
+        except ValueError as error:  # includes UnicodeDecodeError and the errors of the event parsers
             self.log.warning("relay_event_invalid", why=str(error))
             exchange.end("unreadable")
 
     def _on_event(self, kind: str, data: str) -> None:
         event = parse_relay_event(kind, data)
-        if event is None:  # perhaps of a later version: not an error of the stream
+        if event is None:  # a later version of the protocol may have more kinds, so the stream goes on
             self.log.warning("relay_event_unknown_kind", kind=kind[:40])
             return
         self.log.count(f"relay_event_{kind}")
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -18,33 +18,33 @@
 class StoreMirror:
     """Tracks the relay's state and reports its changes to the module."""
 
-    # A slice and its routes arrive one by one. They are reported together, once nothing arrived for this
-    # time. The initial snapshot may wait longer, as the first keepalive ends it.
+    # A slice and its routes arrive as separate events. They are reported together once no more have arrived
+    # for this time. The initial snapshot may wait longer, as the first keepalive ends it.
     SETTLE_DELAY = SECOND // 20
     INITIAL_SETTLE_DELAY = SECOND // 10
-    DROPPED_REPORT_DELAY = SECOND  # after orders were dropped: the module may repeat them
+    DROPPED_REPORT_DELAY = SECOND  # until the report of dropped orders, which the module may repeat
 
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
         deliver: Callable[..., None],
-        pending: Callable[[], list[face.Order]],
-        order: Callable[[list[face.Order]], None],
+        pending_orders: Callable[[], list[face.Order]],
+        enqueue_orders: Callable[[list[face.Order]], None],
     ) -> None:
-        """`pending` returns the unacknowledged orders; `order` sends orders that make an event true."""
+        """Read unacknowledged orders from `pending_orders`; send orders to the relay by `enqueue_orders`."""
         self.loop = loop
         self.log = log
         self.deliver = deliver
-        self.pending = pending
-        self.order = order
+        self.pending_orders = pending_orders
+        self.enqueue_orders = enqueue_orders
         self.proxies: dict[int, face.ProxyJoined] = {}
         self.tables: stored_tables.StoredTables = {}  # the stored tables, by owned slice
-        self.unsettled_tables: stored_tables.StoredTables = {}  # acquired, not reported yet
-        self.applied_while_unsettled: list[face.Order] = []  # acknowledged while some were
+        self.unsettled_tables: stored_tables.StoredTables = {}  # acquired or changed, not reported yet
+        self.applied_while_unsettled: list[face.Order] = []  # acknowledged while any table was unsettled
         self.settle_timer: Deadline | None = None
         self.initial_snapshot: InitialSnapshot | None = None
-        # Orders acknowledged since the next stream was requested; None: none is requested.
+        # Orders acknowledged since the next stream was requested; None if no stream is requested.
         self.applied_since_request: list[face.Order] | None = None
         self.has_started = False  # an initial snapshot is complete
         self.dropped_tables: set[int] = set()  # tables to report again, as their orders were dropped
@@ -90,7 +90,7 @@
 
     def _add_slice(self, number: int) -> None:
         """Begin an empty table; its routes follow as separate events."""
-        # An acquired slice loses its level; in an initial snapshot it may have been owned all along.
+        # An acquired slice loses its admission level; one in an initial snapshot may have been owned before.
         if number not in self.tables:
             self.on_slice_acquired(number)
         known = self.tables.get(number) if self.initial_snapshot is not None else None
@@ -114,7 +114,7 @@
         if number not in self.unsettled_tables and number not in self.tables:
             self.log.warning("route_for_unowned_slice", slice=number)
             return
-        if number not in self.unsettled_tables:  # a late route extends the known ones
+        if number not in self.unsettled_tables:  # a late route extends the known table
             known = self.tables[number]
             self.unsettled_tables[number] = stored_tables.StoredTable(dict(known.lines), known.level)
         self.unsettled_tables[number].lines[backend] = weight
@@ -139,53 +139,53 @@
     def _schedule_settle(self) -> None:
         if self.settle_timer is not None:
             self.settle_timer.cancel()
-        span = self.SETTLE_DELAY if self.initial_snapshot is None else self.INITIAL_SETTLE_DELAY
-        self.settle_timer = self.loop.call_after(span, self._settle)
+        delay = self.SETTLE_DELAY if self.initial_snapshot is None else self.INITIAL_SETTLE_DELAY
+        self.settle_timer = self.loop.call_after(delay, self._settle)
 
     def _take_unsettled(self) -> tuple[stored_tables.StoredTables, list[face.Order]]:
-        """Remove and return the unreported slices and the orders acknowledged meanwhile."""
+        """Remove and return the unreported tables and the orders acknowledged meanwhile."""
         if self.settle_timer is not None:
             self.settle_timer.cancel()
             self.settle_timer = None
-        fresh = self.unsettled_tables
+        unsettled = self.unsettled_tables
         applied = self.applied_while_unsettled
         self.unsettled_tables = {}
         self.applied_while_unsettled = []
-        return fresh, applied
+        return unsettled, applied
 
     def _settle(self) -> None:
         """Report the acquired slices, whose routes are complete, unless the module knows them already."""
         before = self.projected_tables()
-        fresh, applied = self._take_unsettled()
-        self.tables |= fresh
+        unsettled, applied = self._take_unsettled()
+        self.tables |= unsettled
         if self.initial_snapshot is None:
-            stored_tables.apply_orders(fresh, applied)  # the stream may or may not include them
+            stored_tables.apply_orders(unsettled, applied)  # the stream may or may not include them
         else:
-            self._reconcile(fresh, self.initial_snapshot.applied_orders)
-            self.initial_snapshot.slices |= set(fresh)
+            self._reconcile(unsettled, self.initial_snapshot.applied_orders)
+            self.initial_snapshot.slices |= set(unsettled)
         after = self.projected_tables()
-        changed = [n for n in fresh if n not in before or before[n].lines != after[n].lines]
+        changed = [n for n in unsettled if n not in before or before[n].lines != after[n].lines]
         if self.initial_snapshot is None:
-            self._report_slices(list(fresh))
+            self._report_slices(list(unsettled))
             return
         for number in changed:
-            self.on_slice_acquired(number)  # another owner has changed it meanwhile
+            self.on_slice_acquired(number)  # another coordinator owned and changed it meanwhile
         self._report_slices(changed)
 
-    def _reconcile(self, fresh: stored_tables.StoredTables, applied: list[face.Order]) -> None:
+    def _reconcile(self, unsettled: stored_tables.StoredTables, applied: list[face.Order]) -> None:
         """Resend orders, acknowledged since the stream was requested, that its snapshot does not include.
 
-        The slice may have had another owner meanwhile, when orders are acknowledged without effect.
+        While another coordinator owns a slice, orders for it are acknowledged without effect.
         """
-        received = stored_tables.copy_tables(fresh)
-        stored_tables.apply_orders(fresh, applied)
-        differing = {number for number in fresh if fresh[number].lines != received[number].lines}
-        if resent := stored_tables.orders_for_routes([*applied, *self.pending()], differing):
+        received = stored_tables.copy_tables(unsettled)
+        stored_tables.apply_orders(unsettled, applied)
+        differing = {number for number in unsettled if unsettled[number].lines != received[number].lines}
+        if resent := stored_tables.orders_for_routes([*applied, *self.pending_orders()], differing):
             self.log.event("orders_resent", slices=sorted(differing)[:20], orders=len(resent))
-            self.order(resent)
+            self.enqueue_orders(resent)
 
     def _forget_applied(self, number: int) -> None:
-        """Discard acknowledged orders for a revoked slice, as they mean nothing once it is acquired again."""
+        """Discard acknowledged orders for a revoked slice, as they do not apply once it is acquired again."""
         lists = [
             self.applied_while_unsettled,
             self.applied_since_request,
@@ -197,15 +197,15 @@
     def _resend_pending(self, number: int) -> None:
         """Resend pending orders, which had no effect if they arrived before the slice was acquired."""
         self._forget_applied(number)
-        if resent := stored_tables.orders_for_routes(self.pending(), {number}):
+        if resent := stored_tables.orders_for_routes(self.pending_orders(), {number}):
             self.log.event("orders_resent", slice=number, orders=len(resent))
-            self.order(resent)
+            self.enqueue_orders(resent)
 
     def projected_tables(self) -> stored_tables.StoredTables:
-        """Return the tables as they will be once all pending orders are applied, as the module expects."""
-        ahead = stored_tables.copy_tables(self.tables)
-        stored_tables.apply_orders(ahead, self.pending())
-        return ahead
+        """Return the tables with all pending orders applied, which is the state that the module expects."""
+        projected = stored_tables.copy_tables(self.tables)
+        stored_tables.apply_orders(projected, self.pending_orders())
+        return projected
 
     def apply(self, orders: list[face.Order]) -> None:
         """Apply acknowledged orders to the local copy."""
@@ -228,10 +228,10 @@
         self.loop.call_after(self.DROPPED_REPORT_DELAY, self._report_dropped)
 
     def _report_dropped(self) -> None:
-        lost = self.dropped_tables
+        dropped = self.dropped_tables
         self.dropped_tables = set()
-        self._report_slices(sorted(lost & set(self.tables)))
-        if face.ALL_TABLES in lost:  # a joining proxy receives the level for all tables
+        self._report_slices(sorted(dropped & set(self.tables)))
+        if face.ALL_TABLES in dropped:  # a joining proxy receives the level for all tables
             self.deliver(*self.proxies.values())
 
     def report_all(self) -> None:
@@ -241,8 +241,8 @@
 
     def _report_slices(self, numbers: list[int]) -> None:
         """Report these slices to the module as if they were acquired now."""
-        ahead = self.projected_tables()
-        if levels := stored_tables.admission_resets(numbers, ahead):
-            self.order(levels)
+        projected = self.projected_tables()
+        if resets := stored_tables.admission_resets(numbers, projected):
+            self.enqueue_orders(resets)
         for number in numbers:
-            self.deliver(*stored_tables.ownership_events(number, ahead[number]))
+            self.deliver(*stored_tables.ownership_events(number, projected[number]))
--- a/indigohitch/platform_protocol/stored_tables.py
+++ b/indigohitch/platform_protocol/stored_tables.py
@@ -1,4 +1,4 @@
-"""The stored tables of the owned slices: as the relay sent them, with the orders acknowledged since."""
+"""Stored tables of the owned slices: as the relay sent them, with the orders acknowledged since."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True)
 class StoredTable:
-    """The routes (backend to weight) and the admission level of one table."""
+    """Routes and admission level of one table."""
 
-    lines: dict[str, float] = field(default_factory=dict)
+    lines: dict[str, float] = field(default_factory=dict)  # routes: weight by backend
     level: face.SetAdmission | None = None  # None: the table has no level of its own
 
 
@@ -20,7 +20,7 @@
 
 
 def apply_orders(tables: StoredTables, orders: Iterable[face.Order]) -> None:
-    """Apply orders to the tables in place; an order for a slice that is not owned changes nothing."""
+    """Apply orders to the tables in place; orders for slices that are not owned are ignored."""
     for order in orders:
         table = tables.get(getattr(order, "table", face.ALL_TABLES))
         if table is None:
@@ -51,7 +51,7 @@
 
 
 def orders_for_routes(orders: Iterable[face.Order], numbers: set[int]) -> list[face.Order]:
-    """Return the orders for these slices, except admission levels, which are reset separately."""
+    """Return the orders for these slices without admission levels, which are reset separately."""
     return [
         order
         for order in orders
--- a/tests/hours.py
+++ b/tests/hours.py
@@ -1,11 +1,13 @@
-"""A loop's clock and deadlines without a loop."""
+"""Clock and deadlines of an event loop that a test advances by hand."""
 
 
 class Hours:
-    """A loop's clock and deadlines without a loop."""
+    """Clock and deadlines of an event loop, without the loop."""
 
     def __init__(self):
-        self.clock, self.time, self.due = self, 1000, []
+        self.clock = self
+        self.time = 1000
+        self.due = []
 
     def now(self):
         return self.time
@@ -13,10 +15,11 @@
     def call_at(self, when, action):
         self.due.append((when, action))
 
-    def go(self, span, gathering):
+    def go(self, span, event_batch):
+        """Advance the clock by `span` ticks, run the due actions and flush the batch if it is due."""
         self.time += span
         ready = [action for when, action in self.due if when <= self.time]
         self.due = [(when, action) for when, action in self.due if when > self.time]
         for action in ready:
             action()
-        gathering.flush_if_due()
+        event_batch.flush_if_due()
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -1,4 +1,4 @@
-"""A Relay between a client that answers when told and a channel that counts what was carried out."""
+"""A Relay with a fake client, whose responses the test chooses, and a simulated channel to the proxies."""
 
 import os
 from types import SimpleNamespace
@@ -16,38 +16,46 @@
 from seam import Shifted
 
 
-class Told:
-    """In the place of net.http.Client."""
+class FakeClient:
+    """Replaces HttpClient for calls: records the requests, which the test completes."""
 
-    def __init__(self, loop, to, *spans):
-        self.address, self.asked, self.retired = to, [], False
+    def __init__(self, loop, address, *timeouts):
+        self.address = address
+        self.requests = []
+        self.is_retired = False
 
-    def request(self, method, target, span, done, body, kind):
-        self.asked.append((parse_qs(body.decode())["orders"][0], done))
+    def request(self, method, target, timeout, on_response, body, content_type):
+        self.requests.append((parse_qs(body.decode())["orders"][0], on_response))
 
     def retire(self):
-        self.retired = True
+        self.is_retired = True
 
 
-class Store:
-    """In the place of the client that asks for news: tells what stands, all of it at once."""
+class FakeStreamClient:
+    """Replaces HttpClient for event streams: sends all stored routes in one part."""
 
     def __init__(self, room):
         self.room = room
 
-    def request(self, method, target, span, done, stream):
+    def request(self, method, target, timeout, on_end, stream):
         entry = "event: entry\ndata: range={}&target={}&rps={}\n\n"
-        stands = [entry.format(n, b, w) for n, t in self.room.store.items() for b, w in t.lines.items()]
-        if not self.room.mute:
-            self.room.loop.call_after(0, lambda: stream("".join(stands).encode()))
+        stored = [entry.format(n, b, w) for n, t in self.room.store.items() for b, w in t.lines.items()]
+        if not self.room.is_store_silent:
+            self.room.loop.call_after(0, lambda: stream("".join(stored).encode()))
         return SimpleNamespace(drop=lambda: None)
 
 
 class Room:
-    def __init__(self, monkeypatch, most=0, over=0, cap=0, pace=0, proxies=0, head=0):
-        monkeypatch.setattr(call_queue, "HttpClient", Told)
-        monkeypatch.setattr(call_resolution, "HttpClient", lambda *words: Store(self))
-        self.store, self.stood, self.mute = {}, {}, False
+    """A Relay, its loop and its clock; `store`: the stored tables, `stood`: the tables known to the Relay."""
+
+    def __init__(
+        self, monkeypatch, max_messages=0, window=0, max_lines=0, drain_rate=0, proxies=0, overhead_lines=0
+    ):
+        monkeypatch.setattr(call_queue, "HttpClient", FakeClient)
+        monkeypatch.setattr(call_resolution, "HttpClient", lambda *arguments: FakeStreamClient(self))
+        self.store = {}
+        self.stood = {}
+        self.is_store_silent = False  # event streams send nothing
         self.clock = Shifted()
         self.loop = EventLoop(self.clock, self.fail)
         self.log = Log(self.clock, "t", os.open(os.devnull, os.O_WRONLY))
@@ -57,81 +65,95 @@
             self.log,
             ("127.0.0.1", 1),
             ["search"],
-            most,
-            over,
+            max_messages,
+            window,
             ChannelBacklog(
-                cap * MAX_PENDING_SHARE, pace * UNACKNOWLEDGED_DRAIN_SHARE, head, lambda: range(self.proxies)
+                max_lines * MAX_PENDING_SHARE,
+                drain_rate * UNACKNOWLEDGED_DRAIN_SHARE,
+                overhead_lines,
+                lambda: range(self.proxies),
             ),
         )
-        self.stand, self.void = [], []
-        self.relay.on_applied, self.relay.on_dropped = self.stands, self.void.extend
+        self.applied = []
+        self.dropped = []
+        self.relay.on_applied = self.record_applied
+        self.relay.on_dropped = self.dropped.extend
         self.relay.in_flight_call.read_stored_tables = lambda: self.stood
 
-    def stands(self, orders):
-        self.stand += orders
+    def record_applied(self, orders):
+        self.applied += orders
         stored_tables.apply_orders(self.stood, orders)
 
-    def fail(self, broken):
-        raise broken
+    def fail(self, error):
+        raise error
 
     def order(self, *weights, table=1):
         self.relay.order([face.SetRoute(table, "b1", float(w)) for w in weights])
 
-    def out(self):
-        """The call that is out, and who hears of it."""
+    def sent_call(self):
+        """Return the encoded orders of the call in flight and the callback for its response."""
         assert self.relay.awaiting_response
-        return self.relay.client.asked[-1]
+        return self.relay.client.requests[-1]
 
     def answer(self, outcome="answered", taken=1, code=""):
+        """Complete the call in flight; `taken`: orders that the response counts as applied."""
         body = (
             f"<R><Error><Code>{code}</Code></Error></R>"
             if code
             else f"<R><results><item><ok_count>{taken}</ok_count></item></results></R>"
         )
-        self.out()[1](HttpResponse(outcome, 400 if code else 200, body.encode()))
+        self.sent_call()[1](HttpResponse(outcome, 400 if code else 200, body.encode()))
 
     def until(self, holds, within=SECOND):
-        """Time passes in steps of 1 ms."""
+        """Advance time in steps of 1 ms until the condition holds."""
         end = self.clock.now() + within
         while not holds():
-            assert self.clock.now() < end, "never came true"
-            self.go(10)
+            assert self.clock.now() < end, "condition did not become true"
+            self.advance(10)
 
-    def until_out(self):
-        """A call in doubt is looked up, and goes again where the store does not tell."""
+    def until_call_sent(self):
+        """Advance time until a call is in flight: an unresolved one is queried first, and then retried."""
         self.until(lambda: self.relay.awaiting_response)
 
-    def go(self, span=0):
+    def advance(self, span=0):
         self.clock.by += span
         self.loop.call_after(0, lambda: None)
         self.loop.turn()
 
 
-class Channel:
-    """What waits in the channel to the proxies: all that was carried out, less what left at its pace, a call
-    after the other.  Marks are answered once all of a call has left."""
+class SimulatedChannel:
+    """The lines waiting in the channel: those of all applied calls, less what has left at `drain_rate`.
 
-    def __init__(self, room, pace, marks_told=True):
-        self.room, self.pace, self.marks_told = room, pace, marks_told
-        self.calls, self.most, self.at = [], 0.0, room.clock.now()  # calls: lines that wait, the mark
+    Calls leave in sequence. A marker is acknowledged once its whole call has left.
+    """
 
-    def carried_out(self):
-        """The call that is out is."""
+    def __init__(self, room, drain_rate, acknowledges=True):
+        self.room = room
+        self.drain_rate = drain_rate
+        self.acknowledges = acknowledges
+        self.calls = []  # remaining lines and marker of each call
+        self.peak_lines = 0.0
+        self.drained_at = room.clock.now()
+
+    def apply_call(self):
+        """Apply the call in flight."""
         self.drain()
         orders = self.room.relay.pending_calls[0]
         stored_tables.apply_orders(self.room.store, orders)
         lines = (len(orders) + self.room.relay.backlog.overhead_lines) * self.room.proxies
         self.calls.append([lines, orders[-1].marker if isinstance(orders[-1], face.UpdateMarker) else None])
-        self.most = max(self.most, sum(lines for lines, _ in self.calls))
+        self.peak_lines = max(self.peak_lines, sum(lines for lines, _ in self.calls))
 
     def drain(self):
+        """Remove the lines that have left by now."""
         now = self.room.clock.now()
-        leaves, self.at = (now - self.at) * self.pace / SECOND, now
-        while self.calls and leaves > 0:
-            gone = min(leaves, self.calls[0][0])
-            self.calls[0][0] -= gone
-            leaves -= gone
+        capacity = (now - self.drained_at) * self.drain_rate / SECOND
+        self.drained_at = now
+        while self.calls and capacity > 0:
+            drained = min(capacity, self.calls[0][0])
+            self.calls[0][0] -= drained
+            capacity -= drained
             if not self.calls[0][0]:
-                _, mark = self.calls.pop(0)
-                for proxy in range(self.room.proxies if self.marks_told and mark is not None else 0):
-                    self.room.relay.acknowledge_marker(proxy, mark)
+                _, marker = self.calls.pop(0)
+                for proxy in range(self.room.proxies if self.acknowledges and marker is not None else 0):
+                    self.room.relay.acknowledge_marker(proxy, marker)
--- a/tests/test_call_resolution.py
+++ b/tests/test_call_resolution.py
@@ -1,4 +1,4 @@
-"""A large call to the relay in doubt: the store tells whether it goes again."""
+"""Calls with unknown outcome: whether the stored tables or a marker show that they were applied."""
 
 import pytest
 
@@ -7,14 +7,21 @@
 from indigohitch.platform_protocol.call_resolution import CallOutcome, MarkerEvidence, TableEvidence
 from indigohitch.platform_protocol.stored_tables import StoredTable
 from stage import drain, none_lost
-from test_channel_backlog import UNCLEAR, bounded, moved, play, rounds, serving
+from test_channel_backlog import (
+    UNRESOLVED_FAULTS,
+    apply_times,
+    limited_room,
+    move_route,
+    run_until_idle,
+    start_with_channel,
+)
 from waiting import eventually
 
 
-@pytest.mark.parametrize("fault", UNCLEAR)
-def test_a_call_that_stands_by_the_store_does_not_go_again(platform, fault):
-    """No proxy has answered its mark yet: a channel was seen at 22% of its pace."""
-    program = serving(platform, 30.0, 320.0)
+@pytest.mark.parametrize("fault", UNRESOLVED_FAULTS)
+def test_a_call_that_the_store_shows_as_applied_is_not_retried(platform, fault):
+    """No proxy has acknowledged its marker yet, as when a channel drained at 22% of its stated rate."""
+    program = start_with_channel(platform, 30.0, 320.0)
     platform.marks_told = False
     platform.relay_faults.append(fault)
     drain(platform, "b1")
@@ -25,38 +32,41 @@
 
 
 @pytest.mark.parametrize("fault", ["reset", "garbage", "503"])
-def test_a_call_that_was_not_carried_out_goes_again_at_once(platform, fault):
-    """Its lines don't wait in the channel: a drain does not wait for them."""
-    program = serving(platform, 30.0)
+def test_a_call_that_was_not_applied_is_retried_at_once(platform, fault):
+    """Its lines are not in the channel, so a drain does not wait for them."""
+    program = start_with_channel(platform, 30.0)
     platform.relay_faults.append(fault)
     drain(platform, "b1")
-    unclear = eventually(lambda: program.said("relay_call_unresolved"))[0]["ms"]
-    found = eventually(lambda: program.said("call_outcome_resolved"))[0]
-    again = next(sent for sent in program.said("relay_call_sent") if sent["ms"] >= unclear)
-    assert found["effect"] == "none" and again["tries"] == 2 and again["ms"] - unclear < 200
-    assert len(rounds(platform, platform.marks[-1])) == 1 and none_lost(platform)
-
-
-@pytest.mark.parametrize("carried_out", [True, False])
-def test_a_channel_at_a_fifth_of_its_pace_is_not_filled_twice(monkeypatch, carried_out):
-    """Seen on a recorded day: what the settings say of the pace tells nothing of when lines have left."""
-    room, channel = bounded(monkeypatch)
-    channel.pace /= 5
+    unresolved_ms = eventually(lambda: program.said("relay_call_unresolved"))[0]["ms"]
+    resolved = eventually(lambda: program.said("call_outcome_resolved"))[0]
+    retry = next(sent for sent in program.said("relay_call_sent") if sent["ms"] >= unresolved_ms)
+    assert resolved["effect"] == "none" and retry["tries"] == 2 and retry["ms"] - unresolved_ms < 200
+    assert len(apply_times(platform, platform.marks[-1])) == 1 and none_lost(platform)
+
+
+@pytest.mark.parametrize("is_applied", [True, False])
+def test_a_channel_at_a_fifth_of_its_rate_is_not_filled_twice(monkeypatch, is_applied):
+    """On a recorded day the channel drained far slower than the settings state, so the stated rate does not
+    show when the lines of a call have left."""
+    room, channel = limited_room(monkeypatch)
+    channel.drain_rate /= 5
     for tables in (room.store, room.stood):
         tables.update({number: StoredTable({"old": 1.0}) for number in range(30)})
-    orders = [order for number in range(30) for order in moved(number, 1)[:2]] + [face.UpdateMarker(1, False)]
+    orders = [order for number in range(30) for order in move_route(number, 1)[:2]] + [
+        face.UpdateMarker(1, False)
+    ]
     room.relay.order(orders)
-    began = room.clock.now()
-    if carried_out:
-        channel.carried_out()
+    started_at = room.clock.now()
+    if is_applied:
+        channel.apply_call()
     room.answer("reset")
-    play(room, channel)
-    assert channel.most <= 1000 and room.stand == orders and room.store == room.stood
-    assert room.clock.now() - began < SECOND // 2  # a drain's lines have two seconds
+    run_until_idle(room, channel)
+    assert channel.peak_lines <= 1000 and room.applied == orders and room.store == room.stood
+    assert room.clock.now() - started_at < SECOND // 2  # the routes of a drain have two seconds
 
 
-def test_a_store_that_breaks_off_is_asked_again(platform):
-    program = serving(platform, 30.0)
+def test_the_store_is_queried_again_after_a_broken_stream(platform):
+    program = start_with_channel(platform, 30.0)
     platform.marks_told = False
     platform.relay_faults.append("reset done")
     platform.news_faults += ["unreadable", "reset"]
@@ -65,42 +75,52 @@
     assert none_lost(platform)
 
 
-def test_what_the_tables_tell_of_a_call():
-    stood = {1: StoredTable({"a": 1.0}), 2: StoredTable({"a": 1.0, "b": 1.0}), 3: StoredTable({})}
+def test_tables_prove_the_outcome_of_a_call():
+    stored = {1: StoredTable({"a": 1.0}), 2: StoredTable({"a": 1.0, "b": 1.0}), 3: StoredTable({})}
 
     def move(table, old, new):
         return [face.SetRoute(table, new, 1.0), face.SetRoute(table, old, 0.0)]
 
     orders = [*move(1, "a", "c"), face.SetRoute(3, "c", 1.0), *move(2, "a", "c"), face.UpdateMarker(7, False)]
 
-    def told(*lines, of=orders):
-        evidence = TableEvidence(stood, of)
-        for line in lines:
-            evidence.add_route(*line)
+    def outcome_of(*routes, of=orders):
+        evidence = TableEvidence(stored, of)
+        for route in routes:
+            evidence.add_route(*route)
         return evidence.outcome
 
-    assert TableEvidence(stood, orders).applied_count == 6  # the mark went with what it stands behind
+    assert TableEvidence(stored, orders).applied_count == 6  # the marker directly follows applied orders
+    # The order before the marker may have been rejected.
+    assert TableEvidence(stored, [*orders[:5], face.SetRoute(9, "c", 1.0), orders[5]]).applied_count == 5
     assert (
-        TableEvidence(stood, [*orders[:5], face.SetRoute(9, "c", 1.0), orders[5]]).applied_count == 5
-    )  # may be refused
-    assert told() is told((1, "c", 1.0)) is told((3, "c", 1.0), (2, "b", 1.0)) is CallOutcome.UNKNOWN
-    assert told((1, "c", 1.0), (2, "b", 1.0), (2, "c", 1.0)) is CallOutcome.APPLIED
-    assert told((1, "a", 1.0), (2, "a", 1.0), (2, "b", 1.0)) is CallOutcome.NOT_APPLIED
-    assert told((1, "c", 1.0), (2, "a", 1.0)) is CallOutcome.UNKNOWN  # in part: an order between was refused
-    assert told((1, "a", 2.0), (2, "c", 2.0)) is CallOutcome.UNKNOWN  # written by another
-    assert told((1, "c", 1.0), of=move(1, "a", "c")) is CallOutcome.APPLIED
-    for silent in (
+        outcome_of()
+        is outcome_of((1, "c", 1.0))
+        is outcome_of((3, "c", 1.0), (2, "b", 1.0))
+        is CallOutcome.UNKNOWN
+    )
+    assert outcome_of((1, "c", 1.0), (2, "b", 1.0), (2, "c", 1.0)) is CallOutcome.APPLIED
+    assert outcome_of((1, "a", 1.0), (2, "a", 1.0), (2, "b", 1.0)) is CallOutcome.NOT_APPLIED
+    # Applied in part: an order between was rejected.
+    assert outcome_of((1, "c", 1.0), (2, "a", 1.0)) is CallOutcome.UNKNOWN
+    assert outcome_of((1, "a", 2.0), (2, "c", 2.0)) is CallOutcome.UNKNOWN  # changed by another coordinator
+    assert outcome_of((1, "c", 1.0), of=move(1, "a", "c")) is CallOutcome.APPLIED
+    for undecidable in (
         [face.UpdateMarker(7, False)],
         [face.SetRoute(3, "c", 1.0)],
         [face.SetRoute(1, "a", 1.0)],
         move(9, "a", "b"),
     ):
-        assert not TableEvidence(stood, silent).can_decide
+        assert not TableEvidence(stored, undecidable).can_decide
 
 
-def test_a_mark_that_an_earlier_call_had_proves_nothing():
-    proof = MarkerEvidence()
-    proof.start([face.UpdateMarker(7, False)])
-    assert not proof.acknowledge(6) and not proof.is_confirmed and proof.acknowledge(7) and proof.is_confirmed
-    proof.start([face.UpdateMarker(7, False)])
-    assert not proof.acknowledge(7) and not proof.is_confirmed
+def test_a_marker_of_an_earlier_call_proves_nothing():
+    evidence = MarkerEvidence()
+    evidence.start([face.UpdateMarker(7, False)])
+    assert (
+        not evidence.acknowledge(6)
+        and not evidence.is_confirmed
+        and evidence.acknowledge(7)
+        and evidence.is_confirmed
+    )
+    evidence.start([face.UpdateMarker(7, False)])
+    assert not evidence.acknowledge(7) and not evidence.is_confirmed
--- a/tests/test_relay_outcomes.py
+++ b/tests/test_relay_outcomes.py
@@ -1,4 +1,4 @@
-"""Calls to the relay that cross each other, a bound, a move or a ban, with relay_room.py's client."""
+"""Outcomes of calls to the relay, also with limits, an address change, a pause or blocked calls."""
 
 import os
 
@@ -16,7 +16,7 @@
 from stage import SETTINGS
 from waiting import free_address
 
-MARGIN = calls.Relay.TRANSIT_MARGIN
+TRANSIT_MARGIN = calls.Relay.TRANSIT_MARGIN
 
 
 @pytest.fixture
@@ -38,96 +38,101 @@
         ("answered", "", 1),
     ],
 )
-def test_what_may_have_gone_out_counts_as_a_message(monkeypatch, outcome, code, counted):
-    room = Room(monkeypatch, most=9, over=SECOND)
+def test_calls_that_may_have_been_applied_count_as_messages(monkeypatch, outcome, code, counted):
+    room = Room(monkeypatch, max_messages=9, window=SECOND)
     room.order(1)
     room.answer("reset")
-    room.until_out()
+    room.until_call_sent()
     before = list(room.relay.sent_at)
-    assert len(before) == 2  # the call, and itself again
+    assert len(before) == 2  # the call and its retry
     room.answer(outcome, code=code)
     assert list(room.relay.sent_at)[: 1 + counted] == before[: 1 + counted]
     if code not in ("Throttling", "Other") and outcome != "reset":
         return
-    room.until_out()
-    assert len(room.relay.sent_at) == 2 + counted  # and once more
+    room.until_call_sent()
+    assert len(room.relay.sent_at) == 2 + counted  # and another retry
 
 
-def test_repeats_never_exceed_the_bound(monkeypatch):
-    room = Room(monkeypatch, most=3, over=SECOND)
+def test_retries_never_exceed_the_message_limit(monkeypatch):
+    room = Room(monkeypatch, max_messages=3, window=SECOND)
     room.order(1)
-    sent, outcomes = [], ["reset", "Throttling", "timeout", "connect_failed", "unreadable"] * 6
+    sent = []
+    outcomes = ["reset", "Throttling", "timeout", "connect_failed", "unreadable"] * 6
     while outcomes:
         if not room.relay.awaiting_response:
-            room.go(100)
+            room.advance(100)
             continue
-        how = outcomes.pop(0)
-        if how not in ("Throttling", "connect_failed"):
+        outcome = outcomes.pop(0)
+        if outcome not in ("Throttling", "connect_failed"):
             sent.append(room.relay.sent_at[-1])
-        room.answer("answered" if how == "Throttling" else how, code=how if how == "Throttling" else "")
+        room.answer(
+            "answered" if outcome == "Throttling" else outcome,
+            code=outcome if outcome == "Throttling" else "",
+        )
     assert len(sent) == 18
-    assert min(late - early for early, late in zip(sent, sent[3:])) >= SECOND + MARGIN
-    assert {orders for orders, _ in room.relay.client.asked} == {"put,1,b1,1.0"}
+    assert min(late - early for early, late in zip(sent, sent[3:])) >= SECOND + TRANSIT_MARGIN
+    assert {orders for orders, _ in room.relay.client.requests} == {"put,1,b1,1.0"}
 
 
-def test_a_call_in_doubt_goes_again_as_it_was_before_what_is_merged(room):
+def test_an_unresolved_call_is_retried_unchanged_before_merged_calls(room):
     room.order(1)
     room.answer("timeout")
     for weight in range(2, 30):
         room.order(weight)
     assert room.log.counts["calls_merged"]
-    room.until_out()
-    assert room.out()[0] == "put,1,b1,1.0"
+    room.until_call_sent()
+    assert room.sent_call()[0] == "put,1,b1,1.0"
     while not room.relay.idle:
         room.answer()
-    weights = [order.weight for order in room.stand]
+    weights = [order.weight for order in room.applied]
     assert weights[0] == 1.0 and weights[-1] == 29.0 and weights == sorted(weights) and len(weights) < 12
 
 
-def test_one_reply_of_more_calls_than_may_wait_goes_at_once(room):
+def test_a_reply_of_more_calls_than_may_wait_is_sent_at_once(room):
     orders = [face.SetRoute(n, f"backend-{n:06}", 1.0) for n in range(30_000)]
     room.relay.order(orders)
     while not room.relay.idle:
         room.answer(taken=len(room.relay.pending_calls[0]))
-    assert room.stand == orders
+    assert room.applied == orders
 
 
 @pytest.mark.parametrize("outcome", ["answered", "timeout", "connect_failed"])
-def test_a_move_while_a_call_is_out(room, outcome):
-    """It ends where it began; only in doubt it goes to the new address, as it was, before the next."""
+def test_an_address_change_while_a_call_is_in_flight(room, outcome):
+    """The call ends at the old address. Unless it was applied, it is retried unchanged at the new address,
+    before the next call."""
     room.order(1)
     old = room.relay.client
-    assert room.relay.move(("127.0.0.1", 2)) and old.retired
+    assert room.relay.move(("127.0.0.1", 2)) and old.is_retired
     room.order(2)
-    assert not room.relay.client.asked
-    old.asked[0][1](
+    assert not room.relay.client.requests
+    old.requests[0][1](
         HttpResponse(outcome, 200, b"<R><results><item><ok_count>1</ok_count></item></results></R>")
     )
-    room.until_out()
-    seen = [orders for orders, _ in room.relay.client.asked]
-    assert len(old.asked) == 1 and seen == ["put,1,b1,1.0" if outcome != "answered" else "put,1,b1,2.0"]
+    room.until_call_sent()
+    sent = [orders for orders, _ in room.relay.client.requests]
+    assert len(old.requests) == 1 and sent == ["put,1,b1,1.0" if outcome != "answered" else "put,1,b1,2.0"]
 
 
-def test_a_hold_while_a_call_in_doubt_waits(room):
+def test_a_pause_while_an_unresolved_call_waits(room):
     room.order(1)
     room.relay.set_paused(True)
     room.answer("timeout")
-    room.go(10)
+    room.advance(10)
     room.order(2)
-    assert not room.relay.awaiting_response  # nothing begins, and nothing is lost
+    assert not room.relay.awaiting_response  # no call is started, and none is lost
     room.relay.set_paused(False)
-    room.until_out()
-    assert room.out()[0] == "put,1,b1,1.0"
+    room.until_call_sent()
+    assert room.sent_call()[0] == "put,1,b1,1.0"
     room.answer()
-    assert room.out()[0] == "put,1,b1,2.0"
+    assert room.sent_call()[0] == "put,1,b1,2.0"
 
 
 @pytest.mark.parametrize("moved", [False, True])
-@pytest.mark.parametrize("outcome, doubts", [("timeout", 1), ("answered", 0)])
-def test_a_call_in_doubt_that_may_not_go_again_has_what_stands_read(room, outcome, doubts, moved):
-    """It may have been carried out: to tell the module what stood before would be a guess."""
-    asked = []
-    room.relay.on_unresolved_drop = lambda: asked.append(1)
+@pytest.mark.parametrize("outcome, reads", [("timeout", 1), ("answered", 0)])
+def test_dropping_an_unresolved_call_reads_the_stored_state(room, outcome, reads, moved):
+    """The call may have been applied, so the state known before it must not be reported to the module."""
+    requested = []
+    room.relay.on_unresolved_drop = lambda: requested.append(1)
     room.order(1)
     room.order(2)
     room.relay.is_allowed = lambda orders: False
@@ -135,25 +140,25 @@
     if moved:
         room.relay.move(("127.0.0.1", 2))
     room.until(lambda: room.relay.idle)
-    assert len(asked) == doubts and room.void and room.relay.idle
+    assert len(requested) == reads and room.dropped and room.relay.idle
 
 
-def test_an_order_for_the_same_line_while_one_is_in_doubt(room):
-    """The later one wins, whichever came of the first."""
+def test_a_later_order_for_the_route_of_an_unresolved_call_wins(room):
     room.order(5)
     room.answer("unreadable")
     room.order(0)
-    room.until_out()
+    room.until_call_sent()
     room.answer()
     room.answer()
-    assert [order.weight for order in room.stand] == [5.0, 0.0]
+    assert [order.weight for order in room.applied] == [5.0, 0.0]
 
 
-def test_what_stands_is_read_again_after_a_call_in_doubt_was_dropped(platform):
-    """Carried out without an answer, and then no call may go: no other stream would tell of its line."""
+def test_stored_state_is_read_again_after_an_unresolved_call_is_dropped(platform):
+    """The call is applied without a response, and then calls are blocked: only a new stream reports its
+    route."""
 
-    def fail(broken):
-        raise broken
+    def fail(error):
+        raise error
 
     loop = EventLoop(Shifted(), fail)
     log = Log(loop.clock, "t", os.open(os.devnull, os.O_WRONLY))
@@ -178,7 +183,7 @@
             loop.call_after(10, lambda: None)
             loop.turn()
             front.event_batch.flush_if_due()
-        raise AssertionError("never came true")
+        raise AssertionError("condition did not become true")
 
     front.start()
     until(lambda: front.store_mirror.has_started and front.relay.idle and platform.agrees())
--- a/tests/test_relay_queue.py
+++ b/tests/test_relay_queue.py
@@ -1,4 +1,4 @@
-"""The queue of calls to the relay: what goes next where messages or lines are bounded, or one is in doubt."""
+"""The queue of calls to the relay: which call is sent next with limits or an unresolved call."""
 
 import pytest
 
@@ -8,22 +8,26 @@
 from indigohitch.platform_protocol.stored_tables import StoredTable
 from relay_room import Room
 
-MOST, OVER = 12, 10 * SECOND
+MAX_MESSAGES = 12
+WINDOW = 10 * SECOND
 
 
 def put(table, backend="b1", weight=1.0):
     return face.SetRoute(table, backend, weight)
 
 
-def move(table, mark):
-    """A reply of the module."""
-    return [put(table), put(table, "b0", 0.0), face.UpdateMarker(mark, False)]
+def move(table, marker):
+    """Return a reply of the module that moves a route of the table."""
+    return [put(table), put(table, "b0", 0.0), face.UpdateMarker(marker, False)]
 
 
-def limited(monkeypatch, **more):
-    room = Room(monkeypatch, most=MOST, over=OVER, **more)
-    room.urgent = set()
-    room.relay.outbox.urgent = lambda orders: {o.table for o in orders if hasattr(o, "table")} & room.urgent
+def limited_room(monkeypatch, **limits):
+    """Return a room with a message limit; the test sets the tables whose orders are urgent."""
+    room = Room(monkeypatch, max_messages=MAX_MESSAGES, window=WINDOW, **limits)
+    room.urgent_tables = set()
+    room.relay.outbox.urgent = lambda orders: (
+        {o.table for o in orders if hasattr(o, "table")} & room.urgent_tables
+    )
     return room
 
 
@@ -31,52 +35,52 @@
     return [int(order.split(",")[1]) for order in call.split(";") if order.startswith("put")]
 
 
-def answer_all(room):
+def complete_all_calls(room):
     while room.relay.awaiting_response:
         room.answer(taken=len(room.relay.pending_calls[0]))
 
 
-def test_what_waited_goes_as_one_and_the_urgent_leads(monkeypatch):
-    """In the incident it was the last of seven calls, a second apart."""
-    room = limited(monkeypatch)
-    room.urgent = {7}
+def test_waiting_calls_are_merged_with_urgent_orders_first(monkeypatch):
+    """In an incident the urgent call was the last of seven calls, sent a second apart."""
+    room = limited_room(monkeypatch)
+    room.urgent_tables = {7}
     room.relay.set_paused(True)
     for table in range(1, 8):
         room.relay.order(move(table, table))
     room.relay.set_paused(False)
-    orders, _ = room.out()
+    orders, _ = room.sent_call()
     assert tables_of(orders)[:2] == [7, 7] and sorted(set(tables_of(orders))) == list(range(1, 8))
     assert orders.endswith("fence,7,0") and orders.count("fence") == 1
-    answer_all(room)
+    complete_all_calls(room)
     assert room.relay.idle and len(room.relay.sent_at) == 1
 
 
-def test_what_can_wait_leaves_messages_to_what_is_urgent(monkeypatch):
-    room = limited(monkeypatch)
+def test_calls_that_can_wait_leave_messages_for_urgent_ones(monkeypatch):
+    room = limited_room(monkeypatch)
     for table in range(1, 8):
         room.relay.order(move(table, table))
-        answer_all(room)
+        complete_all_calls(room)
     assert len(room.relay.sent_at) == 2 and room.log.counts["call_rate_limited"]
-    room.urgent = {9}
-    room.relay.order(move(9, 9))  # goes at once, and takes along what waited
-    assert tables_of(room.out()[0])[:2] == [9, 9] and len(set(tables_of(room.out()[0]))) == 6
+    room.urgent_tables = {9}
+    room.relay.order(move(9, 9))  # sent at once, with the waiting orders
+    assert tables_of(room.sent_call()[0])[:2] == [9, 9] and len(set(tables_of(room.sent_call()[0]))) == 6
 
 
-def test_what_becomes_urgent_as_it_waits_goes_at_once(monkeypatch):
-    """The backend began to drain after its line was ordered away."""
-    room = limited(monkeypatch)
+def test_orders_that_become_urgent_while_waiting_are_sent_at_once(monkeypatch):
+    """The backend began to drain after the removal of its route was ordered."""
+    room = limited_room(monkeypatch)
     for table in range(1, 5):
         room.relay.order(move(table, table))
-        answer_all(room)
+        complete_all_calls(room)
     assert not room.relay.awaiting_response and room.relay.waits_for_capacity
     room.relay.reconsider()
     assert not room.relay.awaiting_response
-    room.urgent = {4}
+    room.urgent_tables = {4}
     room.relay.reconsider()
-    assert sorted(tables_of(room.out()[0])) == [3, 3, 4, 4]
+    assert sorted(tables_of(room.sent_call()[0])) == [3, 3, 4, 4]
 
 
-def test_orders_for_slices_given_anew_are_one_call(monkeypatch):
+def test_orders_for_acquired_slices_share_one_call(monkeypatch):
     room = Room(monkeypatch)
     room.relay.order(move(0, 1))
     for table in range(1, 6):
@@ -85,39 +89,40 @@
     room.relay.order([put(7)], joins=True)
     calls = []
     while room.relay.awaiting_response:
-        calls.append(tables_of(room.out()[0]))
+        calls.append(tables_of(room.sent_call()[0]))
         room.answer(taken=len(room.relay.pending_calls[0]))
     assert calls == [[0, 0], [1, 2, 3, 4, 5], [9, 9], [7]]
 
 
-def test_the_urgent_part_does_not_wait_for_room_for_the_rest(monkeypatch):
-    """Ten proxies, 90 lines that may wait, and next to none that leave."""
-    room = Room(monkeypatch, cap=100, pace=0.01, proxies=10)
+def test_the_urgent_part_does_not_wait_for_capacity_for_the_rest(monkeypatch):
+    """With ten proxies, 90 lines may wait, and next to none leave."""
+    room = Room(monkeypatch, max_lines=100, drain_rate=0.01, proxies=10)
     room.relay.outbox.urgent = lambda orders: {3}
     room.relay.order([put(table) for table in range(10, 15)])  # 50 lines
     room.relay.order([put(table) for table in range(20, 25)])
     room.relay.order([put(3), put(3, "b0", 0.0)])
     room.answer(taken=5)
-    assert tables_of(room.out()[0]) == [3, 3]
+    assert tables_of(room.sent_call()[0]) == [3, 3]
     room.answer(taken=2)
     assert not room.relay.awaiting_response and len(room.relay.pending()) == 5
 
 
-@pytest.mark.parametrize("carried_out", [True, False])
-def test_a_call_in_doubt_goes_again_with_what_came_since(monkeypatch, carried_out):
-    """The store can't tell, as the lines are new: one message for both, not two."""
-    room = limited(monkeypatch)
-    room.store, room.stood = {1: StoredTable({"b0": 1.0})}, {1: StoredTable({"b0": 1.0})}
-    room.mute = True
+@pytest.mark.parametrize("is_applied", [True, False])
+def test_an_unresolved_call_is_retried_together_with_later_orders(monkeypatch, is_applied):
+    """The silent store does not show the outcome, so the retry and the later orders share one message."""
+    room = limited_room(monkeypatch)
+    room.store = {1: StoredTable({"b0": 1.0})}
+    room.stood = {1: StoredTable({"b0": 1.0})}
+    room.is_store_silent = True
     room.relay.order(move(1, 1))
-    if carried_out:
+    if is_applied:
         room.store[1] = StoredTable({"b1": 1.0})
     room.answer("timeout")
     room.relay.order([put(1, "b2"), put(1, "b1", 0.0), face.UpdateMarker(2, False)])
     room.until(lambda: room.relay.awaiting_response, 2 * SECOND)
-    assert room.out()[0] == "put,1,b0,0.0;put,1,b2,1.0;put,1,b1,0.0;fence,2,0"
-    # Now in doubt itself: what the first may have left says nothing of it.
-    room.mute = False
+    assert room.sent_call()[0] == "put,1,b0,0.0;put,1,b2,1.0;put,1,b1,0.0;fence,2,0"
+    # The merged call is unresolved too: routes that the first one may have set prove nothing about it.
+    room.is_store_silent = False
     room.answer("timeout")
     room.until(lambda: room.relay.awaiting_response, 2 * SECOND)
     room.store[1] = StoredTable({"b2": 1.0})
@@ -126,44 +131,44 @@
     assert room.stood[1].lines == {"b2": 1.0}
 
 
-def test_lines_that_an_earlier_call_may_have_left_prove_nothing():
-    stood = {1: StoredTable({"a": 1.0}), 2: StoredTable({"a": 1.0})}
-    maybe = [put(1, "b"), put(1, "a", 0.0)]
-    orders = [*maybe, put(2, "c"), put(2, "a", 0.0)]
-    evidence = TableEvidence(stood, orders, maybe)
+def test_routes_that_an_earlier_call_may_have_set_prove_nothing():
+    stored = {1: StoredTable({"a": 1.0}), 2: StoredTable({"a": 1.0})}
+    unresolved_orders = [put(1, "b"), put(1, "a", 0.0)]
+    orders = [*unresolved_orders, put(2, "c"), put(2, "a", 0.0)]
+    evidence = TableEvidence(stored, orders, unresolved_orders)
     evidence.add_route(1, "b", 1.0)
     assert evidence.outcome is CallOutcome.UNKNOWN
     evidence.add_route(2, "a", 1.0)
     assert evidence.outcome is CallOutcome.NOT_APPLIED
     evidence.add_route(2, "c", 1.0)
     assert evidence.outcome is CallOutcome.APPLIED and evidence.applied_count == 4
-    assert not TableEvidence(stood, maybe, maybe).can_decide
+    assert not TableEvidence(stored, unresolved_orders, unresolved_orders).can_decide
 
 
 def test_a_silent_relay_costs_few_messages(monkeypatch):
-    """In the incident ten tries in a cut of 4.5 s, of twelve messages that there are."""
-    room = limited(monkeypatch)
-    room.mute = True
+    """In an incident a cut of 4.5 s cost ten attempts of the twelve messages in the window."""
+    room = limited_room(monkeypatch)
+    room.is_store_silent = True
     room.relay.order(move(1, 1))
     end = room.clock.now() + SECOND * 9 // 2
     while room.clock.now() < end or room.relay.awaiting_response:
         if room.relay.awaiting_response:
             room.clock.by += SECOND // 5
             room.answer("timeout")
-        room.go(100)
+        room.advance(100)
     assert len(room.relay.sent_at) <= 4
-    room.urgent = {2}
-    room.mute = False
+    room.urgent_tables = {2}
+    room.is_store_silent = False
     room.relay.order(move(2, 2))
-    room.until_out()
-    assert tables_of(room.out()[0])[:2] == [2, 2]
+    room.until_call_sent()
+    assert tables_of(room.sent_call()[0])[:2] == [2, 2]
 
 
-def test_a_long_silence_holds_no_more_than_there_is_to_set(monkeypatch):
-    room = limited(monkeypatch)
-    room.mute = True
-    for turn in range(200):
-        room.relay.order([put(turn % 5, f"b{turn % 3}"), face.UpdateMarker(turn, False)])
+def test_pending_orders_are_bounded_during_a_long_silence(monkeypatch):
+    room = limited_room(monkeypatch)
+    room.is_store_silent = True
+    for number in range(200):
+        room.relay.order([put(number % 5, f"b{number % 3}"), face.UpdateMarker(number, False)])
         room.until(lambda: room.relay.awaiting_response, 20 * SECOND)
         room.answer("timeout")
     assert len(room.relay.in_flight_call.unresolved_orders) <= 15 and len(room.relay.pending()) <= 17
--- a/tests/test_store_mirror.py
+++ b/tests/test_store_mirror.py
@@ -1,4 +1,4 @@
-"""Events gathered for the module, and what it believes to stand against what does."""
+"""The event batch, and the agreement of the module's tables and the store mirror with the relay's store."""
 
 import random
 
@@ -12,48 +12,53 @@
 from indigohitch.platform_protocol.store_mirror import StoreMirror
 
 
-def test_pieces_of_one_period_are_handled_together():
-    """Seen on a calm day: the module planned on the first half of the sums in 12 rounds of 14."""
-    hours, handed = Hours(), []
-    gathering = EventBatch(hours, 40, lambda now, events: handed.append((now, events)))
+def test_events_of_one_period_are_delivered_together():
+    """Without batching the module planned with the first half of a period's reports in 12 rounds of 14 on a
+    calm day."""
+    hours = Hours()
+    delivered = []
+    event_batch = EventBatch(hours, 40, lambda now, events: delivered.append((now, events)))
     for n in range(4):
-        gathering.add(face.ProxyLeft(n))
-        hours.go(20, gathering)
-    assert not handed
-    hours.go(20, gathering)
-    assert handed == [(1100, [face.ProxyLeft(n) for n in range(4)])]
-    hours.go(500, gathering)
-    assert len(handed) == 1  # nothing came, nothing is asked
-    gathering.add(face.ProxyLeft(9))
-    hours.go(100, gathering)
-    assert len(handed) == 2
-    hours.go(100, gathering)
-    gathering.add_timer(face.TimerFired("beat"))  # a timer alone is on time, with others it waits for them
-    hours.go(0, gathering)
-    assert handed[2] == (1800, [face.TimerFired("beat")])
-    gathering.add(face.ProxyLeft(8))
-    gathering.add_timer(face.TimerFired("beat"))
-    hours.go(90, gathering)
-    assert len(handed) == 3
-    hours.go(10, gathering)
-    assert len(handed[3][1]) == 2
-
-
-class Told:
-    """A log and a module's belief, kept by what it is told."""
+        event_batch.add(face.ProxyLeft(n))
+        hours.go(20, event_batch)
+    assert not delivered
+    hours.go(20, event_batch)
+    assert delivered == [(1100, [face.ProxyLeft(n) for n in range(4)])]
+    hours.go(500, event_batch)
+    assert len(delivered) == 1  # without events there is no delivery
+    event_batch.add(face.ProxyLeft(9))
+    hours.go(100, event_batch)
+    assert len(delivered) == 2
+    hours.go(100, event_batch)
+    # A timer alone is delivered at once, with events it waits for the batch.
+    event_batch.add_timer(face.TimerFired("beat"))
+    hours.go(0, event_batch)
+    assert delivered[2] == (1800, [face.TimerFired("beat")])
+    event_batch.add(face.ProxyLeft(8))
+    event_batch.add_timer(face.TimerFired("beat"))
+    hours.go(90, event_batch)
+    assert len(delivered) == 3
+    hours.go(10, event_batch)
+    assert len(delivered[3][1]) == 2
+
+
+class FakeModule:
+    """A log without output, and a module that keeps the state that events report."""
 
     def __init__(self):
-        self.tables, self.proxies, self.charges = {}, set(), 0
+        self.tables = {}
+        self.proxies = set()
+        self.ownership_events = 0
 
     def event(self, *_, **__):
         pass
 
     warning = event
 
-    def hear(self, *events):
+    def deliver(self, *events):
         for e in events:
             if isinstance(e, face.SliceOwnership):
-                self.charges += 1
+                self.ownership_events += 1
                 self.tables.pop(e.slice, None)
                 if e.is_owned:
                     self.tables[e.slice] = {}
@@ -65,126 +70,136 @@
                 self.proxies.remove(e.proxy)
 
 
-def put(lines, order):
-    lines.get(order.table, {}).pop(order.backend, None)
-    if order.weight and order.table in lines:
-        lines[order.table][order.backend] = order.weight
+def put(tables, order):
+    tables.get(order.table, {}).pop(order.backend, None)
+    if order.weight and order.table in tables:
+        tables[order.table][order.backend] = order.weight
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_belief_and_store_agree_after_every_start_of_the_news(seed):
-    """Calls are carried out, answered and lost while the news break and begin anew at any moment."""
-    rng, told, hours = random.Random(seed), Told(), Hours()
-    hours.call_after = lambda span, action: Deadline(0, action)  # the sign of life settles all
-    store, proxies, calls, done = {n: {"b0": 1.0} for n in range(6)}, {1, 2}, [], 0
-    holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
+def test_module_and_store_agree_after_each_initial_snapshot(seed):
+    """Calls are applied, acknowledged and lost while the stream breaks and is reopened at any time."""
+    rng = random.Random(seed)
+    module = FakeModule()
+    hours = Hours()
+    hours.call_after = lambda span, action: Deadline(0, action)  # the keepalive settles all tables
+    store = {n: {"b0": 1.0} for n in range(6)}
+    proxies = {1, 2}
+    calls = []
+    applied_count = 0  # calls that are applied and not acknowledged
+    store_mirror = StoreMirror(hours, module, module.deliver, lambda: list(calls), calls.extend)
 
     def step():
-        nonlocal done
+        nonlocal applied_count
         roll = rng.random()
-        if roll < 0.4 and told.tables:  # the module orders, and believes that it stands
-            table = rng.choice(sorted(told.tables))
+        if roll < 0.4 and module.tables:  # the module sends an order and assumes its effect
+            table = rng.choice(sorted(module.tables))
             order = face.SetRoute(table, f"b{rng.randrange(3)}", rng.choice([0.0, 1.0]))
             calls.append(order)
-            put(told.tables, order)
-        elif roll < 0.7 and done < len(calls):  # the relay carries one out
-            put(store, calls[done])
-            done += 1
-        elif done:  # and answers
-            holdings.apply([calls.pop(0)])
-            done -= 1
+            put(module.tables, order)
+        elif roll < 0.7 and applied_count < len(calls):  # the relay applies an order
+            put(store, calls[applied_count])
+            applied_count += 1
+        elif applied_count:  # the relay acknowledges an order
+            store_mirror.apply([calls.pop(0)])
+            applied_count -= 1
 
     for _ in range(40):
-        holdings.on_watch_requested()
+        store_mirror.on_watch_requested()
         for _ in range(rng.randrange(4)):
             step()
-        holdings.on_watch_opened()
-        start = [face.ProxyJoined(p, "east", 1.0, False) for p in sorted(proxies)]
+        store_mirror.on_watch_opened()
+        snapshot = [face.ProxyJoined(p, "east", 1.0, False) for p in sorted(proxies)]
         for number, lines in store.items():
-            start += stored_tables.ownership_events(number, stored_tables.StoredTable(dict(lines)))
-        for event in start:
-            holdings.on_relay_event(event)
+            snapshot += stored_tables.ownership_events(number, stored_tables.StoredTable(dict(lines)))
+        for event in snapshot:
+            store_mirror.on_relay_event(event)
             if rng.random() < 0.2 and not isinstance(event, face.SliceOwnership):
                 step()
-        holdings.on_keepalive()
-        ahead = {number: dict(lines) for number, lines in store.items()}
-        for order in calls[done:]:
-            put(ahead, order)
-        assert told.tables == ahead and told.proxies == proxies
+        store_mirror.on_keepalive()
+        projected = {number: dict(lines) for number, lines in store.items()}
+        for order in calls[applied_count:]:
+            put(projected, order)
+        assert module.tables == projected and module.proxies == proxies
         for _ in range(rng.randrange(9)):
             step()
-        if rng.random() < 0.3:  # the news are broken: what changes is not told
+        if rng.random() < 0.3:  # the stream is broken, so changes are not reported
             while calls:
                 put(store, calls[0])
-                holdings.apply([calls.pop(0)])
-            done, proxies = 0, {p for p in range(4) if rng.random() < 0.7}
+                store_mirror.apply([calls.pop(0)])
+            applied_count = 0
+            proxies = {p for p in range(4) if rng.random() < 0.7}
             store.pop(rng.choice(sorted(store)))
             store.setdefault(rng.randrange(8), {})[f"b{rng.randrange(3)}"] = 1.0
 
 
-def test_what_stands_as_believed_is_not_told_again():
-    told, hours = Told(), Hours()
+def test_known_state_is_not_reported_again():
+    module = FakeModule()
+    hours = Hours()
     hours.call_after = lambda span, action: Deadline(0, action)
     calls = []
-    holdings = StoreMirror(hours, told, told.hear, list, calls.extend)
+    store_mirror = StoreMirror(hours, module, module.deliver, list, calls.extend)
     for _ in range(3):
-        holdings.on_watch_opened()
+        store_mirror.on_watch_opened()
         for event in stored_tables.ownership_events(4, stored_tables.StoredTable({"b1": 1.0})):
-            holdings.on_relay_event(event)
-        holdings.on_keepalive()
-    assert told.charges == 1 and told.tables == {4: {"b1": 1.0}}
-    holdings.apply([face.SetAdmission(4, (), 0.6, 1)])
-    holdings.on_dropped([face.SetRoute(4, "b2", 1.0)])
-    holdings._report_dropped()  # told anew it comes without a level: that is made true
-    assert told.charges == 2 and calls == [face.SetAdmission(4, (), 1.0, 1)]
-
-
-def test_what_was_answered_and_is_not_in_the_news_goes_again():
-    """Found by the soak: the relay answered it while the slice was another's, and it changed nothing.  A line
-    was taken away later as one of two, and was the last."""
-    told, calls, hours = Told(), [], Hours()
+            store_mirror.on_relay_event(event)
+        store_mirror.on_keepalive()
+    assert module.ownership_events == 1 and module.tables == {4: {"b1": 1.0}}
+    store_mirror.apply([face.SetAdmission(4, (), 0.6, 1)])
+    store_mirror.on_dropped([face.SetRoute(4, "b2", 1.0)])
+    store_mirror._report_dropped()  # a reported slice has no level, so the level is reset
+    assert module.ownership_events == 2 and calls == [face.SetAdmission(4, (), 1.0, 1)]
+
+
+def test_acknowledged_orders_missing_from_the_snapshot_are_resent():
+    """The relay acknowledges orders without effect while another coordinator owns the slice. In a soak test
+    the module then removed one of two assumed routes, which was the last one in the store."""
+    module = FakeModule()
+    calls = []
+    hours = Hours()
     hours.call_after = lambda span, action: Deadline(0, action)
-    holdings = StoreMirror(hours, told, told.hear, lambda: list(calls), calls.extend)
+    store_mirror = StoreMirror(hours, module, module.deliver, lambda: list(calls), calls.extend)
 
-    def begin(answered=()):
-        holdings.on_watch_requested()
-        holdings.apply(list(answered))
-        holdings.on_watch_opened()
+    def read_snapshot(acknowledged=()):
+        store_mirror.on_watch_requested()
+        store_mirror.apply(list(acknowledged))
+        store_mirror.on_watch_opened()
         for number in (4, 5):
             for event in stored_tables.ownership_events(number, stored_tables.StoredTable({"b1": 1.0})):
-                holdings.on_relay_event(event)
-        holdings.on_keepalive()
+                store_mirror.on_relay_event(event)
+        store_mirror.on_keepalive()
 
-    begin()
+    read_snapshot()
     moved = [face.SetRoute(4, "b2", 1.0), face.SetRoute(4, "b1", 0.0)]
     same = [face.SetRoute(5, "b1", 1.0)]
     later = [face.SetRoute(4, "b3", 1.0), face.SetAdmission(4, (), 0.5, 1)]
     calls += later
     for order in [*moved, *same, later[0]]:
-        put(told.tables, order)  # as the module believes since it ordered them
-    begin(moved + same)
-    assert calls == [*later, *moved, later[0]]  # and what came after it, in this order
-    assert told.tables == {4: {"b2": 1.0, "b3": 1.0}, 5: {"b1": 1.0}}
+        put(module.tables, order)  # the module assumes the effect of its orders
+    read_snapshot(moved + same)
+    assert calls == [*later, *moved, later[0]]  # later orders for the slice are resent too, in sequence
+    assert module.tables == {4: {"b2": 1.0, "b3": 1.0}, 5: {"b1": 1.0}}
 
 
-def test_a_slice_that_another_has_written_to_counts_as_given_anew():
-    """Found by the soak: the check of drains took its line for one that had stood all the time."""
-    told, hours = Told(), Hours()
+def test_a_slice_changed_by_another_coordinator_counts_as_newly_acquired():
+    """In a soak test the drain monitor took its new route for one that had existed all the time."""
+    module = FakeModule()
+    hours = Hours()
     hours.call_after = lambda span, action: Deadline(0, action)
-    holdings = StoreMirror(hours, told, told.hear, list, lambda orders: None)
-    given = []
-    holdings.on_slice_acquired = given.append
-
-    def begin(**lines):
-        given.clear()
-        holdings.on_watch_requested()
-        holdings.on_watch_opened()
-        for number, backend in enumerate(lines.values()):
+    store_mirror = StoreMirror(hours, module, module.deliver, list, lambda orders: None)
+    acquired = []
+    store_mirror.on_slice_acquired = acquired.append
+
+    def read_snapshot(**backends):
+        acquired.clear()
+        store_mirror.on_watch_requested()
+        store_mirror.on_watch_opened()
+        for number, backend in enumerate(backends.values()):
             for event in stored_tables.ownership_events(number, stored_tables.StoredTable({backend: 1.0})):
-                holdings.on_relay_event(event)
-        holdings.on_keepalive()
+                store_mirror.on_relay_event(event)
+        store_mirror.on_keepalive()
 
-    begin(first="b1", second="b2")
-    assert set(given) == {0, 1}
-    begin(first="b1", second="b3")
-    assert given == [1]
+    read_snapshot(first="b1", second="b2")
+    assert set(acquired) == {0, 1}
+    read_snapshot(first="b1", second="b3")
+    assert acquired == [1]
