--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -22,7 +22,7 @@
     # for this time. The initial snapshot may wait longer, as the first keepalive ends it.
     SETTLE_DELAY = SECOND // 20
     INITIAL_SETTLE_DELAY = SECOND // 10
-    DROPPED_REPORT_DELAY = SECOND  # until the report of dropped orders, which the module may repeat
+    DROPPED_REPORT_DELAY = SECOND  # before the report of dropped orders, which the module may order again
 
     def __init__(
         self,
--- a/tests/test_store_mirror.py
+++ b/tests/test_store_mirror.py
@@ -110,14 +110,14 @@
             step()
         store_mirror.on_watch_opened()
         snapshot = [face.ProxyJoined(p, "east", 1.0, False) for p in sorted(proxies)]
-        for number, lines in store.items():
-            snapshot += stored_tables.ownership_events(number, stored_tables.StoredTable(dict(lines)))
+        for number, routes in store.items():
+            snapshot += stored_tables.ownership_events(number, stored_tables.StoredTable(dict(routes)))
         for event in snapshot:
             store_mirror.on_relay_event(event)
             if rng.random() < 0.2 and not isinstance(event, face.SliceOwnership):
                 step()
         store_mirror.on_keepalive()
-        projected = {number: dict(lines) for number, lines in store.items()}
+        projected = {number: dict(routes) for number, routes in store.items()}
         for order in calls[applied_count:]:
             put(projected, order)
         assert module.tables == projected and module.proxies == proxies
