--- a/indigohitch/net/__init__.py
+++ b/indigohitch/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, deadlines and HTTP on one event loop; independent of the protocols spoken over them."""
+"""Sockets, timers and HTTP on one event loop, independent of the protocols that use them."""
--- a/indigohitch/net/clock.py
+++ b/indigohitch/net/clock.py
@@ -1,6 +1,6 @@
-"""The one clock: Unix time that never steps.
+"""The clock of the process: Unix time that never steps.
 
-Times and durations are integers of ticks; a tick is a tenth of a millisecond.
+Times and durations are integer numbers of ticks; a tick is 0.1 ms.
 """
 
 import time
@@ -12,21 +12,22 @@
 
 
 class Clock:
-    """Unix time in ticks; a correction of the wall clock does not move it."""
+    """Counts Unix time in ticks; a correction of the wall clock does not change it."""
 
     def __init__(self) -> None:
-        # Wall time is read once; what passes since is monotonic, so a corrected wall clock moves nothing.
+        # The wall clock is read once and later times follow the monotonic clock, so a step of the wall
+        # clock has no effect.
         self._base = time.time_ns() - time.monotonic_ns()
 
     @staticmethod
     def wall() -> Ticks:
-        """Returns the Unix time of the system, which may have stepped."""
+        """Returns the Unix time of the wall clock, which may step."""
         return time.time_ns() // TICK_NS
 
     def follow(self, now: Ticks) -> None:
-        """Continues another clock, whose time is `now`."""
+        """Sets the time to `now`, the time of the clock that this one continues."""
         self._base += now * TICK_NS - (self._base + time.monotonic_ns())
 
     def now(self) -> Ticks:
-        """Returns the time."""
+        """Returns the Unix time in ticks, which never steps."""
         return (self._base + time.monotonic_ns()) // TICK_NS
--- a/indigohitch/net/connection.py
+++ b/indigohitch/net/connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection with one ring buffer a direction."""
+"""A TCP connection with a ring buffer for each direction."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 
 READ = selectors.EVENT_READ
 WRITE = selectors.EVENT_WRITE
-PORTS = 1 << 16  # port numbers are below this
+PORT_LIMIT = 1 << 16  # port numbers are below this
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Parses `host:port` into what socket calls take.
+    """Parses `host:port` into an address for socket calls.
 
     Raises:
-        ValueError: The text is not of that form.
+        ValueError: The text does not have that form.
     """
     host, colon, port = text.rpartition(":")
-    # A host that no request can name would fail with the first one, half way through a move to it.
+    # A host that cannot stand in a Host header is rejected here: else the first request to it would fail,
+    # in the middle of a change to the new address.
     is_host = colon and host and host.isascii() and host.isprintable() and " " not in host
-    if not is_host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < PORTS:
+    if not is_host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < PORT_LIMIT:
         raise ValueError(f"not host:port: {text!r}")
     return host, int(port)
 
@@ -34,24 +35,24 @@
     """Handles the events of a connection and owns its received data."""
 
     def on_connected(self, connection: Connection) -> None:
-        """An outbound connection is established."""
+        """Called when an outbound connection is established."""
 
     def on_data(self, connection: Connection) -> bool | None:
-        """There is data in `incoming`; returns True to get no more of it in this turn."""
+        """Called when `incoming` has new data; returns True to stop reading in this turn."""
 
     def on_closed(self, connection: Connection, why: str) -> None:
-        """The connection broke or was ended; see `Connection` for `why`."""
+        """Called when the connection failed or the peer closed it; `Connection` lists the values of `why`."""
 
 
 class Connection:
-    """A connection in the event loop.
+    """Reads and writes a socket in the event loop.
 
-    `why` it closed: "refused" (never established), "reset", "ended" (by the peer, in order), "flooded" (data
-    that waits to be written outgrew its bound).
+    The reason `why` a connection closed: "refused" (never established), "reset", "ended" (closed by the peer
+    in order), "flooded" (the data queued for writing exceeded its bound).
     """
 
-    BOUND = 1 << 20  # bytes; no side of the protocol sends or is owed more at once
-    READS = 16  # reads a turn: one busy peer must not starve the others
+    BOUND = 1 << 20  # bytes; neither side of the protocol sends or is due to receive more at once
+    MAX_READS_PER_TURN = 16  # so that one busy peer does not starve the others
 
     def __init__(
         self,
@@ -68,9 +69,9 @@
         self.outgoing = RingBuffer(self.BOUND, pool or loop.pool)
         self.connecting = False
         self.open = True
-        self.received = 0  # bytes read so far
-        self.reads = self.READS
-        self.step = self.BOUND
+        self.received = 0  # bytes, in total
+        self.reads_per_turn = self.MAX_READS_PER_TURN
+        self.read_size = self.BOUND
         self._writing = False
         self._number = -1
 
@@ -78,17 +79,17 @@
     def accepted(
         cls, loop: EventLoop, sock: socket.socket, reader: Reader, max_unread: int, pool: BufferPool
     ) -> Self:
-        """Makes an inbound connection; its own pool keeps peers from starving outbound connections."""
+        """Creates an inbound connection; a separate pool keeps peers from starving outbound connections."""
         connection = cls(loop, sock, reader, max_unread, pool)
         connection._number = loop.watch(sock, connection, READ)
         return connection
 
     @classmethod
     def dial(cls, loop: EventLoop, address: tuple[str, int], reader: Reader) -> Self:
-        """Starts to connect.
+        """Starts to connect to an address.
 
         Raises:
-            OSError: The connect failed at once.
+            OSError: The connect failed immediately.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
@@ -105,14 +106,14 @@
             raise
         return connection
 
-    def pace(self, reads: int, step: int, crowd: bool) -> None:
-        """Limits a turn to `reads` reads of `step` bytes; as one of the crowd it is read only in its turn."""
-        self.reads = reads
-        self.step = step
-        self.loop.crowd(self._number, crowd)
+    def pace(self, reads_per_turn: int, read_size: int, crowd: bool) -> None:
+        """Limits the reads per turn and the bytes per read; `crowd` gives it low priority in the loop."""
+        self.reads_per_turn = reads_per_turn
+        self.read_size = read_size
+        self.loop.set_low_priority(self._number, crowd)
 
     def write(self, data: bytes) -> None:
-        """Queues data; a failure closes the connection in a later turn, never while the reader is writing."""
+        """Queues data; a failure closes the connection in a later turn, never within the reader's call."""
         if not self.open:
             return
         if not self.outgoing.push(data):
@@ -121,22 +122,22 @@
             self.loop.call_after(0, lambda: self.close(why))
 
     def close(self, why: str = "") -> None:
-        """Closes at once; with a reason, the reader is notified."""
+        """Closes immediately; the reader is notified if there is a reason."""
         if not self.open:
             return
         self.open = False
         self.loop.forget(self.sock, self._number)
-        if why:  # it is broken, or its peer has ended it
+        if why:  # it failed, or the peer closed it
             self.sock.close()
         else:
             close_in_order(self.sock)
         if why:
-            self.reader.on_closed(self, why)  # it may look at unread data
+            self.reader.on_closed(self, why)  # may still read `incoming`
         self.incoming.close()
         self.outgoing.close()
 
     def detach(self) -> tuple[socket.socket, bytes]:
-        """Takes the connection out of the loop without closing; returns the socket and unread data."""
+        """Removes the connection from the loop without closing it; returns the socket and unread data."""
         unread = self.incoming.peek()
         self.loop.forget(self.sock, self._number)
         self.open = False
@@ -145,10 +146,10 @@
         return self.sock, unread
 
     def _write_out(self) -> str:
-        """Writes what the socket takes; returns why the connection must be closed, if it must."""
+        """Writes as much as the socket accepts; returns the reason to close the connection, or ""."""
         try:
             while self.outgoing:
-                self.outgoing.empty_into(self.sock)
+                self.outgoing.send_to(self.sock)
         except BlockingIOError:
             pass
         except OSError:
@@ -164,7 +165,7 @@
         return ""
 
     def ready(self, readable: bool, writable: bool) -> None:
-        """Handles what the selector reports."""
+        """Handles the events that the selector reported."""
         if self.connecting:
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 self.close("refused")
@@ -179,9 +180,9 @@
             self._read()
 
     def _read(self) -> None:
-        for _ in range(self.reads):
+        for _ in range(self.reads_per_turn):
             try:
-                received = self.incoming.fill(self.sock, self.step)
+                received = self.incoming.receive_from(self.sock, self.read_size)
             except BlockingIOError:
                 return
             except OSError:
--- a/indigohitch/net/due_timer.py
+++ b/indigohitch/net/due_timer.py
@@ -1,4 +1,4 @@
-"""The one deadline of a state machine that reports when it is to be stepped."""
+"""A timer for a state machine that reports when its next step is due."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class DueTimer:
     """Steps a state machine when it is due.
 
-    `due()` returns the time of the next step at the latest, None if only another event leads to one.  Where
-    that time has moved later, the deadline in place checks it again.
+    `due()` returns the latest time of the next step, None if only another event causes one.  If that time
+    moves to a later one, the deadline that is set stays and checks the time again when it expires.
     """
 
     def __init__(self, loop: EventLoop, due: Callable[[], Ticks | None], step: Callable[[], None]) -> None:
@@ -22,7 +22,7 @@
         self.deadline: Deadline | None = None
 
     def arm(self) -> None:
-        """Sets the deadline; to be called after each step of the machine."""
+        """Sets the deadline; the owner calls this after each step of the state machine."""
         when = self.due()
         if when is None or self.deadline is not None and self.deadline.when <= when:
             return
@@ -37,7 +37,7 @@
         self.arm()
 
     def cancel(self) -> None:
-        """Drops the deadline."""
+        """Cancels the deadline, if one is set."""
         if self.deadline is not None:
             self.deadline.cancel()
             self.deadline = None
--- a/indigohitch/net/file_limits.py
+++ b/indigohitch/net/file_limits.py
@@ -6,7 +6,7 @@
 
 
 def raise_file_limit(needed: int) -> int:
-    """Raises the soft limit to `needed`, or as far as the hard one allows; returns the limit in force."""
+    """Raises the soft limit to `needed` or to the hard limit; returns the limit now in effect."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY:
         return needed
--- a/indigohitch/net/graceful_close.py
+++ b/indigohitch/net/graceful_close.py
@@ -5,18 +5,18 @@
 import contextlib
 import socket
 
-# Unread input is discarded up to what the protocol lets a peer leave unread.
+# Together these cover the unread input that the protocol allows a peer to cause.
 DISCARD_BUFFER = bytearray(16 << 10)
 DISCARD_READS = 8
 
 
 def close_in_order(sock: socket.socket) -> None:
-    """Closes a socket so that what was written before reaches the peer.
+    """Closes a socket so that the data written before reaches the peer.
 
-    A close over unread input is a reset, and written data may be lost with it: received input is read and
-    discarded first.  It does not wait; a peer that goes on writing is reset all the same.
+    A close with unread input resets the connection, which may lose written data, so received input is read
+    and discarded first.  This does not wait: a peer that keeps writing is reset nevertheless.
     """
-    with contextlib.suppress(OSError):  # all was read, or it never connected, or the peer has reset it
+    with contextlib.suppress(OSError):  # all is read, it never connected, or the peer reset it
         sock.shutdown(socket.SHUT_WR)
         for _ in range(DISCARD_READS):
             if not sock.recv_into(DISCARD_BUFFER):
--- a/indigohitch/net/http_client.py
+++ b/indigohitch/net/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client: requests to one address, one exchange each (`http_exchange`)."""
+"""An HTTP/1.1 client for one address; `http_exchange` has the exchange of each request."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 class HttpClient:
     """Sends requests to one address.
 
-    A connection that completed its exchange is kept for `idle_span` and serves the next one; none is kept if
-    that is 0.
+    After a complete exchange its connection is kept for `idle_span` and reused by the next request; 0 keeps
+    none.
     """
 
     def __init__(
@@ -52,17 +52,17 @@
         kind: str = "",
         stream: Callable[[bytes], None] | None = None,
     ) -> HttpExchange:
-        """Starts an exchange that ends within `span`, with one call of `done`.
+        """Starts an exchange that ends within `span` and calls `done` once.
 
-        With `stream`, parts of the body of a response 200 are passed to it as they come, and `span` is the
-        longest silence.
+        `stream` gets the body of a 200 response in parts as they arrive; `span` then limits the time without
+        data.
         """
         exchange = HttpExchange(self, form(method, target, self.host, body, kind), span, done, stream)
         exchange.start()
         return exchange
 
     def take_idle(self) -> Connection | None:
-        """Returns the idle connection if it is open: one that closes may have executed the request or not."""
+        """Returns the idle connection if it is open; on a closing one a request may be executed or not."""
         connection = self._remove_idle()
         if connection is None or is_connection_open(connection.sock):
             return connection
@@ -90,15 +90,15 @@
             connection.close()
 
     def retire(self) -> None:
-        """Keeps no connection from here on: those of requests in flight are closed when these end."""
+        """Stops keeping connections; those of requests in flight are closed when the requests end."""
         self.idle_span = 0
         self.drop_idle()
 
     def on_connected(self, connection: Connection) -> None:
-        """Is never called: an idle connection is established."""
+        """Does nothing: an idle connection is already established."""
 
     def on_data(self, connection: Connection) -> None:
-        """Drops the idle connection: unrequested data must not be taken for the next response."""
+        """Drops the idle connection, as unrequested data must not be taken for the next response."""
         self.drop_idle()
 
     def on_closed(self, connection: Connection, why: str) -> None:
@@ -106,7 +106,7 @@
         self._remove_idle()
 
     def close(self) -> None:
-        """Drops all exchanges without calling their `done`."""
+        """Ends all exchanges without calling their `done`."""
         self.drop_idle()
         for exchange in self.exchanges:
             exchange.drop()
--- a/indigohitch/net/http_exchange.py
+++ b/indigohitch/net/http_exchange.py
@@ -1,4 +1,4 @@
-"""One request and its response on a connection: parsed by httptools, ended by a deadline."""
+"""An HTTP request and its response on a connection, parsed by httptools and limited by a deadline."""
 
 from __future__ import annotations
 
@@ -20,8 +20,9 @@
 class HttpResponse:
     """The result of an exchange.
 
-    `outcome` is "answered", or why there is no response: "connect_failed", "unreached" (the connect timed
-    out), "timeout", "reset", "unreadable".  After the last three the server may have executed the request.
+    `outcome` is "answered" or the reason for a missing response: "connect_failed", "unreached" (the connect
+    timed out), "timeout", "reset", "unreadable".  After the last three the server may have executed the
+    request.
     """
 
     outcome: str
@@ -31,7 +32,7 @@
 
 
 class ExchangeOwner(Protocol):
-    """What an exchange needs of its client (`HttpClient`)."""
+    """Declares what an exchange uses of its client (`HttpClient`)."""
 
     loop: EventLoop
     address: tuple[str, int]
@@ -47,9 +48,9 @@
 
 
 def is_connection_open(sock: socket.socket) -> bool:
-    """Returns whether an idle connection has received neither its end nor a byte, which nobody requested.
+    """Returns whether the peer has neither closed an idle connection nor sent unrequested data.
 
-    To be checked before each reuse: in the turn that brings either, the reuse may come first.
+    Each reuse checks this first: in the turn in which either arrives, the reuse may run before the event.
     """
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -61,12 +62,13 @@
 
 
 class HttpExchange:
-    """One request and its response, in a numbered slot of its client while it lasts."""
+    """Runs a request and its response; it has a numbered slot of its client until it ends."""
 
-    CLOSE_IN_TRANSIT = SECOND // 20  # a close sent before the request arrived is received by then
-    DRAIN_LIMIT = SECOND // 4  # to read what a socket buffers, some MB at 64 KiB a turn
-    CONNECT_RETRY_DELAY = SECOND // 50  # no descriptor, port or route: it passes within the connect span
-    MAX_BODY = 8 << 20  # bytes; a list of ten thousand backends is two million
+    CLOSE_IN_TRANSIT = SECOND // 20  # a close that the peer sent before the request arrived needs less
+    DRAIN_LIMIT = SECOND // 4  # enough to read a full socket buffer, some MB, at 64 KiB per turn
+    # A lack of descriptors, ports or routes usually passes within the connect span.
+    CONNECT_RETRY_DELAY = SECOND // 50
+    MAX_BODY = 8 << 20  # bytes; a list of 10,000 backends takes 2 million
 
     def __init__(
         self,
@@ -87,11 +89,11 @@
         self.parser = httptools.HttpResponseParser(self)
         self.body = bytearray()
         self.status = 0
-        self.framed = False  # the body has a length; else it ends with the connection
+        self.framed = False  # whether the body has a length or is chunked; else it ends with the connection
         self.complete = False
         self.keep_alive = False
         self.ended = False
-        self.stale_until = 0  # on a reused connection, which may just have been closed
+        self.stale_until = 0  # until then a reused connection may turn out to be closed by the peer
         self.connection: Connection | None = None
         self.deadline: Deadline | None = None
 
@@ -117,7 +119,7 @@
             deadline = self.started_at + client.connect_span
             if is_transient_connect_error(error) and loop.clock.now() < deadline:
                 self.deadline = loop.call_after(self.CONNECT_RETRY_DELAY, self._connect)
-            else:  # reported like any refused connect
+            else:  # reported in a later turn, as a refused connect is
                 self.deadline = loop.call_after(0, lambda: self.end("connect_failed"))
             return
         self.deadline = loop.call_after(client.connect_span, lambda: self.end("unreached"))
@@ -134,7 +136,8 @@
     def _on_timeout(self, drain_until: Ticks = 0) -> None:
         """Ends the exchange unless the socket has unread data.
 
-        Data received in time counts, also if this process stood still and one turn does not read it all.
+        Data that arrived before the deadline counts, even if this process was stopped and one turn does not
+        read it all.
         """
         now = self.client.loop.clock.now()
         drain_until = drain_until or now + self.DRAIN_LIMIT
@@ -150,12 +153,12 @@
         self._send(connection)
 
     def on_data(self, connection: Connection) -> None:
-        """Parses a part of the response."""
+        """Parses received data."""
         data = connection.incoming.take()
         self.stale_until = 0
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserCallbackError as error:  # not the data, but its handling failed
+        except httptools.HttpParserCallbackError as error:  # a callback failed, not the parsing
             self.client.loop.failed(error.__context__ or error)
             self.end("unreadable")
             return
@@ -163,54 +166,54 @@
             if not self.complete:
                 self.end("unreadable")
                 return
-            self.keep_alive = False  # the response is complete; what follows it was not requested
+            self.keep_alive = False  # the response is complete; the data after it was not requested
         if self.ended:
-            return  # ended by its own callback
+            return  # a callback of the parser ended it
         if len(self.body) > self.MAX_BODY:
             self.end("unreadable")
         elif self.complete:
             self.end("answered")
         elif self.stream is not None:
-            self._rearm()  # a stream's deadline is for silence
+            self._rearm()  # the deadline of a stream limits the time without data
 
     def on_closed(self, connection: Connection, why: str) -> None:
-        """Ends the exchange, or repeats a GET whose reused connection was closed as it was sent."""
+        """Ends the exchange, or repeats a GET if its reused connection was closed while it was sent."""
         if self.client.loop.clock.now() < self.stale_until and self.request.startswith(b"GET "):
-            self.stale_until = 0  # closed as the request came: reading again changes nothing
+            self.stale_until = 0  # the peer closed as the request arrived; a GET may be repeated safely
             self._connect()
         elif why == "ended" and self.status and not self.framed and self.stream is None:
-            self.end("answered")  # a body without a length ends with its connection
+            self.end("answered")  # the end of the connection ends a body without a length
         else:
             self.end("connect_failed" if why == "refused" else "reset")
 
     # ---- events of the parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Notes whether the body is framed."""
+        """Records whether a header delimits the body."""
         self.framed |= name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
-        """Takes the status."""
+        """Records the status and whether the connection may be reused."""
         if not self.complete:
             self.status = self.parser.get_status_code()
             self.keep_alive = self.parser.should_keep_alive()
 
     def on_body(self, part: bytes) -> None:
-        """Collects or passes on a part of the body."""
+        """Collects a part of the body or passes it to `stream`."""
         if self.ended or self.complete:
-            return  # ended by an earlier part of what came in one piece
+            return  # an earlier part of the same data ended the exchange
         if self.stream is not None and self.status == 200:
             self.stream(part)
         else:
             self.body += part
 
     def on_message_complete(self) -> None:
-        """Marks the response complete, unless it was an interim one."""
+        """Marks the response complete unless it is an interim (1xx) response."""
         if not self.complete and 100 <= self.status < 200:
-            self.status = 0  # interim: the final response is still to come
+            self.status = 0  # the final response follows
             self.framed = False
             return
-        self.keep_alive &= not self.complete  # a second response to one request: do not reuse the connection
+        self.keep_alive &= not self.complete  # not reused after a second response to one request
         self.complete = True
 
     # ---- the end
@@ -227,7 +230,7 @@
         connection = self.connection
         self.connection = None
         if connection is not None:
-            # A server that responds before it has the whole request may close the connection any moment.
+            # A server that responds before it has the whole request may close the connection at any time.
             is_sent = not len(connection.outgoing)
             if outcome == "answered" and self.keep_alive and client.idle_span and is_sent:
                 client.keep_idle(connection)
--- a/indigohitch/net/listener.py
+++ b/indigohitch/net/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket: it accepts connections in bounded bursts, and pauses while no descriptor is left."""
+"""A listening socket that accepts a limited number of connections per turn and pauses without descriptors."""
 
 from __future__ import annotations
 
@@ -13,33 +13,35 @@
 
 
 class Listener:
-    """Accepts connections and hands each socket to `greet`, which returns False to have it closed."""
+    """Accepts connections and passes each socket to `on_accepted`, which returns False to have it closed."""
 
-    PAUSE = SECOND // 10  # after a failed accept: short for waiting clients, long enough not to spin
-    BURST = 64  # accepts a turn
-    PATIENCE = 1.0  # s, at the start of a process
-    LAST_BURSTS = 2  # before it closes: more than that in the queue come from a flood
-    QUEUE = 1024  # connections that may wait in the kernel, listen(2)
+    ACCEPT_RETRY_DELAY = SECOND // 10  # short for waiting clients, long enough to avoid a busy loop
+    MAX_ACCEPTS_PER_TURN = 64
+    OPEN_RETRY_SECONDS = 1.0  # at the start of a process
+    LAST_BATCHES = 2  # accepted before closing; more waiting connections than these are a flood
+    BACKLOG = 1024  # connections that may wait in the kernel, see listen(2)
 
     def __init__(
         self,
         loop: EventLoop,
         address: tuple[str, int],
-        greet: Callable[[socket.socket], bool],
+        on_accepted: Callable[[socket.socket], bool],
         on_accept_failed: Callable[[str], None],
         listening: socket.socket | None = None,
     ) -> None:
-        """Takes over the socket `listening`, passed on by another process, or opens one.
+        """Uses the socket `listening`, handed over by another process, or opens one.
 
-        Opening may block for PATIENCE where no descriptor is left.
+        Opening blocks for up to OPEN_RETRY_SECONDS while no descriptor is free.
 
         Raises:
-            OSError: The address could not be opened.
+            OSError: No socket could be opened at the address.
         """
         self.loop = loop
-        self.greet = greet
+        self.on_accepted = on_accepted
         self.on_accept_failed = on_accept_failed
-        self.sock = listening or retry_transient(lambda: self.open_socket(address), patience=self.PATIENCE)
+        self.sock = listening or retry_transient(
+            lambda: self.open_socket(address), seconds=self.OPEN_RETRY_SECONDS
+        )
         self.sock.setblocking(False)
         self._number = loop.watch(self.sock, self, READ)
         self._paused: Deadline | None = None
@@ -47,19 +49,19 @@
 
     @staticmethod
     def open_socket(address: tuple[str, int]) -> socket.socket:
-        """Opens a listening socket; raises OSError."""
+        """Opens a listening socket; raises OSError if it cannot."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(address)
-            sock.listen(Listener.QUEUE)
+            sock.listen(Listener.BACKLOG)
         except OSError:
             sock.close()
             raise
         return sock
 
     def accept(self, on: bool) -> None:
-        """Turns accepting on or off; meanwhile connections wait in the kernel for the next to accept here."""
+        """Turns accepting on or off; while it is off, connections wait in the kernel for the next accept."""
         if self.accepting == on:
             return
         self.accepting = on
@@ -72,40 +74,40 @@
             self.loop.pause(self.sock)
 
     def ready(self, readable: bool, writable: bool) -> None:
-        """Accepts a burst."""
-        self._burst()
+        """Accepts a batch of waiting connections."""
+        self._accept_batch()
 
     def accept_last(self) -> None:
-        """Accepts what has connected before the socket closes, so that the kernel does not reset it.
+        """Accepts waiting connections before the socket closes, as the kernel would reset them.
 
-        Nothing is done while accepting is off, as another process accepts at this socket.
+        Does nothing while accepting is off: another process accepts on this socket then.
         """
         if not self.accepting:
             return
         if self._paused is not None:
             self._paused.cancel()
             self._resume()
-        for _ in range(self.LAST_BURSTS):
-            if not self._burst():
+        for _ in range(self.LAST_BATCHES):
+            if not self._accept_batch():
                 return
 
-    def _burst(self) -> bool:
-        """Accepts a burst; returns whether more may wait."""
-        for _ in range(self.BURST):
+    def _accept_batch(self) -> bool:
+        """Accepts a batch of connections; returns whether more may wait."""
+        for _ in range(self.MAX_ACCEPTS_PER_TURN):
             try:
                 sock, _ = self.sock.accept()
             except BlockingIOError:
                 return False
             except OSError as error:
                 if is_transient(error):
-                    # The waiting connection stays readable: without a pause the loop would spin on it.
+                    # The waiting connection keeps the socket readable: the loop would spin without a pause.
                     self.on_accept_failed(error.strerror)
                     self.loop.pause(self.sock)
-                    self._paused = self.loop.call_after(self.PAUSE, self._resume)
+                    self._paused = self.loop.call_after(self.ACCEPT_RETRY_DELAY, self._resume)
                     return False
-                continue  # that connection broke before it was accepted
+                continue  # the connection failed before it was accepted
             sock.setblocking(False)
-            if not self.greet(sock):
+            if not self.on_accepted(sock):
                 close_in_order(sock)
         return True
 
@@ -114,10 +116,10 @@
         self.loop.resume(self.sock, self._number, READ)
 
     def close(self) -> None:
-        """Closes the socket; waiting connections are reset unless another process listens on it."""
+        """Closes the socket; waiting connections are reset unless another process has it open."""
         if self._paused is not None:
             self._paused.cancel()
             self._resume()
-        self.accept(True)  # for the selector to forget it
+        self.accept(True)  # registers it again, as `forget` unregisters it
         self.loop.forget(self.sock, self._number)
         self.sock.close()
--- a/indigohitch/net/request_connection.py
+++ b/indigohitch/net/request_connection.py
@@ -10,33 +10,33 @@
 from .stream import Stream
 
 
-class Load(Protocol):
-    """The owner of request connections."""
+class RequestConnectionOwner(Protocol):
+    """Handles the results of the requests on its connections."""
 
     loop: EventLoop
     to: tuple[str, int]
 
     def over(self, wire: RequestConnection, job: Any, status: int, why: str) -> None:  # noqa: ANN401 - the owner's
-        """A request ended with a status, or with 0 and the reason."""
+        """Called when a request ended, with its status or with 0 and the reason."""
 
     def ended(self, wire: RequestConnection) -> None:
-        """The connection is closed; `over` for the request in flight is called after it."""
+        """Called when the connection is closed, before `over` for the request in flight."""
 
 
 class RequestConnection:
-    """A connection with at most one request in flight."""
+    """Keeps a connection open and sends one request at a time on it."""
 
-    def __init__(self, load: Load) -> None:
-        """Starts to connect; raises OSError."""
-        self.load = load
+    def __init__(self, owner: RequestConnectionOwner) -> None:
+        """Starts to connect; raises OSError if that fails immediately."""
+        self.owner = owner
         self.job: Any = None
-        self.keeps = True  # another request may follow, as far as is known
+        self.keeps = True  # another request may follow, unless a response has said otherwise
         self.status = 0
         self.answers = 0
-        self.stream = Stream.dial(load.loop, load.to, self)
+        self.stream = Stream.dial(owner.loop, owner.to, self)
 
     def send(self, job: Any, data: bytes, head_only: bool = False) -> None:  # noqa: ANN401 - the owner's
-        """Sends a request; `head_only`: the response to HEAD has no body, whatever its headers say."""
+        """Sends a request; with `head_only`, for HEAD, the response ends with its headers in any case."""
         self.job = job
         self.status = 0
         self.head_only = head_only
@@ -46,23 +46,23 @@
         self.stream.write(data)
 
     def on_headers_complete(self) -> None:
-        """Ends the response to HEAD."""
+        """Completes the response to a HEAD request."""
         if self.head_only:
             self.on_message_complete()
 
     def on_message_complete(self) -> None:
-        """Takes the status of a final response."""
+        """Records the status of a final response."""
         status = self.parser.get_status_code()
-        if status >= 200:  # an interim one is followed by the final one
+        if status >= 200:  # the final response follows an interim one
             self.status = status
             self.keeps = self.parser.should_keep_alive()
 
     def on_connected(self, stream: Stream) -> None:
-        """Starts to read."""
+        """Starts reading."""
         stream.wake()
 
     def on_data(self, stream: Stream) -> None:
-        """Parses a part of the response."""
+        """Parses received data and reports a complete response."""
         data = stream.incoming.take()
         if self.job is None:
             stream.close("unasked")
@@ -78,17 +78,17 @@
             self.answers += 1
             if not self.keeps:
                 stream.close()
-                self.load.ended(self)
-            self.load.over(self, job, self.status, "")
+                self.owner.ended(self)
+            self.owner.over(self, job, self.status, "")
 
     def on_output_drained(self, stream: Stream) -> None:
-        """Does nothing: the request is sent."""
+        """Does nothing: the response comes next."""
 
     def on_closed(self, stream: Stream, why: str) -> None:
-        """Ends the request in flight."""
+        """Reports the end of the connection and of the request in flight."""
         self.keeps = False
         job = self.job
         self.job = None
-        self.load.ended(self)
+        self.owner.ended(self)
         if job is not None:
-            self.load.over(self, job, 0, why)
+            self.owner.over(self, job, 0, why)
--- a/indigohitch/net/ring_buffer.py
+++ b/indigohitch/net/ring_buffer.py
@@ -1,4 +1,4 @@
-"""A ring buffer: bytes between a socket and its reader or writer, in order, in one reused block."""
+"""A ring buffer for the bytes between a socket and its reader or writer, in one reused block."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class BufferPool:
-    """Limits what all rings together hold beyond their first block.
+    """Limits the memory that all rings together use beyond their first block.
 
-    Many connections that each stay within their own bound must not fill the memory together.
+    Many connections, each within its own bound, must not exhaust the memory together.
     """
 
     def __init__(self, size: int) -> None:
@@ -22,19 +22,19 @@
         return True
 
     def give(self, size: int) -> None:
-        """Releases bytes."""
+        """Releases reserved bytes."""
         self.available += size
 
 
 class RingBuffer:
-    """A FIFO of bytes that grows on demand, up to its bound and what the pool allows."""
+    """Queues bytes; grows on demand, up to its bound and what the pool allows."""
 
-    FIRST = 4096  # most messages are far smaller; a thousand of these are 4 MB
+    FIRST_BLOCK = 4096  # bytes; most messages are far smaller, and 1000 connections use 4 MB
 
     def __init__(self, max_size: int, pool: BufferPool) -> None:
         self.max_size = max_size
         self._pool = pool
-        self._block = bytearray()  # most connections never have anything to wait
+        self._block = bytearray()  # most connections never queue data
         self._head = 0
         self._size = 0
         self._scanned = 0
@@ -43,8 +43,8 @@
         return self._size
 
     def _grow(self, need: int) -> bool:
-        """Grows the block for `need` more bytes, within the bound and the pool."""
-        capacity = max(len(self._block), self.FIRST)
+        """Grows the block for `need` more bytes; returns False if the bound or the pool does not allow it."""
+        capacity = max(len(self._block), self.FIRST_BLOCK)
         while capacity < self._size + need:
             capacity *= 2
         capacity = min(capacity, self.max_size)
@@ -57,15 +57,15 @@
         return True
 
     def _counted(self, capacity: int | None = None) -> int:
-        """Returns what the pool counts: all beyond the first block, which each ring may have."""
-        return max(0, (len(self._block) if capacity is None else capacity) - self.FIRST)
+        """Returns the bytes counted by the pool: all beyond the first block, which is free for each ring."""
+        return max(0, (len(self._block) if capacity is None else capacity) - self.FIRST_BLOCK)
 
     def allow(self, max_size: int) -> None:
-        """Sets another bound, no lower than the bytes in the ring."""
+        """Changes the bound; `max_size` is no lower than the bytes in the ring."""
         self.max_size = max_size
 
     def close(self) -> None:
-        """Drops the bytes and releases the memory."""
+        """Discards the bytes and releases the memory."""
         self._pool.give(self._counted())
         self._block = bytearray()
         self._head = 0
@@ -73,14 +73,14 @@
         self._scanned = 0
 
     def trim(self) -> None:
-        """Releases what an empty ring has beyond its first block."""
-        if not self._size and len(self._block) > self.FIRST:
+        """Releases the memory of an empty ring that has grown beyond its first block."""
+        if not self._size and len(self._block) > self.FIRST_BLOCK:
             self.close()
 
-    def fill(self, sock: socket.socket, limit: int = 1 << 20) -> int:
+    def receive_from(self, sock: socket.socket, limit: int = 1 << 20) -> int:
         """Reads once from the socket, up to `limit` bytes.
 
-        Returns the bytes read, 0 at the end of the stream, -1 if the ring is full.  Raises OSError.
+        Returns the number of bytes read, 0 at the end of the stream, -1 if the ring is full.  Raises OSError.
         """
         if self._size == len(self._block) and not self._grow(1):
             return -1
@@ -91,8 +91,8 @@
         self._size += received
         return received
 
-    def empty_into(self, sock: socket.socket) -> None:
-        """Writes once to the socket, as much as it takes.  Raises OSError."""
+    def send_to(self, sock: socket.socket) -> None:
+        """Writes once to the socket, as many bytes as it accepts.  Raises OSError."""
         with memoryview(self._block) as view:
             self.skip(sock.send(view[self._head : min(self._head + self._size, len(self._block))]))
 
@@ -110,7 +110,7 @@
         return True
 
     def peek(self, count: int | None = None) -> bytes:
-        """Returns the first bytes, by default all, and leaves them in the ring."""
+        """Returns the first bytes, by default all, without removing them."""
         count = self._size if count is None else count
         end = self._head + count
         if end <= len(self._block):
@@ -130,7 +130,7 @@
         return data
 
     def line(self) -> bytes | None:
-        """Removes and returns the next line without its end, None if it is incomplete.
+        """Removes and returns the next line without its line ending, None if it is incomplete.
 
         Each byte is scanned once.
         """
@@ -150,7 +150,7 @@
         return data[:-1].removesuffix(b"\r")
 
     def until(self, mark: bytes) -> int:
-        """Returns the number of bytes up to and including `mark`, 0 if it has not been received.
+        """Returns the number of bytes up to and including `mark`, 0 if the ring does not have it.
 
         Each byte is scanned once.
         """
@@ -163,12 +163,12 @@
         return max(0, index + len(mark)) if index >= 0 else 0
 
     def free_capacity(self) -> int:
-        """Returns how many bytes `push` is sure to take: up to the bound, or to what the pool allows."""
+        """Returns how many bytes `push` certainly accepts, given the bound and the pool."""
         if self._pool.available >= self._counted(self.max_size) - self._counted():
             return self.max_size - self._size
-        return max(len(self._block), min(self.FIRST, self.max_size)) - self._size
+        return max(len(self._block), min(self.FIRST_BLOCK, self.max_size)) - self._size
 
     @property
     def full(self) -> bool:
-        """Whether no more bytes fit before some are taken."""
+        """Whether no byte fits until some are removed."""
         return self._size == len(self._block) and not self._grow(1)
--- a/indigohitch/net/slot_table.py
+++ b/indigohitch/net/slot_table.py
@@ -1,4 +1,4 @@
-"""A table of numbered slots; freed numbers are used again."""
+"""A table of items in numbered slots; freed numbers are reused."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SlotTable(Generic[T]):
-    """Items by number; the number of a dropped item is used again."""
+    """Stores items by number; the number of a dropped item is reused."""
 
     def __init__(self) -> None:
         self._items: list[T | None] = []
@@ -36,6 +36,6 @@
         return self._items[number]
 
     def drop(self, number: int) -> None:
-        """Frees a number."""
+        """Removes the item and frees its number."""
         self._items[number] = None
         self._free.append(number)
--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -1,7 +1,7 @@
 """A connection with backpressure.
 
-Data that the reader leaves stays in the ring, and once that is full the socket is not read, so that a slow
-reader on one side slows the writer on the other.
+Data that the reader does not take stays in the ring, and a socket whose ring is full is not read, so a slow
+reader on one side slows down the writer on the other.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
     """Handles the events of a stream, as `Reader` does those of a connection."""
 
     def on_connected(self, stream: Stream) -> None:
-        """An outbound stream is established."""
+        """Called when an outbound stream is established."""
 
     def on_data(self, stream: Stream) -> None:
-        """There is data in `incoming`; `wake` is to be called after some was taken."""
+        """Called when `incoming` has new data; a reader that takes data then calls `wake`."""
 
     def on_output_drained(self, stream: Stream) -> None:
-        """All queued data has been written to the socket."""
+        """Called when all queued data has been written to the socket."""
 
     def on_closed(self, stream: Stream, why: str) -> None:
-        """The stream broke or was ended."""
+        """Called when the stream failed or the peer closed it."""
 
 
 class Stream(Connection):
-    """A connection whose socket is not read while its ring is full."""
+    """Reads a socket only while its ring has free space."""
 
-    BOUND = 64 << 10  # a ring: 1 GB passes through two of these a direction; more only adds delay
+    BOUND = 64 << 10  # bytes per ring; 1 GB passes through two such rings per direction, more adds delay
 
     def __init__(
         self,
@@ -44,13 +44,13 @@
         pool: BufferPool | None = None,
     ) -> None:
         super().__init__(loop, sock, reader, max_unread, pool)
-        self.reading_paused = False  # the ring is full: the socket is not read
-        self._mask = READ  # what the selector watches now
+        self.reading_paused = False  # the socket is not read, as the ring is full
+        self._mask = READ  # the events for which the selector watches the socket
         self._is_outbound = False
 
     @classmethod
     def dial(cls, loop: EventLoop, address: tuple[str, int], reader: StreamReader) -> Self:
-        """Starts to connect; raises OSError as `Connection.dial`."""
+        """Starts to connect; raises OSError as `Connection.dial` does."""
         connection = super().dial(loop, address, reader)
         connection._mask = READ | WRITE
         connection._is_outbound = True
@@ -69,11 +69,11 @@
         self._mask = mask
 
     def free_capacity(self) -> int:
-        """Returns how many bytes may be written now without outgrowing the ring."""
+        """Returns how many bytes may be written now without exceeding the bound of the ring."""
         return self.outgoing.free_capacity()
 
     def write(self, data: bytes) -> None:
-        """Writes at once what the socket takes and queues the rest; failures close it in a later turn."""
+        """Writes what the socket accepts and queues the rest; a failure closes the stream in a later turn."""
         if not self.open:
             return
         if not self.connecting and not len(self.outgoing):
@@ -82,7 +82,7 @@
             except BlockingIOError:
                 sent = 0
             except OSError:
-                self.loop.call_after(0, self._broken)
+                self.loop.call_after(0, self._on_write_failed)
                 return
             if sent == len(data):
                 return
@@ -93,22 +93,22 @@
             self.flush_soon()
 
     def flush_soon(self) -> None:
-        """Schedules the data in `outgoing` to be written as soon as the socket takes it."""
+        """Schedules the data in `outgoing` to be written once the socket is writable."""
         if self.open and not self.connecting:
             self._writing = True
             self._watch()
 
     def wake(self) -> None:
-        """Resumes reading if there is space in the ring again."""
+        """Resumes reading if the ring has free space again."""
         if self.reading_paused and self.open and not self.incoming.full:
             self.reading_paused = False
             self._watch()
 
-    def _broken(self) -> None:
+    def _on_write_failed(self) -> None:
         """Handles a failed write.
 
-        A server that refuses the request may have responded before its reset, so an outbound stream is read
-        once more; nothing more is started for an inbound one.
+        A server that rejects a request may have responded before it reset the connection, so an outbound
+        stream is read once more.  An inbound one is not: no further request is to be started.
         """
         if self._is_outbound and self.open and not self.reading_paused:
             self._read()
@@ -117,7 +117,7 @@
     def _flush(self) -> str:
         had_output = bool(self.outgoing)
         if why := self._write_out():
-            self._broken()
+            self._on_write_failed()
             return why
         self._writing = bool(self.outgoing)
         self._watch()
@@ -126,9 +126,9 @@
         return ""
 
     def _read(self) -> None:
-        for _ in range(self.READS):
+        for _ in range(self.MAX_READS_PER_TURN):
             try:
-                received = self.incoming.fill(self.sock)
+                received = self.incoming.receive_from(self.sock)
             except BlockingIOError:
                 return
             except OSError:
@@ -142,22 +142,22 @@
                 self._watch()
                 return
             self.reader.on_data(self)
-            # Less than a block: there is hardly more, and the next turn would find it.
-            if not self.open or received < self.incoming.FIRST:
+            # After less than a block there is hardly more, and the next turn would find it.
+            if not self.open or received < self.incoming.FIRST_BLOCK:
                 return
 
     def close(self, why: str = "") -> None:
-        """Closes at once; with a reason, the reader is notified."""
+        """Closes immediately; the reader is notified if there is a reason."""
         self._reregister()
         super().close(why)
 
     def detach(self) -> tuple[socket.socket, bytes]:
-        """Takes the stream out of the loop without closing; returns the socket and unread data."""
+        """Removes the stream from the loop without closing it; returns the socket and unread data."""
         self._reregister()
         return super().detach()
 
     def _reregister(self) -> None:
-        """Registers a paused socket with the selector, which is about to unregister it."""
+        """Registers a paused socket again, as the caller is about to unregister it."""
         if self.open and not self._mask:
             self.loop.resume(self.sock, self._number, READ)
             self._mask = READ
--- a/indigohitch/net/transient_errors.py
+++ b/indigohitch/net/transient_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that pass by themselves, as when descriptors or memory run short for a moment."""
+"""Transient errors of system calls, such as a short lack of descriptors or memory, and retries after them."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 TRANSIENT_ERRORS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN}
 )
-# Of a connect, beside these: no route at the moment, or no local port.
+# A connect can also fail for a moment because there is no route or no local port.
 TRANSIENT_CONNECT_ERRORS = TRANSIENT_ERRORS | {
     errno.EADDRNOTAVAIL,
     errno.ENETUNREACH,
     errno.EHOSTUNREACH,
     errno.ENETDOWN,
 }
-PATIENCE = 4.0  # s: a restart has ten until nine in ten are ready
-RETRY_DELAY = 0.02  # s
+MAX_RETRY_SECONDS = 4.0  # nine in ten restarts must be ready within 10 s
+RETRY_DELAY_SECONDS = 0.02
 
 
 def is_transient(error: BaseException) -> bool:
-    """Returns whether the same call may well succeed in a moment."""
+    """Returns whether the same call is likely to succeed soon."""
     return isinstance(error, OSError) and error.errno in TRANSIENT_ERRORS
 
 
 def is_transient_connect_error(error: OSError) -> bool:
-    """Returns whether a connect that failed before anything was sent may well succeed in a moment."""
+    """Returns whether a connect that failed before anything was sent is likely to succeed soon."""
     return error.errno in TRANSIENT_CONNECT_ERRORS
 
 
 def retry_transient(
     operation: Callable[[], Result],
     on_failure: Callable[[OSError], None] = lambda error: None,
-    patience: float = PATIENCE,
+    seconds: float = MAX_RETRY_SECONDS,
 ) -> Result:
-    """Returns the result of `operation`, retried for `patience` seconds while it fails transiently.
+    """Returns the result of `operation`, retried for `seconds` while it fails with a transient error.
 
-    It blocks, so it is only for the start of a process, before anything is served.
+    This blocks, so it is only for the start of a process, before anything is served.
 
     Raises:
-        OSError: The last failure, if it is not transient or patience has run out.
+        OSError: The last failure, if it is not transient or the time is over.
     """
-    deadline = time.monotonic() + patience
+    deadline = time.monotonic() + seconds
     while True:
         try:
             return operation()
@@ -53,4 +53,4 @@
             if not is_transient(error) or time.monotonic() >= deadline:
                 raise
             on_failure(error)
-        time.sleep(RETRY_DELAY)
+        time.sleep(RETRY_DELAY_SECONDS)
--- a/indigohitch/net/worker_thread.py
+++ b/indigohitch/net/worker_thread.py
@@ -1,7 +1,8 @@
-"""Work beside the event loop: one thread takes calls in order, their results come back into the loop.
+"""A thread that runs calls in order outside of the event loop and delivers their results in the loop.
 
-For pure functions that may take long, such as the decisions on thousands of slices; nothing else may touch
-their data meanwhile.  Not used on the platform.
+It is meant for pure functions that may take long, such as the decisions on thousands of slices; nothing else
+may use their data while they run.  The sidecar and the fleet use it; the coordinator on the platform does
+not.
 """
 
 from __future__ import annotations
@@ -19,19 +20,20 @@
 
 
 class WorkerThread:
-    """A daemon thread, started with the first call; results are delivered in turns of the loop."""
+    """Runs calls in a daemon thread that starts with the first call; results are delivered in the loop."""
 
-    # How long the thread may hold the interpreter while the loop waits for it: a tenth of a fast answer.
-    SWITCH = 0.0005
+    # How long the thread may keep the interpreter lock while the loop waits for it: a tenth of the time
+    # of a fast response.
+    SWITCH_INTERVAL = 0.0005  # s
 
     def __init__(self, loop: EventLoop) -> None:
         self.loop = loop
         self._calls: queue.SimpleQueue = queue.SimpleQueue()
         self._results: deque[tuple[Callable, object, BaseException | None]] = deque()
-        self._woken, self._wake = socket.socketpair()
-        for end in (self._woken, self._wake):
+        self._wake_reader, self._wake_writer = socket.socketpair()
+        for end in (self._wake_reader, self._wake_writer):
             end.setblocking(False)
-        self._number = loop.watch(self._woken, self, READ)
+        self._number = loop.watch(self._wake_reader, self, READ)
         self._thread: threading.Thread | None = None
 
     def submit(
@@ -39,7 +41,7 @@
     ) -> None:
         """Queues a call; `done(result, error)` is called in a turn of the loop."""
         if self._thread is None:
-            sys.setswitchinterval(self.SWITCH)
+            sys.setswitchinterval(self.SWITCH_INTERVAL)
             self._thread = threading.Thread(target=self._work, daemon=True)
             self._thread.start()
         self._calls.put((call, done))
@@ -49,14 +51,14 @@
             call, done = entry
             try:
                 self._results.append((done, call(), None))
-            except Exception as error:  # reported where the loop reports its own
+            except Exception as error:  # the loop reports it
                 self._results.append((done, None, error))
-            # Full: the loop is awake anyway; closed: nobody waits any more.
+            # A full socket has woken the loop already; with a closed one nobody waits for results.
             with contextlib.suppress(OSError):
-                self._wake.send(b"x")
+                self._wake_writer.send(b"x")
 
     def settle(self) -> None:
-        """Waits until all queued calls are done, and delivers their results."""
+        """Blocks until all queued calls are done and delivers their results."""
         if self._thread is not None:
             done = threading.Event()
             self._calls.put((done.set, lambda result, error: None))
@@ -64,8 +66,8 @@
             self._deliver()
 
     def ready(self, readable: bool, writable: bool) -> None:
-        """Delivers results when the thread has woken the loop."""
-        self._woken.recv(4096)
+        """Delivers the results for which the thread has woken the loop."""
+        self._wake_reader.recv(4096)
         self._deliver()
 
     def _deliver(self) -> None:
@@ -74,8 +76,8 @@
             self.loop.guarded(done, result, error)
 
     def close(self) -> None:
-        """Ends the thread after the calls in the queue; their results are dropped."""
+        """Ends the thread after the queued calls; their results are dropped."""
         self._calls.put(None)
-        self.loop.forget(self._woken, self._number)
-        self._woken.close()
-        self._wake.close()
+        self.loop.forget(self._wake_reader, self._number)
+        self._wake_reader.close()
+        self._wake_writer.close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -32,13 +32,13 @@
         elif roll < 0.5:
             theirs.send(data := rng.randbytes(rng.randint(1, 900)).replace(b"\n", b""))
             while data:  # it reads what it has room for, in pieces
-                if (got := ring.fill(ours)) < 0:
+                if (got := ring.receive_from(ours)) < 0:
                     assert ring.full and len(model) == 20_000
                     ours.recv(1 << 16)
                     break
                 model, data = model + data[:got], data[got:]
         elif roll < 0.6 and model:
-            ring.empty_into(ours)
+            ring.send_to(ours)
             sent = theirs.recv(1 << 16)
             assert sent and model.startswith(sent)
             model = model[len(sent) :]
--- a/tests/test_transient.py
+++ b/tests/test_transient.py
@@ -49,7 +49,7 @@
     with pytest.raises(OSError):
         transient_errors.retry_transient(failing(lambda: 7, errno.EACCES, 1))
     with pytest.raises(OSError):
-        transient_errors.retry_transient(failing(lambda: 7, errno.ENFILE, 1000), patience=0.1)
+        transient_errors.retry_transient(failing(lambda: 7, errno.ENFILE, 1000), seconds=0.1)
 
 
 @pytest.mark.parametrize("code", AT_CONNECT)
