--- a/indigohitch/net/request_connection.py
+++ b/indigohitch/net/request_connection.py
@@ -20,7 +20,7 @@
         """Called when a request ended, with its status or with 0 and the reason."""
 
     def ended(self, wire: RequestConnection) -> None:
-        """Called when the connection is closed, before `over` for the request in flight."""
+        """Called when the connection is closed, before the end of its request in flight is reported."""
 
 
 class RequestConnection:
--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -21,7 +21,7 @@
         """Called when an outbound stream is established."""
 
     def on_data(self, stream: Stream) -> None:
-        """Called when `incoming` has new data; a reader that takes data then calls `wake`."""
+        """Called when `incoming` has new data; a reader that removes data then resumes reading."""
 
     def on_output_drained(self, stream: Stream) -> None:
         """Called when all queued data has been written to the socket."""
