--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback that answer, and fail, as told."""
+"""HTTP servers on loopback that answer, or fail, as a test's callback says."""
 
 import socket
 import struct
@@ -11,7 +11,10 @@
 
 
 class Peer:
-    """A listening socket; each connection is served in a thread of its own, request by request."""
+    """Listens on loopback and serves each connection in its own thread, one request at a time.
+
+    `answer(sock, method, target, body)` answers a request; "hang" makes the peer read on without an answer.
+    """
 
     def __init__(self, answer, port=0):
         self.answer, self.connections, self.open = answer, 0, True
@@ -32,21 +35,21 @@
 
     def _serve(self, sock):
         try:
-            with sock.makefile("rb") as lines:
-                while start := lines.readline():
+            with sock.makefile("rb") as stream:
+                while request_line := stream.readline():
                     size = 0
-                    while line := lines.readline().strip():
+                    while line := stream.readline().strip():
                         name, _, value = line.partition(b":")
                         size = int(value) if name.lower() == b"content-length" else size
-                    method, target, _ = start.decode().split()
-                    if self.answer(sock, method, target, lines.read(size).decode()) == "hang":
+                    method, target, _ = request_line.decode().split()
+                    if self.answer(sock, method, target, stream.read(size).decode()) == "hang":
                         while sock.recv(4096):
                             pass
         except (OSError, ValueError):
             pass
 
     def stop(self):
-        """Take no new connection."""
+        """Closes the listening socket; open connections are still served."""
         self.open = False
         self.sock.shutdown(socket.SHUT_RDWR)
         self.sock.close()
@@ -63,15 +66,15 @@
 
 
 def given_up(sock):
-    """Whether who asked has closed its connection meanwhile."""
-    waits = sock.gettimeout()
+    """Returns whether the client has closed the connection."""
+    timeout = sock.gettimeout()
     sock.settimeout(0)
     try:
         return sock.recv(1, socket.MSG_PEEK) == b""
     except BlockingIOError:
         return False
     finally:
-        sock.settimeout(waits)
+        sock.settimeout(timeout)
 
 
 def http(sock, body, status="200 OK"):
@@ -79,7 +82,10 @@
 
 
 def fail(sock, how):
-    """What any of the peers may do instead of an answer; None if it is none of these."""
+    """Fails a request in a way that all peers share.
+
+    Returns "hang" if the peer is to stay silent, otherwise `how`; a name that is none of these has no effect.
+    """
     if how == "reset":
         reset(sock)
         raise OSError
--- a/tests/test_pipe.py
+++ b/tests/test_benchlink_process.py
@@ -1,4 +1,4 @@
-"""The adapter's pipe: a day in small, and what it says of bad input."""
+"""The benchlink process on its pipe: a short session, and its exit and error line after invalid input."""
 
 import json
 import subprocess
@@ -30,22 +30,28 @@
 }
 
 
-def talk(*messages):
-    text = "".join((m if isinstance(m, str) else json.dumps(m)) + "\n" for m in messages)
-    done = subprocess.run(
+def run_process(*messages):
+    text = "".join(
+        (message if isinstance(message, str) else json.dumps(message)) + "\n" for message in messages
+    )
+    process = subprocess.run(
         [sys.executable, "-m", "indigohitch.benchlink"], input=text.encode(), capture_output=True, timeout=30
     )
-    return done.returncode, [json.loads(line) for line in done.stdout.splitlines()], done.stderr.decode()
+    return (
+        process.returncode,
+        [json.loads(line) for line in process.stdout.splitlines()],
+        process.stderr.decode(),
+    )
 
 
-def at(ms):
+def mark(ms):
     return {"type": "Mark", "at-time": ms}
 
 
 FLUSH = {"type": "Flush"}
 
 
-def listed(buffer, *ids):
+def backend_list(buffer, *ids):
     return {
         "type": "List",
         "buffer": buffer,
@@ -53,27 +59,27 @@
     }
 
 
-def born(number):
+def create_instance(number):
     return [
         {"type": "Configure", "coordinator": number, "rng-seed": 7, "params": PARAMS},
         {"type": "Endpoints", "coordinator": number, "kind": "remembered", "number": 1, "buffer": 0},
     ]
 
 
-def test_lists_are_resolved_in_order_and_instances_kept_apart():
-    code, out, err = talk(
-        at(10.5),
+def test_lists_are_resolved_in_order_and_instances_are_independent():
+    code, out, err = run_process(
+        mark(10.5),
         FLUSH,
-        at(11.0),
-        listed(0, "a:1"),
-        *born(0),
-        listed(0, "b:2"),
-        *born(1),
+        mark(11.0),
+        backend_list(0, "a:1"),
+        *create_instance(0),
+        backend_list(0, "b:2"),
+        *create_instance(1),
         *({"type": "AssignedToMe", "coordinator": n, "table": n, "active": True} for n in (0, 1)),
         *({"type": "Connected", "coordinator": n, "edge": 4, "share": 2.0, "campus": "east"} for n in (0, 1)),
         {"type": "NeverHeardOf", "coordinator": 0},
         FLUSH,
-        at(600.0),
+        mark(600.0),
         {
             "type": "TrafficReport",
             "coordinator": 0,
@@ -97,24 +103,24 @@
     assert not [m for m in out if m["type"] == "GiveIn"]
 
 
-def test_bad_input_ends_in_one_plain_line():
-    for bad in (
+def test_invalid_input_ends_the_process_with_one_error_line():
+    for invalid in (
         "not json",
         '{"type":"Connected","coordinator":0}',
         '{"no":"type"}',
         '{"type":"Endpoints","coordinator":0,"kind":"all","number":1,"buffer":9}',
     ):
-        code, _, err = talk(at(1.0), listed(0, "a:1"), *born(0), bad, FLUSH)
-        assert code != 0 and "Traceback" not in err and len(err.splitlines()) == 1, bad
+        code, _, err = run_process(mark(1.0), backend_list(0, "a:1"), *create_instance(0), invalid, FLUSH)
+        assert code != 0 and "Traceback" not in err and len(err.splitlines()) == 1, invalid
 
 
-def test_broken_module_gives_in():
+def test_a_failing_decision_module_sends_give_in():
     params = PARAMS | {"family-info": PARAMS["family-info"] | {"egress-per-s": "fast"}}
-    code, out, _ = talk(
-        at(1.0),
-        listed(0, "a:1"),
-        {**born(0)[0], "params": params},
-        born(0)[1],
+    code, out, _ = run_process(
+        mark(1.0),
+        backend_list(0, "a:1"),
+        {**create_instance(0)[0], "params": params},
+        create_instance(0)[1],
         {"type": "AssignedToMe", "coordinator": 0, "table": 0, "active": True},
         {"type": "Connected", "coordinator": 0, "edge": 4, "share": 2.0},
         FLUSH,
--- a/tests/test_wall_clock_steps.py
+++ b/tests/test_wall_clock_steps.py
@@ -1,4 +1,4 @@
-"""The wall clock steps while the coordinator runs: a backend that has just started is cold all the same."""
+"""A backend that has just started counts as cold even if the wall clock steps while the coordinator runs."""
 
 import os
 import time
@@ -14,16 +14,16 @@
 from stage import SETTINGS
 from waiting import free_address
 
-HOUR = 3600
+HOUR = 3600  # s
 
 
-class StepRoom:
-    """A front, lists told to it, and a wall clock that a test moves."""
+class FrontWithSteps:
+    """Sends lists to a front, with a wall clock that the test moves."""
 
     def __init__(self, monkeypatch):
         self.step = 0  # s
-        real = time.time_ns
-        monkeypatch.setattr(time, "time_ns", lambda: real() + self.shift() + self.step * 10**9)
+        real_time_ns = time.time_ns
+        monkeypatch.setattr(time, "time_ns", lambda: real_time_ns() + self.shift() + self.step * 10**9)
         self.clock = Shifted()
         self.loop = EventLoop(self.clock, self.fail)
         self.front = Front(
@@ -40,22 +40,26 @@
             },
         )
         self.version = 1
-        self.tell("full", b0=0, b1=0)
+        self.send_list("full", b0=0, b1=0)
 
     def shift(self):
         return getattr(self, "clock", Shifted).by * 100_000
 
-    def fail(self, broken):
-        raise broken
+    def fail(self, error):
+        raise error
 
     def wall(self):
-        """Unix time in tenths of a ms, as every machine reads it."""
+        """Returns the wall clock that all machines share, in ticks of 0.1 ms."""
         return time.time_ns() // 100_000
 
-    def tell(self, scope="changes", **started):
+    def send_list(self, scope="changes", **started):
         self.version += 1
-        entries = tuple(face.BackendEntry(b, "ready", 6.0, "east", 0, "std", at) for b, at in started.items())
-        self.front.on_backend_list(face.BackendList(scope, self.version, entries), {b: "" for b in started})
+        entries = tuple(
+            face.BackendEntry(name, "ready", 6.0, "east", 0, "std", at) for name, at in started.items()
+        )
+        self.front.on_backend_list(
+            face.BackendList(scope, self.version, entries), {name: "" for name in started}
+        )
         self.pass_time(SECOND // 10)
 
     def pass_time(self, span):
@@ -66,51 +70,51 @@
             self.front.event_batch.flush_if_due()
 
     def warmth(self, backend):
-        """How warm the module takes it to be, from 0 to 1."""
+        """Returns how warm the decision module considers a backend, from 0 to 1."""
         return self.front.coordinator.backends[backend].warmup_fraction
 
 
 @pytest.fixture
-def room(monkeypatch):
-    found = StepRoom(monkeypatch)
-    yield found
-    found.front.close()
-    found.loop.close()
+def bench(monkeypatch):
+    bench = FrontWithSteps(monkeypatch)
+    yield bench
+    bench.front.close()
+    bench.loop.close()
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR, 5, -5, 0])
-def test_one_that_started_after_a_step_is_cold_and_warms_up_in_time(room, step):
-    room.pass_time(60 * SECOND)
-    room.step = step
-    room.tell(b1=room.wall() - SECOND)
-    assert room.warmth("b0") == 1.0 and 0 < room.warmth("b1") < 0.5
-    room.pass_time(room.front.settings["warm_within"] + SECOND)
-    assert room.warmth("b1") == 1.0
+def test_a_backend_started_after_a_step_is_cold_and_warms_up_in_time(bench, step):
+    bench.pass_time(60 * SECOND)
+    bench.step = step
+    bench.send_list(b1=bench.wall() - SECOND)
+    assert bench.warmth("b0") == 1.0 and 0 < bench.warmth("b1") < 0.5
+    bench.pass_time(bench.front.settings["warm_within"] + SECOND)
+    assert bench.warmth("b1") == 1.0
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
-def test_one_that_started_right_before_a_step_is_cold(room, step):
-    """It was not in the list before: it can't have run for an hour, nor start in an hour."""
-    room.pass_time(60 * SECOND)
-    began = room.wall() - SECOND
-    room.step = step
-    room.tell(b1=began)
-    assert 0 < room.warmth("b1") < 0.5
+def test_a_backend_started_right_before_a_step_is_cold(bench, step):
+    """The previous list lacks it, so it cannot have run for an hour, nor can it start in an hour."""
+    bench.pass_time(60 * SECOND)
+    started_at = bench.wall() - SECOND
+    bench.step = step
+    bench.send_list(b1=started_at)
+    assert 0 < bench.warmth("b1") < 0.5
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
-def test_the_same_start_told_again_after_a_step_is_no_other(room, step):
-    room.tell(b1=(began := room.wall()))
-    room.pass_time(room.front.settings["warm_within"] + SECOND)
-    room.step = step
-    room.tell("full", b0=0, b1=began)
-    assert room.warmth("b1") == 1.0
-
-
-def test_a_second_start_after_a_step_back_is_a_new_one(room):
-    room.tell(b1=room.wall())
-    room.pass_time(room.front.settings["warm_within"] + SECOND)
-    assert room.warmth("b1") == 1.0
-    room.step = -HOUR
-    room.tell(b1=room.wall())
-    assert room.warmth("b1") < 0.5
+def test_the_same_start_listed_again_after_a_step_is_not_a_new_one(bench, step):
+    bench.send_list(b1=(started_at := bench.wall()))
+    bench.pass_time(bench.front.settings["warm_within"] + SECOND)
+    bench.step = step
+    bench.send_list("full", b0=0, b1=started_at)
+    assert bench.warmth("b1") == 1.0
+
+
+def test_a_restart_after_a_step_back_counts_as_a_new_start(bench):
+    bench.send_list(b1=bench.wall())
+    bench.pass_time(bench.front.settings["warm_within"] + SECOND)
+    assert bench.warmth("b1") == 1.0
+    bench.step = -HOUR
+    bench.send_list(b1=bench.wall())
+    assert bench.warmth("b1") < 0.5
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,27 +1,32 @@
-"""Conditions that are waited for, and addresses that stay one's own."""
+"""Waits for conditions, and addresses that no other program on the machine gets."""
 
 import socket
 import time
 
-_held = []  # until the process of the tests ends
+_bound_sockets = []  # kept open until the test process ends
 
 
 def eventually(holds, seconds=30.0):
-    """Wait for a condition; what it last said is in the message.  The time is for machines that are busy:
-    it costs nothing where the condition comes true."""
+    """Waits until `holds()` is true and returns its result; its last result is in the failure message.
+
+    The long default is for busy machines and costs nothing once the condition is true.
+    """
     end = time.monotonic() + seconds
-    while not (said := holds()):
-        assert time.monotonic() < end, f"never came true: {said!r}"
+    while not (result := holds()):
+        assert time.monotonic() < end, f"never came true: {result!r}"
         time.sleep(0.01)
-    return said
+    return result
 
 
 def free_address():
-    """An address on loopback at which nobody listens.  It stays bound here, without listening: the system
-    gives its port to nobody else, neither for another test nor for a connection going out; who listens there
-    with SO_REUSEADDR, as all our programs do, gets it, and who connects before that is refused."""
+    """Returns an address on loopback at which nobody listens.
+
+    A socket stays bound to it without listening, so the system gives the port neither to another test nor to
+    an outgoing connection.  Programs that listen with SO_REUSEADDR, as all of this project do, can open it;
+    earlier connects are refused.
+    """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", 0))
-    _held.append(sock)
+    _bound_sockets.append(sock)
     return f"127.0.0.1:{sock.getsockname()[1]}"
