--- a/indigohitch/net/listener.py
+++ b/indigohitch/net/listener.py
@@ -40,7 +40,7 @@
         self.on_accepted = on_accepted
         self.on_accept_failed = on_accept_failed
         self.sock = listening or retry_transient(
-            lambda: self.open_socket(address), seconds=self.OPEN_RETRY_SECONDS
+            lambda: self.open_socket(address), max_seconds=self.OPEN_RETRY_SECONDS
         )
         self.sock.setblocking(False)
         self._number = loop.watch(self.sock, self, READ)
--- a/indigohitch/net/ring_buffer.py
+++ b/indigohitch/net/ring_buffer.py
@@ -29,7 +29,7 @@
 class RingBuffer:
     """Queues bytes; grows on demand, up to its bound and what the pool allows."""
 
-    FIRST_BLOCK = 4096  # bytes; most messages are far smaller, and 1000 connections use 4 MB
+    FIRST_BLOCK = 4096  # bytes; most messages are far smaller, and 1000 blocks take 4 MB
 
     def __init__(self, max_size: int, pool: BufferPool) -> None:
         self.max_size = max_size
--- a/indigohitch/net/transient_errors.py
+++ b/indigohitch/net/transient_errors.py
@@ -36,16 +36,16 @@
 def retry_transient(
     operation: Callable[[], Result],
     on_failure: Callable[[OSError], None] = lambda error: None,
-    seconds: float = MAX_RETRY_SECONDS,
+    max_seconds: float = MAX_RETRY_SECONDS,
 ) -> Result:
-    """Returns the result of `operation`, retried for `seconds` while it fails with a transient error.
+    """Returns the result of `operation`, retried for `max_seconds` while it fails with a transient error.
 
     This blocks, so it is only for the start of a process, before anything is served.
 
     Raises:
         OSError: The last failure, if it is not transient or the time is over.
     """
-    deadline = time.monotonic() + seconds
+    deadline = time.monotonic() + max_seconds
     while True:
         try:
             return operation()
--- a/indigohitch/net/worker_thread.py
+++ b/indigohitch/net/worker_thread.py
@@ -51,7 +51,7 @@
             call, done = entry
             try:
                 self._results.append((done, call(), None))
-            except Exception as error:  # the loop reports it
+            except Exception as error:  # `done` gets it in a turn of the loop
                 self._results.append((done, None, error))
             # A full socket has woken the loop already; with a closed one nobody waits for results.
             with contextlib.suppress(OSError):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -158,4 +158,4 @@
             if name.endswith(".py"):
                 with open(os.path.join(root, package, name)) as file:
                     imports = [line for line in file if line.startswith(("from ", "import "))]
-                assert not [line for line in imports if any(word in line for word in forbidden)], name
+                assert not [entry for entry in imports if any(word in entry for word in forbidden)], name
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -49,7 +49,7 @@
     with pytest.raises(OSError):
         transient_errors.retry_transient(failing(lambda: 7, errno.EACCES, 1))
     with pytest.raises(OSError):
-        transient_errors.retry_transient(failing(lambda: 7, errno.ENFILE, 1000), seconds=0.1)
+        transient_errors.retry_transient(failing(lambda: 7, errno.ENFILE, 1000), max_seconds=0.1)
 
 
 @pytest.mark.parametrize("code", TRANSIENT_AT_CONNECT)
