--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -33,7 +33,7 @@
 class Stream(Connection):
     """Reads a socket only while its ring has free space."""
 
-    BOUND = 64 << 10  # bytes; a body of 1 GB passes through two rings per direction, more only adds delay
+    BOUND = 64 << 10  # bytes; 1 GB passes through two rings per direction, and more only adds delay
 
     def __init__(
         self,
