--- a/indigohitch/__main__.py
+++ b/indigohitch/__main__.py
@@ -1,15 +1,15 @@
 """Entry point of `python -m indigohitch`.
 
 Without arguments it runs one coordinator, configured by the file that BALANCER_CONFIG names; with arguments
-it is the command line.
+it runs the command line.
 """
 
 import signal
 import sys
 
 if len(sys.argv) == 1:
-    # Until the event loop handles these two signals they would end the process.  Ignoring them loses nothing:
-    # the configuration is read later, and there are no counters yet.
+    # By default these two signals end a process.  They are ignored until the event loop handles them, which
+    # loses nothing: the configuration is read later, and there are no counters yet.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
     from .service import main
--- a/indigohitch/cli.py
+++ b/indigohitch/cli.py
@@ -1,7 +1,7 @@
 """The command line.
 
-Each command imports only what it needs; a coordinator on 32 MB starts through `python -m indigohitch` without
-this module.
+Each command imports only what it needs.  A coordinator with 32 MB of memory starts through
+`python -m indigohitch`, which does not import this module.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class LazyGroup(click.Group):
-    """Imports `load`, whose libraries a coordinator does not need, on demand; shows errors of commands."""
+    """Imports the command `load` on demand, as only it needs its libraries; prints errors of commands."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Returns the names of all commands."""
         return sorted([*super().list_commands(ctx), "load"])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Returns the command of this name; imports that of `load`."""
+        """Returns the command of this name; `load` is imported here."""
         if name != "load":
             return super().get_command(ctx, name)
         from .load.command import load
@@ -38,14 +38,14 @@
 
 
 def error_text(error: DirectorError | OSError) -> str:
-    """Returns what happened and where, and on a second line the remedy, if one is known."""
+    """Returns the location and the problem, and on a second line the remedy, if one is known."""
     if isinstance(error, DirectorError):
-        what = error.text()
+        message = error.text()
         remedy = error.remedy
     else:
-        what = f"{error.filename}: {error.strerror}" if error.filename and error.strerror else str(error)
+        message = f"{error.filename}: {error.strerror}" if error.filename and error.strerror else str(error)
         remedy = REMEDIES.get(error.errno, "")
-    return what + (f"\n  {remedy}" if remedy else "")
+    return message + (f"\n  {remedy}" if remedy else "")
 
 
 @click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
@@ -55,9 +55,9 @@
 
 
 @main.command()
-@click.option("--operator", type=click.Path(dir_okay=False), help="A file that allows upgrades.")
+@click.option("--operator", type=click.Path(dir_okay=False), help="Operator's file, which allows upgrades.")
 def run(operator: str | None) -> None:
-    """One coordinator, told by BALANCER_CONFIG what it serves."""
+    """Run one coordinator, configured by the file that BALANCER_CONFIG names."""
     if operator is None:
         from .service import main as serve
 
@@ -70,7 +70,7 @@
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def sidecar(file: str) -> None:
-    """A sidecar, as FILE says."""
+    """Run a sidecar, configured by FILE."""
     from .sidecar import service
 
     sys.exit(service.main(file))
@@ -79,79 +79,87 @@
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file: str) -> None:
-    """Read FILE, a sidecar's or a coordinator's, and tell all that is wrong with it, each with its line."""
+    """Check FILE, of a sidecar or a coordinator, and list each mistake in it with its line."""
     from .config import either
 
-    text = either.load(file)
-    if text.fleet is not None and "batches" in text.fleet.parts:
+    config = either.load(file)
+    if config.fleet is not None and "batches" in config.fleet.parts:
         from .config.lines import ConfigError
         from .fleet.batches.contract import mistakes
 
-        if found := [mistake for part in text.fleet.parts["batches"] for mistake in mistakes(part)]:
-            raise ConfigError(file, found)
-    if text.pools:
+        if mistakes_found := [
+            mistake for part in config.fleet.parts["batches"] for mistake in mistakes(part)
+        ]:
+            raise ConfigError(file, mistakes_found)
+    if config.pools:
         summary = (
-            f"{len(text.routes.all)} routes, {len(text.rpcs)} RPCs, {len(text.pools)} pools, "
-            f"{sum(len(p.servers) for p in text.pools.values())} servers"
+            f"{len(config.routes.all)} routes, {len(config.rpcs)} RPCs, {len(config.pools)} pools, "
+            f"{sum(len(pool.servers) for pool in config.pools.values())} servers"
         )
     else:
         summary = "a coordinator's"
-    if text.fleet is not None and text.fleet.services:
+    if config.fleet is not None and config.fleet.services:
         summary = (
-            f"{text.fleet.me} subscribes to {len(text.fleet.services)} services of fleet {text.fleet.name} "
-            f"at {len(text.fleet.distributors)} distributors"
+            f"{config.fleet.me} subscribes to {len(config.fleet.services)} services "
+            f"of fleet {config.fleet.name} at {len(config.fleet.distributors)} distributors"
         )
-    elif text.fleet is not None:
-        summary += f"; {text.fleet.me} of fleet {text.fleet.name}, {len(text.fleet.members)} members"
+    elif config.fleet is not None:
+        summary += f"; {config.fleet.me} of fleet {config.fleet.name}, {len(config.fleet.members)} members"
     click.echo(f"{file}: {summary}")
 
 
 @main.command("stand-in")
 @click.argument("address")
 @click.option("--name", default="stand-in", show_default=True)
-@click.option("--service", default=0.0, help="Time that an answer takes, in ms.", show_default=True)
-@click.option("--also", default=0, help="So many further loopback addresses, at the same port.")
-@click.option("--lose", default=0, help="Every so many RPCs, act on one and reset instead of answering.")
-@click.option("--licensed", multiple=True, help="RPCs whose path begins so need a seat.")
-@click.option("--meter", default="/dev/null", help="Where beginnings and ends of their jobs are written.")
+@click.option("--service", default=0.0, help="Service time of a response, in ms.", show_default=True)
+@click.option(
+    "--also", default=0, help="Number of further loopback addresses to listen on, at the same port."
+)
+@click.option(
+    "--lose",
+    default=0,
+    help="Execute one of every so many RPCs and reset its connection instead of answering.",
+)
+@click.option("--licensed", multiple=True, help="Path prefix of RPCs that need a seat.")
+@click.option("--meter", default="/dev/null", help="File to which starts and ends of their jobs are written.")
 def stand_in(
     address: str, name: str, service: float, also: int, lose: int, licensed: tuple[str, ...], meter: str
 ) -> None:
-    """A stand-in server on ADDRESS (loopback only), for trials."""
+    """Run a stand-in server on ADDRESS (loopback only), for trials."""
     from .errors import InvalidRequestError
-    from .net.connection import parse_address as read
+    from .net.connection import parse_address
     from .standins.server import main as serve
 
     try:
-        serve(read(address), name, service, also, lose, licensed, meter)
-    except ValueError as bad:
-        raise InvalidRequestError(str(bad), "stand-in", "name an address such as 127.0.0.1:9001") from None
+        serve(parse_address(address), name, service, also, lose, licensed, meter)
+    except ValueError as error:
+        raise InvalidRequestError(str(error), "stand-in", "name an address such as 127.0.0.1:9001") from None
 
 
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--wait", default=60.0, help="Seconds until no answer is taken for one.", show_default=True)
+@click.option("--wait", default=60.0, help="Seconds to wait for the result.", show_default=True)
 def upgrade(file: str, wait: float) -> None:
-    """Let the program of FILE replace itself by its program on disk as it is now."""
+    """Replace the running program of FILE by its program on disk."""
     print_response(run_command(file, "upgrade", wait))
 
 
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def status(file: str) -> None:
-    """What the program of FILE does now."""
+    """Show the status of the running program of FILE."""
     print_response(run_command(file, "status", 5.0))
 
 
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def snapshot(file: str) -> None:
-    """Let the program of FILE write its state to the path in its line `state`."""
+    """Make the running program of FILE write its state to the path in its line `state`."""
     print_response(run_command(file, "snapshot", 30.0))
 
 
-def run_command(file: str, what: str, wait: float) -> dict:
-    """Sends a command to the running program of the file.  Raises DirectorError, OSError."""
+def run_command(file: str, command: str, wait: float) -> dict:
+    """Returns the response of the running program of the file.  Raises DirectorError, OSError."""
     from .config import either
     from .control import send_command
     from .errors import InvalidRequestError, UnavailableError
@@ -159,13 +167,13 @@
     path = either.load(file).single["control"]
     if not path:
         raise InvalidRequestError(
-            "no line `control`", file, "add `control /run/...sock` and start the program anew"
+            "no line `control`", file, "add `control /run/...sock` and restart the program"
         )
     try:
-        return send_command(path, what, wait)
-    except OSError as bad:
+        return send_command(path, command, wait)
+    except OSError as error:
         raise UnavailableError(
-            f"no answer: {bad.strerror or bad}", path, f"start the program of {file}"
+            f"no answer: {error.strerror or error}", path, f"start the program of {file}"
         ) from None
 
 
--- a/indigohitch/control.py
+++ b/indigohitch/control.py
@@ -1,4 +1,4 @@
-"""The control socket: the command line sends one JSON line a command and receives one JSON line."""
+"""The control socket: a client sends each command as a JSON line and receives a JSON line as its response."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class ControlClient:
-    """One connection of the command line or of a script."""
+    """A connection of the command line or of a script."""
 
-    MAX_LINE_BYTES = 64 << 10  # the body of a proposal is the longest command
+    MAX_LINE_BYTES = 64 << 10  # the longest command carries the body of a proposal
 
     def __init__(self, control: ControlSocket) -> None:
         self.control = control
         self.connection: Connection | None = None
 
     def on_data(self, connection: Connection) -> None:
-        """Handles each whole line; closes a connection whose line is too long."""
+        """Handles each complete line; closes a connection whose line is too long."""
         while (line := connection.incoming.line()) is not None:
             self.handle_line(line)
             if not connection.open:
@@ -34,31 +34,31 @@
             connection.close()
 
     def handle_line(self, line: bytes) -> None:
-        """Runs one command; a line in another form gets an error as its response."""
+        """Runs one command; responds with an error to a line that is not a command."""
         try:
             command = orjson.loads(line)
-            what = str(command["ask"])
+            name = str(command["ask"])
         except (ValueError, KeyError, TypeError):
             self.answer({"error": "one line of JSON with `ask` is wanted"})
             return
-        # The client's marker tells the responses to several commands apart.
+        # The marker lets a client match responses to commands, as several may be pending.
         marker = {"mark": command["mark"]} if "mark" in command else {}
-        self.control.on_command(what, command, lambda response: self.answer(response | marker))
+        self.control.on_command(name, command, lambda response: self.answer(response | marker))
 
     def answer(self, response: dict) -> None:
-        """Sends the response, once, at any later time."""
+        """Sends a response; called once per command, at once or later."""
         if self.connection is not None and self.connection.open:
             self.connection.write(orjson.dumps(response, default=str) + b"\n")
 
     def on_closed(self, connection: Connection, why: str) -> None:
-        """Forgets this client."""
+        """Removes this client from the connected ones."""
         self.control.clients.discard(self)
 
 
 class ControlSocket:
-    """Listens at the operator's path; commands are handled by `on_command`."""
+    """Listens at the path that the operator configured; commands are handled by `on_command`."""
 
-    MAX_CLIENTS = 16  # at once: operators and their scripts
+    MAX_CLIENTS = 16  # concurrent connections, of operators and their scripts
 
     def __init__(
         self,
@@ -67,22 +67,25 @@
         on_command: Callable[[str, dict, Callable[[dict], None]], None],
         listening: socket.socket | None = None,
     ) -> None:
-        """Listens at `path`, or on the socket `listening`; `on_command(what, line, answer)` runs a command.
+        """Listens at `path`, or on the socket `listening`.
 
-        A path that a dead program left behind is reused; where a running program listens there, OSError is
-        raised.
+        `on_command(name, command, answer)` runs a command.  The socket file of a program
+        that has exited is replaced.
+
+        Raises:
+            OSError: The path can't be used, or a running program listens there.
         """
         self.loop = loop
         self.path = path
         self.on_command = on_command
         self.clients: set[ControlClient] = set()
         self.listener = Listener(
-            loop, None, self.greet, lambda why: None, listening or self.open_socket(path)
+            loop, None, self.accept_client, lambda why: None, listening or self.open_socket(path)
         )
 
     @staticmethod
     def open_socket(path: str) -> socket.socket:
-        """Listens at the path, with access for the own user alone; raises OSError."""
+        """Returns a socket that listens at the path, accessible to its own user only.  Raises OSError."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         try:
             if os.path.exists(path):
@@ -94,15 +97,15 @@
                     except ConnectionRefusedError:
                         os.unlink(path)
             sock.bind(path)
-            os.chmod(path, 0o600)  # who may upgrade the program may run any program as it
+            os.chmod(path, 0o600)  # an upgrade can start any program with the rights of this one
             sock.listen(16)
         except OSError:
             sock.close()
             raise
         return sock
 
-    def greet(self, sock: socket.socket) -> bool:
-        """Accepts a client; returns False where there are too many."""
+    def accept_client(self, sock: socket.socket) -> bool:
+        """Registers a client; returns False where there are too many."""
         if len(self.clients) >= self.MAX_CLIENTS:
             return False
         client = ControlClient(self)
@@ -123,13 +126,13 @@
         self.listener.close()
 
 
-def send_command(path: str, what: str, wait: float = 60.0) -> dict:
+def send_command(path: str, name: str, wait: float = 60.0) -> dict:
     """Sends a command and waits `wait` seconds for its response.  Raises OSError, InvalidDataError."""
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
         sock.settimeout(wait)
         sock.connect(path)
-        sock.sendall(orjson.dumps({"ask": what}) + b"\n")
+        sock.sendall(orjson.dumps({"ask": name}) + b"\n")
         line = sock.makefile("rb").readline()
     if not line:
-        raise InvalidDataError("the program ended before it answered", path, "its log says why")
+        raise InvalidDataError("the program ended before it responded", path, "see its log for the reason")
     return orjson.loads(line)
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -1,6 +1,6 @@
-"""A coordinator that can be upgraded: the front of the platform, with an operator's file.
+"""A coordinator that can be upgraded: the front of the platform, configured by an operator's file too.
 
-For installations that allow a control socket and, during an upgrade, a second process.
+It is for installations that allow a control socket and, during an upgrade, a second process.
 """
 
 from __future__ import annotations
@@ -23,47 +23,47 @@
 
 
 class CoordinatorProcess(UpgradableProcess):
-    """The process of a coordinator that an operator's file configures."""
+    """The process of a coordinator that has an operator's file."""
 
     def __init__(self, environ: MutableMapping[str, str], text: Text, follows: bool) -> None:
         self.environ = environ
         self.source = text.source
         self.fleet = text.fleet
         self.follows = follows
-        self.decided = False  # while it ends: the module has handled all earlier events
+        self.all_events_handled = False  # while ending: the module has handled all earlier events
         super().__init__(environ.get("BALANCER_NAME", ""), text.single, text.waits)
 
     def make_participant(self) -> HandoverParticipant:
-        """Builds what is handed over, with the companion that the file names."""
-        side = CoordinatorHandover(
-            None, self.make, self.control_listener, self.take_over_control, self.reload
+        """Returns the participant of handovers, which includes the companion that the file configures."""
+        participant = CoordinatorHandover(
+            None, self.make_front, self.control_listener, self.take_over_control, self.reload
         )
         if self.fleet is None:
-            return side
+            return participant
         if self.fleet.services:
-            return self.subscriber_side(side)
+            return self.subscriber_participant(participant)
         from .fleet.node.companion import node_companion
 
-        return node_companion(self, side, self.fleet, False, self.follows)
+        return node_companion(self, participant, self.fleet, False, self.follows)
 
-    def subscriber_side(self, side: HandoverParticipant) -> HandoverParticipant:
-        """Adds the subscription to what is handed over."""
+    def subscriber_participant(self, participant: HandoverParticipant) -> HandoverParticipant:
+        """Wraps the participant, so that the subscription is handed over too."""
         from .fleet.node.subscriber_process import SubscriberSide, Subscription
 
         if self.companion is None:
             self.companion = Subscription(self.loop, self.log, self.fleet)
-        return SubscriberSide(side, self.companion)
+        return SubscriberSide(participant, self.companion)
 
-    def subscribed_backends(self, tell: ListCallback) -> BackendSource:
-        """Returns the source of backends that the subscription feeds."""
+    def subscribed_backends(self, on_list: ListCallback) -> BackendSource:
+        """Returns a source that lists the backends which the subscription reports."""
         from .backend_subscription.source import SubscribedBackends
 
-        source = SubscribedBackends(self.log, self.companion.resources, tell)
+        source = SubscribedBackends(self.log, self.companion.resources, on_list)
         self.companion.on_services_applied = source.on_update
         return source
 
-    def make(self, listening: socket.socket | None) -> Front:
-        """Builds the front, on a listening socket if one is passed on."""
+    def make_front(self, listening: socket.socket | None) -> Front:
+        """Creates the front, on the predecessor's listening socket if there is one."""
         subscribes = self.fleet is not None and self.fleet.services
         front = Front(
             self.loop,
@@ -79,21 +79,23 @@
         return front
 
     def turn(self) -> None:
-        """Lets the module handle the events of this turn of the loop."""
+        """Lets the module handle the gathered events, if they are due at the end of this turn of the loop."""
         if self.side.front is not None:
-            gathering = self.side.front.event_batch
-            gathering.flush_if_due()
-            self.decided = self.phase is ProcessPhase.ENDING and (self.decided or not gathering.events)
+            event_batch = self.side.front.event_batch
+            event_batch.flush_if_due()
+            self.all_events_handled = self.phase is ProcessPhase.ENDING and (
+                self.all_events_handled or not event_batch.events
+            )
 
     def without_state(self) -> None:
-        """Discards a state whose restoring failed half way."""
+        """Discards a partly restored state."""
         if self.side.front is not None:
             self.side.front.close()
         self.side = self.make_participant()
         self.predecessor_driver.side = self.side
 
     def extra_status(self) -> dict:
-        """Returns the keys of a coordinator for `status`."""
+        """Returns the keys that a coordinator adds to the status."""
         front = self.side.front
         return {
             "proxies": len(front.store_mirror.proxies),
@@ -103,25 +105,25 @@
         }
 
     def read_operator_file(self) -> Text:
-        """Raises ConfigError, OSError."""
+        """Reads the operator's file once more.  Raises ConfigError, OSError."""
         return operator_file.load(self.source)
 
     def reload(self) -> None:
-        """Reads configuration and file again; a mistake in them changes nothing."""
-        reload_front(self, self.environ, lambda: self.side.front, self.file_is_newer)
+        """Applies the configuration and the operator's file once more; one with a mistake changes nothing."""
+        reload_front(self, self.environ, lambda: self.side.front, self.drop_discovery_override)
         if self.companion is not None:
             try:
                 self.companion.reread(self.read_operator_file().fleet)
-            except (OSError, ValueError) as bad:
-                self.log.warning("reload_failed", **error_fields(bad))
+            except (OSError, ValueError) as error:
+                self.log.warning("reload_failed", **error_fields(error))
 
-    def file_is_newer(self) -> None:
-        """Drops the value of the variable, also for the next process: the file is newer."""
+    def drop_discovery_override(self) -> None:
+        """Removes BALANCER_DISCOVERY, also for the next process: the file that was applied is newer."""
         self.environ.pop("BALANCER_DISCOVERY", None)
 
     def is_done(self) -> bool:
-        """Whether all events are handled and no call is in flight."""
-        return self.decided and self.side.front.relay.idle
+        """Returns whether all events are handled and no call is in flight."""
+        return self.all_events_handled and self.side.front.relay.idle
 
     def close(self) -> None:
         """Closes the front."""
@@ -130,7 +132,8 @@
 
 
 def run_headless(text: Text) -> int:
-    """Runs a subscriber or a member without a front; a member's imports would cost a subscriber 3 MB."""
+    """Runs a subscriber or a member without a front; returns the exit code."""
+    # A subscriber doesn't import a member's modules, which would cost it 3 MB.
     if text.fleet.services:
         from .fleet.node import subscriber_process
 
@@ -141,7 +144,7 @@
 
 
 def main(file: str) -> int:
-    """Runs a coordinator as the file says; returns the exit code.  Raises ConfigError, OSError."""
+    """Runs the process of an operator's file; returns the exit code.  Raises ConfigError, OSError."""
     text = operator_file.load(file)
     if text.fleet is not None and "BALANCER_CONFIG" not in os.environ:
         return run_headless(text)
--- a/indigohitch/errors.py
+++ b/indigohitch/errors.py
@@ -1,4 +1,4 @@
-"""The family of errors: each states the problem, its location, and what an operator can do about it."""
+"""Base classes of errors that state the problem, its location, and what an operator can do about it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DirectorError(Exception):
-    """Root of the errors that are shown to operators; the log and the command line show all three attributes.
+    """Base of all errors that are shown to operators; the log and the command line show all three attributes.
 
     Attributes:
         problem: What happened.
@@ -16,7 +16,7 @@
         remedy: What an operator can do; empty only where nothing can be done.
     """
 
-    remedy = ""  # of the class; an instance may bring a better one
+    remedy = ""  # default of the class; an instance may have a more specific one
 
     def __init__(self, problem: str, location: str = "", remedy: str = "") -> None:
         self.problem = problem
@@ -55,16 +55,16 @@
         super().__init__(problem, location, remedy)
 
 
-# What an operator can do where the system refuses a call.
+# What an operator can do about a failed system call.
 REMEDIES = {
     errno.EADDRINUSE: "free the address, or name another one",
     errno.EADDRNOTAVAIL: "name an address of this machine",
-    errno.ENOENT: "make it, or name what is there",
-    errno.EACCES: "let this user have it",
-    errno.ENOSPC: "make room on the disk",
-    errno.EDQUOT: "make room on the disk",
-    errno.EROFS: "name a folder that can be written to",
-    errno.EMFILE: "raise the limit on descriptors",
+    errno.ENOENT: "create it, or name an existing one",
+    errno.EACCES: "give this user access to it",
+    errno.ENOSPC: "free space on the disk",
+    errno.EDQUOT: "free space on the disk",
+    errno.EROFS: "name a writable directory",
+    errno.EMFILE: "raise the limit on file descriptors",
     errno.ECONNREFUSED: "start the program that listens there",
 }
 
--- a/indigohitch/pid_file.py
+++ b/indigohitch/pid_file.py
@@ -1,4 +1,4 @@
-"""The file that names the serving process, for whoever sends it signals."""
+"""The pid file, by which operators and scripts find the serving process to send it signals."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PidFile:
-    """The operator's pid file; an empty path means that none is kept."""
+    """The pid file at the path that the operator configured; an empty path means that there is none."""
 
     def __init__(self, path: str, log: Log) -> None:
         self.path = path
--- a/indigohitch/process.py
+++ b/indigohitch/process.py
@@ -1,4 +1,4 @@
-"""The base of each long-running command: named phases, one event loop, and signals handled in it."""
+"""Base class of long-running commands: phases, an event loop, and signals that are handled in the loop."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
         self.phase = phase
         self.clock = Clock()
         self.log = Log(self.clock, name)
-        self.loop = retry_transient(lambda: EventLoop(self.clock, self.failed), self.delayed)
-        self._signal_reader, wake = retry_transient(socket.socketpair, self.delayed)
-        for end in (self._signal_reader, wake):
-            end.setblocking(False)
-        self._signal_writer = wake  # referenced here, or it would be closed
-        signal.set_wakeup_fd(wake.fileno(), warn_on_full_buffer=False)
+        self.loop = retry_transient(lambda: EventLoop(self.clock, self.log_defect), self.log_start_delay)
+        self._signal_reader, writer = retry_transient(socket.socketpair, self.log_start_delay)
+        for sock in (self._signal_reader, writer):
+            sock.setblocking(False)
+        self._signal_writer = writer  # an unreferenced socket would be closed
+        signal.set_wakeup_fd(writer.fileno(), warn_on_full_buffer=False)
         for number in self.SIGNALS:
             signal.signal(number, lambda *_: None)  # handled through the wakeup socket, in the loop
         self.loop.watch(self._signal_reader, self, READ)
@@ -38,11 +38,11 @@
         self.log.event("phase", was=self.phase.value, now=phase.value)
         self.phase = phase
 
-    def delayed(self, error: OSError) -> None:
-        """Logs that the start waits for a resource of the system."""
+    def log_start_delay(self, error: OSError) -> None:
+        """Logs that the start waits for a system resource."""
         self.log.warning("start_delayed", why=str(error))
 
-    def failed(self, error: BaseException) -> None:
+    def log_defect(self, error: BaseException) -> None:
         """Logs an unexpected exception of a callback."""
         self.log.warning(
             "defect",
@@ -52,10 +52,11 @@
 
     def ready(self, readable: bool, writable: bool) -> None:
         """Handles the signals that have arrived."""
-        # Each once, by number, a reload before the end: the kernel does not report which of two came first.
+        # Each signal is handled once, in order of number, so that SIGHUP (a reload) comes before SIGTERM: the
+        # kernel does not report in which order pending signals were sent.
         for number in sorted(set(self._signal_reader.recv(256))):
-            self.loop.guarded(self.on_signal, number)  # the end is handled though a reload fails
+            self.loop.guarded(self.on_signal, number)  # a failed reload must not prevent a shutdown
 
     def on_signal(self, number: int) -> None:
-        """Handles a signal, in a turn of the loop."""
+        """Handles a signal; called from the event loop."""
         raise NotImplementedError
--- a/indigohitch/process_commands.py
+++ b/indigohitch/process_commands.py
@@ -28,21 +28,21 @@
     successor_driver: SuccessorDriver | None
 
     def extra_status(self) -> dict:
-        """Return the keys that the program adds to the status."""
+        """Returns the keys that the program adds to the status."""
 
     def current_program(self) -> list[str]:
-        """Return the command that starts the new program."""
+        """Returns the command that starts the new program."""
 
 
 class ProcessCommands:
-    """The commands `status`, `upgrade` and `snapshot`, and those of the companion."""
+    """Runs the commands `status`, `upgrade` and `snapshot`, and passes others to the companion."""
 
     def __init__(self, process: CommandTarget) -> None:
         self.process = process
         self.pending_upgrade_replies: list[Reply] = []
 
-    def on_command(self, name: str, line: dict, reply: Reply) -> None:
-        """Run a command; `reply` is called once with the response, at once or later."""
+    def on_command(self, name: str, command: dict, reply: Reply) -> None:
+        """Runs a command; `reply` is called once with the response, at once or later."""
         process = self.process
         if name == "status":
             reply(self.status())
@@ -50,11 +50,11 @@
             self.upgrade(reply)
         elif name == "snapshot":
             reply(process.state.save(process.side))
-        elif process.companion is None or not process.companion.on_command(name, line, reply):
+        elif process.companion is None or not process.companion.on_command(name, command, reply):
             reply({"error": f"no such word: {name[:40]}"})
 
     def status(self) -> dict:
-        """Return what the command `status` shows."""
+        """Returns the response to the command `status`."""
         process = self.process
         return {
             "name": process.log.name,
@@ -67,7 +67,7 @@
         }
 
     def upgrade(self, reply: Reply) -> None:
-        """Start an upgrade, whose result goes to `reply`; where none can start now, reply with the reason."""
+        """Starts an upgrade and sends its result to `reply`; if none can start, replies with the reason."""
         process = self.process
         successor = process.successor_driver
         driver = process.predecessor_driver
@@ -82,7 +82,7 @@
         driver.step("asked")
 
     def on_upgrade_result(self, result: dict) -> None:
-        """Send the result of an upgrade to all who requested it; a failure also as `error`."""
+        """Sends the result of an upgrade to all who requested it; a failure also as `error`."""
         replies = self.pending_upgrade_replies
         self.pending_upgrade_replies = []
         for reply in replies:
--- a/indigohitch/service.py
+++ b/indigohitch/service.py
@@ -1,4 +1,4 @@
-"""The coordinator as a process: its phases from start to exit, and its signals."""
+"""The process of a coordinator: its phases from start to exit, and its signals."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from .platform_protocol.front import Front
 from .process import Process
 
-# The errors of a configuration that can't be read, or lacks something.
-UNUSABLE = (OSError, ValueError, KeyError, TypeError, AttributeError)
-REMEDY = "mend the file that BALANCER_CONFIG names"
+# Exceptions that an unreadable or invalid configuration raises.
+CONFIGURATION_ERRORS = (OSError, ValueError, KeyError, TypeError, AttributeError)
+CONFIGURATION_REMEDY = "correct the file that BALANCER_CONFIG names"
 
 
 class Phase(enum.Enum):
     """The phases of a coordinator; their values are in the log."""
 
     STARTING = "starting"  # reads its configuration, opens its address
-    LISTENING = "listening"  # answers; the state of the relay is not known yet
+    LISTENING = "listening"  # answers callers; the state of the relay is not known yet
     SERVING = "serving"
     ENDING = "ending"  # after SIGTERM: finishes pending calls, for GRACE
     ENDED = "ended"
@@ -38,7 +38,7 @@
     """Reads the file that BALANCER_CONFIG names; the environment variables named override its entries.
 
     Raises:
-        OSError, ValueError, KeyError: See UNUSABLE.
+        OSError, ValueError, KeyError: See CONFIGURATION_ERRORS.
     """
     with open(environ["BALANCER_CONFIG"], "rb") as file:
         configuration = orjson.loads(file.read())
@@ -48,90 +48,90 @@
     return configuration
 
 
-ENDS = (Phase.ENDING, Phase.ENDED)
-RELOAD_PATIENCE = 4 * SECOND
+SHUTDOWN_PHASES = (Phase.ENDING, Phase.ENDED)
+RELOAD_RETRY_PERIOD = 4 * SECOND
 RELOAD_RETRY_DELAY = SECOND // 50
 
 
 def reload_front(
     process: Process,
     environ: Mapping[str, str],
-    front: Callable[[], Front | None],
-    done: Callable[[], None] = lambda: None,
+    get_front: Callable[[], Front | None],
+    on_applied: Callable[[], None] = lambda: None,
     deadline: Ticks = 0,
 ) -> None:
-    """Applies the configuration file as it is now; `done` is called if it was applied.
+    """Applies the configuration file as it is now; `on_applied` is called if it was applied.
 
-    A file that can't be used changes nothing.  The file is newer than the variable that named discovery at
-    the start; the address to listen on can't change while connections use it.  A transient failure is
-    retried for RELOAD_PATIENCE, as long as `front` returns one.
+    A file that can't be used changes nothing.  The variable BALANCER_DISCOVERY is not applied, as the file is
+    newer; BALANCER_LISTEN is, as the address can't change while connections use it.  A transient failure is
+    retried for RELOAD_RETRY_PERIOD, as long as `get_front` returns a front.
     """
-    if (current := front()) is None:
+    if (front := get_front()) is None:
         return
     now = process.clock.now()
-    deadline = deadline or now + RELOAD_PATIENCE
+    deadline = deadline or now + RELOAD_RETRY_PERIOD
     try:
-        current.reload(read_configuration(environ, "BALANCER_LISTEN"))
-    except UNUSABLE as error:
+        front.reload(read_configuration(environ, "BALANCER_LISTEN"))
+    except CONFIGURATION_ERRORS as error:
         if is_transient(error) and now < deadline:
             process.loop.call_after(
-                RELOAD_RETRY_DELAY, lambda: reload_front(process, environ, front, done, deadline)
+                RELOAD_RETRY_DELAY, lambda: reload_front(process, environ, get_front, on_applied, deadline)
             )
         else:
-            process.log.warning("reload_failed", **error_fields(error, REMEDY))
+            process.log.warning("reload_failed", **error_fields(error, CONFIGURATION_REMEDY))
     else:
-        done()
+        on_applied()
 
 
 class Service(Process):
-    """The process of a coordinator that is restarted, not upgraded."""
+    """The process of a coordinator that is replaced by a restart, not by an upgrade."""
 
-    GRACE = SECOND // 4  # of the 0.7 s until SIGKILL
-    # The previous process has the address until it has ended, 0.7 s and a SIGKILL after its SIGTERM.
-    LISTEN_PATIENCE = 4 * SECOND
+    GRACE = SECOND // 4  # the platform sends SIGKILL 0.7 s after SIGTERM
+    # The previous process holds the address until it has exited, which SIGKILL enforces 0.7 s after SIGTERM.
+    LISTEN_RETRY_PERIOD = 4 * SECOND
     LISTEN_RETRY_DELAY = SECOND // 50
 
     def __init__(self, environ: Mapping[str, str]) -> None:
         super().__init__(Phase.STARTING, environ.get("BALANCER_NAME", ""))
         self.environ = environ
         self.front: Front | None = None
-        self.decided = False  # while it ends: all earlier events are decided on
-        self.file_is_newer = False
+        self.all_events_handled = False  # while ending: the module has handled all earlier events
+        self.reload_requested = False  # by SIGHUP during the start
 
     def reload(self) -> None:
         """Applies the configuration file as it is now."""
-        reload_front(self, self.environ, lambda: None if self.phase in ENDS else self.front)
+        reload_front(self, self.environ, lambda: None if self.phase in SHUTDOWN_PHASES else self.front)
 
     def run(self) -> int:
-        """Runs to the end; returns the exit code."""
+        """Runs until the process ends; returns the exit code."""
         try:
-            found = retry_transient(
+            configuration = retry_transient(
                 lambda: read_configuration(self.environ, "BALANCER_LISTEN", "BALANCER_DISCOVERY"),
-                self.delayed,
+                self.log_start_delay,
             )
-            listening = self.listen(parse_address(found["listen"]))
+            listening = self.listen(parse_address(configuration["listen"]))
             if listening is None:
                 return 0
-            if self.file_is_newer:
-                found = retry_transient(
-                    lambda: read_configuration(self.environ, "BALANCER_LISTEN"), self.delayed
+            if self.reload_requested:
+                configuration = retry_transient(
+                    lambda: read_configuration(self.environ, "BALANCER_LISTEN"), self.log_start_delay
                 )
-            self.front = Front(self.loop, self.log, found, listening)
-        except UNUSABLE as error:
-            self.log.event("cannot_start", **error_fields(error, REMEDY))
+            self.front = Front(self.loop, self.log, configuration, listening)
+        except CONFIGURATION_ERRORS as error:
+            self.log.event("cannot_start", **error_fields(error, CONFIGURATION_REMEDY))
             self.become(Phase.ENDED)
             return 1
         self.become(Phase.LISTENING)
         self.front.start()
-        self.loop.turn()  # accepts waiting connections: read in the next turn, before the first decision
+        self.loop.turn()  # accepts waiting connections, so that they are read before the first decision
         while self.phase is not Phase.ENDED:
             self.loop.turn()
-            if self.phase is not Phase.ENDED and not self.decided:
+            if self.phase is not Phase.ENDED and not self.all_events_handled:
                 self.loop.guarded(self.front.event_batch.flush_if_due)
             if self.phase is Phase.ENDING:
-                # A drain that was requested right before the signal still gets its orders.
-                self.decided |= not self.front.event_batch.events
-                if self.decided and self.front.relay.idle:
+                # Orders for a drain that was requested right before the signal are still sent.
+                self.all_events_handled |= not self.front.event_batch.events
+                if self.all_events_handled and self.front.relay.idle:
                     self.end()
             if self.phase is Phase.LISTENING and self.front.store_mirror.has_started:
                 self.become(Phase.SERVING)
@@ -139,14 +139,14 @@
         return 0
 
     def listen(self, address: tuple[str, int]) -> socket.socket | None:
-        """Opens the listening socket, retrying while the previous process has the address.
+        """Opens the listening socket, retrying while the previous process holds the address.
 
-        Returns None if the process was ended meanwhile.
+        Returns None if a signal ended the process meanwhile.
 
         Raises:
             OSError: The address can't be opened.
         """
-        deadline = self.clock.now() + self.LISTEN_PATIENCE
+        deadline = self.clock.now() + self.LISTEN_RETRY_PERIOD
         while self.phase is Phase.STARTING:
             try:
                 return Listener.open_socket(address)
@@ -160,16 +160,16 @@
         return None
 
     def on_signal(self, number: int) -> None:
-        """SIGUSR1 logs the counters, SIGHUP reloads, others end the process."""
+        """Logs the counters on SIGUSR1, reloads on SIGHUP, and ends the process on any other signal."""
         if number == signal.SIGUSR1:
             self.log.counters()
         elif self.phase is Phase.STARTING:
             if number == signal.SIGHUP:
-                self.file_is_newer = True  # than what was read before the wait for the address
+                self.reload_requested = True  # the file may have changed since it was read
             else:
                 self.become(Phase.ENDED)
         elif self.phase not in (Phase.LISTENING, Phase.SERVING):
-            pass  # it ends: nothing is reloaded any more
+            pass  # shutting down already: no reload, no second shutdown
         elif number == signal.SIGHUP:
             self.reload()
         else:
@@ -179,11 +179,11 @@
     def end(self) -> None:
         """Closes the front and enters the last phase."""
         if self.phase is Phase.ENDING:
-            self.loop.guarded(self.front.close)  # a defect in it must not keep the process
+            self.loop.guarded(self.front.close)  # an exception in it must not prevent the exit
             self.become(Phase.ENDED)
 
 
 def main() -> int:
     """Runs a coordinator with the environment of the process; returns the exit code."""
-    os.set_blocking(1, False)  # a log that nobody reads must not block the service
+    os.set_blocking(1, False)  # an unread log pipe must not block the service
     return Service(os.environ).run()
--- a/indigohitch/upgradable_parts.py
+++ b/indigohitch/upgradable_parts.py
@@ -8,35 +8,35 @@
 
 
 class Companion(Protocol):
-    """What runs in the process beside its front: a member of the fleet or a subscription."""
+    """Runs in the process beside its front: a member of the fleet or a subscription."""
 
-    left: bool  # nothing remains to be waited for
+    left: bool  # whether leaving has completed: the process may exit
 
     def status(self) -> dict:
-        """Returns the keys that the companion adds to the process' status."""
+        """Returns the keys that the companion adds to the status of the process."""
 
-    def on_command(self, what: str, line: dict, answer: Callable[[dict], None]) -> bool:
-        """Handles a command of the control socket; returns False where it does not know it."""
+    def on_command(self, name: str, command: dict, reply: Callable[[dict], None]) -> bool:
+        """Handles a command of the control socket; returns False for an unknown one."""
 
     def leave(self, give_up: bool) -> None:
-        """Starts to leave; `give_up` releases its incarnation too."""
+        """Starts to leave; with `give_up` it releases its incarnation too."""
 
     def close(self) -> None:
         """Closes its sockets and files."""
 
 
 class ProcessPhase(enum.Enum):
-    """What the process does now; the values are shown in the log and by `status`."""
+    """The phases of a process; the values are shown in the log and by `status`."""
 
     STARTING = "starting"
     TAKING_OVER = "taking over"
     SERVING = "serving"
-    ENDING = "ending"  # accepts no connections; work in flight is finished, for a limited time
+    ENDING = "ending"  # accepts no connections; finishes work in flight, for a limited time
     ENDED = "ended"
 
 
 def upgrade_refusal(phase: ProcessPhase, is_under_way: bool, follows: bool) -> str:
-    """Returns why no upgrade can start now, empty where it can; `follows`: a predecessor still drains."""
+    """Returns why no upgrade can start now, or an empty text; `follows`: a predecessor still drains."""
     if is_under_way:
         return "an upgrade is under way"
     if follows:
--- a/indigohitch/upgradable_process.py
+++ b/indigohitch/upgradable_process.py
@@ -1,6 +1,7 @@
 """A process that can replace itself: upgrades in both roles, the control socket, the state and pid files.
 
-The sidecar uses it, and a coordinator that runs with an operator's file; the platform's `run` does not.
+It is the base of the sidecar and of a coordinator that runs with an operator's file; a coordinator that the
+platform starts does not use it.
 """
 
 from __future__ import annotations
@@ -29,79 +30,82 @@
     """A process that serves until it has ended or a new process of the same program has taken over."""
 
     SIGNALS = (*Process.SIGNALS, signal.SIGUSR2)
-    POLL = SECOND // 100  # while it ends: how often it checks for work in flight
+    DRAIN_POLL_INTERVAL = SECOND // 100  # between checks for work in flight, while the process ends
 
-    def __init__(self, name: str, lines: dict, waits: dict) -> None:
-        """`lines`: the operator's `control`, `state`, `pidfile`, `program`; `waits`: `drain`, `start`."""
+    def __init__(self, name: str, settings: dict, timeouts: dict) -> None:
+        """`settings` has `control`, `state`, `pidfile`, `program`; `timeouts` has `drain` and `start`."""
         super().__init__(ProcessPhase.STARTING, name)
-        self.lines = lines
-        self.waits = waits
+        self.settings = settings
+        self.timeouts = timeouts
         self.code = 0
         self.control: ControlSocket | None = None
         self.companion: Companion | None = None
-        self.state = StateFile(lines["state"], self.clock, self.log)
-        self.pidfile = PidFile(lines["pidfile"], self.log)
+        self.state = StateFile(settings["state"], self.clock, self.log)
+        self.pidfile = PidFile(settings["pidfile"], self.log)
         self.side: HandoverParticipant = self.make_participant()
         self.commands = ProcessCommands(self)
         self.predecessor_driver = PredecessorDriver(
             self.loop,
             self.log,
             self.side,
-            lines["program"],
-            waits,
+            settings["program"],
+            timeouts,
             self.on_upgrade_finished,
             self.commands.on_upgrade_result,
         )
         self.predecessor_driver.taken_back = self.pidfile.write
         self.successor_driver: SuccessorDriver | None = None
 
-    # ---- what a program adds -----------------------------------------------------------------------
+    # ---- overridden by programs --------------------------------------------------------------------
 
     def make_participant(self) -> HandoverParticipant:
-        """Return the program's part in handovers."""
+        """Returns the participant that hands over the program's state and sockets."""
         raise NotImplementedError
 
     def turn(self) -> None:
-        """Run at the end of each turn of the loop."""
+        """Runs the program's work at the end of each turn of the event loop."""
 
     def extra_status(self) -> dict:
-        """Return the keys that the program adds to the status."""
+        """Returns the keys that the program adds to the status."""
         return {}
 
     def read_operator_file(self) -> Text:
-        """Read the operator's file once more; raises ValueError for mistakes in it, and OSError."""
+        """Reads the operator's file once more.  Raises ValueError for mistakes in it, OSError."""
         raise NotImplementedError
 
     def current_program(self) -> list[str]:
-        """Return the line `program` of the file now, or the old one if the file has mistakes.
+        """Returns the line `program` of the file as it is now, or the old one if the file has mistakes.
 
         The new process reports the mistakes.
         """
         try:
             return self.read_operator_file().single["program"]
         except (OSError, ValueError):
-            return self.lines["program"]
+            return self.settings["program"]
 
     def reload(self) -> None:
-        """Apply the operator's file once more."""
+        """Applies the operator's file as it is now."""
 
     def begin_to_end(self) -> None:
-        """Stop accepting connections."""
+        """Stops accepting connections."""
 
     def is_done(self) -> bool:
-        """Whether no work is in flight, while the process ends."""
+        """Returns whether no work is in flight; asked while the process ends."""
         return True
 
     def close(self) -> None:
-        """Close the program's sockets and files."""
+        """Closes the program's sockets and files."""
 
     def without_state(self) -> None:
-        """Discard a state that was refused after a part of it was restored."""
+        """Discards a partly restored state."""
 
     # ---- phases ------------------------------------------------------------------------------------
 
     def run(self, channel: tuple[socket.socket, int] | None = None) -> int:
-        """Return the exit code; `channel`: the socket to the predecessor and its pid."""
+        """Runs until the process ends; returns the exit code.
+
+        `channel` is the socket to the predecessor and its pid, or None without one.
+        """
         self.log.event("starts", pid=os.getpid(), follows=channel[1] if channel else None)
         if channel is not None:
             self.become(ProcessPhase.TAKING_OVER)
@@ -118,7 +122,7 @@
         return self.code
 
     def start(self) -> bool:
-        """Start without a predecessor; return False, with a line in the log, where that fails."""
+        """Starts without a predecessor; where that fails, logs the reason and returns False."""
         try:
             restored = self.restore()
             if not restored:
@@ -127,7 +131,7 @@
             self.open_control()
         except (DirectorError, OSError, ValueError, KeyError, TypeError, AttributeError) as error:
             self.log.event(
-                "cannot_start", **error_fields(error, "mend the file that this program was started with")
+                "cannot_start", **error_fields(error, "correct the file that this program was started with")
             )
             self.become(ProcessPhase.ENDED)
             return False
@@ -135,30 +139,30 @@
         return True
 
     def restore(self) -> bool:
-        """Restore the state file; return whether there was a state to restore."""
+        """Restores the state file; returns whether a state was restored."""
         restored = self.state.restore(self.side)
         if restored is None:
             self.without_state()
         return bool(restored)
 
     def open_control(self) -> None:
-        """Listen on the control socket; raises OSError."""
-        if self.control is None and self.lines["control"]:
-            self.control = ControlSocket(self.loop, self.lines["control"], self.on_command)
+        """Listens on the control socket; raises OSError."""
+        if self.control is None and self.settings["control"]:
+            self.control = ControlSocket(self.loop, self.settings["control"], self.on_command)
 
     def control_listener(self) -> Listener | None:
-        """Return the listener of the control socket, which a handover passes on."""
+        """Returns the listener of the control socket, which a handover passes on."""
         return self.control and self.control.listener
 
     def take_over_control(self, sock: socket.socket) -> None:
-        """Use the predecessor's control socket, unless the file names another path now."""
-        if sock.getsockname() == self.lines["control"]:
-            self.control = ControlSocket(self.loop, self.lines["control"], self.on_command, sock)
+        """Uses the predecessor's control socket, unless the file names another path now."""
+        if sock.getsockname() == self.settings["control"]:
+            self.control = ControlSocket(self.loop, self.settings["control"], self.on_command, sock)
         else:
             sock.close()
 
     def on_serving(self) -> None:
-        """Enter the phase of service; as a successor, with the control socket and a pending reload."""
+        """Enters SERVING; a successor also opens the control socket and applies a pending reload."""
         if self.successor_driver is not None:
             try:
                 self.open_control()
@@ -170,12 +174,12 @@
             self.reload()
 
     def exit_with(self, code: int) -> None:
-        """End at once with this exit code."""
+        """Ends the process with this exit code, without saving or closing anything."""
         self.code = code
         self.become(ProcessPhase.ENDED)
 
     def on_signal(self, number: int) -> None:
-        """Handle a signal: counters, an upgrade, a reload or the end."""
+        """Handles a signal: logs the counters, upgrades, reloads or ends the process."""
         if number == signal.SIGUSR1:
             self.log.counters()
         elif number == signal.SIGUSR2:
@@ -188,48 +192,48 @@
             elif self.phase is ProcessPhase.SERVING:
                 self.reload()
         else:
-            if self.successor_driver is not None:  # once it serves it only notifies the predecessor
+            if self.successor_driver is not None:  # in SERVING this only notifies the predecessor
                 self.successor_driver.step("told_to_end", "SIGTERM")
             if self.phase is ProcessPhase.SERVING:
                 self.predecessor_driver.step("told_to_end", "SIGTERM")
 
-    def on_command(self, name: str, line: dict, reply: Reply) -> None:
-        """Run a command of the control socket."""
-        self.commands.on_command(name, line, reply)
+    def on_command(self, name: str, command: dict, reply: Reply) -> None:
+        """Runs a command of the control socket."""
+        self.commands.on_command(name, command, reply)
 
     @property
     def is_handed_over(self) -> bool:
-        """Whether another process is the service."""
+        """Whether another process serves instead of this one."""
         return self.predecessor_driver.machine.phase is UpgradePhase.ENDED
 
     def on_upgrade_finished(self) -> None:
-        """End, as the upgrade's machine has ended: a successor serves, or this process has to stop."""
+        """Ends the process after a handover; without one, starts a shutdown as it was told to end."""
         if self.is_handed_over or self.phase is not ProcessPhase.SERVING:
             self.end()
             return
         self.become(ProcessPhase.ENDING)
         self.begin_to_end()
-        self.state.save(self.side)  # and again at the end, where that is reached
-        self.loop.call_after(self.waits["drain"], self.end)
-        self.wait_for_last()
+        self.state.save(self.side)  # and again at the end, unless the process is killed before
+        self.loop.call_after(self.timeouts["drain"], self.end)
+        self.end_when_drained()
 
-    def wait_for_last(self) -> None:
-        """End as soon as no work is in flight and the companion has left."""
+    def end_when_drained(self) -> None:
+        """Ends the process as soon as no work is in flight and the companion has left."""
         if self.phase is ProcessPhase.ENDING:
             if self.is_done() and (self.companion is None or self.has_companion_left()):
                 self.end()
             else:
-                self.loop.call_after(self.POLL, self.wait_for_last)
+                self.loop.call_after(self.DRAIN_POLL_INTERVAL, self.end_when_drained)
 
     def has_companion_left(self) -> bool:
-        """Make the companion leave, once no work depends on it, and return whether it has left."""
+        """Makes the companion leave, as no work depends on it any more; returns whether it has left."""
         self.companion.leave(True)
         return self.companion.left
 
     def end(self) -> None:
-        """Save the state if the process ended in order, and close everything."""
+        """Saves the state, unless it was handed over, and closes everything."""
         if self.phase is not ProcessPhase.ENDED:
-            if self.phase is ProcessPhase.ENDING:  # with what was still sent, and counts, since
+            if self.phase is ProcessPhase.ENDING:  # with what was sent and counted since the first save
                 self.state.save(self.side)
             if self.companion is not None:
                 self.companion.close()
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -85,7 +85,7 @@
         ("load replay TRACE 10.0.0.1:8", "10.0.0.1: the target is not on loopback", "--allow-target"),
         ("load replay TRACE 127.0.0.1:1 --speed 0", "a speed of 0.0", "above 0"),
         ("check FILE", "FILE:1: unknown word 'nothing'", "docs/sidecar.md"),
-        ("check NONE", "NONE: No such file", "name what is there"),
+        ("check NONE", "NONE: No such file", "name an existing one"),
         ("status PLAIN", "PLAIN: no line `control`", "add `control"),
         ("status CONTROL", "SOCKET: no answer", "start the program of CONTROL"),
     ],
