--- a/tests/golden_files_commands.py
+++ b/tests/golden_files_commands.py
@@ -1,4 +1,4 @@
-"""The command line: names of commands, their options and arguments, choices and defaults."""
+"""Describes the command line: names of commands, their options and arguments, choices and defaults."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 from indigohitch.cli import main
 
 
-def parameter(one: click.Parameter) -> dict:
-    choices = list(one.type.choices) if isinstance(one.type, click.Choice) else None
-    default = one.default if isinstance(one.default, bool | int | float | str) else None
-    kind = one.param_type_name
+def describe_parameter(parameter: click.Parameter) -> dict:
+    choices = list(parameter.type.choices) if isinstance(parameter.type, click.Choice) else None
+    default = parameter.default if isinstance(parameter.default, bool | int | float | str) else None
+    kind = parameter.param_type_name
     return {
         "kind": kind,
-        "words": list(one.opts) if kind == "option" else [],
-        "many": one.nargs != 1 or one.multiple,
-        "required": one.required,
-        "flag": kind == "option" and one.is_flag,
+        "words": list(parameter.opts) if kind == "option" else [],
+        "many": parameter.nargs != 1 or parameter.multiple,
+        "required": parameter.required,
+        "flag": kind == "option" and parameter.is_flag,
         "choices": choices,
         "default": default,
     }
 
 
-def command(one: click.Command) -> dict:
-    found: dict = {"parameters": [parameter(each) for each in one.params]}
-    if isinstance(one, click.Group):
-        context = click.Context(one)
-        names = one.list_commands(context)
-        found["commands"] = {name: command(one.get_command(context, name)) for name in sorted(names)}
-    return found
+def describe_command(command: click.Command) -> dict:
+    description: dict = {"parameters": [describe_parameter(each) for each in command.params]}
+    if isinstance(command, click.Group):
+        context = click.Context(command)
+        names = command.list_commands(context)
+        description["commands"] = {
+            name: describe_command(command.get_command(context, name)) for name in sorted(names)
+        }
+    return description
 
 
 def made() -> dict[str, bytes]:
-    return {"command-line.json": as_json(command(main))}
+    return {"command-line.json": as_json(describe_command(main))}
--- a/tests/golden_files_running.py
+++ b/tests/golden_files_running.py
@@ -1,4 +1,4 @@
-"""Keys of what running processes answer over the control socket: a sidecar, a coordinator, a subscriber."""
+"""Keys of the control socket responses of running processes: a sidecar, a coordinator, a subscriber."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from waiting import free_address
 
 
-def tree(value: object) -> object:
-    """Keys alone; of the counters none, as they tell what has happened."""
+def key_tree(value: object) -> object:
+    """Returns the keys without their values; keys of counters are left out, as they depend on past events."""
     if not isinstance(value, dict):
         return None
-    return {key: tree(one) if key != "counters" else None for key, one in value.items()}
+    return {key: key_tree(child) if key != "counters" else None for key, child in value.items()}
 
 
-def status(process: UpgradableProcess) -> object:
-    found: list[dict] = []
-    process.on_command("status", {"ask": "status"}, found.append)
-    return tree(orjson.loads(orjson.dumps(found[0], default=str)))
+def status_keys(process: UpgradableProcess) -> object:
+    responses: list[dict] = []
+    process.on_command("status", {"ask": "status"}, responses.append)
+    return key_tree(orjson.loads(orjson.dumps(responses[0], default=str)))
 
 
 def sidecar() -> bytes:
@@ -38,10 +38,10 @@
         try:
             field.start()
             assert field.get().status == 200
-            found = {what: tree(field.ask(what)) for what in ("status", "snapshot", "upgrade")}
+            responses = {name: key_tree(field.ask(name)) for name in ("status", "snapshot", "upgrade")}
         finally:
             field.close()
-    return as_json(found)
+    return as_json(responses)
 
 
 def coordinator() -> bytes:
@@ -66,7 +66,7 @@
         )
         process.side.start_empty({})
         try:
-            return as_json({"status": status(process)})
+            return as_json({"status": status_keys(process)})
         finally:
             process.close()
 
@@ -76,7 +76,7 @@
         process = SubscriberProcess(operator_file.read(SUBSCRIBER))
         process.companion.open()
         try:
-            return as_json({"status": status(process)})
+            return as_json({"status": status_keys(process)})
         finally:
             process.companion.close()
 
--- a/tests/program.py
+++ b/tests/program.py
@@ -1,4 +1,4 @@
-"""The program itself, started by what the platform hands over, and its log."""
+"""Starts the program as a process, as the platform does, and reads its log."""
 
 import json
 import os
@@ -11,6 +11,8 @@
 
 
 class Program:
+    """A running program, the events that it has logged, and its configuration file."""
+
     def __init__(self, path, config, words=(), **variables):
         self.file = path / "config.json"
         self.file.write_text(config)
@@ -21,7 +23,8 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
         )
-        self.log, self.bound = [], 30_000 if words else 600  # ms
+        self.log = []
+        self.shutdown_limit_ms = 30_000 if words else 600
         self.reader = threading.Thread(target=self._read, daemon=True)
         self.reader.start()
 
@@ -30,38 +33,51 @@
             self.log.append(json.loads(line))
 
     def said(self, event, **words):
-        return [e for e in list(self.log) if e["event"] == event and words.items() <= e.items()]
+        """Returns the logged events of this name that have all of these fields."""
+        return [
+            logged
+            for logged in list(self.log)
+            if logged["event"] == event and words.items() <= logged.items()
+        ]
 
     def counters(self):
+        """Returns the counters event that the program logs on SIGUSR1."""
         before = len(self.said("counters"))
         self.process.send_signal(signal.SIGUSR1)
         return eventually(lambda: self.said("counters")[before:])[0]
 
     def end(self):
-        """SIGTERM; the exit code.  The platform's SIGKILL would come after 0.7 s; an operator waits for
-        `drain`, and the state is on the disk by then."""
+        """Sends SIGTERM and returns the exit code; fails if the shutdown took too long.
+
+        The platform sends SIGKILL 0.7 s after SIGTERM.  With an operator's file it may take as long
+        as `drain`, and has saved the state by then.
+        """
         self.process.send_signal(signal.SIGTERM)
         code = self.process.wait(10)
         self.reader.join(5)
-        ending, ended = (self.said("phase", now=now)[0]["ms"] for now in ("ending", "ended"))
-        assert ended - ending < self.bound
+        ending, ended = (self.said("phase", now=phase)[0]["ms"] for phase in ("ending", "ended"))
+        assert ended - ending < self.shutdown_limit_ms
         return code
 
 
 class stopped:
-    """Nothing of the program runs meanwhile; what happens within it meets at one turn."""
+    """Stops the program by SIGSTOP, so that all that happens inside the block is handled in one loop turn.
+
+    At the end of the block it sends `signals`, then SIGCONT.
+    """
 
     def __init__(self, program, *signals):
-        self.process, self.signals = program.process, signals
+        self.process = program.process
+        self.signals = signals
 
     def __enter__(self):
         self.process.send_signal(signal.SIGSTOP)
 
-        def stands():
+        def is_stopped():
             with open(f"/proc/{self.process.pid}/stat") as file:
                 return file.read().rpartition(")")[2].split()[0] == "T"
 
-        eventually(stands)
+        eventually(is_stopped)
 
     def __exit__(self, *_):
         for number in (*self.signals, signal.SIGCONT):
--- a/tests/stage.py
+++ b/tests/stage.py
@@ -1,5 +1,7 @@
-"""The platform as a coordinator meets it on sockets: relay, discovery and backends as stand-ins, and the
-program itself."""
+"""The platform as a coordinator sees it over sockets: stand-ins for relay, discovery and backends.
+
+It starts the program too.
+"""
 
 import json
 import signal
@@ -42,34 +44,48 @@
 
 
 class Platform(RelayStandIn):
-    """All that a coordinator talks to.  Faults wait in lists; each is met once, in order."""
+    """All that a coordinator connects to.  Faults are queued in lists; each occurs once, in order."""
 
     def __init__(self, path, backends=6, slices=12, proxies=3, sockets=1024, memory=192):
-        self.path, self.program = path, None
+        self.path = path
+        self.program = None
         self.limits = {"cores": 1.0, "memory_mb": memory, "sockets": sockets}
         self.lock = threading.RLock()
-        self.relay, self.discovery = Peer(self._relay), Peer(self._discovery)
-        self.relay_faults, self.news_faults, self.discovery_faults = [], [], []
-        self.behaviour, self.probed = {}, []  # of backends; who was probed, in order
-        self.backends, self.listed, self.version, self.changes = {}, {}, 1, []
-        for n in range(backends):
-            self.add(f"b{n}")
+        self.relay = Peer(self._relay)
+        self.discovery = Peer(self._discovery)
+        self.relay_faults = []
+        self.news_faults = []  # of event streams
+        self.discovery_faults = []
+        self.behaviour = {}  # fault by backend
+        self.probed = []  # backend and target of each probe
+        self.backends = {}
+        self.listed = {}
+        self.version = 1
+        self.changes = []
+        for number in range(backends):
+            self.add(f"b{number}")
         self.proxies = set(range(proxies))
-        self.tables = {s: {f"b{s % backends}": 1.0} for s in range(slices)}
-        self.out, self.refused, self.calls, self.marks, self.news = set(), set(), [], [], []
-        self.times = []  # of the calls carried out
-        self.marks_told = True  # proxies answer marks
-        self.streams_mute = False  # news streams that begin now stay without a byte
+        self.tables = {number: {f"b{number % backends}": 1.0} for number in range(slices)}
+        self.out = set()  # ejected backends
+        self.refused = set()  # backends whose put orders the relay refuses
+        self.calls = []  # the orders of each call that was executed
+        self.times = []  # when each of these calls was executed
+        self.marks = []  # the numbers of executed fence orders
+        self.news = []  # the queue of each open event stream
+        self.marks_told = True  # whether proxies acknowledge fences
+        self.streams_mute = False  # whether new event streams stay without a byte
         self.known = self.whole()
 
     # ---- backends and discovery
 
     def add(self, id):
+        """Starts a backend and lists it as SERVING."""
         peer = Peer(lambda sock, method, target, body: self._backend(id, sock, target))
         self.backends[id] = peer
         self.change(id, "SERVING", peer.address)
 
     def change(self, id, state="SERVING", address=None, started=0):
+        """Changes the entry of a backend in the list of discovery."""
         with self.lock:
             self.version += 1
             entry = {
@@ -88,6 +104,7 @@
                 del self.listed[id]
 
     def whole(self):
+        """Returns the full list of backends, as discovery sends it."""
         return {"generation": self.version, "reset": True, "instances": list(self.listed.values())}
 
     def _backend(self, id, sock, target):
@@ -99,23 +116,24 @@
         how = self.discovery_faults.pop(0) if self.discovery_faults else None
         if how not in (None, "whole", "close"):
             return fail(sock, how)
-        asked = dict(parse_qsl(urlsplit(target).query))
-        if "from" in asked:
-            end = time.monotonic() + int(asked["hold_ms"]) / 1000
-            while self.version <= int(asked["from"]) and time.monotonic() < end and how != "whole":
+        parameters = dict(parse_qsl(urlsplit(target).query))
+        if "from" in parameters:
+            deadline = time.monotonic() + int(parameters["hold_ms"]) / 1000
+            while self.version <= int(parameters["from"]) and time.monotonic() < deadline and how != "whole":
                 time.sleep(0.005)
             with self.lock:
-                entries = [e for v, e in self.changes if v > int(asked["from"])]
-                found = {"generation": self.version, "reset": False, "instances": entries}
+                entries = [entry for version, entry in self.changes if version > int(parameters["from"])]
+                changes = {"generation": self.version, "reset": False, "instances": entries}
         else:
             how = how or "whole"
-        http(sock, json.dumps(self.whole() if how == "whole" else found))
+        http(sock, json.dumps(self.whole() if how == "whole" else changes))
         if how == "close":
             sock.shutdown(socket.SHUT_RDWR)
 
     # ---- the program
 
     def start(self, words=(), **more):
+        """Starts the program with these arguments; `more` replaces entries of its configuration."""
         self.listen = free_address()
         self.found = {
             "name": "n0",
@@ -137,25 +155,31 @@
         return self.program
 
     def reload(self, **more):
-        """Another file, and the signal."""
+        """Rewrites the configuration file, with these entries replaced, and sends SIGHUP."""
         self.program.file.write_text(json.dumps(self.found | more))
         self.program.process.send_signal(signal.SIGHUP)
 
     def move(self, ports=(0, 0)):
-        """Relay and discovery at new addresses too; what was there before takes no new connection."""
-        left = self.relay, self.discovery
-        self.relay, self.discovery = Peer(self._relay, ports[0]), Peer(self._discovery, ports[1])
+        """Moves relay and discovery to new addresses and reloads the program.
+
+        Returns the peers at the old addresses, which accept no new connections but keep the open ones.
+        """
+        old_peers = self.relay, self.discovery
+        self.relay = Peer(self._relay, ports[0])
+        self.discovery = Peer(self._discovery, ports[1])
         self.reload(store={"address": self.relay.address}, discovery=self.discovery.address)
-        for peer in left:
+        for peer in old_peers:
             peer.stop()
-        return left
+        return old_peers
 
     def serving(self, words=()):
+        """Starts the program and waits until it serves."""
         program = self.start(words)
         eventually(lambda: program.said("phase", now="serving"))
         return program
 
     def call(self):
+        """Opens a connection to the program."""
         host, port = self.listen.split(":")
         return socket.create_connection((host, int(port)), 10)
 
@@ -168,21 +192,25 @@
 
 
 def drain(platform, backend):
-    """A change that the module must answer with orders; waits until they stand."""
+    """Drains a backend and waits until the tables no longer use it: the module must issue orders for that."""
     platform.change(backend, "DRAINING")
-    eventually(lambda: platform.agrees() and not any(backend in t for t in platform.tables.values()))
+    eventually(lambda: platform.agrees() and not any(backend in table for table in platform.tables.values()))
 
 
 def heartbeat(platform):
+    """Returns whether the program answers a heartbeat."""
     with platform.call() as sock:
         sock.sendall(b"hb\r\n")
         return sock.makefile("rb").readline() == b"hb_ok\r\n"
 
 
 def none_lost(platform, merged=False):
-    """Marks count the calls: every one stood, in order, the same again only before anything later.  Where
-    calls that waited were merged into one, only the last of their marks is told."""
-    marks = [m for m, before in zip(platform.marks, [0, *platform.marks]) if m != before]
+    """Returns whether all calls were executed in order; a call may be repeated only before any later one.
+
+    The marks of fence orders number the calls.  Where waiting calls were merged (`merged`), only the last of
+    their marks is sent.
+    """
+    marks = [mark for mark, before in zip(platform.marks, [0, *platform.marks]) if mark != before]
     if merged:
         return marks == sorted(set(marks))
     return marks == list(range(marks[0], marks[0] + len(marks)))
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""What the command line says when something is wrong: what, where, and what to do."""
+"""Errors of the command line: each states the problem, its location and the remedy."""
 
 import errno
 import json
@@ -24,21 +24,21 @@
 
 
 def run(*words):
-    found = CliRunner().invoke(main, list(map(str, words)))
-    assert found.exception is None or isinstance(found.exception, SystemExit), found.exception
-    return found.exit_code, found.stdout, found.stderr
+    result = CliRunner().invoke(main, list(map(str, words)))
+    assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
+    return result.exit_code, result.stdout, result.stderr
 
 
-def lines(form):
-    return b"".join(form % n for n in range(5))
+def five_lines(form):
+    return b"".join(form % number for number in range(5))
 
 
-def test_a_trouble_is_told_whole():
-    bad = DirectorError("it broke", "a.log:3", "mend it")
-    assert str(bad) == "a.log:3: it broke (mend it)"
-    assert error_fields(bad) == {"why": "it broke", "where": "a.log:3", "remedy": "mend it"}
-    full = UnavailableError("no", retry_after_ticks=7)
-    assert str(full) == "no" and full.retry_after_ticks == 7
+def test_errors_show_problem_location_and_remedy():
+    error = DirectorError("it broke", "a.log:3", "mend it")
+    assert str(error) == "a.log:3: it broke (mend it)"
+    assert error_fields(error) == {"why": "it broke", "where": "a.log:3", "remedy": "mend it"}
+    unavailable = UnavailableError("no", retry_after_ticks=7)
+    assert str(unavailable) == "no" and unavailable.retry_after_ticks == 7
     assert error_fields(OSError(errno.EADDRINUSE, "in use"))["remedy"].startswith("free the address")
     assert error_fields(KeyError("listen"), "mend it") == {"why": "KeyError: 'listen'", "remedy": "mend it"}
 
@@ -46,14 +46,14 @@
 @pytest.mark.parametrize(
     "name, data, form",
     [
-        ("a.log", lines(COMMON), "common"),
-        ("a.log", lines(COMBINED), "combined"),
-        ("a.log", lines(JSON), "json"),
+        ("a.log", five_lines(COMMON), "common"),
+        ("a.log", five_lines(COMBINED), "combined"),
+        ("a.log", five_lines(JSON), "json"),
         ("a.log", HAR, "har"),
-        ("a", b"garbage\n" + lines(COMMON), "common"),
+        ("a", b"garbage\n" + five_lines(COMMON), "common"),
     ],
 )
-def test_a_log_is_read_as_its_first_lines_are_and_that_is_said(tmp_path, name, data, form):
+def test_log_format_is_detected_from_the_first_lines_and_reported(tmp_path, name, data, form):
     source = tmp_path / name
     source.write_bytes(data)
     code, out, err = run("load", "compile", source, "-o", tmp_path / "t")
@@ -63,9 +63,9 @@
     assert code == 0 and f"read as {form}" in err
 
 
-def test_a_name_or_an_option_wins_over_the_first_lines(tmp_path):
+def test_an_explicit_format_wins_over_detection_and_unknown_lines_are_refused(tmp_path):
     source = tmp_path / "a.log"
-    source.write_bytes(lines(COMMON))
+    source.write_bytes(five_lines(COMMON))
     code, _, err = run("load", "compile", source, "-o", tmp_path / "t", "--format", "combined")
     assert code == 1 and "no request; 5 lines can't be read as combined\n  --format common reads it" in err
     source.write_bytes(b"no log\nat all\n")
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    "words, what, remedy",
+    "words, problem, remedy",
     [
         ("load show FILE", "FILE: no trace", "compile it anew"),
         ("load page FILE -o OUT", "FILE: no figures of a replay", "--save"),
@@ -90,38 +90,38 @@
         ("status CONTROL", "SOCKET: no answer", "start the program of CONTROL"),
     ],
 )
-def test_every_refusal_names_the_place_and_the_remedy(tmp_path, words, what, remedy):
+def test_every_error_names_the_location_and_the_remedy(tmp_path, words, problem, remedy):
     (tmp_path / "file").write_bytes(b"nothing\n")
     (tmp_path / "plain").write_bytes(b"state /x\n")
     (tmp_path / "control").write_text(f"control {tmp_path / 'socket'}\n")
-    (tmp_path / "log").write_bytes(lines(COMMON))
+    (tmp_path / "log").write_bytes(five_lines(COMMON))
     assert run("load", "compile", tmp_path / "log", "-o", tmp_path / "trace")[0] == 0
     for name in ("file", "out", "trace", "none", "plain", "control", "socket"):
-        words, what, remedy = (
-            text.replace(name.upper(), str(tmp_path / name)) for text in (words, what, remedy)
+        words, problem, remedy = (
+            text.replace(name.upper(), str(tmp_path / name)) for text in (words, problem, remedy)
         )
     code, out, err = run(*words.split())
     first, *rest = err.splitlines()
-    assert code == 1 and not out and what in err and remedy in rest[-1]
+    assert code == 1 and not out and problem in err and remedy in rest[-1]
 
 
-def first_line(*words, **environ):
-    out = subprocess.run(
+def cannot_start_event(*words, **environ):
+    result = subprocess.run(
         [sys.executable, "-m", "indigohitch", *map(str, words)],
         capture_output=True,
         text=True,
         timeout=20,
         env=os.environ | environ,
     )
-    said = [json.loads(line) for line in out.stdout.splitlines()]
-    assert out.returncode == 1
-    return next(line for line in said if line["event"] == "cannot_start")
+    events = [json.loads(line) for line in result.stdout.splitlines()]
+    assert result.returncode == 1
+    return next(event for event in events if event["event"] == "cannot_start")
 
 
-def test_a_program_that_cannot_start_says_what_to_do(tmp_path):
+def test_a_failed_start_logs_a_remedy(tmp_path):
     file = tmp_path / "f"
     file.write_text("{}")
-    assert "BALANCER_CONFIG" in first_line(BALANCER_CONFIG=str(file))["remedy"]
+    assert "BALANCER_CONFIG" in cannot_start_event(BALANCER_CONFIG=str(file))["remedy"]
     with socket.create_server(("127.0.0.1", 0)) as taken:
         file.write_text(TEXT.replace("127.0.0.1:1\n", f"127.0.0.1:{taken.getsockname()[1]}\n"))
-        assert first_line("sidecar", file)["remedy"].startswith("free the address")
+        assert cannot_start_event("sidecar", file)["remedy"].startswith("free the address")
--- a/tests/test_golden_files_commands.py
+++ b/tests/test_golden_files_commands.py
@@ -1,8 +1,8 @@
-"""The golden file of the command line: what operators type has the names that it had."""
+"""Compares the command line with its golden file: operators rely on its names."""
 
 from golden_files import golden
 from golden_files_commands import made
 
 
-def test_names_of_the_command_line():
+def test_command_line_names_match_the_golden_file():
     assert made() == {"command-line.json": golden("commands/command-line.json")}
--- a/tests/test_golden_files_running.py
+++ b/tests/test_golden_files_running.py
@@ -1,4 +1,4 @@
-"""Golden files of running processes: keys of what they answer over the control socket."""
+"""Compares the keys of control socket responses of running processes with golden files."""
 
 import pytest
 
@@ -7,5 +7,5 @@
 
 
 @pytest.mark.parametrize("name", RUNNING)
-def test_keys_of_the_answers_of_a_running_process(name):
+def test_response_keys_of_a_running_process_match_the_golden_file(name):
     assert RUNNING[name]() == golden(f"running/{name}.json")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""The program moved to other addresses by its file and a signal."""
+"""Reloads of the configuration file by SIGHUP, mostly with other addresses of relay and discovery."""
 
 import signal
 
@@ -11,17 +11,17 @@
 
 def test_reload_moves_to_other_addresses(platform):
     program = platform.serving()
-    for times in (1, 2):
-        left = platform.move()
-        platform.change(f"b{times}", "DRAINING")  # meets the reload
-        eventually(lambda n=times: len(program.said("reloaded", moved=True)) == n)
-        eventually(lambda n=times: len(program.said("relay_watch_started")) == n + 1)
+    for move_number in (1, 2):
+        old_peers = platform.move()
+        platform.change(f"b{move_number}", "DRAINING")  # at the same time as the reload
+        eventually(lambda count=move_number: len(program.said("reloaded", moved=True)) == count)
+        eventually(lambda count=move_number: len(program.said("relay_watch_started")) == count + 1)
         assert not program.said("relay_watch_lost") and not program.said("discovery_failed")
-        for peer in left:
+        for peer in old_peers:
             peer.close()
-        drain(platform, f"b{times}")
+        drain(platform, f"b{move_number}")
     assert none_lost(platform) and heartbeat(platform) and not program.said("defect")
-    assert not any("needs_restart" in e for e in program.said("reloaded"))
+    assert not any("needs_restart" in event for event in program.said("reloaded"))
     platform.reload(
         limits={"cores": 1.0, "memory_mb": 64, "sockets": 256},
         store={"address": platform.relay.address},
@@ -33,16 +33,19 @@
 
 
 def test_reload_to_addresses_that_are_not_up_yet(platform):
-    program, coming = platform.serving(), [free_address(), free_address()]
-    for _ in range(2):  # one in the middle of the other
-        platform.reload(store={"address": coming[0]}, discovery=coming[1])
+    program = platform.serving()
+    new_addresses = [free_address(), free_address()]
+    for _ in range(2):  # each reload starts before the last one has completed
+        platform.reload(store={"address": new_addresses[0]}, discovery=new_addresses[1])
         platform.reload(store={"address": free_address()}, discovery=free_address())
-    platform.reload(store={"address": coming[0]}, discovery=coming[1])
+    platform.reload(store={"address": new_addresses[0]}, discovery=new_addresses[1])
     eventually(lambda: program.said("relay_watch_lost", why="connect_failed"))
     eventually(lambda: program.said("discovery_new_address_unavailable"))
-    platform.change("b1", "DRAINING")  # what is still open there tells it; no call gets through yet
+    platform.change(
+        "b1", "DRAINING"
+    )  # the open discovery connection reports it; no call reaches the relay yet
     eventually(lambda: program.said("relay_call_unresolved", why="connect_failed"))
-    for peer in platform.move([int(at.rpartition(":")[2]) for at in coming]):
+    for peer in platform.move([int(address.rpartition(":")[2]) for address in new_addresses]):
         peer.close()
     drain(platform, "b1")
     drain(platform, "b2")
@@ -51,14 +54,14 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "{}", None])
-def test_a_file_that_can_not_be_used_changes_nothing(platform, text):
+def test_an_unusable_file_changes_nothing(platform, text):
     program = platform.serving()
     if text is None:
         program.file.unlink()
     else:
         program.file.write_text(text)
     program.process.send_signal(signal.SIGHUP)
-    unchanged(platform)
+    assert_unchanged(platform)
 
 
 @pytest.mark.parametrize(
@@ -76,25 +79,26 @@
         {"seed": "xyz"},
     ],
 )
-def test_a_file_of_which_a_part_can_not_be_used_changes_nothing(platform, part):
-    """Nor does its good half come in: it names another discovery, and a relay where that is not the part."""
-    program, coming = platform.serving(), [Peer(platform._relay), Peer(platform._discovery)]
-    platform.reload(**{"store": {"address": coming[0].address}, "discovery": coming[1].address} | part)
-    unchanged(platform)
-    assert [peer.connections for peer in coming] == [0, 0] and not program.said("defect")
-    for peer in coming:
+def test_a_file_with_one_unusable_part_changes_nothing(platform, part):
+    """Its valid parts are not applied either: another discovery, and another relay unless that is the part."""
+    program = platform.serving()
+    new_peers = [Peer(platform._relay), Peer(platform._discovery)]
+    platform.reload(**{"store": {"address": new_peers[0].address}, "discovery": new_peers[1].address} | part)
+    assert_unchanged(platform)
+    assert [peer.connections for peer in new_peers] == [0, 0] and not program.said("defect")
+    for peer in new_peers:
         peer.close()
 
 
-def unchanged(platform):
-    """The file was turned away; relay, news and discovery are those of before, and calls go."""
+def assert_unchanged(platform):
+    """Checks that the file was rejected: relay, stream and discovery are as before, and calls succeed."""
     program = platform.program
     eventually(lambda: program.said("reload_failed"))
     drain(platform, "b1")
     assert not program.said("reloaded") and not program.said("relay_watch_lost") and none_lost(platform)
 
 
-def test_reload_meets_the_end(platform):
+def test_sigterm_during_a_reload_ends_the_process(platform):
     program = platform.serving()
     platform.relay_faults += ["silent"] * 99
     platform.change("b1", "DRAINING")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The program from its start to its end."""
+"""Lifecycle of the program: start, restart, shutdown, and configurations that prevent a start."""
 
 import socket
 import time
@@ -10,22 +10,22 @@
 from waiting import eventually
 
 
-def test_a_day_in_small(platform):
+def test_a_full_run_drains_probes_and_ends(platform):
     program = platform.serving()
     assert heartbeat(platform)
     drain(platform, "b1")
     platform.change("b1", "SERVING", started=int(time.time() * 1000))
     drain(platform, "b2")
-    eventually(lambda: {b for b, _ in platform.probed} >= set("b0 b3 b4 b5".split()))
+    eventually(lambda: {backend for backend, _ in platform.probed} >= set("b0 b3 b4 b5".split()))
     assert program.end() == 0 and not program.process.stderr.read()
-    assert [e["now"] for e in program.said("phase")] == ["listening", "serving", "ending", "ended"]
+    assert [event["now"] for event in program.said("phase")] == ["listening", "serving", "ending", "ended"]
     counters = program.log[-1]
     assert counters["event"] == "counters" and counters["heartbeats_answered"] == 1
     assert counters["orders_applied"] == counters["orders"] and counters["probes_ok"] >= 4
     assert none_lost(platform)
 
 
-def test_restart_from_nothing_with_an_old_list(platform):
+def test_a_restart_with_an_outdated_backend_list_keeps_current_backends(platform):
     platform.serving()
     drain(platform, "b1")
     platform.program.process.kill()
@@ -34,16 +34,18 @@
     with platform.lock:
         for table in list(platform.tables.values())[:4]:
             table.clear()
-            table["b9"] = 1.0  # known to the store, not to the list of old
+            table["b9"] = 1.0  # in the store, not in the outdated list
     platform.change("b0", "DELETED")
-    program = platform.serving()  # its `known` still has b0 and b1, and no b9
+    program = platform.serving()  # its `known` list still has b0 and b1, and lacks b9
     eventually(platform.agrees)
     program.counters()
-    assert not any(o.startswith("put") and ",b9,0.0" in o for call in platform.calls for o in call)
+    assert not any(
+        order.startswith("put") and ",b9,0.0" in order for call in platform.calls for order in call
+    )
 
 
 @pytest.mark.parametrize("phase", ["listening", "serving", "calling"])
-def test_told_to_end_in_any_phase(platform, phase):
+def test_sigterm_in_any_phase_ends_the_process(platform, phase):
     if phase == "listening":
         platform.news_faults += ["silent"] * 9
         program = platform.start()
@@ -58,7 +60,7 @@
     assert program.said("phase", now="ended") and program.log[-1]["event"] == "counters"
 
 
-def test_a_module_that_breaks_is_begun_anew(platform):
+def test_a_failing_decision_module_is_restarted(platform):
     family = SETTINGS["family-info"] | {"egress-per-s": "fast"}
     program = platform.start(settings=SETTINGS | {"family-info": family})
     eventually(lambda: program.said("phase", now="serving"))
@@ -78,7 +80,7 @@
         None,
     ],
 )
-def test_a_configuration_that_can_not_be_read_ends_it(tmp_path, config):
+def test_an_unusable_configuration_prevents_the_start(tmp_path, config):
     program = Program(tmp_path, config or "", **{} if config else {"BALANCER_CONFIG": "/nowhere/config.json"})
     assert program.process.wait(10) not in (0, None)
     program.reader.join(5)
@@ -97,14 +99,14 @@
         (SETTINGS | {"classes": [SETTINGS["classes"][0] | {"aim": -1.0}]}, "search: aim"),
     ],
 )
-def test_settings_that_can_not_be_used_are_named(platform, settings, why):
+def test_unusable_settings_are_named_in_the_log(platform, settings, why):
     program = platform.start(settings=settings)
     assert program.process.wait(10) == 1
     program.reader.join(5)
     assert why in program.said("cannot_start")[0]["why"] and not program.said("defect")
 
 
-def test_an_address_that_can_not_be_had_ends_it(platform):
+def test_an_unavailable_address_prevents_the_start(platform):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         for listen in (f"127.0.0.1:{taken.getsockname()[1]}", "nowhere", "127.0.0.1:0x10"):
             program = platform.start(listen=listen, settings=SETTINGS)
