--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -80,7 +80,7 @@
     ],
 )
 def test_a_file_with_one_unusable_part_changes_nothing(platform, part):
-    """Its valid parts are not applied either: another discovery, and another relay unless that is the part."""
+    """Its valid parts are not applied either: another discovery, and mostly another relay."""
     program = platform.serving()
     new_peers = [Peer(platform._relay), Peer(platform._discovery)]
     platform.reload(**{"store": {"address": new_peers[0].address}, "discovery": new_peers[1].address} | part)
