--- a/indigohitch/fleet/raft/configuration.py
+++ b/indigohitch/fleet/raft/configuration.py
@@ -1,9 +1,9 @@
-"""The cluster configuration by a member's log, and the steps of a membership change.  No I/O.
+"""Tracks the cluster configuration in a member's log and computes the steps of a membership change.  No I/O.
 
-One change at a time, by an entry that holds all members and counts as soon as it is in the log (Ongaro's
-dissertation, 4.1 and 4.2).  A change of the voters adds one or removes one, so that any two majorities
-before and after have a member in common.  A leader proposes one only when the one before is committed and
-an entry of its own term is (the correction of 2015 to 4.1).
+Changes are made one at a time, by an entry that lists all members and takes effect as soon as it is in the
+log (Ongaro's dissertation, 4.1 and 4.2).  A change adds or removes at most one voter, so that any majority
+before it and any majority after it have a member in common.  A leader proposes a change only when the
+previous one and an entry of its own term are committed (the correction of 2015 to 4.1).
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 def encode_members(members: Members) -> bytes:
-    """Returns the body of an entry that holds these members."""
+    """Returns the body of a configuration entry for these members."""
     return _encode(members)
 
 
 class Configuration:
-    """The members by the snapshot and by each entry that changed them."""
+    """Holds the members as of the snapshot and of each later entry that changes them."""
 
     def __init__(self, index: int, members: Members) -> None:
         self.replace(index, members)
@@ -34,46 +34,46 @@
     def replace(self, index: int, members: Members) -> None:
         """Sets the members to those of a snapshot at `index`."""
         self.steps: list[tuple[int, Members]] = [(index, members)]
-        self._update()
+        self._set_latest()
 
-    def _update(self) -> None:
-        self.index, self.members = self.steps[-1]  # of the last change, committed or not
+    def _set_latest(self) -> None:
+        self.index, self.members = self.steps[-1]  # the last change applies whether or not it is committed
         self.voters = frozenset(self.members.voters)
         self.everyone = self.members.voters + self.members.followers
         self.majority = len(self.voters) // 2 + 1
-        self.numbers: dict[str, int] = {}
+        self.highest_numbers: dict[str, int] = {}
         for member in self.everyone:
-            self.numbers[member.name] = max(member.number, self.numbers.get(member.name, 0))
+            self.highest_numbers[member.name] = max(member.number, self.highest_numbers.get(member.name, 0))
 
     def is_outdated(self, member: MemberId) -> bool:
-        """Whether the disk of that number is known to be lost: the name has a higher number now."""
-        return member.number < self.numbers.get(member.name, 0)
+        """Returns whether the member's disk is known to be lost: its name is listed under a higher number."""
+        return member.number < self.highest_numbers.get(member.name, 0)
 
     def append(self, entries: Iterable[LogEntry]) -> None:
-        """Takes the changes among entries that were appended to the log."""
+        """Adds the configuration changes among entries that were appended to the log."""
         changes = [entry for entry in entries if entry.kind == CONFIGURATION_KIND]
         if changes:
             self.steps += [(entry.index, _decode(entry.body)) for entry in changes]
-            self._update()
+            self._set_latest()
 
     def truncate(self, index: int) -> None:
-        """Drops changes by entries from `index` on, which are void."""
+        """Removes the changes by entries from `index` on, which were truncated."""
         if self.steps[-1][0] >= index:
             self.steps = [step for step in self.steps if step[0] < index]
-            self._update()
+            self._set_latest()
 
     def members_at(self, index: int) -> Members:
         """Returns the members in force after entry `index`."""
         return next(members for changed_at, members in reversed(self.steps) if changed_at <= index)
 
     def discard_before(self, index: int) -> None:
-        """Discards the steps before the one in force at `index`."""
+        """Discards the changes before the one in force at `index`."""
         while len(self.steps) > 1 and self.steps[1][0] <= index:
             del self.steps[0]
 
 
 def remove_member(members: Members, member: MemberId) -> Members:
-    """Returns the members without that one."""
+    """Returns the members without the given one."""
     return Members(
         tuple(each for each in members.voters if each != member),
         tuple(each for each in members.followers if each != member),
@@ -83,17 +83,17 @@
 def next_configuration(
     members: Members, member: MemberId, remove: bool, as_voter: bool, has_caught_up: bool
 ) -> Members | None:
-    """Returns the members after the next step of the change, None while there is nothing to do.
+    """Returns the members after the next step of the change, or None if no step can be taken now.
 
-    If a name comes back with another disk, the new number first follows, then the old number goes, then the
-    new number votes.  Raises ValueError for a change that is not possible.
+    If a member returns with another disk, its new number is first added as a non-voting member, then the old
+    number is removed, then the new number becomes a voter.  Raises ValueError for an impossible change.
     """
     known = [each for each in members.voters + members.followers if each.name == member.name]
     if remove:
         _require_other_voters(members, member)
         return remove_member(members, member) if member in known else None
     if any(each.number > member.number for each in known):
-        raise ValueError(f"{member.name} has been here under a higher number")
+        raise ValueError(f"{member.name} is already a member under a higher number")
     if member in members.voters and not as_voter:
         _require_other_voters(members, member)
         return Members(remove_member(members, member).voters, (*members.followers, member))
@@ -111,9 +111,9 @@
 
 def _require_other_voters(members: Members, member: MemberId) -> None:
     if members.voters == (member,):
-        raise ValueError(f"{member.name} is the last one that votes")
+        raise ValueError(f"{member.name} is the last voter")
 
 
 def configuration_entry(members: Members, index: int, term: int) -> LogEntry:
-    """Returns the entry that changes the members."""
+    """Returns the log entry that sets the members."""
     return LogEntry(index, term, CONFIGURATION_KIND, encode_members(members))
--- a/indigohitch/fleet/raft/durability.py
+++ b/indigohitch/fleet/raft/durability.py
@@ -1,7 +1,7 @@
-"""Which writes of a member are on its disk, and which messages wait for them.  No I/O.
+"""Tracks which writes of a member are on its disk, and which messages wait for them.  No I/O.
 
-Nothing is acknowledged before it is on the disk: votes, the member's own and others', and entries, also those
-that a leader counts for itself.
+Nothing counts before it is on the disk: neither a vote, for itself or for another member, nor an entry, which
+includes those that a leader counts for itself.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 
 
 class DurabilityTracker:
-    """The writes that were put out, and how far they are known to be on the disk."""
+    """Tracks the writes that were put out, and up to which one they are known to be on the disk."""
 
     def __init__(self, stable: int) -> None:
-        self.number = 0  # of the last write that was put out
+        self.number = 0  # number of the last write that was put out
         self.stable = stable  # entries up to here are on the disk
         self.failed = False
-        self.hard_state_write = 0  # the write that holds the hard state
-        self.done = 0  # the last write that was completed
+        self.hard_state_write = 0  # number of the last write that contains the hard state
+        self.done = 0  # number of the last completed write
         self.installing = 0  # index of a snapshot that is being written in place of the log
-        self.pending: deque[list[int]] = deque()  # [number, last entry that it makes stable]
-        self.promises: deque[tuple[int, SendMessage]] = deque()  # (number of the write, message)
+        self.pending: deque[list[int]] = deque()  # [write number, index of the last entry it makes stable]
+        self.promises: deque[tuple[int, SendMessage]] = deque()  # (write number to wait for, message)
 
     @property
     def is_hard_state_durable(self) -> bool:
-        """Whether the term and the vote in memory are on the disk."""
+        """Returns whether the term and the vote in memory are on the disk."""
         return not self.failed and self.done >= self.hard_state_write
 
     @property
     def match_index(self) -> int:
-        """Entries up to here may be acknowledged."""
+        """Returns the index up to which entries may be acknowledged."""
         return 0 if self.installing or self.failed else self.stable
 
     def write(
         self, hard_state: HardState | None, truncate_from: int, entries: tuple[LogEntry, ...], last: int
     ) -> list[Output]:
-        """Puts out a write; with it the log ends at `last`.
+        """Returns the output for a write after which the log ends at `last`.
 
-        While the disk is failed nothing is put out: `RaftState.on_storage_recovered` does it later.
+        Returns nothing while the disk has failed; `RaftState.on_storage_recovered` writes everything later.
         """
         if truncate_from:
             self.stable = min(self.stable, truncate_from - 1)
@@ -55,7 +55,7 @@
         return [WriteEntries(self.number, hard_state, truncate_from, entries)]
 
     def on_write_completed(self, number: int) -> list[Output]:
-        """Returns the messages that may be sent now."""
+        """Records a completed write; returns the messages that were waiting for it."""
         if self.failed or number > self.number:
             return []
         self.done = max(self.done, number)
@@ -67,19 +67,19 @@
         return outputs
 
     def fail(self) -> None:
-        """Drops what waits for writes: a write failed."""
+        """Records a failed write; drops all pending writes and the messages that wait for them."""
         self.failed = True
         self.pending.clear()
         self.promises.clear()
 
     def start_install(self, index: int) -> None:
-        """A snapshot replaces the log: earlier writes count for nothing."""
+        """Records that a snapshot replaces the log, which makes earlier writes irrelevant."""
         self.installing = index
         self.stable = 0
         self.pending.clear()
 
     def on_snapshot_written(self, index: int) -> None:
-        """A snapshot at `index` is on the disk."""
+        """Records that a snapshot at `index` is on the disk."""
         self.stable = max(self.stable, index)
         if self.installing and index >= self.installing:
             self.installing = 0
--- a/indigohitch/fleet/raft/election.py
+++ b/indigohitch/fleet/raft/election.py
@@ -1,7 +1,7 @@
-"""Elections: pre-votes, requests for votes and the votes that this member grants.  No I/O.
+"""Runs elections: pre-votes, vote requests and the votes that this member grants.  No I/O.
 
-By Ongaro and Ousterhout 2014, 5.2 and 5.4.1, and the dissertation, 9.6 (pre-vote), 4.2.3 (no vote against a
-leader that is alive) and 3.10 (leadership transfer).
+See Ongaro and Ousterhout 2014, 5.2 and 5.4.1, and Ongaro's dissertation, 9.6 (pre-vote), 4.2.3 (no vote
+against a live leader) and 3.10 (leadership transfer).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Election:
-    """This member's part in elections; calls `on_elected` when it has won one."""
+    """Handles elections as candidate and as voter; calls `on_elected` when this member has won one."""
 
     def __init__(self, state: RaftState, on_elected: Callable[[], None]) -> None:
         self.state = state
@@ -25,11 +25,11 @@
     # ---- as a candidate ----------------------------------------------------------------------------
 
     @property
-    def can_stand(self) -> bool:
-        """Whether this member may stand for election.
+    def can_start_election(self) -> bool:
+        """Returns whether this member may start an election.
 
-        So may one that the last entry removes, until that is committed: it may be the only one that has the
-        entry (dissertation, 4.2.2).
+        A member that the last configuration entry removes may do so until that entry is committed, because
+        it may be the only member that has the entry (dissertation, 4.2.2).
         """
         state = self.state
         member_id = state.member_id
@@ -46,10 +46,10 @@
         )
 
     def on_timeout(self) -> None:
-        """Starts a pre-vote: no leader was seen for an election timeout."""
+        """Starts a pre-vote because no leader was heard from for an election timeout."""
         state = self.state
         state.reset_election_timer()
-        if not self.can_stand:
+        if not self.can_start_election:
             state.change_role(Role.FOLLOWER, None)
             return
         state.change_role(Role.PRE_CANDIDATE, None)
@@ -57,8 +57,8 @@
         self._request_votes(state.term + 1, is_pre_vote=True)
         self._count_votes()
 
-    def _stand(self, is_leadership_transfer: bool = False) -> None:
-        """Votes for itself in the next term; others are asked, and it counts, once it is written."""
+    def _start_election(self, is_leadership_transfer: bool = False) -> None:
+        """Votes for itself in the next term; requests votes only once its own vote is on the disk."""
         state = self.state
         state.reset_election_timer()
         state.save_hard_state(state.term + 1, state.member_id)
@@ -67,7 +67,7 @@
         self.is_leadership_transfer = is_leadership_transfer
 
     def on_write_completed(self) -> None:
-        """Requests votes once the own vote is on the disk."""
+        """Requests votes if this candidate's own vote has reached the disk."""
         state = self.state
         is_waiting = state.role is Role.CANDIDATE and not self.votes_received
         if is_waiting and state.durable.is_hard_state_durable:
@@ -84,7 +84,7 @@
                 self.state.send(voter, request)
 
     def handle_request_vote_response(self, sender: MemberId, response: RequestVoteResponse) -> None:
-        """Counts a vote; a higher term makes this member a follower."""
+        """Counts a granted vote; becomes a follower if a denial has a higher term."""
         state = self.state
         if not response.vote_granted:
             if response.term > state.term:
@@ -92,11 +92,11 @@
                 state.change_role(Role.FOLLOWER, None)
             return
         if response.is_pre_vote:
-            counts = state.role is Role.PRE_CANDIDATE and response.term == state.term + 1
+            is_valid = state.role is Role.PRE_CANDIDATE and response.term == state.term + 1
         else:
             is_candidate = state.role is Role.CANDIDATE and bool(self.votes_received)
-            counts = is_candidate and response.term == state.term
-        if counts and sender in state.configuration.voters:
+            is_valid = is_candidate and response.term == state.term
+        if is_valid and sender in state.configuration.voters:
             self.votes_received.add(sender)
             self._count_votes()
 
@@ -105,22 +105,22 @@
         if len(self.votes_received & state.configuration.voters) < state.configuration.majority:
             return
         if state.role is Role.PRE_CANDIDATE:
-            self._stand()
+            self._start_election()
         elif state.role is Role.CANDIDATE:
             self.on_elected()
 
     def handle_timeout_now(self, sender: MemberId, message: TimeoutNow) -> None:
-        """Stands for election at once if the leader asks for it."""
+        """Starts an election at once if the leader of this term asks for it."""
         state = self.state
-        if message.term == state.term and sender == state.leader and self.can_stand:
-            self._stand(is_leadership_transfer=True)
+        if message.term == state.term and sender == state.leader and self.can_start_election:
+            self._start_election(is_leadership_transfer=True)
 
     # ---- as a voter --------------------------------------------------------------------------------
 
     def handle_request_vote(self, sender: MemberId, request: RequestVote) -> None:
-        """Grants or denies a vote; the response is sent once the vote is on the disk.
+        """Grants or denies a vote; a granted vote is sent once it is on the disk.
 
-        The sender need not be in this member's configuration, which may be behind.
+        The sender need not be in this member's configuration, which may be outdated.
         """
         state = self.state
         if state.durable.failed:
@@ -128,22 +128,22 @@
         own_log = (state.log.last_term, state.log.last)
         is_up_to_date = (request.last_log_term, request.last_log_index) >= own_log
         if request.is_pre_vote:
-            granted = is_up_to_date and request.term > state.term and not state.has_live_leader
-            term = request.term if granted else state.term
-            state.send(sender, RequestVoteResponse(term, granted, True))
+            is_granted = is_up_to_date and request.term > state.term and not state.has_live_leader
+            term = request.term if is_granted else state.term
+            state.send(sender, RequestVoteResponse(term, is_granted, True))
             return
         is_disruptive = state.has_live_leader and not request.is_leadership_transfer
         if request.term < state.term or is_disruptive:
             state.send(sender, RequestVoteResponse(state.term, False))
             return
-        if self._vote(sender, request.term, is_up_to_date) == sender:
+        if self._choose_vote(sender, request.term, is_up_to_date) == sender:
             state.reset_election_timer()
             state.send_when_durable(sender, RequestVoteResponse(request.term, True))
         else:
             state.send(sender, RequestVoteResponse(state.term, False))
 
-    def _vote(self, candidate: MemberId, term: int, is_up_to_date: bool) -> MemberId | None:
-        """Returns whom this member has voted for in that term, which is not before the current one."""
+    def _choose_vote(self, candidate: MemberId, term: int, is_up_to_date: bool) -> MemberId | None:
+        """Votes in `term`, the current or a later one; returns the candidate that has this member's vote."""
         state = self.state
         if term > state.term:
             vote = candidate if is_up_to_date else None
--- a/indigohitch/fleet/raft/follower.py
+++ b/indigohitch/fleet/raft/follower.py
@@ -1,6 +1,6 @@
-"""A follower's handling of a leader's messages: entries, heartbeats, chunks of a snapshot.  No I/O.
+"""Handles a leader's messages at a follower: entries, heartbeats and snapshot chunks.  No I/O.
 
-By Ongaro and Ousterhout 2014, 5.3 and 7.
+See Ongaro and Ousterhout 2014, 5.3 and 7.
 """
 
 from __future__ import annotations
@@ -12,33 +12,34 @@
 from .messages import AppendEntries, AppendEntriesResponse, InstallSnapshot, InstallSnapshotResponse
 from .state import RaftState, Role
 
-# How long the smallest delay of a leader's messages is remembered.  Clocks that differ by a thousandth drift
-# by 20 ms in twice that, which is little against an election timeout.
+# The minimum delay is taken over the current and the previous window.  Clocks whose rates differ by 0.1%
+# drift apart by 20 ms in two windows, which is small against an election timeout.
 MIN_DELAY_WINDOW = 10 * SECOND
 _NO_DELAY_YET = 1 << 62
 
 
 class DelayMonitor:
-    """By how much a leader's messages take longer than its fastest one did.
+    """Measures by how much a leader's messages are delayed beyond the fastest recent one.
 
-    Two clocks are compared by differences alone, over a time in which their drift is small.
+    The clocks of leader and follower need not agree: only differences of delays count, over a time in which
+    the drift of the clocks is small.
     """
 
-    def __init__(self, bound: int) -> None:
-        self.bound = bound
+    def __init__(self, max_extra_delay: int) -> None:
+        self.max_extra_delay = max_extra_delay
         self.reset(0)
 
     def reset(self, now: int) -> None:
-        """Starts again for another leader."""
+        """Forgets the delays of the previous leader."""
         self.window_end = now + MIN_DELAY_WINDOW
         self.min_delay = _NO_DELAY_YET
         self.previous_min_delay = _NO_DELAY_YET
 
     def is_late(self, now: int, sent_at: int) -> bool:
-        """Whether a message took too long to show that the leader is alive; `sent_at` is by its clock.
+        """Returns whether a message is too late to be a sign of life; `sent_at` is by the leader's clock.
 
-        Over a link that passes a few bytes at a time heartbeats still come, each later than the one before,
-        and what the leader proposes is as good as lost.
+        Over a link that passes only a few bytes at a time, heartbeats still arrive, each later than the one
+        before, while the leader's entries arrive too late to be of use.
         """
         if not sent_at:
             return False
@@ -48,26 +49,29 @@
             self.min_delay = _NO_DELAY_YET
         delay = now - sent_at
         self.min_delay = min(self.min_delay, delay)
-        return delay - min(self.min_delay, self.previous_min_delay) > self.bound
+        return delay - min(self.min_delay, self.previous_min_delay) > self.max_extra_delay
 
 
 class Follower:
-    """What a member does with the messages of its term's leader."""
+    """Handles the messages of the current term's leader."""
 
     def __init__(self, state: RaftState) -> None:
         self.state = state
-        self.agreed_index = 0  # up to here the log equals that of this term's leader
-        self.agreed_term = 0  # that term
-        self.read_round = 0  # of the last message of that leader
-        self.is_response_pending = False  # a response waits for the hard state to be written
-        self.acknowledged_index = 0  # in this term
-        self.echoed_round = 0  # the last round of reads that was echoed in this term
-        self.incoming: tuple[int, int, bytes] | None = None  # a snapshot: index, term, digest
-        self.chunks = bytearray()  # what has come of it
+        self.agreed_index = 0  # up to here the log equals that of the leader of `agreed_term`
+        self.agreed_term = 0
+        self.read_round = 0  # the latest read round of that leader
+        self.is_response_pending = False  # a response waits until the hard state is on the disk
+        self.acknowledged_index = 0  # acknowledged in this term
+        self.echoed_round = 0  # the last read round that was echoed in this term
+        self.incoming_snapshot: tuple[int, int, bytes] | None = None  # index, term, digest
+        self.received_chunks = bytearray()  # the first bytes of that snapshot
         self.delay_monitor = DelayMonitor(state.settings["election"])
 
     def _accept_leader(self, sender: MemberId, message: AppendEntries | InstallSnapshot) -> bool:
-        """Whether the message is of this term's leader; raises ValueError for a second one in a term."""
+        """Returns whether the sender leads the current term, and restarts the election timer if so.
+
+        Raises ValueError for a second leader in a term.
+        """
         state = self.state
         if message.term < state.term:
             if not state.durable.failed:
@@ -77,7 +81,7 @@
             state.save_hard_state(message.term, None)
             state.change_role(Role.FOLLOWER, sender)
         if state.role is Role.LEADER:
-            raise ValueError(f"two leaders in term {message.term}: {sender.name} too")
+            raise ValueError(f"two leaders in term {message.term}: this member and {sender.name}")
         if self.agreed_term != message.term:
             self._start_term(message.term)
         state.change_role(Role.FOLLOWER, sender)
@@ -96,7 +100,10 @@
         self.delay_monitor.reset(self.state.now)
 
     def handle_append_entries(self, sender: MemberId, message: AppendEntries) -> None:
-        """Appends a leader's entries, or asks for earlier ones; raises ValueError for a second leader."""
+        """Appends a leader's entries, or rejects them if they do not match the log.
+
+        Raises ValueError for a second leader in a term.
+        """
         if not self._accept_leader(sender, message):
             return
         state = self.state
@@ -104,19 +111,19 @@
         self.read_round = max(self.read_round, message.read_round)
         index = message.prev_log_index
         entries = message.entries
-        if index < log.base:  # what is there was committed: it is the same
+        if index < log.base:  # entries up to the base are committed, hence equal to the leader's
             entries = entries[log.base - index :]
             index = min(index + len(message.entries), log.base)
         elif log.term(index) != message.prev_log_term:
             self._reject_entries(sender, message)
             return
-        fresh = self._append_fresh(entries)
+        new_entries = self._append_new(entries)
         self.agreed_index = max(self.agreed_index, index + len(entries))
-        if self.incoming and self.agreed_index >= self.incoming[0]:
-            self._drop_chunks()
+        if self.incoming_snapshot and self.agreed_index >= self.incoming_snapshot[0]:
+            self._discard_chunks()
         state.advance_commit_index(min(message.leader_commit, self.agreed_index))
-        # New entries are acknowledged once they are written; a round of reads does not wait for the disk.
-        if not fresh or self.read_round > self.echoed_round:
+        # New entries are acknowledged once they are written; the echo of a read round does not wait for that.
+        if not new_entries or self.read_round > self.echoed_round:
             self._acknowledge()
 
     def _reject_entries(self, sender: MemberId, message: AppendEntries) -> None:
@@ -129,22 +136,22 @@
             sender, AppendEntriesResponse(state.term, False, last_possible, index, term, message.read_round)
         )
 
-    def _append_fresh(self, entries: tuple[LogEntry, ...]) -> tuple[LogEntry, ...]:
-        """Appends the entries that are not in the log, in place of those that differ, and returns them."""
+    def _append_new(self, entries: tuple[LogEntry, ...]) -> tuple[LogEntry, ...]:
+        """Appends the entries that the log lacks, in place of conflicting ones, and returns them."""
         log = self.state.log
-        known = 0
+        known_count = 0
         for entry in entries:
             if log.term(entry.index) != entry.term:
                 break
-            known += 1
-        fresh = entries[known:]
-        if fresh:
-            first = fresh[0].index
-            self.state.append_entries(first if first <= log.last else 0, fresh)
-        return fresh
+            known_count += 1
+        new_entries = entries[known_count:]
+        if new_entries:
+            first = new_entries[0].index
+            self.state.append_entries(first if first <= log.last else 0, new_entries)
+        return new_entries
 
     def _acknowledge(self) -> None:
-        """Acknowledges what is on the disk and equals the leader's log, once the hard state is written."""
+        """Acknowledges the entries up to `match_index`, once the hard state is on the disk."""
         state = self.state
         self.is_response_pending = not state.durable.is_hard_state_durable
         if self.is_response_pending:
@@ -158,11 +165,11 @@
 
     @property
     def match_index(self) -> int:
-        """Entries up to here are on the disk and equal the leader's log."""
+        """Returns the index up to which entries are on the disk and equal the leader's."""
         return min(max(self.agreed_index, self.state.commit_index), self.state.durable.match_index)
 
     def on_write_completed(self) -> None:
-        """Acknowledges what could not be acknowledged before."""
+        """Sends an acknowledgement that a completed write has made possible."""
         state = self.state
         if (
             state.role is Role.FOLLOWER
@@ -175,22 +182,22 @@
 
     # ---- snapshots ---------------------------------------------------------------------------------
 
-    def _drop_chunks(self) -> None:
-        self.incoming = None
-        self.chunks = bytearray()
+    def _discard_chunks(self) -> None:
+        self.incoming_snapshot = None
+        self.received_chunks = bytearray()
 
     def handle_install_snapshot(self, sender: MemberId, message: InstallSnapshot) -> None:
-        """Takes chunks in order, one snapshot at a time, and installs a snapshot that is complete.
+        """Collects chunks in order, of one snapshot at a time, and installs the snapshot when it is complete.
 
-        The response has the offset to go on from, so that a transfer that broke off is resumed.  Raises
-        ValueError for a second leader in a term.
+        The response contains the offset of the next chunk, so that an interrupted transfer can resume there.
+        Raises ValueError for a second leader in a term.
         """
         if not self._accept_leader(sender, message):
             return
         state = self.state
         index = message.last_included_index
         if index <= state.commit_index or state.log.term(index) == message.last_included_term:
-            self._drop_chunks()
+            self._discard_chunks()
             self.agreed_index = max(self.agreed_index, index)
             state.advance_commit_index(index)
             self._acknowledge()
@@ -198,22 +205,22 @@
         if state.durable.failed:
             return
         snapshot = (index, message.last_included_term, message.digest)
-        if snapshot != self.incoming:
-            self.incoming = snapshot
-            self.chunks = bytearray()
-        if message.offset == len(self.chunks):
-            self.chunks += message.data
-        if len(self.chunks) >= message.total and self._install(sender, message):
-            return  # acknowledged once it is written
-        state.send(sender, InstallSnapshotResponse(state.term, index, len(self.chunks)))
+        if snapshot != self.incoming_snapshot:
+            self.incoming_snapshot = snapshot
+            self.received_chunks = bytearray()
+        if message.offset == len(self.received_chunks):
+            self.received_chunks += message.data
+        if len(self.received_chunks) >= message.total and self._install(sender, message):
+            return  # the snapshot is acknowledged once it is on the disk
+        state.send(sender, InstallSnapshotResponse(state.term, index, len(self.received_chunks)))
 
     def _install(self, sender: MemberId, message: InstallSnapshot) -> bool:
-        """Installs the snapshot whose chunks are all here; returns False if its digest is wrong."""
-        encoded = bytes(self.chunks)
-        self._drop_chunks()
+        """Installs a completely received snapshot; returns False if its digest does not match."""
+        encoded = bytes(self.received_chunks)
+        self._discard_chunks()
         index = message.last_included_index
         if digest(encoded) != message.digest:
-            self.state.note("snapshot_spoilt", index=index, sender=sender.name)
+            self.state.log_event("snapshot_spoilt", index=index, sender=sender.name)
             return False
         snapshot = Snapshot(index, message.last_included_term, message.members, encoded)
         self.state.install_snapshot(snapshot)
--- a/indigohitch/fleet/raft/interfaces.py
+++ b/indigohitch/fleet/raft/interfaces.py
@@ -1,9 +1,8 @@
-"""Inputs and outputs of a Raft node, and the state that it keeps on its disk.  Types only; no I/O.
+"""Defines the inputs and outputs of a Raft node, and the state that it persists.  Types only; no I/O.
 
-A node is `RaftNode(member_id, recovered, settings, random, now)` with `step(now, event) -> list[output]`,
-in order, and `due_at`, the time at which `Tick` has to come at the latest.  The node sends
-nothing that depends on a write before `WriteCompleted` for that write has come.  The driver carries out the
-outputs in order.
+A driver calls `RaftNode.step(now, event)` for each input and carries out the returned outputs in order.  It
+passes a `Tick` at `RaftNode.due_at` at the latest.  The node sends no message that depends on a write before
+it has received `WriteCompleted` for that write.
 """
 
 from __future__ import annotations
@@ -17,9 +16,10 @@
 
 
 class Members(Row, frozen=True):
-    """The cluster's members: the body of a `ledger.members` entry, and part of a snapshot.
+    """Lists the cluster's members; the body of a `ledger.members` entry, and part of a snapshot.
 
-    Voters count by name and number; followers get all entries and never vote.
+    A voter is identified by its name and number.  `followers` are non-voting members: they receive all
+    entries and never vote.
     """
 
     voters: tuple[MemberId, ...]
@@ -27,14 +27,14 @@
 
 
 class HardState(Row, frozen=True):
-    """What has to survive a crash beside the log: the term, and the vote that this member gave in it."""
+    """Holds what must survive a crash besides the log: the term, and the vote of this member in it."""
 
     term: int
     vote: MemberId | None = None
 
 
 class Snapshot(Row, frozen=True):
-    """The state machine after entry `index`; the log up to there may be discarded."""
+    """Holds the state machine as of entry `index`; the log up to that entry may be discarded."""
 
     index: int
     term: int
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """What a disk holds at a start; the entries follow the snapshot without a gap."""
+    """Holds what was read from the disk at startup; the entries follow the snapshot without a gap."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
-    """A message of another member, one of `messages.MESSAGE_TYPES`."""
+    """Delivers a message of another member, one of `messages.MESSAGE_TYPES`."""
 
     sender: MemberId
     message: Row
@@ -64,21 +64,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Propose:
-    """A proposal to append to the log."""
+    """Asks the leader to append a proposal to the log."""
 
     proposal: Proposal
 
 
 @dataclass(slots=True, frozen=True)
 class ReadRequest:
-    """A read to confirm by a majority; `number` is unique among the reads that are pending."""
+    """Asks for a read to be confirmed by a majority; `number` is unique among the pending reads."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeMembers:
-    """An operator's request to add a member, which votes once it has caught up, or to remove one."""
+    """Asks the leader to add a member, which becomes a voter once it has caught up, or to remove one."""
 
     member: MemberId
     remove: bool = False
@@ -87,43 +87,43 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteCompleted:
-    """All `WriteEntries` up to that number are on the disk."""
+    """Reports that all `WriteEntries` up to `number` are on the disk."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class StorageFailed:
-    """A write failed: nothing after the last `WriteCompleted` is known to be on the disk.
+    """Reports a failed write: nothing after the last `WriteCompleted` is known to be on the disk.
 
-    The member goes on without votes and acknowledgements until `StorageRecovered`; a leader steps down.
+    Until `StorageRecovered` the member runs on without voting or acknowledging; a leader steps down.
     """
 
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class StorageRecovered:
-    """The disk takes writes again after `StorageFailed`."""
+    """Reports that the disk accepts writes again after `StorageFailed`."""
 
 
 @dataclass(slots=True, frozen=True)
 class SnapshotCompleted:
-    """The snapshot is on the disk, and the log up to it was discarded there."""
+    """Reports that the snapshot is on the disk, and that the log up to it was discarded there."""
 
     snapshot: Snapshot
 
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Time has passed; it has to come at `due_at` at the latest."""
+    """Reports that time has passed; the driver sends it at `RaftNode.due_at` at the latest."""
 
 
 @dataclass(slots=True, frozen=True)
 class TransferLeadership:
-    """Asks a leader to hand its leadership to the voter `to`, or to the one with the longest log.
+    """Asks the leader to transfer its leadership to the voter `to`, or to the one with the longest log.
 
-    Until then it rejects proposals; after an election timeout without success it goes on leading.
+    The leader rejects proposals during the transfer.  It resumes after an election timeout without success.
     """
 
     to: MemberId | None = None
@@ -147,7 +147,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
-    """A message for another member; it may get lost."""
+    """Sends a message to another member; delivery is not guaranteed."""
 
     to: MemberId
     message: Row
@@ -155,9 +155,9 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteEntries:
-    """A write to the disk, in order, with an fsync, after which `WriteCompleted(number)` is due.
+    """Writes to the disk, in order and with an fsync; the driver then reports `WriteCompleted(number)`.
 
-    `truncate_from`: entries from that index on are void (0: none); `hard_state` None: unchanged.
+    Entries from index `truncate_from` on are removed first (0: none).  `hard_state` is None if unchanged.
     """
 
     number: int
@@ -168,23 +168,23 @@
 
 @dataclass(slots=True, frozen=True)
 class ApplyEntries:
-    """Committed entries to apply to the state machine, in order."""
+    """Applies committed entries to the state machine, in order."""
 
     entries: tuple[LogEntry, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class RestoreSnapshot:
-    """Set the state machine to this and write it in place of the log; `SnapshotCompleted` is due then."""
+    """Restores the state machine and writes the snapshot in place of the log, then `SnapshotCompleted`."""
 
     snapshot: Snapshot
 
 
 @dataclass(slots=True, frozen=True)
 class TakeSnapshot:
-    """Encode the state at `index` and write it; `SnapshotCompleted` is due then.
+    """Encodes the state machine as of `index` and writes it; the driver then reports `SnapshotCompleted`.
 
-    `term` and `members` are those to put into it.
+    The snapshot has to contain `term` and `members`.
     """
 
     index: int
@@ -194,9 +194,9 @@
 
 @dataclass(slots=True, frozen=True)
 class ProposalRejected:
-    """The proposal was not taken: retry in `retry_after_ticks`, at `leader` if it is known.
+    """Rejects a proposal; the proposer may retry after `retry_after_ticks`, at `leader` if it is known.
 
-    A proposal that was taken is answered by its entry in an `ApplyEntries`.
+    The response to an accepted proposal is its entry in an `ApplyEntries`.
     """
 
     proposal: Proposal
@@ -206,7 +206,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadConfirmed:
-    """The state machine at `index` or later answers the read; if not confirmed, retry at `leader`."""
+    """Confirms a read, which the state machine serves at `index` or later, or redirects it to `leader`."""
 
     number: int
     index: int
@@ -216,7 +216,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RoleChanged:
-    """The role of this member changed: a value of `state.Role`."""
+    """Reports a change of this member's role (a value of `state.Role`), term or known leader."""
 
     role: str
     term: int
@@ -225,7 +225,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogNote:
-    """An event for the log."""
+    """Writes an event to the operational log."""
 
     event: str
     fields: dict[str, object]
--- a/indigohitch/fleet/raft/leader.py
+++ b/indigohitch/fleet/raft/leader.py
@@ -1,6 +1,6 @@
-"""A leader: takes proposals, replicates entries, commits them and changes members.  No I/O.
+"""Runs a leader: accepts proposals, replicates and commits entries, and changes members.  No I/O.
 
-By Ongaro and Ousterhout 2014, 5.3, 5.4.2 and 8, and the dissertation, 4.2, 6.2 and 10.2.1.
+See Ongaro and Ousterhout 2014, 5.3, 5.4.2 and 8, and Ongaro's dissertation, 4.2, 6.2 and 10.2.1.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 class Leader:
-    """One leadership, from its election to its end."""
+    """Leads one term, from the election until this member steps down."""
 
     def __init__(self, state: RaftState) -> None:
         self.state = state
         self.reads = ReadIndexQueue(state, state.log.last + 1)
         self.progress: dict[MemberId, Progress] = {}
         self.pending_changes: dict[MemberId, ChangeMembers] = {}
-        uncommitted = state.log.between(state.commit_index + 1, state.log.last)
+        uncommitted = state.log.entries_between(state.commit_index + 1, state.log.last)
         self.uncommitted_bytes = sum(map(entry_size, uncommitted))
         self.heartbeat_due_at = state.now + state.settings["beat"]
         self.transfer = LeadershipTransfer(state, self.progress)
@@ -42,7 +42,7 @@
             self._add_progress()
 
     def _add_progress(self) -> None:
-        """Adds new members; one that was removed stays until it knows of it."""
+        """Starts replication to new members; a removed one is kept until it has learned of its removal."""
         for member in self.state.configuration.everyone:
             if member != self.state.member_id and member not in self.progress:
                 self.progress[member] = Progress(self.state, member)
@@ -52,14 +52,14 @@
             progress.send_entries(self.reads.read_round)
 
     def propose(self, proposal: Proposal) -> None:
-        """Appends a proposal, or rejects it: entries that are not committed are bounded, and their bytes."""
+        """Appends a proposal; rejects it if the uncommitted entries are too many or too large."""
         state = self.state
         settings = state.settings
         max_bytes = settings["append_most"] * settings["inflight"]
         backlog = state.log.last - state.commit_index
         if len(proposal.body) > max_bytes:
-            # An entry goes in one message: a larger one would reach nobody, and hold up all behind it.
-            state.note(
+            # An entry is sent in one message: a larger one would never arrive, and block all later ones.
+            state.log_event(
                 "proposal_too_large",
                 kind=proposal.kind,
                 proposer=proposal.proposer,
@@ -88,19 +88,20 @@
         self._append(entry)
         self._send_entries()
 
-    def advance(self) -> None:
-        """Commits what a majority has, if it is of this term; older entries go with it (5.4.2).
+    def commit_replicated(self) -> None:
+        """Commits the entries that a majority has, and confirms the reads that this allows.
 
-        The leader counts for itself only what its own disk has.
+        Only an entry of the current term is committed by counting; it commits all earlier ones (5.4.2).  The
+        leader counts itself only for entries on its own disk.
         """
         state = self.state
         match_indexes = sorted(map(self._match_index, state.configuration.voters), reverse=True)
         index = match_indexes[state.configuration.majority - 1]
         if index > state.commit_index and self.is_of_own_term(index):
-            committed = state.log.between(state.commit_index + 1, index)
+            committed = state.log.entries_between(state.commit_index + 1, index)
             self.uncommitted_bytes -= sum(map(entry_size, committed))
             state.advance_commit_index(index)
-            # Others learn of it soon, but not with each commit under load.
+            # Followers learn of the commit soon, but under load not by a message for each commit.
             self.heartbeat_due_at = min(self.heartbeat_due_at, state.now + state.settings["beat"] // 10)
             self._step_down_if_removed()
         while self.reads.confirm():
@@ -113,7 +114,10 @@
         return progress.match_index if progress is not None else 0
 
     def is_of_own_term(self, index: int) -> bool:
-        """Whether the entry is of this term; an older one on a majority may yet be void (figure 8)."""
+        """Returns whether the entry is of the current term.
+
+        An entry of an older term may still be overwritten even if a majority has it (figure 8).
+        """
         return self.state.log.term(index) == self.state.term
 
     # ---- responses ---------------------------------------------------------------------------------
@@ -121,7 +125,7 @@
     def handle_response(
         self, sender: MemberId, response: AppendEntriesResponse | InstallSnapshotResponse
     ) -> None:
-        """Takes a follower's response, and does what it allows."""
+        """Handles a follower's response: sends further entries, commits, continues a membership change."""
         progress = self.progress.get(sender)
         if progress is None or response.term != self.state.term:
             return
@@ -134,16 +138,16 @@
         if has_advanced and sender in self.pending_changes:
             self._continue_change(self.pending_changes[sender])
         if has_advanced or self.reads.waiting:
-            self.advance()
-        self.transfer.complete()
+            self.commit_replicated()
+        self.transfer.send_timeout_now()
 
     # ---- time --------------------------------------------------------------------------------------
 
     def on_heartbeat_due(self) -> None:
-        """Sends heartbeats; without responses of a majority for an election timeout it steps down (6.2).
+        """Sends heartbeats; steps down if no majority responded within an election timeout (6.2).
 
-        A heartbeat that is late by another shows that this process did not run: responses may lie unread, so
-        the majority is judged at the next one.
+        If the heartbeat itself is late by a whole interval, this process was stalled and responses may still
+        be unread.  The majority is then checked at the next heartbeat.
         """
         state = self.state
         responsive = {member for member, progress in self.progress.items() if not progress.is_silent}
@@ -152,10 +156,10 @@
         has_majority = len(responsive & state.configuration.voters) >= state.configuration.majority
         if not has_majority and not was_stalled:
             names = sorted(member.name for member in responsive)
-            state.note("majority_lost", term=state.term, heard=names)
+            state.log_event("majority_lost", term=state.term, heard=names)
             state.change_role(Role.FOLLOWER, None)
             return
-        self.transfer.expire()
+        self.transfer.abort_if_overdue()
         for change in list(self.pending_changes.values()):
             self._continue_change(change)
         self._send_heartbeats()
@@ -167,22 +171,25 @@
             progress.send_heartbeat(self.reads.read_round)
 
     def _drop_removed(self) -> None:
-        """Drops removed members that know, by the last heartbeat, that their removal is committed."""
+        """Stops replication to removed members that are silent, or know that their removal is committed.
+
+        The heartbeat that was sent just before contains the commit index.
+        """
         state = self.state
         last_change = state.configuration.index
         for member, progress in list(self.progress.items()):
             is_member = member in state.configuration.everyone
-            knows_it = progress.match_index >= last_change <= state.commit_index
-            if not is_member and (progress.is_silent or knows_it):
+            knows_removal = progress.match_index >= last_change <= state.commit_index
+            if not is_member and (progress.is_silent or knows_removal):
                 del self.progress[member]
 
     # ---- reads -------------------------------------------------------------------------------------
 
     def read(self, number: int) -> None:
-        """Queues a read, which `ReadConfirmed` answers."""
+        """Queues a read, which is answered by a `ReadConfirmed`."""
         if self.reads.add(number):
             self._start_read_round()
-            self.advance()  # alone, it is its own majority
+            self.commit_replicated()  # a single voter is its own majority
 
     def _start_read_round(self) -> None:
         state = self.state
@@ -194,17 +201,17 @@
     # ---- members -----------------------------------------------------------------------------------
 
     def change_members(self, change: ChangeMembers) -> None:
-        """Starts a change; it is pending until it is reached or this leadership ends."""
+        """Starts a membership change, which is pending until it is complete or this leader steps down."""
         self.pending_changes[change.member] = change
         self._continue_change(change)
 
     @property
     def can_change_members(self) -> bool:
-        """Whether the last change and an entry of this term are committed."""
+        """Returns whether the last membership change and an entry of this term are committed."""
         return self.state.commit_index >= max(self.state.configuration.index, self.reads.first)
 
     def _continue_change(self, change: ChangeMembers) -> None:
-        """Proposes the next step of a change, if none is under way."""
+        """Appends the next step of a membership change, unless another step is in progress."""
         state = self.state
         member = change.member
         progress = self.progress.get(member)
@@ -217,7 +224,7 @@
             )
         except ValueError as error:
             self.pending_changes.pop(member, None)
-            state.note("change_refused", who=member.name, number=member.number, why=str(error))
+            state.log_event("change_refused", who=member.name, number=member.number, why=str(error))
             return
         if members is not None:
             self._append(configuration_entry(members, state.log.last + 1, state.term))
@@ -226,9 +233,9 @@
             del self.pending_changes[member]
 
     def _step_down_if_removed(self) -> None:
-        """Ends once it is committed that this leader does not vote any more (dissertation, 4.2.2)."""
+        """Steps down once the removal of this leader from the voters is committed (dissertation, 4.2.2)."""
         state = self.state
         is_voter = state.member_id in state.configuration.voters
         if not is_voter and state.commit_index >= state.configuration.index:
-            self._send_heartbeats()  # so that the others know it to be committed
+            self._send_heartbeats()  # so that the others learn that it is committed
             state.change_role(Role.FOLLOWER, None)
--- a/indigohitch/fleet/raft/leadership_transfer.py
+++ b/indigohitch/fleet/raft/leadership_transfer.py
@@ -1,4 +1,4 @@
-"""The transfer of a leadership to another voter (dissertation, 3.10).  No I/O."""
+"""Transfers the leadership to another voter (Ongaro's dissertation, 3.10).  No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LeadershipTransfer:
-    """A leader's transfer, if one is under way; `progress` is the leader's, by member."""
+    """Tracks a leader's transfer, if one is in progress; `progress` is the replication state by member."""
 
     def __init__(self, state: RaftState, progress: Mapping[MemberId, Progress]) -> None:
         self.state = state
@@ -21,11 +21,11 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether a transfer is under way: no proposals are taken then."""
+        """Returns whether a transfer is in progress, during which proposals are rejected."""
         return self.transferee is not None
 
     def start(self, to: MemberId | None) -> None:
-        """Transfers the leadership to that voter, or to the one whose log is furthest."""
+        """Starts a transfer to the voter `to`, or to the responsive voter with the longest log."""
         state = self.state
         candidates = [
             (progress.match_index, member)
@@ -35,23 +35,23 @@
             and (to is None or member == to)
         ]
         if not candidates:
-            state.note("not_handed_over", term=state.term, to=to.name if to else "")
+            state.log_event("not_handed_over", term=state.term, to=to.name if to else "")
             return
         self.transferee = max(candidates)[1]
         self.deadline = state.now + state.settings["election"]
-        self.complete()
+        self.send_timeout_now()
 
-    def complete(self) -> None:
-        """Asks the transferee to stand for election once its log is complete."""
+    def send_timeout_now(self) -> None:
+        """Asks the transferee to start an election if its log is complete."""
         if self.transferee is None:
             return
         progress = self.progress.get(self.transferee)
         if progress is not None and progress.match_index >= self.state.log.last:
             self.state.send(self.transferee, TimeoutNow(self.state.term))
 
-    def expire(self) -> None:
-        """Gives a transfer up that took an election timeout: the leader goes on."""
+    def abort_if_overdue(self) -> None:
+        """Aborts a transfer that took an election timeout, after which the leader accepts proposals again."""
         state = self.state
         if self.transferee is not None and state.now >= self.deadline:
-            state.note("not_handed_over", term=state.term, to=self.transferee.name)
+            state.log_event("not_handed_over", term=state.term, to=self.transferee.name)
             self.transferee = None
--- a/indigohitch/fleet/raft/log.py
+++ b/indigohitch/fleet/raft/log.py
@@ -1,7 +1,7 @@
-"""The log that a member keeps in memory: entries from a snapshot on, and some before it.  No I/O.
+"""Keeps a member's log in memory: the entries after the snapshot, and some before it.  No I/O.
 
-The entries before the snapshot spare a member that is a little behind the transfer of the
-whole state machine.
+The entries before the snapshot allow a leader to bring a member that lags a little up to date without
+sending it the whole state machine.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from ..types import LogEntry
 from .interfaces import Snapshot
 
-# Of an entry beside its body and kind: its numbers in msgpack, rounded up.
+# Size of the other fields of an entry, besides its body and kind, in msgpack, rounded up.
 ENTRY_OVERHEAD_BYTES = 64
 
 
 def entry_size(entry: LogEntry) -> int:
-    """Returns about how many bytes an entry takes."""
+    """Returns the approximate size of an entry in bytes."""
     return len(entry.body) + len(entry.kind) + ENTRY_OVERHEAD_BYTES
 
 
 class Log:
-    """Entries `base` + 1 .. `last` without a gap; `snapshot` is at `base` or after it."""
+    """Holds the entries `base` + 1 to `last` without a gap; the snapshot is at `base` or after it."""
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[LogEntry] = ()) -> None:
         self.replace(snapshot)
@@ -34,46 +34,46 @@
         self.base = snapshot.index
         self.base_term = snapshot.term
         self.entries: list[LogEntry] = []
-        self.grown = 0  # bytes of entries after the snapshot
+        self.bytes_since_snapshot = 0
 
     @property
     def last(self) -> int:
-        """Index of the last entry."""
+        """Returns the index of the last entry."""
         return self.base + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Returns the term of the last entry."""
         return self.entries[-1].term if self.entries else self.base_term
 
     def term(self, index: int) -> int | None:
-        """Returns the term of an entry, None if it is not in the log (any more, or yet)."""
+        """Returns the term of an entry, or None if it is not in the log (discarded or not yet appended)."""
         position = index - self.base
         if 0 < position <= len(self.entries):
             return self.entries[position - 1].term
         return self.base_term if position == 0 else None
 
     def append(self, entries: Sequence[LogEntry]) -> None:
-        """Appends entries; raises ValueError where a gap would be, which is a defect of the node."""
+        """Appends entries; raises ValueError for a gap, which would be a defect of the node."""
         if not entries:
             return
         if entries[0].index != self.last + 1:
-            raise ValueError(f"entry {entries[0].index} after {self.last}")
+            raise ValueError(f"entry {entries[0].index} does not follow entry {self.last}")
         self.entries.extend(entries)
-        self.grown += sum(map(entry_size, entries))
+        self.bytes_since_snapshot += sum(map(entry_size, entries))
 
     def truncate(self, index: int) -> None:
-        """Drops the entries from `index` on."""
+        """Removes the entries from `index` on."""
         position = index - self.base - 1
-        self.grown -= sum(map(entry_size, self.entries[position:]))
+        self.bytes_since_snapshot -= sum(map(entry_size, self.entries[position:]))
         del self.entries[position:]
 
-    def between(self, first: int, last: int) -> tuple[LogEntry, ...]:
+    def entries_between(self, first: int, last: int) -> tuple[LogEntry, ...]:
         """Returns the entries `first` to `last`, both included."""
         return tuple(self.entries[first - self.base - 1 : last - self.base])
 
-    def up_to_size(self, first: int, max_bytes: int) -> tuple[LogEntry, ...]:
-        """Returns entries from `first` on, of at most `max_bytes`, but at least one if there is any."""
+    def entries_up_to_size(self, first: int, max_bytes: int) -> tuple[LogEntry, ...]:
+        """Returns entries from `first` on, at most `max_bytes` in total, but at least one if there is any."""
         start = first - self.base - 1
         end = start
         free_bytes = max_bytes
@@ -85,9 +85,10 @@
         return tuple(self.entries[start:end])
 
     def conflict_hint(self, index: int, term: int) -> tuple[int, int]:
-        """Returns the last index at or before `index` whose entry is of `term` or older, and its term.
+        """Returns the last index up to `index` whose entry has `term` or an older one, and that entry's term.
 
-        No entry after it can equal that of a log whose entry at `index` is of `term`.
+        After that index, up to `index`, this log differs from any log whose entry at `index` has `term`,
+        because terms never decrease along a log.
         """
         index = min(index, self.last)
         if index <= self.base:
@@ -96,9 +97,9 @@
         return self.base + position, self.entries[position - 1].term if position else self.base_term
 
     def compact(self, snapshot: Snapshot, keep_bytes: int) -> None:
-        """Takes a snapshot of this log that is on the disk; `keep_bytes` of the entries before it stay."""
+        """Sets a snapshot that is on the disk, and keeps up to `keep_bytes` of the entries before it."""
         position = snapshot.index - self.base
-        self.grown = sum(map(entry_size, self.entries[position:]))
+        self.bytes_since_snapshot = sum(map(entry_size, self.entries[position:]))
         while position and (keep_bytes := keep_bytes - entry_size(self.entries[position - 1])) >= 0:
             position -= 1
         if position:
--- a/indigohitch/fleet/raft/messages.py
+++ b/indigohitch/fleet/raft/messages.py
@@ -1,7 +1,7 @@
-"""Messages between Raft nodes.
+"""Defines the messages between Raft nodes.
 
-By Ongaro and Ousterhout 2014, figures 2 and 13, and Ongaro's dissertation, 4.2.3, 3.10, 6.4 and 9.6.  Rows
-only; fields are only ever added at the end.
+See Ongaro and Ousterhout 2014, figures 2 and 13, and Ongaro's dissertation, sections 3.10, 4.2.3, 6.4 and
+9.6.  Messages are encoded as arrays, so a new field may only be added at the end.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class RequestVote(Row, frozen=True):
-    """A candidate's request for a vote in `term`; its log ends with that index and term.
+    """Requests a vote in `term` for a candidate whose log ends with the entry at `last_log_index`.
 
-    `is_pre_vote`: whether the receiver would vote; it binds nobody and changes no term.
-    `is_leadership_transfer`: the leader itself has asked the sender to stand for election.
+    With `is_pre_vote` the receiver answers whether it would vote, without voting or changing its term.
+    With `is_leadership_transfer` the leader itself has asked the sender to start an election.
     """
 
     term: int
@@ -26,7 +26,7 @@
 
 
 class RequestVoteResponse(Row, frozen=True):
-    """`term` is that of the request if the vote was granted, else the sender's own."""
+    """Answers a `RequestVote`; `term` is the request's if the vote is granted, else the sender's own."""
 
     term: int
     vote_granted: bool
@@ -34,10 +34,10 @@
 
 
 class AppendEntries(Row, frozen=True):
-    """Entries that follow the one at `prev_log_index`, of `prev_log_term`; without any it is a heartbeat.
+    """Carries entries that follow the entry (`prev_log_index`, `prev_log_term`); a heartbeat has none.
 
-    `read_round` counts the leader's rounds of reads: a response with it was sent after that round began.
-    `sent_at` is the leader's clock, to compare with other messages of the same leader only; 0: not given.
+    `read_round` numbers the leader's read rounds: a response that echoes it was sent after that round began.
+    `sent_at` is read from the leader's clock and comparable only within messages of one leader; 0 if absent.
     """
 
     term: int
@@ -50,10 +50,11 @@
 
 
 class AppendEntriesResponse(Row, frozen=True):
-    """With `success` all up to `match_index` is on the sender's disk and equal to the leader's log.
+    """Answers an `AppendEntries`.
 
-    Without it the sender's log differs at `prev_log_index`; up to there its entries have at most
-    `conflict_term`, up to `match_index`.
+    With `success`, all entries up to `match_index` are on the sender's disk and equal the leader's log.
+    Without it, the sender's log differs from the leader's at `prev_log_index`.  `match_index` is then the
+    last index at which the logs may agree, and `conflict_term` the term of the sender's entry there.
     """
 
     term: int
@@ -65,7 +66,7 @@
 
 
 class InstallSnapshot(Row, frozen=True):
-    """A chunk of a snapshot of `total` bytes with that digest, from `offset` on."""
+    """Carries a chunk, starting at `offset`, of a snapshot of `total` bytes with the digest `digest`."""
 
     term: int
     last_included_index: int
@@ -78,7 +79,7 @@
 
 
 class InstallSnapshotResponse(Row, frozen=True):
-    """The sender has the first `offset` bytes of the snapshot."""
+    """Acknowledges the first `offset` bytes of the snapshot."""
 
     term: int
     last_included_index: int
@@ -86,7 +87,7 @@
 
 
 class TimeoutNow(Row, frozen=True):
-    """The leader hands its leadership to the receiver, whose log is complete: stand for election now."""
+    """Tells the receiver, whose log is complete, to start an election at once (leadership transfer)."""
 
     term: int
 
--- a/indigohitch/fleet/raft/node.py
+++ b/indigohitch/fleet/raft/node.py
@@ -1,7 +1,7 @@
-"""A Raft node: one member of a replicated log.  No I/O.
+"""Implements a Raft node, one member of a replicated log.  No I/O.
 
-By the published algorithm (Ongaro and Ousterhout 2014, and Ongaro's dissertation); docs/ledger.md says which
-parts and how.  `interfaces.py` has the inputs and outputs.
+It follows the published algorithm (Ongaro and Ousterhout 2014, and Ongaro's dissertation); docs/ledger.md
+lists the implemented parts.  `interfaces.py` defines the inputs and outputs.
 """
 
 from __future__ import annotations
@@ -43,11 +43,12 @@
 
 
 class RaftNode:
-    """One member of the cluster.
+    """Processes the inputs of one member of the cluster and returns its outputs.
 
-    `recovered`: what its disk holds; of a new cluster a snapshot at 0 with the founding members, of a new
-    member one without members.  `random`: a random number from 0 to below 1.  Raises ValueError only for what
-    must never be (a committed entry void, two leaders in a term): the member has to end.
+    `recovered` is the content of the member's disk.  For a new cluster that is a snapshot at index 0 with the
+    initial members, for a new member of an existing cluster one without members.  `random` returns a number
+    in [0, 1).  `step` raises ValueError only for a violation of Raft's safety (a committed entry would be
+    removed, two leaders in a term), after which the process has to exit.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
     # ---- interface ---------------------------------------------------------------------------------
 
     def step(self, now: int, event: Input) -> list[Output]:
-        """Takes one input and returns what to do, in order."""
+        """Processes one input and returns the outputs to carry out, in order."""
         state = self.state
         state.now = now
         state.outputs = []
@@ -81,43 +82,43 @@
 
     @property
     def due_at(self) -> int:
-        """The time at which `Tick` has to come at the latest."""
+        """Returns the time at which the driver has to pass a `Tick` at the latest."""
         if self.leadership is not None:
             return self.leadership.heartbeat_due_at
         return self.state.election_due_at
 
     @property
     def role(self) -> Role:
-        """The role of this member."""
+        """Returns the role of this member."""
         return self.state.role
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """Returns the current term."""
         return self.state.term
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether this member leads and has committed an entry of its own term.
+        """Returns whether this member leads and has committed an entry of its own term.
 
-        Its state machine then holds all that was committed before its election; until then it may be far
-        behind, and nothing is to be decided by it.
+        Its state machine then includes everything that was committed before its election.  Until then it may
+        be far behind, and no decision may be based on it.
         """
         return self.leadership is not None and self.state.commit_index >= self.leadership.reads.first
 
     @property
     def leader(self) -> MemberId | None:
-        """The leader of the current term, if it is known."""
+        """Returns the leader of the current term, or None if it is not known."""
         return self.state.leader
 
     @property
     def commit_index(self) -> int:
-        """Index of the last committed entry."""
+        """Returns the index of the last committed entry."""
         return self.state.commit_index
 
     @property
     def members(self) -> Members:
-        """The members by the last entry in this member's log that changes them."""
+        """Returns the members by the last configuration change in this member's log, committed or not."""
         return self.state.configuration.members
 
     # ---- inputs ------------------------------------------------------------------------------------
@@ -155,7 +156,7 @@
                 if leadership is not None:
                     leadership.transfer.start(request.to)
             case _:
-                raise TypeError(f"no input of a Raft node: {request!r}")
+                raise TypeError(f"unknown input of a Raft node: {request!r}")
 
     def _handle_message(self, event: MessageReceived) -> None:
         sender = event.sender
@@ -175,7 +176,7 @@
             case TimeoutNow() as message:
                 self.election.handle_timeout_now(sender, message)
             case message:
-                raise TypeError(f"no message of a Raft node: {message!r}")
+                raise TypeError(f"unknown message of a Raft node: {message!r}")
 
     def _handle_response(
         self, sender: MemberId, response: AppendEntriesResponse | InstallSnapshotResponse
@@ -189,7 +190,7 @@
 
     def _on_elected(self) -> None:
         self.leadership = Leader(self.state)
-        self.leadership.advance()
+        self.leadership.commit_replicated()
 
     def _propose(self, request: Propose) -> None:
         state = self.state
@@ -216,16 +217,16 @@
     # ---- storage -----------------------------------------------------------------------------------
 
     def _on_durable(self) -> None:
-        """Does what waited for a write."""
+        """Resumes the parts of the node that were waiting for a write."""
         self.election.on_write_completed()
         self.follower.on_write_completed()
         if self.leadership is not None:
-            self.leadership.advance()
+            self.leadership.commit_replicated()
 
     def _handle_storage_failed(self, event: StorageFailed) -> None:
         state = self.state
         if not state.durable.failed:
             state.durable.fail()
-            state.note("ledger_disk_failed", why=event.why)
+            state.log_event("ledger_disk_failed", why=event.reason)
             if state.role is not Role.FOLLOWER:
                 state.change_role(Role.FOLLOWER, None)
--- a/indigohitch/fleet/raft/progress.py
+++ b/indigohitch/fleet/raft/progress.py
@@ -1,7 +1,7 @@
-"""A leader's view of one other member: how far its log is known to be, and what may be sent to it.  No I/O.
+"""Tracks, at the leader, how far another member's log matches, and sends it what it lacks.  No I/O.
 
-Each member has its own, so that a slow one holds nobody up, and takes little memory: `inflight` messages of
-`append_most` bytes, or one chunk of a snapshot.
+Each member has its own instance, so a slow member delays no other.  The data in flight to it is limited to
+`inflight` messages of `append_most` bytes, or one snapshot chunk.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 class ProgressState(enum.Enum):
-    """How entries are sent to a member."""
+    """Enumerates the ways in which entries are sent to a member."""
 
-    PROBE = "probing"  # where its log equals ours is not known: one message at a time
-    REPLICATE = "streaming"  # one after the other, without waiting for responses
-    SNAPSHOT = "snapshot"  # the entries that it lacks were discarded: chunks, one at a time
+    PROBE = "probing"  # the matching index is unknown: one message at a time
+    REPLICATE = "streaming"  # messages are sent without waiting for responses
+    SNAPSHOT = "snapshot"  # the missing entries were discarded: one snapshot chunk at a time
 
 
 class Progress:
-    """What the leader knows of one member, and sends to it."""
+    """Holds the replication state of one member, and sends it entries or a snapshot."""
 
     def __init__(self, state: RaftState, member: MemberId) -> None:
         self.state = state
@@ -34,28 +34,28 @@
         self.next = state.log.last + 1
         self.mode = ProgressState.PROBE
         self.probed = False
-        self.in_flight: deque[int] = deque()  # last entry of each message in flight
-        # As if it had just responded: a new leader has an election timeout to find its majority.
+        self.in_flight: deque[int] = deque()  # index of the last entry of each message in flight
+        # As if the member had just responded, so a new leader has an election timeout to reach a majority.
         self.last_response_at = state.now
         self.snapshot: Snapshot | None = None
         self.offset = 0
         self.chunk_sent_at = 0
-        self.is_chunk_resent = False  # the response counts whatever its offset is
+        self.is_chunk_resent = False  # if so, the next response is valid whatever its offset
         self.digest = b""
-        # Rounds of catching up (dissertation, 4.2.1): where the log ended as this one began, and when.
+        # Catch-up round (dissertation, 4.2.1): where the log ended when the round began, and when it began.
         self.round_target = state.log.last
         self.round_started_at = state.now
         self.has_caught_up = False
 
     @property
     def is_silent(self) -> bool:
-        """Whether it has not responded for an election timeout."""
+        """Returns whether the member has not responded for an election timeout."""
         return self.state.now - self.last_response_at >= self.state.settings["election"]
 
     # ---- sending -----------------------------------------------------------------------------------
 
     def send_entries(self, read_round: int) -> None:
-        """Sends the entries that it lacks, as far as messages may be in flight."""
+        """Sends entries that the member lacks, up to the limit of messages in flight."""
         state = self.state
         log = state.log
         if self.mode is ProgressState.SNAPSHOT or (self.mode is ProgressState.PROBE and self.probed):
@@ -64,7 +64,7 @@
             if self.next <= log.base:
                 self._start_snapshot()
                 return
-            entries = log.up_to_size(self.next, state.settings["append_most"])
+            entries = log.entries_up_to_size(self.next, state.settings["append_most"])
             self._send_append(entries, read_round)
             if self.mode is ProgressState.PROBE:
                 self.probed = True
@@ -73,7 +73,7 @@
             self.in_flight.append(self.next - 1)
 
     def send_heartbeat(self, read_round: int) -> None:
-        """Shows that the leader is alive; a member that lost messages says so in its response."""
+        """Sends a heartbeat; the response reveals whether the member has lost messages."""
         if self.mode is ProgressState.SNAPSHOT:
             self._resend_chunk_if_overdue()
             self.state.send(
@@ -91,7 +91,10 @@
             self._send_append((), read_round)
 
     def _resend_chunk_if_overdue(self) -> None:
-        """Sends again only where a response is overdue; a silent member is probed with few bytes."""
+        """Resends the current chunk if its response is overdue.
+
+        For a silent member it restarts with the latest snapshot, and sends empty chunks as small probes.
+        """
         if self.is_silent and (self.offset or self.snapshot is not self.state.log.snapshot):
             self._start_snapshot()
         elif self.state.now - self.chunk_sent_at >= self.state.settings["election"]:
@@ -110,7 +113,7 @@
     # ---- responses ---------------------------------------------------------------------------------
 
     def handle_append_response(self, response: AppendEntriesResponse) -> bool:
-        """Takes a response; returns whether the member is known to have more entries than before."""
+        """Handles a response; returns whether the member's match index has increased."""
         self.last_response_at = self.state.now
         if not response.success:
             self._step_back(response)
@@ -137,14 +140,14 @@
         self.in_flight.clear()
 
     def _step_back(self, response: AppendEntriesResponse) -> None:
-        """Goes back to where both logs may be equal: the member's differs, or ends, at `prev_log_index`.
+        """Moves the next index back to where both logs may match, after a rejection at `prev_log_index`.
 
-        This is the search by terms of 5.3, from both sides.
+        This is the search by terms of Ongaro and Ousterhout 2014, 5.3, using the terms of both logs.
         """
         if self.mode is ProgressState.SNAPSHOT or response.prev_log_index <= self.match_index:
             return
         if self.mode is ProgressState.PROBE and response.prev_log_index != self.next - 1:
-            return  # of an earlier message
+            return  # the response to an earlier message
         limit = min(response.match_index, response.prev_log_index - 1)
         last_possible, _ = self.state.log.conflict_hint(limit, response.conflict_term)
         self.next = max(self.match_index, last_possible) + 1
@@ -153,7 +156,7 @@
         self.in_flight.clear()
 
     def _update_catch_up(self) -> None:
-        """It has caught up once a round, to where the log ended as it began, took less than a timeout."""
+        """Records that the member has caught up, once a catch-up round took less than an election timeout."""
         state = self.state
         if not self.has_caught_up and self.match_index >= self.round_target:
             self.has_caught_up = state.now - self.round_started_at < state.settings["election"]
@@ -163,7 +166,10 @@
     # ---- snapshots ---------------------------------------------------------------------------------
 
     def _start_snapshot(self) -> None:
-        """Sends the latest snapshot; a member that keeps responding gets the one that was started."""
+        """Starts to send the latest snapshot from its first byte.
+
+        A member that keeps responding completes this one, even if a later one is taken meanwhile.
+        """
         self.mode = ProgressState.SNAPSHOT
         self.probed = False
         self.offset = 0
@@ -193,7 +199,7 @@
         state.send(self.member, message)
 
     def handle_snapshot_response(self, response: InstallSnapshotResponse) -> None:
-        """Sends the chunk that follows; a response that comes twice sends nothing twice."""
+        """Sends the next chunk; a duplicated response does not cause a second one."""
         self.last_response_at = self.state.now
         is_current = self.mode is ProgressState.SNAPSHOT
         if not is_current or response.last_included_index != self.snapshot.index:
--- a/indigohitch/fleet/raft/read_index.py
+++ b/indigohitch/fleet/raft/read_index.py
@@ -1,7 +1,7 @@
-"""Reads confirmed by a majority that answered a message sent after the read came (ReadIndex).  No I/O.
+"""Confirms reads by a majority that responded to a message sent after the read came (ReadIndex).  No I/O.
 
-By the dissertation, 6.4.  A round is a count over all messages of a leader: a response that echoes it was
-sent after the round began, by a member that knew of no later leader.
+See Ongaro's dissertation, 6.4.  A leader numbers its read rounds and includes the number in its messages.  A
+response that echoes a round was sent after that round began, by a member that knew of no later leader.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ReadIndexQueue:
-    """The reads that wait at one leader, from its election on; `first` is the index of its first entry."""
+    """Queues the reads at one leader; `first` is the index of the first entry of its term."""
 
     def __init__(self, state: RaftState, first: int) -> None:
         self.state = state
@@ -25,13 +25,13 @@
 
     @property
     def is_round_open(self) -> bool:
-        """Whether a read waits for a round that is in flight."""
+        """Returns whether a read waits for the round that is in progress."""
         return bool(self.waiting) and self.waiting[0][1] <= self.read_round
 
     def add(self, number: int) -> bool:
         """Queues a read; returns whether a round has to start now.
 
-        Reads that come while a round is in flight share the next one.  Too many are rejected.
+        Reads that come during a round share the next one.  A read is rejected if too many are waiting.
         """
         if len(self.waiting) >= self.state.settings["proposals_most"]:
             self.state.outputs.append(ReadConfirmed(number, 0, False))
@@ -46,7 +46,7 @@
         return self.read_round
 
     def on_echo(self, member: MemberId, read_round: int) -> None:
-        """Records the round that a member's response echoes."""
+        """Records the read round that a member's response echoes."""
         if read_round > self.echoed.get(member, 0):
             self.echoed[member] = read_round
 
@@ -64,7 +64,7 @@
         return rounds[configuration.majority - 1]
 
     def confirm(self) -> bool:
-        """Puts out the reads that are confirmed; returns whether the next round has to start."""
+        """Puts out confirmed reads whose index is committed; returns whether the next round has to start."""
         if not self.waiting:
             return False
         confirmed = self.confirmed_round()
@@ -76,7 +76,7 @@
         return was_open and bool(self.waiting) and self.waiting[0][1] > self.read_round
 
     def close(self, leader: MemberId | None) -> None:
-        """Rejects all reads: this leader's time is over."""
+        """Rejects all waiting reads because this leader has stepped down."""
         for number, _, _ in self.waiting:
             self.state.outputs.append(ReadConfirmed(number, 0, False, leader))
         self.waiting.clear()
--- a/indigohitch/fleet/raft/state.py
+++ b/indigohitch/fleet/raft/state.py
@@ -1,4 +1,4 @@
-"""The state that the parts of a Raft node share: term, role, log, configuration, commit index.  No I/O."""
+"""Holds the state that the parts of a Raft node share, such as term, role, log and commit index.  No I/O."""
 
 from __future__ import annotations
 
@@ -25,20 +25,21 @@
 
 
 class Role(enum.Enum):
-    """What a member is in its term."""
+    """Enumerates the roles of a member in its term."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "asking"  # in a pre-vote
+    PRE_CANDIDATE = "asking"  # has started a pre-vote
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 class RaftState:
-    """The state of one member.
+    """Holds the Raft state of one member.
 
-    `settings`: times `election` and `beat` in ticks; bytes `log_most` (of entries after a snapshot, before
-    the next is taken), `append_most` (of a message) and `piece` (of a snapshot chunk); counts `inflight`
-    (messages in flight to a member) and `proposals_most` (entries that are not committed).
+    Settings in ticks: `election` (the shortest election timeout) and `beat` (the heartbeat interval).  In
+    bytes: `log_most` (entries after a snapshot until the next one is taken), `append_most` (entries of one
+    message) and `piece` (a snapshot chunk).  Counts: `inflight` (messages in flight to a member) and
+    `proposals_most` (uncommitted entries, and also waiting reads).
     """
 
     def __init__(
@@ -56,13 +57,14 @@
         self.log = Log(recovered.snapshot, recovered.entries)
         self.configuration = Configuration(recovered.snapshot.index, recovered.snapshot.members)
         self.configuration.append(recovered.entries)
-        # The hard state is written before the entries of its term; one behind them was never acknowledged.
+        # The hard state is written before the entries of its term.  If it is nevertheless behind the log,
+        # the write of the newer one was never acknowledged, so no vote of that term has left this member.
         self.hard_state = max(recovered.hard_state, HardState(self.log.last_term), key=lambda each: each.term)
         self.durable = DurabilityTracker(self.log.last)
         self.commit_index = recovered.snapshot.index
         self.role = Role.FOLLOWER
         self.leader: MemberId | None = None
-        self.announced = (self.role, self.hard_state.term, self.leader)
+        self.last_announced = (self.role, self.hard_state.term, self.leader)
         self.leader_seen_at = now - 2 * settings["election"]
         self.election_due_at = 0
         self.is_snapshot_pending = False
@@ -71,19 +73,22 @@
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """Returns the current term."""
         return self.hard_state.term
 
     def reset_election_timer(self) -> None:
-        """Waits an election timeout, up to twice as long at random, so that few stand at once (5.2)."""
+        """Restarts the election timer with a random timeout of one to two times `election`.
+
+        The randomness makes simultaneous candidates rare (Ongaro and Ousterhout 2014, 5.2).
+        """
         self.election_due_at = self.now + int(self.settings["election"] * (1 + self.random()))
 
     @property
     def has_live_leader(self) -> bool:
-        """Whether this is a leader, or got a message of one within the shortest election timeout.
+        """Returns whether this member leads, or received from a leader within the shortest election timeout.
 
-        No vote is granted then, and no request for one changes the term, so that a member that comes back
-        does not unseat a leader (dissertation, 4.2.3).
+        If so, it grants no vote and a vote request does not change its term, so that a member that rejoins
+        does not depose the leader (dissertation, 4.2.3).
         """
         return self.role is Role.LEADER or (
             self.leader is not None and self.now - self.leader_seen_at < self.settings["election"]
@@ -92,11 +97,11 @@
     # ---- messages and writes -----------------------------------------------------------------------
 
     def send(self, to: MemberId, message: Row) -> None:
-        """Sends a message."""
+        """Puts out a message at once."""
         self.outputs.append(SendMessage(to, message))
 
     def send_when_durable(self, to: MemberId, message: Row) -> None:
-        """Sends a message once all writes so far are completed; never if the disk is failed."""
+        """Sends a message once all writes so far are completed; drops it if the disk has failed."""
         durable = self.durable
         if durable.failed:
             return
@@ -105,16 +110,16 @@
         else:
             durable.promises.append((durable.number, SendMessage(to, message)))
 
-    def note(self, event: str, **fields: object) -> None:
-        """Puts out an event for the log."""
+    def log_event(self, event: str, **fields: object) -> None:
+        """Puts out an event for the operational log."""
         self.outputs.append(LogNote(event, fields))
 
     def change_role(self, role: Role, leader: MemberId | None) -> None:
-        """Sets the role and the known leader, and announces a change of them or of the term."""
-        if (role, self.term, leader) != self.announced:
+        """Sets the role and the known leader; puts out `RoleChanged` if these or the term have changed."""
+        if (role, self.term, leader) != self.last_announced:
             self.role = role
             self.leader = leader
-            self.announced = (role, self.term, leader)
+            self.last_announced = (role, self.term, leader)
             self.outputs.append(RoleChanged(role.value, self.term, leader))
 
     def save_hard_state(self, term: int, vote: MemberId | None) -> None:
@@ -123,13 +128,13 @@
         self.outputs += self.durable.write(self.hard_state, 0, (), self.log.last)
 
     def append_entries(self, truncate_from: int, entries: tuple[LogEntry, ...]) -> None:
-        """Appends entries to the log, after it was truncated from that index on (0: not), and writes them.
+        """Truncates the log from that index on (0: not at all), appends entries and writes the change.
 
-        Raises ValueError if a committed entry would be void, which must never be.
+        Raises ValueError if this would remove a committed entry, which violates Raft's safety.
         """
         if truncate_from:
             if truncate_from <= self.commit_index:
-                raise ValueError(f"entry {truncate_from} was committed and is to be void")
+                raise ValueError(f"entry {truncate_from} is committed and cannot be truncated")
             self.log.truncate(truncate_from)
             self.configuration.truncate(truncate_from)
         self.log.append(entries)
@@ -140,16 +145,16 @@
         """Commits the entries up to `index`."""
         if index <= self.commit_index:
             return
-        self.outputs.append(ApplyEntries(self.log.between(self.commit_index + 1, index)))
+        self.outputs.append(ApplyEntries(self.log.entries_between(self.commit_index + 1, index)))
         self.commit_index = index
         self.compact()
 
     # ---- snapshots ---------------------------------------------------------------------------------
 
     def compact(self) -> None:
-        """Takes a snapshot if the log has grown, so that memory and disk are bounded."""
+        """Requests a snapshot if the log exceeds `log_most`, which bounds memory and disk."""
         if (
-            self.log.grown > self.settings["log_most"]
+            self.log.bytes_since_snapshot > self.settings["log_most"]
             and self.commit_index > self.log.snapshot.index
             and not (self.is_snapshot_pending or self.durable.failed or self.durable.installing)
         ):
@@ -159,7 +164,7 @@
             self.outputs.append(TakeSnapshot(index, term, self.configuration.members_at(index)))
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Replaces a log that is behind the leader's snapshot."""
+        """Replaces the log, which is behind the leader's snapshot, by that snapshot."""
         self.log.replace(snapshot)
         self.configuration.replace(snapshot.index, snapshot.members)
         self.commit_index = snapshot.index
@@ -169,7 +174,7 @@
             self.outputs.append(RestoreSnapshot(snapshot))
 
     def on_snapshot_written(self, snapshot: Snapshot) -> None:
-        """Discards the log that the snapshot covers."""
+        """Discards the part of the log that a snapshot on the disk covers."""
         self.durable.on_snapshot_written(snapshot.index)
         if snapshot.index > self.log.snapshot.index:
             self.is_snapshot_pending = False
@@ -178,7 +183,7 @@
             self.compact()
 
     def on_storage_recovered(self) -> None:
-        """Writes again all that is not known to be on the disk."""
+        """Rewrites everything that is not known to be on the disk."""
         if not self.durable.failed:
             return
         self.durable.failed = False
@@ -187,5 +192,7 @@
             self.outputs.append(RestoreSnapshot(self.log.snapshot))
         first = max(self.durable.stable, self.log.snapshot.index if self.durable.installing else 0) + 1
         last = self.log.last
-        self.outputs += self.durable.write(self.hard_state, first, self.log.between(first, last), last)
+        self.outputs += self.durable.write(
+            self.hard_state, first, self.log.entries_between(first, last), last
+        )
         self.compact()
--- a/tests/test_ledger_members.py
+++ b/tests/test_ledger_members.py
@@ -147,7 +147,7 @@
     group.cut.add(C)
     group.propose(A, *range(1, 201))
     log = group.machines[A].state.log
-    assert log.base > 100 and log.grown <= 2000 and len(log.entries) < 60
+    assert log.base > 100 and log.bytes_since_snapshot <= 2000 and len(log.entries) < 60
     group.cut.clear()
     group.pass_time(2 * BOOTSTRAP["election"])
     installed = [one for one in group.applied[C] if type(one) is RestoreSnapshot]
