--- a/tests/test_ledger_schedules.py
+++ b/tests/test_raft_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules and the small model: no promise breaks, and each guard that is taken away is missed."""
+"""Seeded schedules and the small model: no invariant is violated, and removing any guard is detected."""
 
 import pytest
 
@@ -8,19 +8,19 @@
 
 
 @pytest.mark.parametrize("first", range(1, 161, 40))
-def test_schedules_break_nothing(first):
+def test_schedules_violate_no_invariant(first):
     breaches = [breach for _, breach in map(play, range(first, first + 40)) if breach]
     assert not breaches
 
 
 @pytest.mark.parametrize("guard", GUARDS)
-def test_schedules_miss_a_guard(guard):
+def test_schedules_detect_a_removed_guard(guard):
     with taken_away(guard):
         assert any(play(seed)[1] for seed in range(1, 400))
 
 
 @pytest.mark.parametrize("scene", [scene.name for scene in ledger_model.SCENES])
-def test_model_breaks_nothing(scene):
+def test_model_violates_no_invariant(scene):
     states, steps, breach = ledger_model.explore(scene, True, None)
     assert not breach and steps > states > 100
 
@@ -33,5 +33,5 @@
         ("read_quorum", "a read while another takes over"),
     ],
 )
-def test_model_misses_a_guard(guard, scene):
+def test_model_detects_a_removed_guard(guard, scene):
     assert ledger_model.explore(scene, True, guard)[2]
