--- a/indigohitch/fleet/raft/durability.py
+++ b/indigohitch/fleet/raft/durability.py
@@ -23,7 +23,7 @@
         self.done = 0  # number of the last completed write
         self.installing = 0  # index of a snapshot that is being written in place of the log
         self.pending: deque[list[int]] = deque()  # [write number, index of the last entry it makes stable]
-        self.promises: deque[tuple[int, SendMessage]] = deque()  # (write number to wait for, message)
+        self.promises: deque[tuple[int, SendMessage]] = deque()  # (write number, message)
 
     @property
     def is_hard_state_durable(self) -> bool:
--- a/indigohitch/fleet/raft/follower.py
+++ b/indigohitch/fleet/raft/follower.py
@@ -68,9 +68,10 @@
         self.delay_monitor = DelayMonitor(state.settings["election"])
 
     def _accept_leader(self, sender: MemberId, message: AppendEntries | InstallSnapshot) -> bool:
-        """Returns whether the sender leads the current term, and restarts the election timer if so.
+        """Returns whether the sender leads the current term.
 
-        Raises ValueError for a second leader in a term.
+        If so, it restarts the election timer, unless the message is late by the delay monitor.  Raises
+        ValueError for a second leader in a term.
         """
         state = self.state
         if message.term < state.term:
--- a/indigohitch/fleet/raft/interfaces.py
+++ b/indigohitch/fleet/raft/interfaces.py
@@ -175,7 +175,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RestoreSnapshot:
-    """Restores the state machine and writes the snapshot in place of the log, then `SnapshotCompleted`."""
+    """Replaces the state machine and the stored log by a snapshot; `SnapshotCompleted` has to follow."""
 
     snapshot: Snapshot
 
--- a/indigohitch/fleet/raft/log.py
+++ b/indigohitch/fleet/raft/log.py
@@ -22,7 +22,7 @@
 
 
 class Log:
-    """Holds the entries `base` + 1 to `last` without a gap; the snapshot is at `base` or after it."""
+    """Holds the entries after the base index without a gap; the snapshot is at the base index or after it."""
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[LogEntry] = ()) -> None:
         self.replace(snapshot)
--- a/indigohitch/fleet/raft/messages.py
+++ b/indigohitch/fleet/raft/messages.py
@@ -12,7 +12,7 @@
 
 
 class RequestVote(Row, frozen=True):
-    """Requests a vote in `term` for a candidate whose log ends with the entry at `last_log_index`.
+    """Requests a vote in `term`; the candidate's log ends with the entry (`last_log_index`, `last_log_term`).
 
     With `is_pre_vote` the receiver answers whether it would vote, without voting or changing its term.
     With `is_leadership_transfer` the leader itself has asked the sender to start an election.
--- a/tests/test_raft_schedules.py
+++ b/tests/test_raft_schedules.py
@@ -7,9 +7,9 @@
 from proofs.ledger_schedules import play
 
 
-@pytest.mark.parametrize("first", range(1, 161, 40))
-def test_schedules_violate_no_invariant(first):
-    breaches = [breach for _, breach in map(play, range(first, first + 40)) if breach]
+@pytest.mark.parametrize("first_seed", range(1, 161, 40))
+def test_schedules_violate_no_invariant(first_seed):
+    breaches = [breach for _, breach in map(play, range(first_seed, first_seed + 40)) if breach]
     assert not breaches
 
 
