--- a/indigohitch/fleet/__init__.py
+++ b/indigohitch/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet as one: what the coordinators and sidecars of one installation agree on and act by together."""
+"""The fleet: the state that the coordinators and sidecars of one installation replicate, and its use."""
--- a/indigohitch/fleet/interfaces.py
+++ b/indigohitch/fleet/interfaces.py
@@ -1,5 +1,7 @@
-"""How the parts of the fleet meet: what the replicated state wants of a part of it, and what a member's
-process wants of a part's work.  Shapes only."""
+"""Interfaces of the parts of the replicated state machine and of their works.  Types only.
+
+A part holds replicated state; its work acts on that state in one member's process.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +13,7 @@
 
 
 class EntryContext(Row, frozen=True):
-    """Where in the ledger an entry stands, for who applies it."""
+    """Position, time and proposer of a log entry, for the part that applies it."""
 
     index: int
     term: int
@@ -21,7 +23,7 @@
 
 
 class StateMachine(Protocol):
-    """What a part sees of the state machine that it belongs to."""
+    """The state machine as its parts see it."""
 
     parts: Mapping[str, StateMachinePart]  # by name
     index: int  # of the last entry applied
@@ -32,77 +34,102 @@
         """Fleet time at the last entry; 0 before any was agreed on."""
 
     def digest(self) -> bytes:
-        """16 bytes; equal at members that stand at the same entry."""
+        """Returns 16 bytes that are equal at members that have applied the same entries."""
 
 
 class StateMachinePart(Protocol):
-    """A part of the replicated state.  It must come to the same from the same entries at every member: no
-    clock, no chance, no order of a set.  Other parts are at hand by name in `state_machine.parts`."""
+    """A part of the replicated state.
+
+    The same entries have to lead to the same state at every member: a part uses no clock, no random numbers
+    and no order of a set.  It reaches other parts by name in `state_machine.parts`.
+    """
 
-    name: str  # its kinds are `name.word`
-    state_machine: StateMachine  # set by it; `self.state_machine.parts["members"]` is another part
+    name: str  # its entries have the kind `name.word`
+    state_machine: StateMachine  # set by the state machine; `self.state_machine.parts["members"]`
     kinds: Mapping[str, type[Row]]  # by word: the row that an entry's body holds
 
     def apply(self, at: EntryContext, word: str, body: Row) -> object:
-        """Carries the entry out and returns what the proposer is told (anything msgpack takes); raises
-        `errors.Unfit`, before it has changed anything, where the entry can't be."""
+        """Applies an entry and returns the result for the proposer, anything that msgpack encodes.
 
-    def row(self) -> Row: ...
+        Raises `errors.InvalidRequestError`, before it has changed anything, if the entry can't be applied.
+        """
+
+    def row(self) -> Row:
+        """Returns the state to put into a snapshot; equal states have to encode to equal bytes."""
 
     def restore(self, row: bytes) -> None:
-        """From the msgpack of what `row` returned, this version's or one older or newer by one."""
+        """Restores the state from the msgpack of what `row` returned.
+
+        `row` may come from this version of the program, or from one older or newer by one.
+        """
 
 
-# A part of the state that has one of these is called by the part `members`, within the entry that says so.
+# A part of the state that implements one of these is called by the part `members`, while that applies the
+# entry that causes the event.
 
 
 @runtime_checkable
 class MemberJoinedListener(Protocol):
+    """A part that is notified when a member starts a new incarnation."""
+
     def on_member_joined(self, at: EntryContext, name: str, incarnation: int) -> None:
-        """It has a new incarnation, which is compared and may not act yet."""
+        """Handles a new incarnation, whose state is still being compared and which may not act yet."""
 
 
 @runtime_checkable
 class MemberEvictedListener(Protocol):
+    """A part that is notified when a member is evicted, before its lease has expired."""
+
     def on_member_evicted(self, at: EntryContext, name: str, incarnation: int) -> None:
-        """Its lease is not renewed any more, and may still run."""
+        """Handles an eviction: the lease is not renewed any more, but may still run."""
 
 
 @runtime_checkable
 class LeaseEndedListener(Protocol):
+    """A part that has to know when a lease ended, before others free what the member held."""
+
     def on_member_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
         """Called before `on_member_lease_expired`; `when`: fleet time when the lease had run out, or 0."""
 
 
 @runtime_checkable
 class LeaseExpiredListener(Protocol):
+    """A part that frees what an incarnation held."""
+
     def on_member_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
-        """That incarnation holds nothing any more: its lease has surely run out, or it left by itself."""
+        """Frees all of that incarnation: its lease has certainly run out, or the member left by itself."""
 
 
 @runtime_checkable
 class ConvergenceListener(Protocol):
+    """A part that waits until changes are in force at every member that may act."""
+
     def on_change_converged(
         self, at: EntryContext, version: int, taken: tuple[tuple[str, int, int], ...]
     ) -> None:
-        """All changes up to `version` are; `taken` as in `members.in_force`."""
+        """Handles that all changes up to `version` are in force; `taken`: see membership.entries.InForce."""
 
 
 ListenerT = TypeVar("ListenerT")
 
 
 def listeners(parts: Mapping[str, StateMachinePart], kind: type[ListenerT]) -> list[ListenerT]:
-    """Those that hear of this, in their order."""
+    """Returns the parts that implement the listener type `kind`, in the order of `parts`."""
     return [part for part in parts.values() if isinstance(part, kind)]
 
 
 class ActionRecorder(Protocol):
-    """Every act that leaves a process (an order to the relay, a seat given or taken back, a piece of a batch
-    released) is stamped and kept here (fleet/audit)."""
+    """Stamps and records every action that leaves a process (fleet/audit).
+
+    Such actions are an order to the relay, a seat given or taken back, a piece of a batch released.
+    """
 
     def stamp(self, now: int, kind: str, about: bytes) -> Stamp | None:
-        """The stamp of an act done now, recorded in this process' chain, `kind` as `seats.given`, `about`
-        what it was about; None while this member may not act: no lease, or its state differs."""
+        """Records an action in the chain of this process and returns its stamp.
+
+        `kind`: such as `seats.given`; `about`: what the action is about.  Returns None while this member may
+        not act, because it has no lease or its state differs from that of the others.
+        """
 
 
 class ProposalRequest(Row, frozen=True):
@@ -114,40 +141,48 @@
 
 
 class Work(Protocol):
-    """A part's own work in one member's process.  No I/O: the process calls it and carries out what it
-    returns. Each call returns the proposals that it wants made."""
+    """What a part does in one member's process.  No I/O.
+
+    The process calls it.  Each call returns the proposals that the process is to make.
+    """
 
     name: str
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
-        """An entry has been applied to the state machine here (entries from before a snapshot are not told:
-        `restored`)."""
+        """Handles an entry that the state machine of this process has applied.
+
+        Entries that a restored snapshot covers are not passed on; `restored` is called instead.
+        """
 
     def restored(self, now: int) -> list[ProposalRequest]:
-        """The state machine was set to a snapshot, or read from the disk: look at it anew."""
+        """Reads the state anew: the state machine was set to a snapshot, or recovered from the disk."""
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
-        """Each beat (100 ms) and after what changed; `lease`: this member's, None while it has none."""
+        """Runs every 100 ms and after changes; `lease`: this member's, None while it has none."""
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
-        """What a proposal of this work came to; None: it is not known (it may still come to something), and
-        it may be wanted again: the process sends it under the same number until it is known or out of
-        window."""
+        """Handles the outcome of a proposal of this work.
+
+        None: the outcome is unknown, the proposal may still take effect, and the work may request it again.
+        The process sends it under the same number until its outcome is known or it has left the window.
+        """
 
     def report(self, now: int) -> bytes:
-        """What the leader is told with each renewal of this member's lease; at most a few KB."""
+        """Returns what the leader is sent with each renewal of this member's lease; at most a few KB."""
 
     def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
-        """At the leader only, each beat: what it proposes for the fleet.  `reports`: the last of each member
-        that holds a lease, by name."""
+        """Runs every 100 ms at the leader only, and returns what it proposes for the fleet.
+
+        `reports`: by name, the last one of each member that holds a lease.
+        """
 
     def figures(self) -> dict:
-        """For `status`, as plain JSON."""
+        """Returns the figures that `status` shows, as plain JSON values."""
 
 
 @runtime_checkable
 class LeaseBoundWork(Protocol):
-    """A work that has things out which end with the lease, as a job with a seat."""
+    """A work that has given out resources which end with the lease, such as a job that has a seat."""
 
     def has_leased_resources(self, now: int) -> bool:
-        """Something is out: it must not be given on before its end."""
+        """Returns whether any resource is given out: none may be given to another before its end."""
--- a/indigohitch/fleet/state_machine.py
+++ b/indigohitch/fleet/state_machine.py
@@ -1,6 +1,8 @@
-"""The replicated state: parts by name, entries applied in order, each proposal once.  No I/O.
+"""The replicated state machine: it applies entries in order to its parts, each proposal once.  No I/O.
 
-Deterministic: the same entries give the same digest at every member (tests/test_fleet_state_machine.py)."""
+It is deterministic: the same entries give the same digest at every member
+(tests/test_fleet_state_machine.py).
+"""
 
 from __future__ import annotations
 
@@ -13,46 +15,55 @@
 from .interfaces import EntryContext, StateMachinePart
 from .types import LogEntry, Outcome
 
-# Proposals of one incarnation that may be out at a time, and outcomes kept to answer one that comes twice.  A
-# member's works make a few a second, and a proposal is given up after some elections' time.
+# How many proposals of one incarnation may be pending at a time, and how many outcomes are kept to answer
+# duplicates.  The works of a member make a few proposals a second, and a proposal is given up after the time
+# that some elections take.
 WINDOW = 256
-FORM = 1  # of the state machine's snapshot
+FORMAT_VERSION = 1  # version of the encoding of snapshots
 
 
 class ProposerState(Row):
-    """What is known of one proposer: of its last incarnation only, as an older one is dead."""
+    """Outcomes of one proposer's proposals: of its last incarnation only, as older ones have ended."""
 
     incarnation: int
-    highest: int
-    outcomes: dict[int, Outcome]
+    highest: int  # proposal number
+    outcomes: dict[int, Outcome]  # by proposal number, within `WINDOW` of the highest
 
 
 class StateMachineRow(Row):
+    """A snapshot of the state machine; `parts` holds the msgpack of each part's row."""
+
     index: int
     term: int
     proposers: dict[str, ProposerState]
     parts: dict[str, bytes]
-    form: int = FORM
+    form: int = FORMAT_VERSION
 
 
 class ReplicatedStateMachine:
+    """The state of one member after entry `index`; it starts empty."""
+
     def __init__(self, parts: Iterable[StateMachinePart]) -> None:
         self.parts = {part.name: part for part in parts}
         for part in self.parts.values():
             part.state_machine = self
-        self.index, self.term = 0, 0  # of the last entry applied
+        self.index = 0  # of the last entry applied
+        self.term = 0  # the same
         self.proposers: dict[str, ProposerState] = {}
 
     @property
     def time(self) -> int:
         """Fleet time at the last entry; 0 before any was agreed on."""
-        hours = self.parts.get("hours")
-        return hours.time if hours is not None else 0
+        fleet_clock = self.parts.get("hours")
+        return fleet_clock.time if fleet_clock is not None else 0
 
     def apply(self, entry: LogEntry) -> Outcome:
-        """The next entry.  Raises ValueError for one out of turn: that is a defect of the ledger's driver."""
+        """Applies the next entry and returns its outcome, that of the first time for a duplicate.
+
+        Raises ValueError for an entry that is not the next one, which is a defect of the log's driver.
+        """
         if entry.index != self.index + 1:
-            raise ValueError(f"entry {entry.index} after {self.index}")
+            raise ValueError(f"entry {entry.index} does not follow the last applied entry {self.index}")
         self.index, self.term = entry.index, entry.term
         if not entry.kind or entry.kind.startswith("ledger."):
             return Outcome(entry.index)
@@ -73,6 +84,10 @@
         return outcome
 
     def execute(self, entry: LogEntry) -> Outcome:
+        """Has the entry applied by its part; a kind or body that is unknown or invalid is rejected.
+
+        The texts of rejections are part of the replicated state: all members need the same ones.
+        """
         name, _, word = entry.kind.partition(".")
         part = self.parts.get(name)
         kind = part.kinds.get(word) if part is not None else None
@@ -80,40 +95,47 @@
             return Outcome(entry.index, f"no such kind: {entry.kind}")
         try:
             body = msgspec.msgpack.decode(entry.body, type=kind)
-        except msgspec.MsgspecError as bad:
-            return Outcome(entry.index, f"{entry.kind}: {bad}")
+        except msgspec.MsgspecError as error:
+            return Outcome(entry.index, f"{entry.kind}: {error}")
         try:
-            told = part.apply(
+            result = part.apply(
                 EntryContext(entry.index, entry.term, self.time, entry.proposer, entry.incarnation),
                 word,
                 body,
             )
-        except InvalidRequestError as unfit:
-            return Outcome(entry.index, unfit.problem)
-        return Outcome(entry.index, "", msgspec.msgpack.encode(told))
+        except InvalidRequestError as error:
+            return Outcome(entry.index, error.problem)
+        return Outcome(entry.index, "", msgspec.msgpack.encode(result))
 
-    # ---- as a whole --------------------------------------------------------------------------------
+    # ---- snapshots ---------------------------------------------------------------------------------
 
     def snapshot(self) -> bytes:
+        """Returns the whole state as msgpack, from which `restore` makes an equal state machine."""
         parts = {name: msgspec.msgpack.encode(part.row()) for name, part in sorted(self.parts.items())}
         return msgspec.msgpack.encode(StateMachineRow(self.index, self.term, self.proposers, parts))
 
     def restore(self, data: bytes) -> None:
-        """Raises Unreadable; then this state machine is of no more use."""
+        """Replaces the state by that of a snapshot; a part that the snapshot lacks keeps its state.
+
+        Raises InvalidDataError; then this state machine must not be used any more.
+        """
         try:
             row = msgspec.msgpack.decode(data, type=StateMachineRow)
-        except msgspec.MsgspecError as bad:
-            raise InvalidDataError(f"not a book: {bad}") from None
-        if not FORM - 1 <= row.form <= FORM + 1:
+        except msgspec.MsgspecError as error:
+            raise InvalidDataError(f"state machine snapshot can't be decoded: {error}") from None
+        if not FORMAT_VERSION - 1 <= row.form <= FORMAT_VERSION + 1:
             raise InvalidDataError(
-                f"a book of form {row.form}; this program reads {FORM - 1} to {FORM + 1}",
-                remedy="bring this member's program up to that of the others",
+                f"state machine snapshot has version {row.form}; "
+                f"this program reads {FORMAT_VERSION - 1} to {FORMAT_VERSION + 1}",
+                remedy="update this member's program to the version of the others",
             )
-        self.index, self.term, self.proposers = row.index, row.term, row.proposers
+        self.index = row.index
+        self.term = row.term
+        self.proposers = row.proposers
         for name, part in self.parts.items():
             if name in row.parts:
                 part.restore(row.parts[name])
 
     def digest(self) -> bytes:
-        """16 bytes; equal at members that stand at the same entry."""
+        """Returns 16 bytes that are equal at members that have applied the same entries."""
         return digest(self.snapshot())
--- a/indigohitch/fleet/storage/__init__.py
+++ b/indigohitch/fleet/storage/__init__.py
@@ -1,1 +1,1 @@
-"""A member's persistent state: the write-ahead log in segments, snapshots, identity (docs/ledger.md)."""
+"""Persistent state of a member: the write-ahead log in segments, snapshots, identity (docs/ledger.md)."""
--- a/indigohitch/fleet/storage/files.py
+++ b/indigohitch/fleet/storage/files.py
@@ -1,4 +1,4 @@
-"""The calls to the operating system below the write-ahead log, in one object, for fault injection."""
+"""The file operations that the write-ahead log uses, in one object, so that tests can inject faults."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FileSystem:
-    """Each call raises OSError if it fails."""
+    """File operations of the operating system; each raises OSError if it fails."""
 
     def make_folder(self, path: str) -> None:
         """Creates a folder, with its parents, unless it exists."""
@@ -26,19 +26,19 @@
             return file.read()
 
     def write_atomically(self, path: str, data: bytes) -> None:
-        """Writes a file with fsync, so that after a crash it has all of the data or is as before."""
+        """Writes a file with fsync; after a crash it holds either all of `data` or its old content."""
         encoding_files.write_atomically(path, data)
 
     def open_for_append(self, path: str) -> int:
-        """Opens an existing file and returns its descriptor."""
+        """Opens an existing file and returns a descriptor that appends to it."""
         return os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
 
     def write(self, fd: int, data: bytes) -> int:
-        """Writes data and returns how many bytes were taken."""
+        """Writes data and returns how many bytes were written, which may be fewer than it has."""
         return os.write(fd, data)
 
     def fsync(self, fd: int) -> None:
-        """Waits until what was written is on the disk."""
+        """Returns once all data written to the descriptor is on the disk."""
         os.fsync(fd)
 
     def close(self, fd: int) -> None:
@@ -46,12 +46,12 @@
         os.close(fd)
 
     def close_quietly(self, fd: int) -> None:
-        """Closes a descriptor and raises nothing: its data was synced or given up before."""
+        """Closes a descriptor and ignores errors: its data has been synced or given up before."""
         with contextlib.suppress(OSError):
             self.close(fd)
 
     def truncate(self, path: str, size: int) -> None:
-        """Cuts a file to `size` bytes, with fsync."""
+        """Truncates a file to `size` bytes, with fsync."""
         fd = os.open(path, os.O_WRONLY | os.O_CLOEXEC)
         try:
             os.ftruncate(fd, size)
@@ -64,11 +64,11 @@
         os.unlink(path)
 
     def sync_folder(self, folder: str) -> None:
-        """Waits until the names in a folder are on the disk."""
+        """Returns once the names of the files in a folder are on the disk."""
         encoding_files.sync_folder(folder)
 
     def lock_file(self, path: str) -> int:
-        """Returns a descriptor that holds the lock until it is closed, also by the end of the process.
+        """Locks a file and returns a descriptor, which holds the lock until it is closed or the process ends.
 
         Raises BlockingIOError if another process holds the lock.
         """
--- a/indigohitch/fleet/storage/identity.py
+++ b/indigohitch/fleet/storage/identity.py
@@ -1,4 +1,4 @@
-"""The member that a disk belongs to, as a file that people can read."""
+"""The identity file, which says to which member a disk belongs; JSON that people can read."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from ...encoding.rows import digest
 from ...errors import InvalidDataError
 
-FORM = 1
+FORMAT_VERSION = 1
 
 
 class Identity(msgspec.Struct):
-    """Fleet, name and number of a member; the names of the keys in the file are given beside the fields.
+    """Fleet, name and number of a member; `name=` is the key of a field in the file.
 
-    `number` 0: not a member yet.  `founders`: the voters of the new cluster, by name.  `seen_numbers`: the
-    highest number that was ever seen of each other name, so that none is used twice.
+    `number` 0: not a member yet.  `founders`: names of the first voters of the cluster.  `seen_numbers`: the
+    highest number that was ever seen of each other name, so that no number is assigned twice.
     """
 
     fleet: str = msgspec.field(name="fleet")
@@ -22,19 +22,19 @@
     number: int = msgspec.field(default=0, name="number")
     founders: tuple[str, ...] = msgspec.field(default=(), name="founders")
     seen_numbers: dict[str, int] = msgspec.field(default_factory=dict, name="met")
-    form: int = msgspec.field(default=FORM, name="form")
-    # Of all else: a changed number would let a lost disk vote again.
+    form: int = msgspec.field(default=FORMAT_VERSION, name="form")
+    # Checksum of all other fields: with a changed number, a member whose disk was lost could vote again.
     check: str = msgspec.field(default="", name="check")
 
     def checksum(self) -> str:
-        """Returns the checksum of all fields but `check`."""
+        """Returns the checksum of all fields but `check`, in hexadecimal."""
         seen_numbers = dict(sorted(self.seen_numbers.items()))
         unchecked = Identity(self.fleet, self.name, self.number, self.founders, seen_numbers, self.form)
         return digest(msgspec.json.encode(unchecked)).hex()
 
 
 def encode(identity: Identity) -> bytes:
-    """Returns the content of the identity file."""
+    """Returns the content of the identity file, with its checksum; sorts `identity.seen_numbers`."""
     identity.seen_numbers = dict(sorted(identity.seen_numbers.items()))
     checked = Identity(
         identity.fleet,
@@ -49,11 +49,11 @@
 
 
 def decode(data: bytes, where: str) -> Identity:
-    """Reads the content of the identity file; raises InvalidDataError."""
+    """Decodes the identity file; raises InvalidDataError if it is malformed or its checksum differs."""
     try:
         identity = msgspec.json.decode(data, type=Identity)
     except msgspec.MsgspecError as error:
-        raise InvalidDataError(f"not an identity: {error}", where) from None
+        raise InvalidDataError(f"the identity file can't be decoded: {error}", where) from None
     if identity.check != identity.checksum():
-        raise InvalidDataError("it was changed since it was written", where)
+        raise InvalidDataError("checksum mismatch: the identity file was changed after it was written", where)
     return identity
--- a/indigohitch/fleet/storage/records.py
+++ b/indigohitch/fleet/storage/records.py
@@ -1,6 +1,6 @@
-"""Records of a segment, with checksums, and how a damaged one is judged.  No I/O.
+"""Records of a segment, with checksums, and how a torn record is told from a damaged one.  No I/O.
 
-One batch of writes is one record, and the next is begun only once that one is on the disk.  So a crash can
+One batch of writes is one record, and the next one is started only once that is on the disk.  So a crash can
 leave only the last record incomplete: any other one that can't be read was damaged later.
 """
 
@@ -24,8 +24,8 @@
 class SegmentHeader(Row, frozen=True):
     """First record of a segment.
 
-    `base`: the last entry before its first; `hard_state`: as it was, so that older segments can be removed;
-    `replaces_all`: older segments are void.
+    `base`: index of the last entry before the segment; `hard_state`: the one in force when the segment was
+    created, so that older segments can be removed; `replaces_all`: older segments are void.
     """
 
     fleet: str
@@ -36,7 +36,7 @@
 
 
 class LogWrite(Row, frozen=True):
-    """A write: `WriteEntries` without its number."""
+    """A write to the log: `WriteEntries` without its number."""
 
     hard_state: HardState | None
     truncate_from: int
@@ -44,7 +44,7 @@
 
 
 class WriteBatch(Row, frozen=True):
-    """Writes that went to the disk together."""
+    """Writes that were written with one fsync."""
 
     writes: tuple[LogWrite, ...]
 
@@ -53,7 +53,7 @@
 
 
 class CorruptStorageError(InvalidDataError):
-    """A file of a member's disk is not what was written there."""
+    """A file of a member's storage is damaged or missing."""
 
     remedy = REMEDY
 
@@ -61,7 +61,8 @@
 def read_records(data: bytes, where: str, is_last: bool) -> tuple[list[tuple[int, Row]], int]:
     """Returns the records with their offsets, and how many bytes of `data` are good.
 
-    That is less than all only in the last segment, whose torn tail is to be cut.  Raises CorruptStorageError.
+    Only the last segment can have fewer good bytes than all: its torn tail is to be cut.  Raises
+    CorruptStorageError for any other record that can't be read.
     """
     records: list[tuple[int, Row]] = []
     offset = 0
@@ -71,7 +72,7 @@
         except BrokenFrameError as broken:
             if not (is_last and is_torn_write(data, offset)):
                 raise CorruptStorageError(
-                    f"a record can't be read: {broken.problem}", f"{where}, byte {offset}"
+                    f"record can't be read: {broken.problem}", f"{where}, byte {offset}"
                 ) from None
             break
         records.append((offset, row))
@@ -82,21 +83,21 @@
 def read_record(data: bytes, offset: int) -> tuple[Row, int]:
     """Returns the record at `offset`, and where it ends; raises BrokenFrameError."""
     if len(data) - offset < HEADER_BYTES:
-        raise BrokenFrameError("it ends within its head")
+        raise BrokenFrameError("its header is incomplete")
     protocol, number, descriptors, length, checksum = RECORDS.head(data, offset)
-    if descriptors:  # records have none; the checksum does not cover their number
-        raise BrokenFrameError("its head was changed")
+    if descriptors:  # records have none, and the checksum does not cover this field
+        raise BrokenFrameError("its header is damaged")
     end = offset + HEADER_BYTES + length
     if end > len(data):
-        raise BrokenFrameError(f"it ends {end - len(data)} bytes early")
+        raise BrokenFrameError(f"its last {end - len(data)} bytes are missing")
     return RECORDS.body(data[offset + HEADER_BYTES : end], protocol, number, checksum), end
 
 
 def is_torn_write(data: bytes, offset: int) -> bool:
-    """Whether a crash may have left the bad record at `offset` incomplete: no record follows it."""
+    """Returns whether a crash may have left the bad record at `offset` incomplete: no record follows it."""
     if len(data) - offset < HEADER_BYTES:
         return True
-    with contextlib.suppress(BrokenFrameError):  # its header did not all reach the disk, or was damaged
+    with contextlib.suppress(BrokenFrameError):  # its header is incomplete or damaged
         length = RECORDS.head(data, offset)[3]
         if offset + HEADER_BYTES + length < len(data):
             return False
--- a/indigohitch/fleet/storage/segments.py
+++ b/indigohitch/fleet/storage/segments.py
@@ -1,7 +1,7 @@
 """The segments of the write-ahead log on the disk.  Called from the storage thread, one call at a time.
 
-A segment is created atomically with its first record, before anything is appended; so a torn write is never
-the first record.
+A segment is created atomically with its first record, before anything is appended, so the first record is
+never torn.
 """
 
 from __future__ import annotations
@@ -18,49 +18,49 @@
 from .records import RECORDS, LogWrite, SegmentHeader, WriteBatch
 from .recovery import Segment, segment_name, snapshot_name
 
-# Of a segment: large enough that creating one (two fsyncs more) is rare, small enough that little remains
-# beside a snapshot that covers it.
+# Size at which a segment is followed by a new one: large enough that creating one, which takes two more
+# fsyncs, is rare; small enough that few entries remain on the disk after a snapshot that covers them.
 SEGMENT_BYTES = 4 << 20
-# Of entries in one record: an eighth of what a frame takes, so that one larger entry still fits.
+# Size of the entries in one record: an eighth of the limit of a frame, so that one larger entry still fits.
 MAX_BATCH_BYTES = 1 << 20
-ENTRY_OVERHEAD_BYTES = 64  # of an entry beside its body, kind and proposer, rounded up
+ENTRY_OVERHEAD_BYTES = 64  # size of the other fields of an entry, rounded up
 
 
 def entry_size(entry: LogEntry) -> int:
-    """Returns about how many bytes an entry takes."""
+    """Returns the approximate size of an encoded entry in bytes."""
     return len(entry.body) + ENTRY_OVERHEAD_BYTES + len(entry.kind) + len(entry.proposer)
 
 
 def batch_writes(writes: Iterable[LogWrite]) -> Iterator[WriteBatch]:
-    """Puts writes into as few records as their bound allows, in order.
+    """Groups writes, in order, into as few records as `MAX_BATCH_BYTES` allows.
 
-    A write too large for one goes into several, its hard state and truncation into the first.
+    A write that is too large for one record is split; its hard state and truncation go into the first part.
     """
-    waiting: list[LogWrite] = []
+    pending: list[LogWrite] = []
     size = 0
     for write in writes:
         rest = write
         part: list[LogEntry] = []
         for entry in write.entries:
             if part and size + entry_size(entry) > MAX_BATCH_BYTES:
-                yield WriteBatch((*waiting, LogWrite(rest.hard_state, rest.truncate_from, tuple(part))))
+                yield WriteBatch((*pending, LogWrite(rest.hard_state, rest.truncate_from, tuple(part))))
                 rest = LogWrite(None, 0, ())
-                waiting = []
+                pending = []
                 part = []
                 size = 0
             part.append(entry)
             size += entry_size(entry)
-        waiting.append(msgspec.structs.replace(rest, entries=tuple(part)))
+        pending.append(msgspec.structs.replace(rest, entries=tuple(part)))
         if size > MAX_BATCH_BYTES:
-            yield WriteBatch(tuple(waiting))
-            waiting = []
+            yield WriteBatch(tuple(pending))
+            pending = []
             size = 0
-    if waiting:
-        yield WriteBatch(tuple(waiting))
+    if pending:
+        yield WriteBatch(tuple(pending))
 
 
 class Segments:
-    """The segments and snapshots in a folder; `found` and `snapshot_paths` are those of the start."""
+    """Writes segments and snapshots of one member; `found` and `snapshot_paths` were there at the start."""
 
     def __init__(
         self,
@@ -80,11 +80,11 @@
         self.segments = found
         self.snapshot_paths = snapshot_paths
         self.fd = -1
-        self.hard_state = HardState(0)  # by the records so far
+        self.hard_state = HardState(0)  # according to the records written so far
         self.last = 0
 
     def open(self, hard_state: HardState, last: int) -> None:
-        """Continues after what was recovered; raises OSError."""
+        """Continues the recovered log, whose last entry has index `last`; raises OSError."""
         self.hard_state = hard_state
         self.last = last
         if self.segments:
@@ -103,7 +103,7 @@
         self.segments.append(Segment(number, path, max(base, self.last), len(data)))
 
     def write(self, writes: list[LogWrite]) -> None:
-        """Writes with fsync.
+        """Writes to the log, with fsync.
 
         Raises OSError: then none of the writes is known to be on the disk, and only `rewrite` may follow.
         """
@@ -130,7 +130,7 @@
                 self.segments[-1].highest = max(self.segments[-1].highest, self.last)
 
     def snapshot(self, snapshot: Snapshot, follows: bool) -> None:
-        """Writes a snapshot and removes the segments that it covers; all, unless the log `follows` it.
+        """Writes a snapshot and removes the segments that it covers, all of them unless the log `follows` it.
 
         Raises OSError.
         """
@@ -152,7 +152,7 @@
             self.snapshot_paths.append(path)
 
     def rewrite(self, snapshot: Snapshot, hard_state: HardState, entries: tuple[LogEntry, ...]) -> None:
-        """Writes all that counts into new files, trusts none of the old ones, and removes those.
+        """Writes the given state to new files, without use of the old ones, and removes those.
 
         Raises OSError.
         """
@@ -169,7 +169,7 @@
         self._remove_old_snapshots(snapshot)
 
     def _remove_segment(self, segment: Segment) -> None:
-        """One that can't be removed is passed over at the next start."""
+        """Removes a segment; one that can't be removed is handled by the next recovery."""
         with contextlib.suppress(OSError):
             self.files.remove(segment.path)
 
@@ -181,7 +181,7 @@
                 self.snapshot_paths.remove(path)
 
     def close(self) -> None:
-        """Closes the segment that is appended to."""
+        """Closes the file of the current segment."""
         if self.fd >= 0:
             fd = self.fd
             self.fd = -1
--- a/indigohitch/fleet/storage/snapshots.py
+++ b/indigohitch/fleet/storage/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots as bytes: magic, form, length, digest, then the msgpack of `Snapshot`.  No I/O."""
+"""Encoding of snapshot files: magic, format version, length, digest, msgpack of `Snapshot`.  No I/O."""
 
 from __future__ import annotations
 
@@ -11,27 +11,30 @@
 from .records import CorruptStorageError
 
 MAGIC = b"IHBOOK\r\n"
-FORM = 1
-_HEAD = struct.Struct("!8sHQ16s")
+FORMAT_VERSION = 1
+_HEADER = struct.Struct("!8sHQ16s")
 
 
 def encode(snapshot: Snapshot) -> bytes:
     """Returns the content of a snapshot file."""
     body = msgspec.msgpack.encode(snapshot)
-    return _HEAD.pack(MAGIC, FORM, len(body), digest(body, FORM)) + body
+    return _HEADER.pack(MAGIC, FORMAT_VERSION, len(body), digest(body, FORMAT_VERSION)) + body
 
 
 def decode(data: bytes, where: str) -> Snapshot:
-    """Reads a snapshot file; raises CorruptStorageError, as a crash leaves none incomplete."""
-    if len(data) < _HEAD.size:
-        raise CorruptStorageError("a snapshot ends within its head", where)
-    magic, form, length, check = _HEAD.unpack_from(data)
-    body = data[_HEAD.size :]
-    if magic != MAGIC or not FORM - 1 <= form <= FORM + 1:
-        raise CorruptStorageError("not a snapshot of this program", where)
-    if len(body) != length or digest(body, form) != check:
-        raise CorruptStorageError("a snapshot is not what was written", where)
+    """Decodes a snapshot file; raises CorruptStorageError.
+
+    The file was written atomically, so a crash can't have left it incomplete: a malformed one is damaged.
+    """
+    if len(data) < _HEADER.size:
+        raise CorruptStorageError("the header of the snapshot is incomplete", where)
+    magic, version, length, checksum = _HEADER.unpack_from(data)
+    body = data[_HEADER.size :]
+    if magic != MAGIC or not FORMAT_VERSION - 1 <= version <= FORMAT_VERSION + 1:
+        raise CorruptStorageError("the file is not a snapshot, or one of an unknown format version", where)
+    if len(body) != length or digest(body, version) != checksum:
+        raise CorruptStorageError("length or checksum of the snapshot does not match", where)
     try:
         return msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as error:
-        raise CorruptStorageError(f"a snapshot: {error}", where) from None
+        raise CorruptStorageError(f"the snapshot can't be decoded: {error}", where) from None
--- a/indigohitch/fleet/storage/store.py
+++ b/indigohitch/fleet/storage/store.py
@@ -1,8 +1,8 @@
-"""A member's disk as the node uses it: asked in the loop, done in a thread, told in the loop, in order.
+"""The storage of a member: the event loop requests jobs, a thread runs them in order, the loop gets results.
 
-What is asked while a write is out goes together in the next one.  After a write or fsync that failed nothing
-is trusted to be on the disk: all of the log that counts, which is kept here as well, goes into files of their
-own, again and again until that has worked."""
+Writes requested while another one runs share one fsync.  After a failed write or fsync nothing is trusted to
+be on the disk: all of the log that counts, also kept in memory, goes to new files, retried until that works.
+"""
 
 from __future__ import annotations
 
@@ -29,26 +29,31 @@
 from ..types import MemberId
 from .files import FileSystem
 from .folder import Folder
+from .identity import Identity
 from .records import LogWrite
 from .recovery import RecoveredLog, RecoveryResult
 from .segments import Segments
 
-# After a write that failed: often enough that a freed disk is used soon, rarely enough not to add to the load
-# of one that is in trouble.
+# After a failed write: soon enough to use freed space, rare enough not to add to the load of a failing disk.
 RETRY_INTERVAL = SECOND // 2
 
 
 class StorageState(enum.Enum):
+    """The state of a `Storage`, as `status` shows it."""
+
     CLOSED = "closed"
-    FRESH = "fresh"  # the folder is ours, and nothing is on it yet
+    FRESH = "fresh"  # the folder is locked by this process and holds no member yet
     IDLE = "idle"
-    BUSY = "busy"  # one job is with the thread
-    FAILED = "failed"  # nothing is promised; waits to try again
-    MENDING = "mending"  # tries
+    BUSY = "busy"  # the thread runs one job
+    FAILED = "failed"  # nothing is reported as written; waits for the next retry
+    REWRITING = "mending"  # the thread writes all of the log to new files
 
 
 class Storage:
-    """`open`, `found` and `met` raise; what fails later is told as `DiskFailed`."""
+    """The log, snapshots and hard state of one member on its disk.
+
+    `open`, `initialize` and `folder` raise their errors; other failures are delivered as `StorageFailed`.
+    """
 
     def __init__(
         self,
@@ -57,33 +62,31 @@
         folder: str,
         fleet: str,
         name: str,
-        told: Callable[[Input], None],
+        deliver: Callable[[Input], None],
         files: FileSystem | None = None,
     ) -> None:
-        self.loop, self.log, self.told = loop, log, told
+        self.loop, self.log, self.deliver = loop, log, deliver
         self.files = files or FileSystem()
         self.folder = Folder(self.files, folder, fleet, name)
-        self.state, self.why = StorageState.CLOSED, ""
+        self.state, self.failure = StorageState.CLOSED, ""  # `failure`: text of the last error
         self.worker: WorkerThread | None = None
         self.segments: Segments | None = None
-        self.recent, self.latest_snapshot, self.hard_state = (
-            RecoveredLog(0),
-            Snapshot(0, 0, Members(()), b""),
-            HardState(0),
-        )
-        self.waiting: list[tuple[int, LogWrite] | tuple[Snapshot, bool]] = []
-        self.again: Deadline | None = None
+        self.recent_log = RecoveredLog(0)  # all entries after the latest snapshot
+        self.latest_snapshot, self.hard_state = Snapshot(0, 0, Members(()), b""), HardState(0)
+        self.pending: list[tuple[int, LogWrite] | tuple[Snapshot, bool]] = []
+        self.retry_timer: Deadline | None = None
         self.syncs = self.failures = 0
 
     @property
-    def identity(self):
+    def identity(self) -> Identity:
+        """The member that the folder belongs to; `number` 0 before `initialize`."""
         return self.folder.identity
 
-    # ---- the start and the end ---------------------------------------------------------------------
-
     def open(self) -> RecoveredState | None:
-        """What it holds; None for a folder with nothing in it.  Raises NotNow (another process holds it),
-        Unreadable, CorruptStorageError, OSError."""
+        """Locks the folder and returns what it holds; None for a folder without a member.
+
+        Raises UnavailableError (locked by another process), InvalidDataError, CorruptStorageError, OSError.
+        """
         self.folder.take()
         try:
             found = self.folder.read()
@@ -91,34 +94,34 @@
             if found is None:
                 self.state = StorageState.FRESH
                 return None
-            self.stood(found)
+            self._start_recovered(found)
         except BaseException:
             self.close()
             raise
-        return RecoveredState(self.hard_state, self.latest_snapshot, list(self.recent.entries))
+        return RecoveredState(self.hard_state, self.latest_snapshot, list(self.recent_log.entries))
 
-    def stood(self, found: RecoveryResult) -> None:
+    def _start_recovered(self, found: RecoveryResult) -> None:
         if found.torn_tail is not None:
-            path, good = found.torn_tail
-            self.log.warning("torn_tail_cut", file=path, at=good, remedy="none needed: nothing hung on it")
-            self.files.truncate(path, good)
+            path, size = found.torn_tail
+            self.log.warning("torn_tail_cut", file=path, at=size, remedy="none needed: never acknowledged")
+            self.files.truncate(path, size)
         for path in found.void:
             self.files.remove(path)
-        self.begin(found, self.identity.number)
+        self._start(found, self.identity.number)
 
     def initialize(self, number: int, founders: tuple[str, ...], members: Members) -> RecoveredState:
-        """The disk is this member's from here on, with an empty state machine.  Raises OSError."""
-        held = RecoveredState(HardState(0), Snapshot(0, 0, members, b""))
-        self.begin(RecoveryResult(held), number)
-        self.segments.put(held.snapshot)
-        self.folder.set_number(number, founders)
-        return held
-
-    def begin(self, found: RecoveryResult, number: int) -> None:
-        held, identity = found.recovered_state, self.identity
-        self.latest_snapshot, self.hard_state = held.snapshot, held.hard_state
-        self.recent = RecoveredLog(held.snapshot.index)
-        self.recent.entries = list(held.entries)
+        """Writes an empty log and snapshot for member `number` and returns that state; raises OSError."""
+        initial = RecoveredState(HardState(0), Snapshot(0, 0, members, b""))
+        self._start(RecoveryResult(initial), number)
+        self.segments.put(initial.snapshot)
+        self.folder.set_number(number, founders)  # last: after a crash before it the folder counts as empty
+        return initial
+
+    def _start(self, found: RecoveryResult, number: int) -> None:
+        recovered, identity = found.recovered_state, self.identity
+        self.latest_snapshot, self.hard_state = recovered.snapshot, recovered.hard_state
+        self.recent_log = RecoveredLog(recovered.snapshot.index)
+        self.recent_log.entries = list(recovered.entries)
         self.segments = Segments(
             self.files,
             self.folder.path,
@@ -128,15 +131,15 @@
             found.snapshots,
         )
         if found.follows:
-            self.segments.open(held.hard_state, self.recent.last)
+            self.segments.open(recovered.hard_state, self.recent_log.last)
         else:
-            self.segments.rewrite(held.snapshot, held.hard_state, ())
+            self.segments.rewrite(recovered.snapshot, recovered.hard_state, ())
         self.state = StorageState.IDLE
 
     def close(self) -> None:
-        """What was asked for is done first; then the folder may be another process'."""
-        if self.again is not None:
-            self.again.cancel()
+        """Completes what was requested, then unlocks the folder for other processes."""
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         if self.worker is not None:
             self.worker.settle()
             while self.state is StorageState.BUSY:
@@ -148,102 +151,99 @@
             self.segments.close()
         self.folder.leave()
 
-    # ---- asked by the machine's driver -------------------------------------------------------------
-
     def write(self, write: WriteEntries) -> None:
-        """`Written` comes once it is on the disk."""
-        base, cut = self.recent.base, write.truncate_from
-        entries = tuple(entry for entry in write.entries if entry.index > base)  # else: in the snapshot
-        if entries and entries[0].index <= self.recent.last:
+        """Requests a write; `WriteCompleted` is delivered once it is on the disk."""
+        base, cut = self.recent_log.base, write.truncate_from
+        entries = tuple(entry for entry in write.entries if entry.index > base)  # others: in the snapshot
+        if entries and entries[0].index <= self.recent_log.last:
             cut = min(cut or entries[0].index, entries[0].index)
-        one = LogWrite(write.hard_state, max(cut, base + 1) if cut else 0, entries)
+        log_write = LogWrite(write.hard_state, max(cut, base + 1) if cut else 0, entries)
         self.hard_state = write.hard_state or self.hard_state
-        self.recent.write(one)
-        self.ask((write.number, one))
+        self.recent_log.write(log_write)
+        self._enqueue((write.number, log_write))
 
-    def snapshot(self, snap: Snapshot, follows: bool) -> None:
-        """Of our own, which the log `follows`, or the leader's in place of it.  `Snapped` comes once it is on
-        the disk."""
-        if snap.index < self.recent.base:
+    def snapshot(self, snapshot: Snapshot, follows: bool) -> None:
+        """Requests to write a snapshot; `SnapshotCompleted` is delivered once it is on the disk.
+
+        `follows`: the log continues it; else it replaces the log.  One older than the latest is ignored.
+        """
+        if snapshot.index < self.recent_log.base:
             return
-        self.recent.entries = self.recent.after(snap) if follows else []
-        self.recent.base, self.latest_snapshot = snap.index, snap
-        self.ask((snap, follows))
+        self.recent_log.entries = self.recent_log.after(snapshot) if follows else []
+        self.recent_log.base, self.latest_snapshot = snapshot.index, snapshot
+        self._enqueue((snapshot, follows))
 
-    def ask(self, job: tuple) -> None:
-        if self.state in (StorageState.IDLE, StorageState.BUSY, StorageState.MENDING):
-            self.waiting.append(job)
-            self.go()
+    def _enqueue(self, job: tuple) -> None:
+        if self.state in (StorageState.IDLE, StorageState.BUSY, StorageState.REWRITING):
+            self.pending.append(job)
+            self._start_next()
 
-    def go(self) -> None:
-        if self.state is not StorageState.IDLE or not self.waiting:
+    def _start_next(self) -> None:
+        if self.state is not StorageState.IDLE or not self.pending:
             return
         self.state = StorageState.BUSY
-        first, follows = self.waiting[0]
+        first, follows = self.pending[0]
         if isinstance(first, Snapshot):
-            del self.waiting[0]
-            self.do(
-                lambda: self.segments.snapshot(first, follows), lambda: self.told(SnapshotCompleted(first))
+            del self.pending[0]
+            self._submit(
+                lambda: self.segments.snapshot(first, follows), lambda: self.deliver(SnapshotCompleted(first))
             )
             return
         count = next(
-            (n for n, job in enumerate(self.waiting) if isinstance(job[0], Snapshot)), len(self.waiting)
+            (n for n, job in enumerate(self.pending) if isinstance(job[0], Snapshot)), len(self.pending)
         )
-        writes, self.waiting = self.waiting[:count], self.waiting[count:]
-        self.do(
-            lambda: self.segments.write([one for _, one in writes]),
-            lambda: self.told(WriteCompleted(writes[-1][0])),
+        writes, self.pending = self.pending[:count], self.pending[count:]
+        self._submit(
+            lambda: self.segments.write([log_write for _, log_write in writes]),
+            lambda: self.deliver(WriteCompleted(writes[-1][0])),
         )
 
-    def do(self, job: Callable[[], None], worked: Callable[[], None] = lambda: None) -> None:
+    def _submit(self, job: Callable[[], None], on_success: Callable[[], None] = lambda: None) -> None:
         self.syncs += 1
 
-        def done(result: object, broken: BaseException | None) -> None:
-            if broken is not None:
-                if not isinstance(broken, OSError):
-                    self.loop.failed(broken)
-                self.fail(broken)
+        def done(result: object, error: BaseException | None) -> None:
+            if error is not None:
+                if not isinstance(error, OSError):
+                    self.loop.failed(error)
+                self._on_failure(error)
                 return
-            mending, self.state = self.state is StorageState.MENDING, StorageState.IDLE
-            if mending:
+            was_rewriting, self.state = self.state is StorageState.REWRITING, StorageState.IDLE
+            if was_rewriting:
                 self.log.event("disk_back", folder=self.folder.path)
-                self.told(StorageRecovered())
+                self.deliver(StorageRecovered())
             else:
-                worked()
-            self.go()
+                on_success()
+            self._start_next()
 
         self.worker.submit(job, done)
 
-    # ---- what goes wrong ---------------------------------------------------------------------------
-
-    def fail(self, broken: BaseException) -> None:
-        first = self.state is not StorageState.MENDING
-        self.state, self.why = StorageState.FAILED, str(broken)
-        self.waiting.clear()  # all of it is kept, and goes when it can
+    def _on_failure(self, error: BaseException) -> None:
+        is_first = self.state is not StorageState.REWRITING
+        self.state, self.failure = StorageState.FAILED, str(error)
+        self.pending.clear()  # `recent_log` has all of it and is written as a whole
         self.failures += 1
         self.log.warning(
-            "disk_failed",
-            folder=self.folder.path,
-            **error_fields(broken, "mend the disk: it is tried again by itself"),
+            "disk_failed", folder=self.folder.path, **error_fields(error, "fix the disk; writes are retried")
         )
-        if first:
-            self.told(StorageFailed(self.why))
-        self.again = self.loop.call_after(RETRY_INTERVAL, self.mend)
+        if is_first:
+            self.deliver(StorageFailed(self.failure))
+        self.retry_timer = self.loop.call_after(RETRY_INTERVAL, self._rewrite)
 
-    def mend(self) -> None:
+    def _rewrite(self) -> None:
         if self.state is not StorageState.FAILED:
             return
-        self.state = StorageState.MENDING
-        snap, ballot, entries = self.latest_snapshot, self.hard_state, tuple(self.recent.entries)
-        self.do(lambda: self.segments.rewrite(snap, ballot, entries))
+        self.state = StorageState.REWRITING
+        snapshot, hard_state, entries = self.latest_snapshot, self.hard_state, tuple(self.recent_log.entries)
+        self._submit(lambda: self.segments.rewrite(snapshot, hard_state, entries))
 
     def figures(self) -> dict:
+        """Returns the figures for `status`: `syncs` counts jobs, `failures` those of them that failed."""
         return {
             "state": self.state.value,
             "syncs": self.syncs,
             "failures": self.failures,
             "segments": len(self.segments.segments) if self.segments else 0,
             "snapshot": self.latest_snapshot.index,
-            "entries": len(self.recent.entries),
-            **({"why": self.why} if self.why else {}),
+            "entries": len(self.recent_log.entries),
+            **({"why": self.failure} if self.failure else {}),
         }
--- a/indigohitch/fleet/types.py
+++ b/indigohitch/fleet/types.py
@@ -1,7 +1,8 @@
-"""What all parts of the fleet speak of: who, stamps, entries, proposals, leases.  No I/O, no decisions.
+"""Types that all parts of the fleet share: members, stamps, log entries, proposals, leases.  No I/O.
 
-Times and spans are whole tenths of a millisecond.  `now` is the monotonic clock of the process that reads it,
-of use within that process only; `fleet time` is Unix time as the ledger has agreed on it."""
+Times and durations are whole tenths of a millisecond.  `now` is the monotonic clock of the process that reads
+it and has no meaning in another process; fleet time is Unix time as agreed on in the replicated log.
+"""
 
 from __future__ import annotations
 
@@ -11,27 +12,36 @@
 
 
 class MemberId(Row, frozen=True, order=True):
-    """A voter or follower as the ledger counts it.  `number` belongs to its disk: a disk that is lost takes
-    the number along, and the member that comes without it is another one under the same name."""
+    """A voter or follower in the membership of the replicated log.
+
+    `number` belongs to its disk.  If the disk is lost, so is the number: the member that starts without it is
+    a different one under the same name.
+    """
 
     name: str
     number: int
 
 
 class Stamp(Row, frozen=True, order=True):
-    """By whom and by what an act was done.  `version` is the last entry of the ledger that the actor went by;
-    `number` counts the acts of that incarnation, from 1 and without a gap."""
+    """States which member took an action, and on which state of the log it was based.
+
+    `version` is the last log entry that the actor had applied; `number` counts the actions of that
+    incarnation, from 1 and without a gap.
+    """
 
     member: str
-    incarnation: int  # of the process; entries give it, it only grows for a member
-    term: int  # of the ledger at that entry
+    incarnation: int  # of the process; assigned by a log entry, it only increases for a member
+    term: int  # of the log at entry `version`
     version: int
     number: int
 
 
 class LogEntry(Row, frozen=True):
-    """One record of the ledger.  `kind` is `part.word`, as `seats.grant`; `body` the msgpack of that kind's
-    row. Kind "" is a leader's first entry, with nothing in it; kind `ledger.members` is the ledger's own."""
+    """An entry of the replicated log.
+
+    `kind` is `part.word`, such as `seats.grant`; `body` is the msgpack of that kind's row.  Kind "" is the
+    empty first entry of a leader; kind `ledger.members` belongs to Raft itself.
+    """
 
     index: int
     term: int
@@ -39,12 +49,14 @@
     body: bytes
     proposer: str = ""
     incarnation: int = 0
-    number: int = 0  # of the proposal: it takes effect once, however often it comes
+    number: int = 0  # of the proposal, which takes effect once, however often it is received
 
 
 class Proposal(Row, frozen=True):
-    """What a member wants in the ledger.  Numbers of one incarnation only grow; up to
-    `state_machine.WINDOW` may be out."""
+    """A request of a member to append an entry to the log.
+
+    Numbers of one incarnation only increase; up to `state_machine.WINDOW` of its proposals may be pending.
+    """
 
     proposer: str
     incarnation: int
@@ -54,32 +66,37 @@
 
 
 class Outcome(Row, frozen=True):
-    """What an entry came to, the same at each member: `refused` says why it changed nothing, else it is
-    empty."""
+    """The outcome of an entry, the same at each member.
+
+    `rejection` says why the entry changed nothing; it is empty if the entry took effect.
+    """
 
     index: int
     rejection: str = ""
     result: bytes = b""  # msgpack of what the part returned
-    is_duplicate: bool = False  # it had come before: this is what it came to then
+    is_duplicate: bool = False  # the proposal was applied before; this is its outcome of that time
 
 
 class Lease(Row, frozen=True):
-    """A member's right to act, as it knows it: until `until` of its own monotonic clock, by `incarnation`."""
+    """A member's right to act as `incarnation`, until its own monotonic clock reads `until`."""
 
     incarnation: int
     until: int
 
     def remaining(self, now: int) -> int:
+        """Returns how long the lease still runs, in tenths of a ms; 0 once it has expired."""
         return max(0, self.until - now)
 
 
 class MemberStanding(enum.Enum):
-    """What the judge says of a member (docs/audit.md)."""
+    """The leader's view of a member (membership/failure_detector.py)."""
 
     CURRENT = "current"
     BEHIND = "behind"  # by less than a soft change allows
-    STRAGGLER = "straggler"  # by more: it is brought up or shut out
+    STRAGGLER = "straggler"  # by more: it catches up or is evicted
     CATCHING_UP = "being brought up"
-    EVICTED = "shut out"  # by entry; what it held is given on once its lease has surely run out
+    EVICTED = (
+        "shut out"  # by a log entry; what it held is given to others once its lease has certainly run out
+    )
     LEASE_EXPIRED = "gone"  # its lease has run out: what it held is free
-    READMITTED = "back"  # under a new incarnation, being compared
+    READMITTED = "back"  # under a new incarnation, whose state is being compared
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -43,7 +43,7 @@
     Bench(tmp_path).founded().close()
     bench = Bench(tmp_path)
     bench.disk.folder.identity.name = "b"
-    with pytest.raises(InvalidDataError, match="the disk of a"):
+    with pytest.raises(InvalidDataError, match="belongs to member a of fleet whk"):
         bench.disk.open()
 
 
@@ -112,7 +112,7 @@
     bench.disk.write(WriteEntries(2, None, 0, (entry(2),)))
     bench.disk.write(WriteEntries(3, None, 0, (entry(3),)))
     bench.until(lambda: any(isinstance(t, StorageFailed) for t in bench.told))
-    assert bench.disk.state in (StorageState.FAILED, StorageState.MENDING)
+    assert bench.disk.state in (StorageState.FAILED, StorageState.REWRITING)
     assert not {WriteCompleted(2), WriteCompleted(3)} & set(bench.told)
     bench.until(lambda: bench.disk.failures > 1)  # it was tried again in vain
     files.room, files.stuck = 1 << 60, False
