--- a/tests/disks.py
+++ b/tests/disks.py
@@ -1,4 +1,4 @@
-"""A disk in a loop of its own, and faults at its calls to the operating system."""
+"""Test support: a `Storage` with an event loop of its own, and faults in its file operations."""
 
 import os
 import time
@@ -16,10 +16,12 @@
 
 
 class Faulty(FileSystem):
-    """Room for so many bytes; fsyncs fail while `stuck`."""
+    """Files on a disk that has `room` for so many bytes, and whose fsyncs fail while `stuck`."""
 
     def __init__(self):
-        self.room, self.stuck, self.written = 1 << 60, False, 0
+        self.room = 1 << 60
+        self.stuck = False
+        self.written = 0
 
     def write(self, fd, data):
         if self.room <= 0:
@@ -40,6 +42,8 @@
 
 
 class Bench:
+    """The storage `disk` of member `a`; `told` has what it delivered, `failed` errors in the loop."""
+
     def __init__(self, folder, files=None):
         self.failed = []
         clock = Clock()
@@ -50,18 +54,21 @@
         )
 
     def founded(self):
+        """Initializes an empty folder as that of member 1."""
         assert self.disk.open() is None
         self.disk.initialize(1, ("a", "b", "c"), MEMBERS)
         return self
 
     def until(self, holds):
-        end = time.monotonic() + 30
+        """Runs the loop until `holds()` is true; fails after 30 s."""
+        deadline = time.monotonic() + 30
         while not holds():
-            assert time.monotonic() < end, (self.told, self.failed)
+            assert time.monotonic() < deadline, (self.told, self.failed)
             self.loop.call_after(100, lambda: None)
             self.loop.turn()
 
     def wrote(self, write):
+        """Writes and waits until the write is completed."""
         self.disk.write(write)
         self.until(lambda: WriteCompleted(write.number) in self.told)
 
@@ -76,7 +83,8 @@
 
 
 def held(folder):
+    """Returns what a new process would recover from the folder."""
     bench = Bench(folder)
-    found = bench.disk.open()
+    recovered = bench.disk.open()
     bench.close()
-    return found
+    return recovered
--- a/tests/test_fleet_state_machine.py
+++ b/tests/test_fleet_state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: once, in order, the same at each member, through snapshots."""
+"""The replicated state machine: duplicates, rejections, and equal states after snapshots."""
 
 import random
 
@@ -12,21 +12,24 @@
 
 
 class Add(Row):
-    what: str
-    much: int
+    name: str
+    amount: int
 
 
 class Sums:
-    name, kinds = "sums", {"add": Add}
+    """A part that adds amounts by name."""
+
+    name = "sums"
+    kinds = {"add": Add}
 
     def __init__(self):
         self.sums = {}
 
     def apply(self, at, word, body):
-        if body.much < 0:
+        if body.amount < 0:
             raise InvalidRequestError("below 0")
-        self.sums[body.what] = self.sums.get(body.what, 0) + body.much
-        return self.sums[body.what]
+        self.sums[body.name] = self.sums.get(body.name, 0) + body.amount
+        return self.sums[body.name]
 
     def row(self):
         return sorted(self.sums.items())
@@ -35,15 +38,15 @@
         self.sums = dict(msgspec.msgpack.decode(row))
 
 
-def entry(index, number, what="a", much=1, incarnation=1, kind="sums.add"):
-    return LogEntry(index, 1, kind, msgspec.msgpack.encode(Add(what, much)), "n1", incarnation, number)
+def entry(index, number, name="a", amount=1, incarnation=1, kind="sums.add"):
+    return LogEntry(index, 1, kind, msgspec.msgpack.encode(Add(name, amount)), "n1", incarnation, number)
 
 
 def test_a_proposal_takes_effect_once():
     state_machine = ReplicatedStateMachine([Sums()])
     first = state_machine.apply(entry(1, 1))
-    again = state_machine.apply(entry(2, 1))
-    assert (again.is_duplicate, again.index, again.result) == (
+    duplicate = state_machine.apply(entry(2, 1))
+    assert (duplicate.is_duplicate, duplicate.index, duplicate.result) == (
         True,
         1,
         first.result,
@@ -55,10 +58,10 @@
     assert "over" in state_machine.apply(entry(6, 9 + WINDOW)).rejection
 
 
-def test_what_can_not_be_changes_nothing():
+def test_a_rejected_entry_changes_nothing():
     state_machine = ReplicatedStateMachine([Sums()])
-    for index, (kind, much) in enumerate([("sums.add", -1), ("sums.no", 1), ("no.add", 1)], 1):
-        assert state_machine.apply(entry(index, index, much=much, kind=kind)).rejection
+    for index, (kind, amount) in enumerate([("sums.add", -1), ("sums.no", 1), ("no.add", 1)], 1):
+        assert state_machine.apply(entry(index, index, amount=amount, kind=kind)).rejection
     assert state_machine.apply(LogEntry(4, 1, "sums.add", b"\xc1", "n1", 1, 4)).rejection
     assert (
         state_machine.parts["sums"].sums == {}
@@ -71,19 +74,19 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_snapshot_anywhere_comes_to_the_same(seed):
-    chance = random.Random(seed)
+def test_a_member_that_restores_snapshots_has_the_same_outcomes_and_digests(seed):
+    rng = random.Random(seed)
     one, other = ReplicatedStateMachine([Sums()]), ReplicatedStateMachine([Sums()])
     for index in range(1, 200):
-        given = entry(
+        proposal_entry = entry(
             index,
-            chance.randint(max(1, index - 20), index),
-            chance.choice("abc"),
-            chance.randint(-1, 5),
+            rng.randint(max(1, index - 20), index),
+            rng.choice("abc"),
+            rng.randint(-1, 5),
             1 + index // 70,
         )
-        assert one.apply(given) == other.apply(given)
-        if chance.random() < 0.1:
+        assert one.apply(proposal_entry) == other.apply(proposal_entry)
+        if rng.random() < 0.1:
             data, other = other.snapshot(), ReplicatedStateMachine([Sums()])
             other.restore(data)
         assert one.digest() == other.digest()
--- a/tests/test_golden_fleet.py
+++ b/tests/test_golden_fleet.py
@@ -1,5 +1,7 @@
-"""A member's folder as it was written down (tests/golden/fleet) is recovered, applied to the replicated state
-machine, and written again byte for byte."""
+"""Golden folders of a member (tests/golden/fleet): recovered, replayed, and encoded again byte for byte.
+
+They guard against a change of the stored formats, or of what an entry does to the replicated state.
+"""
 
 import json
 import runpy
@@ -19,7 +21,7 @@
 
 GOLDEN = Path(__file__).parent / "golden" / "fleet"
 ENTRIES = json.loads((GOLDEN / "entries.json").read_text())
-SNAPSHOT = {"member": 39, "member-log": 0}  # the entry that it was taken at
+SNAPSHOT = {"member": 39, "member-log": 0}  # by folder: index of the entry at which its snapshot was taken
 
 
 def files(folder):
@@ -33,14 +35,14 @@
 
 @pytest.fixture
 def recovered(name, tmp_path):
-    """What the real disk gives back; it changes none of the files."""
+    """Returns what the storage recovers from a copy of the folder; it must not change any file."""
     shutil.copytree(GOLDEN / name, tmp_path / name)
-    found = held(tmp_path / name)
+    recovered_state = held(tmp_path / name)
     assert files(tmp_path / name) == files(GOLDEN / name)
-    return found
+    return recovered_state
 
 
-def test_a_folder_is_recovered_and_replayed_to_the_same_state(name, recovered):
+def test_a_recovered_folder_is_replayed_to_the_same_state(name, recovered):
     assert recovered.hard_state == HardState(3, MemberId("b", 2))
     assert recovered.snapshot.index == SNAPSHOT[name] == len(ENTRIES) - len(recovered.entries)
     assert recovered.snapshot.members.voters == (MemberId("a", 1), MemberId("b", 2), MemberId("c", 3))
@@ -62,17 +64,17 @@
     assert state_machine.snapshot() == (GOLDEN / "state.bin").read_bytes()
 
 
-def test_segments_snapshots_and_identity_are_written_again(name, recovered):
+def test_segments_snapshots_and_identity_are_encoded_to_the_same_bytes(name, recovered):
     segments = sorted((GOLDEN / name).glob("log-*"))
     assert len(segments) > 2
     for path in segments:
         data = path.read_bytes()
         rows, good = read_records(data, path.name, False)
         assert good == len(data) and b"".join(RECORDS.frame(row) for _, row in rows) == data
-    (book,) = (GOLDEN / name).glob("book-*")
-    assert book.name == f"book-{SNAPSHOT[name]:012}"
-    assert snapshots.encode(snapshots.decode(book.read_bytes(), "")) == book.read_bytes()
-    assert snapshots.encode(recovered.snapshot) == book.read_bytes()
+    (snapshot_path,) = (GOLDEN / name).glob("book-*")
+    assert snapshot_path.name == f"book-{SNAPSHOT[name]:012}"
+    assert snapshots.encode(snapshots.decode(snapshot_path.read_bytes(), "")) == snapshot_path.read_bytes()
+    assert snapshots.encode(recovered.snapshot) == snapshot_path.read_bytes()
     data = (GOLDEN / name / "identity").read_bytes()
     assert identity.encode(identity.decode(data, "")) == data
     told = json.loads(data)
@@ -81,7 +83,7 @@
     assert told["met"] == {"b": 2, "c": 3} and told["founders"] == ["a", "b", "c"]
 
 
-def test_a_founding_writes_the_same_identity(tmp_path):
+def test_initialization_writes_the_same_identity_file(tmp_path):
     bench = Bench(tmp_path).founded()
     bench.disk.folder.record_seen_number(MemberId("c", 3))
     bench.disk.folder.record_seen_number(MemberId("b", 2))
@@ -89,7 +91,7 @@
     assert (tmp_path / "identity").read_bytes() == (GOLDEN / "member" / "identity").read_bytes()
 
 
-def test_the_state_is_restored_and_written_again():
+def test_a_restored_state_is_encoded_to_the_same_bytes():
     data = (GOLDEN / "state.bin").read_bytes()
     state_machine = ReplicatedStateMachine(parts())
     state_machine.restore(data)
@@ -100,23 +102,22 @@
         name: msgspec.to_builtins(part.row(), str_keys=True) for name, part in state_machine.parts.items()
     }
     assert json.loads(json.dumps(told)) == json.loads((GOLDEN / "parts.json").read_text())
-    snap = Snapshot(state_machine.index, state_machine.term, snapshots_members(), data)
-    assert snapshots.decode(snapshots.encode(snap), "") == snap
+    snapshot = Snapshot(state_machine.index, state_machine.term, snapshot_members(), data)
+    assert snapshots.decode(snapshots.encode(snapshot), "") == snapshot
 
 
-def snapshots_members():
-    (book,) = (GOLDEN / "member").glob("book-*")
-    return snapshots.decode(book.read_bytes(), "").members
+def snapshot_members():
+    (snapshot_path,) = (GOLDEN / "member").glob("book-*")
+    return snapshots.decode(snapshot_path.read_bytes(), "").members
 
 
-def test_the_entries_are_of_each_kind():
-    """Each kind that a part has was applied, and was not always refused."""
-    taken = {line["kind"] for line in ENTRIES if not line["refused"]}
+def test_each_kind_of_entry_takes_effect_at_least_once():
+    applied = {line["kind"] for line in ENTRIES if not line["refused"]}
     known = {f"{part.name}.{word}" for part in parts() for word in part.kinds}
-    assert taken == known | {"", "ledger.members"}, "a new kind gets a golden folder of its own"
+    assert applied == known | {"", "ledger.members"}, "a new kind gets a golden folder of its own"
 
 
-def test_the_script_writes_the_same_files(tmp_path):
+def test_the_script_that_made_the_folders_writes_the_same_files(tmp_path):
     runpy.run_path(str(GOLDEN / "write_story.py"))["write"](tmp_path)
     for name in SNAPSHOT:
         assert files(tmp_path / name) == files(GOLDEN / name)
