--- a/indigohitch/fleet/interfaces.py
+++ b/indigohitch/fleet/interfaces.py
@@ -45,7 +45,7 @@
     """
 
     name: str  # its entries have the kind `name.word`
-    state_machine: StateMachine  # set by the state machine; `self.state_machine.parts["members"]`
+    state_machine: StateMachine  # set by it; `self.state_machine.parts["members"]` is another part
     kinds: Mapping[str, type[Row]]  # by word: the row that an entry's body holds
 
     def apply(self, at: EntryContext, word: str, body: Row) -> object:
--- a/indigohitch/fleet/state_machine.py
+++ b/indigohitch/fleet/state_machine.py
@@ -48,7 +48,7 @@
         for part in self.parts.values():
             part.state_machine = self
         self.index = 0  # of the last entry applied
-        self.term = 0  # the same
+        self.term = 0  # of that entry
         self.proposers: dict[str, ProposerState] = {}
 
     @property
--- a/indigohitch/fleet/types.py
+++ b/indigohitch/fleet/types.py
@@ -95,8 +95,6 @@
     BEHIND = "behind"  # by less than a soft change allows
     STRAGGLER = "straggler"  # by more: it catches up or is evicted
     CATCHING_UP = "being brought up"
-    EVICTED = (
-        "shut out"  # by a log entry; what it held is given to others once its lease has certainly run out
-    )
+    EVICTED = "shut out"  # by a log entry; what it held is free once its lease has certainly run out
     LEASE_EXPIRED = "gone"  # its lease has run out: what it held is free
     READMITTED = "back"  # under a new incarnation, whose state is being compared
