--- a/indigohitch/fleet/membership/__init__.py
+++ b/indigohitch/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Group membership: incarnations, leases, failure detection, comparison of states (docs/audit.md)."""
+"""Group membership: incarnations, leases, failure detection and state comparison (docs/audit.md)."""
--- a/indigohitch/fleet/membership/entries.py
+++ b/indigohitch/fleet/membership/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the state machine part `members`, and the rows of its state.  Shapes only."""
+"""Log entries of the state machine part `members`, and the rows of its snapshot.  Data types only."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Join(Row):
-    """Proposed as `name?token` by a process that has just started, or that was evicted and joins again."""
+    """Starts an incarnation; a process proposes it as `name?token` at its start and after an eviction."""
 
     name: str
     token: int
@@ -16,14 +16,14 @@
 
 
 class Leave(Row):
-    """Proposed by the member itself at an orderly shutdown, after its last action."""
+    """Ends an incarnation; the member itself proposes it at an orderly shutdown, after its last action."""
 
     name: str
     incarnation: int
 
 
 class Evicted(Row):
-    """Proposed by the leader: the lease of that incarnation is renewed no more."""
+    """Evicts an incarnation; the leader proposes it and no longer renews that lease."""
 
     name: str
     incarnation: int
@@ -31,9 +31,9 @@
 
 
 class LeaseExpired(Row):
-    """Proposed by the leader once an evicted member's lease has expired by the leader's clock.
+    """Frees what an evicted member held; the leader proposes it once the lease has expired by its clock.
 
-    `when` is the fleet time of the expiry; 0 if it is not known.
+    `when` is the fleet time of the expiry, or 0 if it is unknown.
     """
 
     name: str
@@ -42,18 +42,18 @@
 
 
 class Compare(Row):
-    """Index at which every member takes the digest of its state machine."""
+    """Marks the index at which every member computes the digest of its state machine."""
 
 
 class Agreed(Row):
-    """Digest of the majority at that index; a member with another one stops acting."""
+    """Records the digest of the majority at that index; a member with a different digest stops acting."""
 
     index: int
     digest: bytes
 
 
 class Readmitted(Row):
-    """The member's digest at `index` is that of the majority: it may act."""
+    """Lets a member act, because its digest at `index` equals that of the majority."""
 
     name: str
     incarnation: int
@@ -61,9 +61,9 @@
 
 
 class Announce(Row):
-    """A change of the members' files (classes and servers), which no part of the state holds.
+    """Announces a change of the members' files (classes and servers), which are not replicated state.
 
-    The index of this entry is its version; `hard` and `allowed` are those of `Change`.
+    The index of this entry is the version of the change; `hard` and `allowed` are as in `Change`.
     """
 
     what: str
@@ -72,10 +72,10 @@
 
 
 class InForce(Row):
-    """Every member that may act has applied all changes up to `version`.
+    """Records that every member that may act has applied all changes up to `version`.
 
-    `taken` has the name and incarnation of each, and the number of its actions stamped when it reported
-    `version` or later; the audit checks its actions against that.
+    `taken` holds the name and incarnation of each, and how many actions it had stamped when it reported
+    `version` or a later one; the audit checks its actions against that number.
     """
 
     version: int
@@ -83,31 +83,31 @@
 
 
 class MemberState(enum.StrEnum):
-    """State of one incarnation; it only moves forward in this order."""
+    """States of an incarnation, which only moves forward in this order."""
 
-    COMPARED = "being compared"
+    BEING_COMPARED = "being compared"
     VALID = "valid"
     EVICTED = "shut out"
     LEASE_EXPIRED = "gone"
 
 
 class Member(Row):
-    """One incarnation of a member."""
+    """One incarnation of a member, as the roster holds it."""
 
     name: str
     incarnation: int
     votes: bool
-    joined: int  # index of its entry `join`
-    life: MemberState = MemberState.COMPARED
-    since: int = 0  # index of the entry that brought it into this state
+    joined: int  # index of its `join` entry
+    life: MemberState = MemberState.BEING_COMPARED
+    since: int = 0  # index of the entry that put it into this state
     why: str = ""
 
 
 class Change(Row):
-    """A change that members must apply.
+    """Describes a change that members must apply.
 
-    After a hard one is in force nobody may act on what was before; after another one members may for
-    `allowed` ticks longer.
+    Once a hard change is in force nobody may act on the version before it.  After any other change members
+    may do so for `allowed` ticks longer.
     """
 
     index: int
@@ -116,11 +116,11 @@
     allowed: int = 0
 
 
-FORM = 1  # version of the roster's snapshot
+SNAPSHOT_VERSION = 1
 
 
 class RosterRow(Row):
-    """Snapshot of the roster."""
+    """Snapshot of the roster; `form` is the version of its format."""
 
     members: list[Member]
     highest: dict[str, int]
@@ -129,4 +129,4 @@
     in_force: int
     compared: int
     agreed: Agreed
-    form: int = FORM
+    form: int = SNAPSHOT_VERSION
--- a/indigohitch/fleet/membership/failure_detector.py
+++ b/indigohitch/fleet/membership/failure_detector.py
@@ -1,10 +1,10 @@
-"""The leader's view of its members: who is current, behind or a straggler, and what it proposes.  No I/O.
+"""Detects, at the leader, members that lag or have failed, and proposes what follows from it.  No I/O.
 
-A soft change allows a member its stated time on the old version.  For a hard one, and for a member that lags
-far behind, that time is half a lease.  A member that is later than that may catch up, as long as it makes
-progress and not for longer than `CATCH_UP_LEASES` leases, or is evicted; a member that has not sent a renewal
-for a lease is evicted.  What a hard change takes away is free only with `in_force`, when every member that
-may act has applied it.
+A member may act on the old version for the time that a soft change states.  For a hard change, and for a
+member that lags by more than `MAX_LAG` entries, that time is half a lease.  After it the member may catch up
+as long as it makes progress, for at most `CATCH_UP_LEASES` leases; otherwise it is evicted.  A member that
+has sent no renewal for a lease is evicted too.  What a hard change takes away is free only with the entry
+`in_force`, when every member that may act has applied the change.
 """
 
 from __future__ import annotations
@@ -19,38 +19,39 @@
 from .roster import Roster
 from .state_comparison import StateComparison
 
-# Entries that a member may lack without being behind: some heartbeats' worth under a burst of proposals.
+# A member that lacks at most this many entries is not behind: a burst of proposals adds as many within a few
+# heartbeats.
 MAX_LAG = 512
-# Leases for which a straggler with progress may catch up before it is evicted: 2,000 entries or a snapshot of
-# some MB take a fraction of one; it is better to join again after longer than to act on what is old.
+# Leases for which a member that makes progress may catch up before it is evicted.  2,000 entries or a
+# snapshot of some MB take a fraction of one lease; beyond, rejoining is better than acting on old state.
 CATCH_UP_LEASES = 5
-# Leases for which a member that sends renewals may apply nothing while there are entries.
+# Leases for which a member that sends renewals may apply none of the entries that it lacks.
 STALL_LEASES = 2
 
 _STANDING_BY_STATE = {
     MemberState.EVICTED: MemberStanding.EVICTED,
     MemberState.LEASE_EXPIRED: MemberStanding.LEASE_EXPIRED,
-    MemberState.COMPARED: MemberStanding.READMITTED,
+    MemberState.BEING_COMPARED: MemberStanding.READMITTED,
 }
 
 
 class FailureDetector:
-    """At the leader only, from its election on."""
+    """Tracks the members from the election of this leader on; not used by followers."""
 
     def __init__(self, roster: Roster, span: int, has_expired: Callable[[int, str, int], bool]) -> None:
-        """Creates a detector; `span` is the duration of a lease, `has_expired` LeaseGrantor.has_expired."""
+        """Creates a detector; `span` is the lease duration, `has_expired` is LeaseGrantor.has_expired."""
         self.roster = roster
         self.span = span
         self.has_expired = has_expired
         self.last_run_at = 0  # for `status`
-        self.fleet_time: Callable[[int], int] = lambda now: now  # 0: not known
+        self.fleet_time: Callable[[int], int] = lambda now: now  # 0: unknown
         self.observations = Observations()
-        self.eviction_reasons: dict[tuple[str, int], str] = {}  # of those whose eviction was proposed
-        self.known_since: dict[int, int] = {}  # change -> when this leader first saw it
+        self.eviction_reasons: dict[tuple[str, int], str] = {}  # of members whose eviction was proposed
+        self.known_since: dict[int, int] = {}  # index of a change -> when this leader first saw it
         self.comparison = StateComparison(roster, span, self.observations)
 
     def start(self, now: int) -> None:
-        """Starts at the election of this leader, which knows nothing of the members yet."""
+        """Resets the observations at the election of this leader, which knows nothing of the members yet."""
         self.last_run_at = now
         self.comparison.start(now)
         self.observations.by_member.clear()
@@ -58,7 +59,7 @@
         self.known_since.clear()
 
     def on_renewal(self, now: int, name: str, message: RenewLease) -> None:
-        """Takes the state that a member reports with a renewal."""
+        """Records the state that a member reports with its lease renewal."""
         self.observations.of(now, name, message.incarnation).on_renewal(now, message)
 
     def _observation(self, now: int, member: Member) -> MemberObservation:
@@ -67,7 +68,7 @@
     # ---- standings ---------------------------------------------------------------------------------
 
     def standing(self, now: int, member: Member) -> MemberStanding:
-        """Returns the standing of a member, by the entries and by its renewals."""
+        """Returns the standing of a member, from the applied entries and its renewals."""
         if member.life is not MemberState.VALID:
             return _STANDING_BY_STATE[member.life]
         observation = self._observation(now, member)
@@ -84,9 +85,9 @@
         return MemberStanding.STRAGGLER
 
     def _deadlines(self, now: int, member: Member, observation: MemberObservation) -> Iterator[int]:
-        """Yields until when the member may lack each of what it lacks."""
+        """Yields, for each change or backlog of entries that the member lacks, until when it may lack it."""
         for change in self.roster.changes:
-            if not self.has_taken(member, observation, change.index):
+            if not self.has_applied(member, observation, change.index):
                 known_since = self.known_since.setdefault(change.index, now)
                 yield known_since + (self.span // 2 if change.hard else change.allowed)
         if self.roster.state_machine.index - max(observation.applied, member.since) > MAX_LAG:
@@ -96,7 +97,7 @@
             observation.lagging_since = 0
 
     def is_stalled(self, now: int, member: Member) -> bool:
-        """Whether it sends renewals but applies nothing: it would keep for good what it holds."""
+        """Returns whether a member sends renewals but applies nothing: it would never free what it holds."""
         observation = self._observation(now, member)
         if self.roster.state_machine.index <= max(observation.applied, member.since):
             observation.stalled_since = 0
@@ -105,16 +106,16 @@
         return now >= observation.stalled_since + STALL_LEASES * self.span
 
     @staticmethod
-    def has_taken(member: Member, observation: MemberObservation, version: int) -> bool:
-        """Whether it acts by `version` or later: it reports so, or it acts only since a later entry."""
+    def has_applied(member: Member, observation: MemberObservation, version: int) -> bool:
+        """Returns whether a member acts on `version` or later: it reports so, or became valid after it."""
         return member.since > version or observation.applied >= version
 
     def is_silent(self, now: int, member: Member) -> bool:
-        """Whether it has sent no renewal for a lease."""
+        """Returns whether a member has sent no renewal for the duration of a lease."""
         return now >= self._observation(now, member).last_renewal_at + self.span
 
     def has_diverged(self, now: int, member: Member) -> bool:
-        """Whether its state differs from that of the majority."""
+        """Returns whether the state of a member differs from that of the majority."""
         observation = self._observation(now, member)
         agreed = self.roster.agreed
         return observation.digest_at == agreed.index > 0 and observation.digest != agreed.digest
@@ -122,7 +123,7 @@
     # ---- proposals ---------------------------------------------------------------------------------
 
     def proposals(self, now: int) -> list[Row]:
-        """Returns the entries to propose; each until it is applied, and the same ones at the same time."""
+        """Returns the entries to propose now; an entry is returned again until it has been applied."""
         self.last_run_at = now
         members = list(self.roster.members.values())
         self._forget_removed()
@@ -130,7 +131,9 @@
         for member in members:
             proposals += self._proposals_about(now, member)
         proposals += self._convergence(now)
-        live = [member for member in members if member.life in (MemberState.VALID, MemberState.COMPARED)]
+        live = [
+            member for member in members if member.life in (MemberState.VALID, MemberState.BEING_COMPARED)
+        ]
         return proposals + self.comparison.proposals(now, live)
 
     def _forget_removed(self) -> None:
@@ -145,7 +148,7 @@
             case MemberState.EVICTED:
                 if self.has_expired(now, member.name, member.incarnation):
                     return [LeaseExpired(member.name, member.incarnation, self.fleet_time(now))]
-            case MemberState.VALID | MemberState.COMPARED:
+            case MemberState.VALID | MemberState.BEING_COMPARED:
                 if why := self._eviction_reason(now, member):
                     return [Evicted(member.name, member.incarnation, why)]
         return []
@@ -153,7 +156,8 @@
     def _eviction_reason(self, now: int, member: Member) -> str:
         """Returns why a member is to be evicted, "" if it is not.
 
-        A proposed eviction is proposed until it is applied: the lease is not renewed from then on.
+        An eviction is proposed again until it is applied, as the lease is not renewed any more from the
+        first proposal on.
         """
         key = (member.name, member.incarnation)
         if (why := self.eviction_reasons.get(key)) is not None:
@@ -172,24 +176,24 @@
         return why
 
     def _convergence(self, now: int) -> list[Row]:
-        """Proposes the last change that all have applied; an evicted member counts until its lease ends."""
-        present = [(member, self._observation(now, member)) for member in self.roster.present()]
+        """Proposes the last change that all applied; an evicted member blocks it until its lease ends."""
+        acting = [(member, self._observation(now, member)) for member in self.roster.possibly_acting()]
         for change in reversed(self.roster.changes):
             if all(
-                member.life is MemberState.VALID and self.has_taken(member, observation, change.index)
-                for member, observation in present
+                member.life is MemberState.VALID and self.has_applied(member, observation, change.index)
+                for member, observation in acting
             ):
                 taken = tuple(
                     (member.name, member.incarnation, observation.acts)
-                    for member, observation in present
+                    for member, observation in acting
                     if observation.applied >= change.index
                 )
                 return [InForce(change.index, taken)]
         return []
 
 
-def entry_word(row: Row) -> tuple[str, str]:
-    """Returns the word of a proposed entry (`members.WORD`), and the member that it is about or ""."""
+def entry_kind(row: Row) -> tuple[str, str]:
+    """Returns the kind of an entry without the prefix `members.`, and its member and incarnation, if any."""
     match row:
         case Evicted():
             return "shut_out", f"{row.name} {row.incarnation}"
@@ -203,4 +207,4 @@
             return "compare", ""
         case Agreed():
             return "agreed", ""
-    raise TypeError(f"no entry of the failure detector: {row}")
+    raise TypeError(f"not an entry that the failure detector proposes: {row}")
--- a/indigohitch/fleet/membership/incarnations.py
+++ b/indigohitch/fleet/membership/incarnations.py
@@ -1,4 +1,4 @@
-"""The incarnations of all members, and how they start and end.  Part of the roster's replicated state."""
+"""Starts and ends the incarnations of all members, as part of the roster's replicated state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 from .entries import Join, Member, MemberState
 
-# Start tokens kept for each name, so that a join that comes twice is answered, not carried out twice.
+# Tokens kept for each name, so that a duplicate `join` gets the incarnation of the first and starts no other.
 MAX_TOKENS = 8
 REPLACED_REASON = "a later incarnation has joined"
 
@@ -24,16 +24,16 @@
 
 
 class Incarnations:
-    """The members by name and incarnation; the other parts are notified of each change."""
+    """Holds the members by name and incarnation, and notifies the other parts of each change."""
 
     def __init__(self) -> None:
         """Creates an empty collection."""
-        self.members: dict[tuple[str, int], Member] = {}  # lease not expired, and the last of each name
-        self.highest: dict[str, int] = {}  # incarnation given, by name
-        self.tokens: dict[str, list[tuple[int, int]]] = {}  # token, incarnation
+        self.members: dict[tuple[str, int], Member] = {}  # lease not expired, or the last of its name
+        self.highest: dict[str, int] = {}  # name -> highest incarnation assigned
+        self.tokens: dict[str, list[tuple[int, int]]] = {}  # name -> (token, incarnation) of its last joins
 
     def find(self, name: str, incarnation: int, *states: MemberState) -> Member:
-        """Returns that incarnation; raises InvalidRequestError if it is not in one of the states."""
+        """Returns an incarnation of a member; raises InvalidRequestError if it is in none of the states."""
         member = self.members.get((name, incarnation))
         if member is None or member.life not in states:
             raise InvalidRequestError(
@@ -41,15 +41,15 @@
             )
         return member
 
-    def joined_by(self, join: Join) -> int:
-        """Returns the incarnation that this start of a process has got already; 0 if it has none."""
+    def assigned_incarnation(self, join: Join) -> int:
+        """Returns the incarnation that the same join has got already, or 0."""
         for token, incarnation in self.tokens.get(join.name, ()):
             if token == join.token:
                 return incarnation
         return 0
 
     def join(self, parts: Parts, at: EntryContext, join: Join) -> int:
-        """Starts a new incarnation, evicts the earlier ones, and returns it: it only grows for a name."""
+        """Starts a new incarnation, evicts the earlier ones, and returns its number, the highest so far."""
         incarnation = self.highest.get(join.name, 0) + 1
         self.highest[join.name] = incarnation
         tokens = self.tokens.setdefault(join.name, [])
@@ -70,24 +70,24 @@
                 self.members.pop((member.name, member.incarnation), None)
 
     def evict(self, parts: Parts, at: EntryContext, member: Member, why: str) -> None:
-        """Evicts a member; one that was never valid holds nothing, so that its lease has expired at once."""
+        """Evicts a member; one that was never valid holds nothing, so its lease counts as expired at once."""
         if member.life is MemberState.VALID:
             member.life = MemberState.EVICTED
             member.since = at.index
             member.why = why
             for part in listeners(parts, MemberEvictedListener):
                 part.on_member_evicted(at, member.name, member.incarnation)
-        elif member.life is MemberState.COMPARED:
+        elif member.life is MemberState.BEING_COMPARED:
             member.why = why
             self.expire(parts, at, member)
 
     def expire(self, parts: Parts, at: EntryContext, member: Member, when: int = 0) -> None:
-        """Notifies the other parts that the member holds nothing any more, since the fleet time `when`."""
+        """Notifies the other parts that the lease of a member ended at the fleet time `when`."""
         member.life = MemberState.LEASE_EXPIRED
         member.since = at.index
         for part in listeners(parts, LeaseEndedListener):
             part.on_member_lease_ended(at, member.name, member.incarnation, when)
         for part in listeners(parts, LeaseExpiredListener):
             part.on_member_lease_expired(at, member.name, member.incarnation)
-        if member.incarnation < self.highest[member.name]:  # `status` shows the last one of each name
+        if member.incarnation < self.highest[member.name]:  # the last one of each name stays, for `status`
             del self.members[member.name, member.incarnation]
--- a/indigohitch/fleet/membership/member_work.py
+++ b/indigohitch/fleet/membership/member_work.py
@@ -1,9 +1,9 @@
-"""One member's part in the roster: it joins, holds its lease, compares its state, and leads.
+"""The membership of one process: it joins, renews its lease, compares its state, and grants leases as leader.
 
-No I/O.  The process that drives it (node/) proposes under `proposer()`, sends what `renew` returns to the
-leader, the leader's own too, hands messages to `on_message`, roles to `on_role_changed`, confirmed reads to
-`on_read_confirmed`, and carries out what they return at once.  It acts only under `lease(now)`, read right
-before the action.
+No I/O.  The process that drives it (node/) proposes under `proposer()` and sends what `renew` returns to the
+leader, also if that is itself.  It passes messages to `on_message`, role changes to `on_role_changed` and
+confirmed reads to `on_read_confirmed`, and carries out at once what they return.  It acts only under
+`lease(now)`, checked right before each action.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from ..interfaces import ProposalRequest
 from ..types import Lease, LogEntry, Outcome
 from .entries import Join, Leave, Member, MemberState
-from .failure_detector import FailureDetector, entry_word
+from .failure_detector import FailureDetector, entry_kind
 from .incarnations import REPLACED_REASON
 from .leases import Answer, LeaseGrantor, LeaseHolder, ReadFirst
 from .messages import LeaseNotRenewed, LeaseRenewed, RenewLease
@@ -25,7 +25,7 @@
 
 
 class Membership:
-    """The work of the part `members` in this process."""
+    """The work module of the state machine part `members` in this process."""
 
     name = "members"
 
@@ -40,8 +40,8 @@
     ) -> None:
         """Creates a member that has not joined.
 
-        `span` is the duration of a lease and `drift` that of clocks, as in leases.py; `make_token()` returns
-        62 random bits, others at each call.
+        `span` is the lease duration and `drift` the largest clock drift, as in leases.py; `make_token()`
+        returns 62 new random bits at each call.
         """
         self.member_name = member_name
         self.votes = votes
@@ -53,10 +53,11 @@
         self.holder = LeaseHolder(span, drift)
         self.grantor = LeaseGrantor(span, drift, self._ineligibility)
         self.detector = FailureDetector(roster, span, self.grantor.has_expired)
-        self.reports: dict[str, tuple[int, Mapping[str, bytes]]] = {}  # at the leader: time, by work
-        self.pending_tags: set[str] = set()  # of proposals whose outcome isn't known
-        self.evidence: tuple[int, bytes, bytes] | None = None  # index, own digest, that of the others
-        self.refusal = ""  # why the last request got no lease
+        # At the leader, by member: when its reports came, and the reports by work.
+        self.reports: dict[str, tuple[int, Mapping[str, bytes]]] = {}
+        self.pending_tags: set[str] = set()  # of proposals whose outcome is not known yet
+        self.evidence: tuple[int, bytes, bytes] | None = None  # index, own digest, digest of the majority
+        self.refusal = ""  # why the last renewal was refused
 
     def proposer(self) -> tuple[str, int]:
         """Returns the name and incarnation under which this process proposes."""
@@ -65,13 +66,13 @@
         return f"{self.member_name}?{self.token}", self.token
 
     def lease(self, now: int) -> Lease | None:
-        """Returns the right to act now: by the clock, by the entries applied here, and by the phase."""
+        """Returns the lease to act under now, or None, by the clock, the applied state and the phase."""
         if self.phase is not Phase.VALID or self.roster.ineligibility(self.member_name, self.incarnation):
             return None
         return self.holder.lease(now)
 
     def _ineligibility(self, name: str, incarnation: int) -> str:
-        """Returns why this leader gives that incarnation no lease, "" if it does."""
+        """Returns why this leader grants an incarnation no lease, "" if it does."""
         return self.roster.ineligibility(name, incarnation) or (
             "about to be shut out" if (name, incarnation) in self.detector.eviction_reasons else ""
         )
@@ -79,9 +80,9 @@
     # ---- messages ----------------------------------------------------------------------------------
 
     def renew(self, now: int, wall: int, acts: int, reports: Mapping[str, bytes]) -> RenewLease | None:
-        """Returns the request to send to the leader, None while none is due; `now` is read before.
+        """Returns the request to send to the leader, or None if none is due; `now` is read before it is sent.
 
-        Members that are being compared send it too: their digest comes to the leader with it.
+        Members that are being compared send it too, because it carries their digest to the leader.
         """
         if self.phase not in (Phase.COMPARED, Phase.VALID):
             return None
@@ -89,12 +90,14 @@
         if number is None:
             return None
         compared = self.roster.compared
-        own = self.roster.digests.get(compared, b"")
+        digest = self.roster.digests.get(compared, b"")
         applied = self.roster.state_machine.index
-        return RenewLease(number, self.incarnation, applied, compared if own else 0, own, wall, acts, reports)
+        return RenewLease(
+            number, self.incarnation, applied, compared if digest else 0, digest, wall, acts, reports
+        )
 
     def on_message(self, now: int, sender: str, message: Row) -> list[ReadFirst | Answer]:
-        """Takes a message and returns what is to be done; `now` is read after it came."""
+        """Handles a message and returns what the caller has to do; `now` is read after its arrival."""
         match message:
             case LeaseRenewed():
                 self.holder.on_renewed(message)
@@ -109,7 +112,7 @@
         return []
 
     def on_role_changed(self, now: int, role: str, term: int) -> None:
-        """Starts or stops leading; `now` is read after the votes came."""
+        """Starts or stops granting leases with the Raft role; `now` is read after the votes arrived."""
         if role != "leader":
             self.grantor.on_deposed()
             self.reports.clear()
@@ -117,34 +120,34 @@
             self.grantor.on_elected(now, term)
             self.detector.start(now)
 
-    def on_read_confirmed(self, now: int, number: int, ok: bool) -> list[ReadFirst | Answer]:
-        """Takes the result of the read that `ReadFirst` ordered; the state machine is applied up to it."""
-        return self.grantor.on_read_confirmed(now, number, ok)
+    def on_read_confirmed(self, now: int, number: int, confirmed: bool) -> list[ReadFirst | Answer]:
+        """Handles the result of a `ReadFirst`, once the state machine has applied the log up to it."""
+        return self.grantor.on_read_confirmed(now, number, confirmed)
 
     def reports_for(self, now: int, work: str) -> dict[str, bytes]:
-        """Returns the last report to that work of each member that sent one within a lease."""
+        """Returns the last report for a work of each member that sent one within the duration of a lease."""
         return {
             name: reports[work]
             for name, (received_at, reports) in self.reports.items()
             if work in reports and now < received_at + self.holder.span
         }
 
-    # ---- as a work -----------------------------------------------------------------------------------
+    # ---- interface of a work -------------------------------------------------------------------------
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
-        """Follows the roster after one of its entries."""
+        """Updates the phase after an entry of the roster."""
         return self._follow_roster() if entry.kind.startswith("members.") else []
 
     def restored(self, now: int) -> list[ProposalRequest]:
-        """Follows the roster after a snapshot."""
+        """Updates the phase after a snapshot has been restored."""
         return self._follow_roster()
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
-        """Follows the roster regularly."""
+        """Updates the phase at regular intervals."""
         return self._follow_roster()
 
     def _follow_roster(self) -> list[ProposalRequest]:
-        """Brings the phase of this process in line with the state of its incarnation."""
+        """Updates the phase from the state of this incarnation, and proposes to join if it has none."""
         self._check_digest()
         if self.phase in (Phase.COMPARED, Phase.VALID):
             self._check_eligibility()
@@ -177,14 +180,14 @@
             self.rejoin()
 
     def rejoin(self) -> None:
-        """Joins again under another incarnation without a lease."""
+        """Drops the lease and the incarnation, so that this process joins under a new one."""
         self.holder.drop()
         self.phase = Phase.JOINING
         self.incarnation = 0
         self.token = self.make_token()
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
-        """Takes the outcome of a proposal; that of `join` has the incarnation."""
+        """Handles the outcome of a proposal; that of `join` is the incarnation."""
         self.pending_tags.discard(tag)
         if tag != "join" or self.phase is not Phase.JOINING or outcome is None or outcome.rejection:
             return []
@@ -194,7 +197,7 @@
         return self._follow_roster()
 
     def leave(self) -> list[ProposalRequest]:
-        """Leaves in order after the last action: what it holds is free with this entry."""
+        """Proposes to leave after the last action; the entry frees what this member holds."""
         if self.phase not in (Phase.COMPARED, Phase.VALID):
             return []
         self.holder.drop()
@@ -202,24 +205,24 @@
         return [ProposalRequest("members.leave", Leave(self.member_name, self.incarnation), "leave")]
 
     def report(self, now: int) -> bytes:
-        """Returns nothing: the renewal itself has what the leader needs."""
+        """Returns an empty report: the renewal itself has what the leader needs."""
         return b""
 
     def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
-        """Returns the detector's proposals; a leader whose state differs proposes none and resigns."""
+        """Returns the detector's proposals; a leader whose state differs makes none and resigns."""
         if not self.grantor.term or self.phase is Phase.DIFFERS:
             return []
         requests = []
         for row in self.detector.proposals(now):
-            word, about = entry_word(row)
-            tag = f"{word} {about}"
+            kind, subject = entry_kind(row)
+            tag = f"{kind} {subject}"
             if tag not in self.pending_tags:
                 self.pending_tags.add(tag)
-                requests.append(ProposalRequest(f"members.{word}", row, tag))
+                requests.append(ProposalRequest(f"members.{kind}", row, tag))
         return requests
 
     def figures(self) -> dict[str, object]:
-        """Returns what `status` shows."""
+        """Returns the status of the membership, for `status`."""
         return {
             "phase": self.phase.value,
             "incarnation": self.incarnation,
--- a/indigohitch/fleet/membership/messages.py
+++ b/indigohitch/fleet/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between a member and the leader about leases.  Shapes only; no I/O."""
+"""Messages between a member and the leader about leases.  Data types only."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class RenewLease(Row, frozen=True):
-    """Sent by a member to the leader each quarter of a lease; `number` counts those of this process."""
+    """Request that a member sends to the leader every quarter of a lease; `number` counts up per process."""
 
     number: int
     incarnation: int
     applied: int  # index of the last entry that the member has applied
-    digest_at: int = 0  # index of the last `members.compare` that it has applied; 0: none
-    digest: bytes = b""  # of its state machine there
-    wall: int = 0  # its wall clock, Unix time in ticks: the fleet clock takes the median
-    acts: int = 0  # number of actions that it has stamped: the next goes by `applied` or later
-    reports: Mapping[str, bytes] = {}  # of its works, by name
+    digest_at: int = 0  # index of the last `members.compare` entry that it has applied; 0: none
+    digest: bytes = b""  # of its state machine at `digest_at`
+    wall: int = 0  # its wall clock, Unix time in ticks; the fleet clock uses the median
+    acts: int = 0  # number of actions that it has stamped; the next one is based on `applied` or later
+    reports: Mapping[str, bytes] = {}  # of its work modules, by name
 
 
 class LeaseRenewed(Row, frozen=True):
-    """Reply of the leader, after a read confirmed by a majority that started after the request came."""
+    """Reply that renews a lease, sent after a majority confirmed a read started after the request came."""
 
     number: int
     incarnation: int
@@ -31,7 +31,8 @@
 class LeaseNotRenewed(Row, frozen=True):
     """Reply that grants no lease.
 
-    With `over` this incarnation never gets one again; else the member may retry after `retry_after` ticks.
+    If `over` is set, this incarnation never gets one again; else the member may retry after `retry_after`
+    ticks.
     """
 
     number: int
--- a/indigohitch/fleet/membership/observations.py
+++ b/indigohitch/fleet/membership/observations.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the members from their lease renewals.  No I/O."""
+"""State of the members that the leader derives from their lease renewals.  No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class MemberObservation:
-    """What the leader knows of one incarnation; times by the leader's clock."""
+    """What the leader has observed of one incarnation; times are of the leader's clock."""
 
     last_renewal_at: int
     progressed_at: int  # when `applied` last grew
@@ -17,12 +17,12 @@
     acts: int = 0
     digest_at: int = 0
     digest: bytes = b""
-    stalled_since: int = 0  # since when entries are missing and none was applied; 0: not stalled
-    lagging_since: int = 0  # since when more than MAX_LAG entries are missing; 0: not lagging
-    late_since: int = 0  # since when it is a straggler; 0: it is none
+    stalled_since: int = 0  # since when it lacks entries and has applied none; 0: not stalled
+    lagging_since: int = 0  # since when it lacks more than MAX_LAG entries; 0: not lagging
+    late_since: int = 0  # since when it has been past a deadline; 0: it is not
 
     def on_renewal(self, now: int, message: RenewLease) -> None:
-        """Takes the state that a renewal reports."""
+        """Records the state that a renewal reports."""
         self.last_renewal_at = now
         if message.applied > self.applied:
             self.applied = message.applied
@@ -34,14 +34,14 @@
 
 
 class Observations:
-    """The observation of each incarnation, made when it is first asked for."""
+    """Holds the observation of each incarnation, created at its first use."""
 
     def __init__(self) -> None:
         """Creates an empty collection."""
         self.by_member: dict[tuple[str, int], MemberObservation] = {}
 
     def of(self, now: int, name: str, incarnation: int) -> MemberObservation:
-        """Returns the observation of that incarnation."""
+        """Returns the observation of an incarnation; a new one counts as renewed at `now`."""
         if (name, incarnation) not in self.by_member:
             self.by_member[name, incarnation] = MemberObservation(now, now)
         return self.by_member[name, incarnation]
--- a/indigohitch/fleet/membership/phases.py
+++ b/indigohitch/fleet/membership/phases.py
@@ -1,4 +1,4 @@
-"""Phases of a member in its process."""
+"""Phases of the membership of a process."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class Phase(enum.StrEnum):
-    """What this process takes itself for."""
+    """Phase of the membership, from the point of view of the process itself."""
 
     JOINING = "joining"  # has no incarnation
     COMPARED = "being compared"
     VALID = "valid"  # may act while its lease lasts
-    DIFFERS = "differs"  # its state isn't the others': it acts no more, and keeps the evidence
-    REPLACED = "replaced"  # another process of this name has joined later
+    DIFFERS = "differs"  # its state differs from that of the majority: it stops acting and keeps the evidence
+    REPLACED = "replaced"  # another process of this name has joined since
     LEFT = "left"
--- a/indigohitch/fleet/membership/roster.py
+++ b/indigohitch/fleet/membership/roster.py
@@ -1,8 +1,8 @@
 """The roster: the incarnations of all members, who may act, and which changes are in force.
 
-A part of the state machine: the same at every member after the same entry.  An incarnation goes one way:
-being compared, valid, evicted, lease expired.  Only with the last (`gone`, proposed by the leader once the
-lease has expired by its clock) the other parts are notified that what it held is free.
+It is a part of the replicated state machine: equal at every member after the same entry.  An incarnation only
+moves forward: being compared, valid, evicted, lease expired.  Only with the last (entry `gone`, proposed by
+the leader once the lease has expired by its clock) are the other parts notified that what it held is free.
 """
 
 from __future__ import annotations
@@ -33,14 +33,14 @@
 )
 from .incarnations import REPLACED_REASON, Incarnations
 
-# Digests of its own that a member keeps: comparisons overlap by one or two.
+# Digests of this member's own state to keep: one or two comparisons overlap.
 MAX_DIGESTS = 8
-# Changes not yet in force that are kept apart; a fleet has a handful.  Beyond, a later one replaces another.
+# Changes not yet in force that are kept; a fleet has a handful.  Beyond, a new one replaces an earlier one.
 MAX_CHANGES = 256
 
 
 class Roster:
-    """The state machine part `members`."""
+    """The state machine part `members`, which applies the entries of `entries`."""
 
     name = "members"
     kinds: Mapping[str, type[Row]] = {
@@ -59,13 +59,13 @@
     def __init__(self) -> None:
         """Creates an empty roster."""
         self.incarnations = Incarnations()
-        self.changes: list[Change] = []  # not in force
-        self.in_force = 0  # the last change that is
+        self.changes: list[Change] = []  # not in force yet
+        self.in_force = 0  # index of the last change in force
         self.compared = 0  # index of the last comparison
         self.agreed = Agreed(0, b"")
-        self.digests: dict[int, bytes] = {}  # this member's own: not part of the state
+        self.digests: dict[int, bytes] = {}  # of this member's own state by index; not replicated
 
-    # ---- read by other parts, works and the leader ---------------------------------------------------
+    # ---- queries -----------------------------------------------------------------------------------
 
     @property
     def members(self) -> dict[tuple[str, int], Member]:
@@ -73,22 +73,22 @@
         return self.incarnations.members
 
     def ineligibility(self, name: str, incarnation: int) -> str:
-        """Returns why it may not act; "" if it may by the entries (it needs its lease too)."""
+        """Returns why an incarnation may not act; "" if the state allows it (it needs a lease too)."""
         if (member := self.members.get((name, incarnation))) is not None:
             return "" if member.life is MemberState.VALID else member.life.value
         return REPLACED_REASON if incarnation < self.incarnations.highest.get(name, 0) else "not joined"
 
     @property
     def version(self) -> int:
-        """Index of the last entry that changed what the fleet acts by."""
+        """Index of the last change, in force or not."""
         return self.changes[-1].index if self.changes else self.in_force
 
     def valid(self) -> list[Member]:
         """Returns the members that may act with a lease."""
         return [member for member in self.members.values() if member.life is MemberState.VALID]
 
-    def present(self) -> list[Member]:
-        """Returns all that may still act: those valid, and those evicted whose lease may still run."""
+    def possibly_acting(self) -> list[Member]:
+        """Returns the members that may still act: the valid, and the evicted whose lease may still run."""
         return [
             member
             for member in self.members.values()
@@ -96,25 +96,25 @@
         ]
 
     def add_change(self, at: EntryContext, what: str, hard: bool = False, allowed: int = 0) -> None:
-        """Records a change, within the entry that changes what the fleet acts by; called by other parts.
+        """Records a change; other parts call it while they apply the entry that makes the change.
 
-        A part that makes a hard one (a contract cut, a member or server removed) may count on the end of the
-        old version only once it is in force: `in_force` has reached that entry, and
-        `on_change_converged(at, version, taken)` of each part that has it is called.
+        A part that makes a hard change (a contract cut, a member or server removed) may rely on the end of
+        the old version only once the change is in force: `in_force` has reached that entry, and
+        `on_change_converged(at, version, taken)` is called on each part that has it.
         """
         change = Change(at.index, what, hard, allowed)
         kinds = [(earlier.what, earlier.hard) for earlier in self.changes]
-        same = [position for position, kind in enumerate(kinds) if kind == (what, hard)]
-        if same and (not hard or len(self.changes) >= MAX_CHANGES):
-            del self.changes[same[-1]]
+        same_kind = [position for position, kind in enumerate(kinds) if kind == (what, hard)]
+        if same_kind and (not hard or len(self.changes) >= MAX_CHANGES):
+            del self.changes[same_kind[-1]]
         elif len(self.changes) >= MAX_CHANGES:
             del self.changes[0]
         self.changes.append(change)
 
     # ---- entries -----------------------------------------------------------------------------------
 
-    def apply(self, at: EntryContext, word: str, body: Row) -> object:
-        """Applies an entry; raises InvalidRequestError, before any change, if it can't be applied."""
+    def apply(self, at: EntryContext, kind: str, body: Row) -> object:
+        """Applies an entry; raises InvalidRequestError, with nothing changed, if it is rejected."""
         handlers: dict[str, Callable[[EntryContext, Row], object]] = {
             "join": self.on_join,
             "leave": self.on_leave,
@@ -126,43 +126,43 @@
             "in_force": self.on_in_force,
             "change": self.on_change,
         }
-        handler = handlers.get(word)
+        handler = handlers.get(kind)
         if handler is None:
-            raise ValueError(f"no word of this part: {word}")
+            raise ValueError(f"unknown kind of entry: {kind}")
         return handler(at, body)
 
     def on_join(self, at: EntryContext, join: Join) -> int:
-        """Returns the incarnation; a join that comes twice changes nothing."""
-        if incarnation := self.incarnations.joined_by(join):
+        """Returns the incarnation of the member; a duplicate join changes nothing."""
+        if incarnation := self.incarnations.assigned_incarnation(join):
             return incarnation
         self._forget_proposers(at, join.name)
         return self.incarnations.join(self.state_machine.parts, at, join)
 
     def _forget_proposers(self, at: EntryContext, name: str) -> None:
-        """Forgets the proposers of earlier starts, which would pile up."""
+        """Removes the proposers of earlier starts, which would otherwise accumulate."""
         proposers = self.state_machine.proposers
-        for old in [each for each in proposers if each.startswith(f"{name}?") and each != at.proposer]:
+        for old in [other for other in proposers if other.startswith(f"{name}?") and other != at.proposer]:
             del proposers[old]
 
     def on_leave(self, at: EntryContext, leave: Leave) -> None:
-        """Takes a member out by its own proposal."""
+        """Ends an incarnation on its own proposal."""
         if (at.proposer, at.incarnation) != (leave.name, leave.incarnation):
             raise InvalidRequestError("a member leaves by itself")
         member = self.incarnations.find(
-            leave.name, leave.incarnation, MemberState.COMPARED, MemberState.VALID, MemberState.EVICTED
+            leave.name, leave.incarnation, MemberState.BEING_COMPARED, MemberState.VALID, MemberState.EVICTED
         )
         member.why = "left"
         self.incarnations.expire(self.state_machine.parts, at, member)
 
     def on_evicted(self, at: EntryContext, evicted: Evicted) -> None:
-        """Evicts a member; its lease may still run."""
+        """Evicts a member; its lease may not have expired yet."""
         member = self.incarnations.find(
-            evicted.name, evicted.incarnation, MemberState.COMPARED, MemberState.VALID
+            evicted.name, evicted.incarnation, MemberState.BEING_COMPARED, MemberState.VALID
         )
         self.incarnations.evict(self.state_machine.parts, at, member, evicted.why)
 
     def on_lease_expired(self, at: EntryContext, expired: LeaseExpired) -> None:
-        """Frees what an evicted member held."""
+        """Ends an evicted incarnation, which frees what it held."""
         self.incarnations.expire(
             self.state_machine.parts,
             at,
@@ -171,7 +171,7 @@
         )
 
     def on_compare(self, at: EntryContext, body: Compare) -> int:
-        """Takes this member's own digest of the state within this entry, and returns the index."""
+        """Computes this member's own digest of the state at this entry, and returns the index."""
         self.compared = at.index
         self.digests[at.index] = self.state_machine.digest()
         for old in sorted(self.digests)[:-MAX_DIGESTS]:
@@ -179,14 +179,14 @@
         return at.index
 
     def on_agreed(self, at: EntryContext, agreed: Agreed) -> None:
-        """Takes the digest of the majority."""
+        """Records the digest of the majority."""
         if agreed.index <= self.agreed.index:
             raise InvalidRequestError(f"point {agreed.index} after {self.agreed.index}")
         self.agreed = agreed
 
     def on_readmitted(self, at: EntryContext, readmitted: Readmitted) -> None:
-        """Lets a member act whose state has been compared."""
-        member = self.incarnations.find(readmitted.name, readmitted.incarnation, MemberState.COMPARED)
+        """Lets a member act, as its state equals that of the majority."""
+        member = self.incarnations.find(readmitted.name, readmitted.incarnation, MemberState.BEING_COMPARED)
         if readmitted.index < member.joined:
             raise InvalidRequestError(f"compared at {readmitted.index}, joined at {member.joined}")
         member.life = MemberState.VALID
@@ -206,10 +206,10 @@
         for part in listeners(self.state_machine.parts, ConvergenceListener):
             part.on_change_converged(at, body.version, body.taken)
 
-    # ---- as a whole --------------------------------------------------------------------------------
+    # ---- snapshots ---------------------------------------------------------------------------------
 
     def row(self) -> RosterRow:
-        """Returns the snapshot."""
+        """Returns the snapshot row."""
         return RosterRow(
             list(self.members.values()),
             self.incarnations.highest,
@@ -221,18 +221,18 @@
         )
 
     def restore(self, row: bytes) -> None:
-        """Restores a snapshot; raises InvalidDataError if it can't be read."""
+        """Restores the roster from an encoded snapshot; raises InvalidDataError if it cannot be decoded."""
         try:
-            found = msgspec.msgpack.decode(row, type=RosterRow)
+            snapshot = msgspec.msgpack.decode(row, type=RosterRow)
         except msgspec.MsgspecError as error:
-            raise InvalidDataError(f"not a roster: {error}") from None
-        self.incarnations.members = {(member.name, member.incarnation): member for member in found.members}
-        self.incarnations.highest = found.highest
-        self.incarnations.tokens = found.tokens
-        self.changes = found.changes
-        self.in_force = found.in_force
-        self.compared = found.compared
-        self.agreed = found.agreed
+            raise InvalidDataError(f"invalid roster snapshot: {error}") from None
+        self.incarnations.members = {(member.name, member.incarnation): member for member in snapshot.members}
+        self.incarnations.highest = snapshot.highest
+        self.incarnations.tokens = snapshot.tokens
+        self.changes = snapshot.changes
+        self.in_force = snapshot.in_force
+        self.compared = snapshot.compared
+        self.agreed = snapshot.agreed
         self.digests.clear()
 
 
@@ -243,7 +243,7 @@
     hard: bool = False,
     allowed: int = SECOND,
 ) -> None:
-    """Records a change for another part (`Roster.add_change`), if the state machine has a roster."""
+    """Records a change on behalf of another part (`Roster.add_change`), if the state machine has a roster."""
     roster = state_machine.parts.get("members") if state_machine is not None else None
     if isinstance(roster, Roster):
         roster.add_change(at, what, hard, allowed)
--- a/tests/test_members.py
+++ b/tests/test_membership_faults.py
@@ -86,7 +86,7 @@
             monkeypatch.setattr("indigohitch.fleet.membership.leases.holder_span", lambda *_: 10**9)
         case "in_force":  # in force without asking who has taken it
             monkeypatch.setattr(
-                "indigohitch.fleet.membership.failure_detector.FailureDetector.has_taken", lambda *_: True
+                "indigohitch.fleet.membership.failure_detector.FailureDetector.has_applied", lambda *_: True
             )
     with pytest.raises(AssertionError, match="acts on|acts by"):
         stalled(cut=guard == "lease")
