--- a/indigohitch/fleet/transport/__init__.py
+++ b/indigohitch/fleet/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the members over TCP, one dialled connection for each direction (docs/ledger.md)."""
+"""Message transport between the members over TCP, with one connection per direction (docs/ledger.md)."""
--- a/indigohitch/fleet/transport/acceptor.py
+++ b/indigohitch/fleet/transport/acceptor.py
@@ -1,4 +1,4 @@
-"""A listener and its inbound links, each unidentified until its handshake has been accepted."""
+"""Accepts inbound links, each of which is unidentified until its handshake has been accepted."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class AcceptorOwner(Protocol):
-    """Owner of a listener, who decides which handshakes are accepted."""
+    """Owner of an acceptor, which decides which handshakes to accept."""
 
     def on_handshake(self, link: InboundLink, handshake: Handshake) -> None:
-        """Sets `link.peer` if it accepts the handshake; else sends the reason and closes the link."""
+        """Sets `link.peer` to accept the handshake; otherwise sends the reason and closes the link."""
 
     def on_message(self, link: InboundLink, message: Row) -> None:
-        """Takes a message from an accepted link."""
+        """Handles a message from an accepted link."""
 
     def on_closed(self, link: InboundLink) -> None:
-        """Forgets an accepted link that has closed."""
+        """Removes an accepted link that has closed."""
 
 
 class Acceptor:
-    """Accepts connections at one address and closes those that do not identify themselves in time."""
+    """Accepts connections at one address and closes those without an accepted handshake in time."""
 
     def __init__(
         self,
@@ -42,16 +42,16 @@
         max_unidentified: int,
         pool: BufferPool | None = None,
     ) -> None:
-        """Creates an acceptor that does not listen yet.
+        """Creates an acceptor, which listens only after `start`.
 
         Args:
             loop: event loop of this process.
             log: log of this process.
             kinds: message types of the connections.
-            owner: decides about handshakes and takes the messages.
-            port_users: who connects to this port, for the log.
-            max_unidentified: largest number of connections without an accepted handshake.
-            pool: of the connections' buffers; by default that of the loop.
+            owner: decides about handshakes and handles the messages.
+            port_users: which kind of peers connects to this port, for the log.
+            max_unidentified: maximum number of connections without an accepted handshake.
+            pool: pool of the connections' buffers; by default that of the loop.
         """
         self.loop = loop
         self.log = log
@@ -70,9 +70,11 @@
         )
 
     def on_connection(self, sock: socket.socket) -> bool:
-        """Takes an accepted socket; returns False if there are too many unidentified connections."""
+        """Takes over an accepted socket; returns False if too many connections are unidentified."""
         if len(self.unidentified) >= self.max_unidentified:
-            self.log.warning("strangers_too_many", remedy=f"keep others off the {self.port_users}' port")
+            self.log.warning(
+                "strangers_too_many", remedy=f"block other hosts from the {self.port_users}' port"
+            )
             return False
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.unidentified.add(InboundLink(self, sock, self.pool))
@@ -82,13 +84,13 @@
         """Closes the links whose handshake has timed out."""
         overdue = [link for link in self.unidentified if now - link.accepted_at > HANDSHAKE_TIMEOUT]
         for link in overdue:
-            self.on_unidentified("no greeting")
+            self.on_unidentified("no handshake in time")
             link.close()
 
     # ---- events of the inbound links -----------------------------------------------------------------
 
     def on_handshake(self, link: InboundLink, handshake: Handshake) -> None:
-        """Lets the owner decide; an accepted link counts as unidentified no more."""
+        """Passes a handshake to the owner; an accepted link no longer counts as unidentified."""
         self.owner.on_handshake(link, handshake)
         if link.peer is not None:
             self.unidentified.discard(link)
@@ -98,14 +100,14 @@
         self.owner.on_message(link, message)
 
     def on_closed(self, link: InboundLink) -> None:
-        """Forgets a closed link; the owner is notified if the link had been accepted."""
+        """Removes a closed link, and notifies the owner if the link had been accepted."""
         self.unidentified.discard(link)
         if link.peer is not None:
             self.owner.on_closed(link)
 
     def on_unidentified(self, why: str) -> None:
-        """Logs that a connection is closed before its handshake was accepted."""
-        self.log.warning("stranger", why=why, remedy=f"keep others off the {self.port_users}' port")
+        """Logs that a connection is closed without an accepted handshake."""
+        self.log.warning("stranger", why=why, remedy=f"block other hosts from the {self.port_users}' port")
 
     def on_corrupt_frame(self, name: str, error: BrokenFrameError) -> None:
         """Logs a corrupt frame from the named peer; the name is empty for an unidentified one."""
@@ -121,10 +123,10 @@
 
 
 def log_broken_frame(log: Log, name: str, error: BrokenFrameError, port_users: str) -> None:
-    """Logs a corrupt frame that arrived at the port of `port_users`."""
+    """Logs a corrupt frame that a peer of the kind `port_users` sent; an empty name is logged as unknown."""
     log.warning(
         "frame_spoilt",
         member=name or "unknown",
         why=error.problem,
-        remedy=f"keep others off the {port_users}' port; if it is a member, see the network",
+        remedy=f"block other hosts from the {port_users}' port; if a member sent it, check the network",
     )
--- a/indigohitch/fleet/transport/inbound.py
+++ b/indigohitch/fleet/transport/inbound.py
@@ -1,4 +1,4 @@
-"""The accepting end of a link; `outbound` has the dialling end."""
+"""The accepting end of a link; `outbound` contains the dialling end."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from ..types import MemberId
 from .messages import Handshake, Ping, Pong
 
-# Unread bytes beyond one frame of the largest size that a connection may buffer.
+# Bytes that a connection may buffer unread, in addition to one frame of the largest size.
 EXTRA_UNREAD_BYTES = 64 << 10
-# The first bytes of a frame by which another protocol is recognized before a whole header is there.
+# Length of the magic at the start of a frame; it reveals another protocol before a whole header has arrived.
 MAGIC_BYTES = 4
 
 
 class InboundOwner(Protocol):
-    """Owner of accepted connections."""
+    """Owner of inbound links, called at their events."""
 
     loop: EventLoop
     kinds: MessageTypes
@@ -29,23 +29,23 @@
         """Accepts the link by setting its `peer`, or closes it."""
 
     def on_message(self, link: InboundLink, message: Row) -> None:
-        """Takes a message of an accepted link."""
+        """Handles a message of an accepted link."""
 
     def on_closed(self, link: InboundLink) -> None:
-        """Forgets the link; called at least once for each."""
+        """Removes the link; called at least once for each link."""
 
     def on_unidentified(self, why: str) -> None:
-        """Reports that a link is closed before its handshake."""
+        """Reports that a link is closed without an accepted handshake."""
 
     def on_corrupt_frame(self, name: str, error: BrokenFrameError) -> None:
-        """Reports a corrupt frame of the named peer; the name is empty before the handshake."""
+        """Reports a corrupt frame of the named peer; the name is empty if the link is unidentified."""
 
 
 class InboundLink:
     """A connection that another process dialled; `peer` is None until its handshake is accepted."""
 
     def __init__(self, owner: InboundOwner, sock: socket.socket, pool: BufferPool | None = None) -> None:
-        """Takes over an accepted socket; `pool` is that of its buffers, by default that of the loop."""
+        """Takes over an accepted socket; `pool` provides its buffers, by default the pool of the loop."""
         self.owner = owner
         self.peer: MemberId | None = None
         self.token = 0
@@ -57,7 +57,7 @@
         )
 
     def on_data(self, connection: Connection) -> None:
-        """Reads what has arrived; a corrupt frame closes the link."""
+        """Handles the frames that have arrived; a corrupt one closes the link."""
         self.last_received_at = self.owner.loop.clock.now()
         try:
             for message, _ in self.frames.feed(connection.incoming.take()):
@@ -65,7 +65,7 @@
                 if not connection.open:
                     return
             if not self.owner.kinds.magic.startswith(self.frames.rest[:MAGIC_BYTES]):
-                # Less than a header has arrived: there is no need to wait for the rest.
+                # Less than a header has arrived, but its magic is wrong already: do not wait for the rest.
                 raise BrokenFrameError("another protocol")
         except BrokenFrameError as error:
             self.owner.on_corrupt_frame(self.peer.name if self.peer else "", error)
@@ -77,7 +77,7 @@
         elif isinstance(message, Handshake):
             self.owner.on_handshake(self, message)
         else:
-            self.owner.on_unidentified(f"{type(message).__name__} before a greeting")
+            self.owner.on_unidentified(f"{type(message).__name__} before the handshake")
             self.close()
 
     def _on_peer_message(self, message: Row) -> None:
@@ -91,7 +91,7 @@
         return self.send_frame(self.owner.kinds.frame(message))
 
     def send_frame(self, data: bytes) -> bool:
-        """Sends an encoded frame; returns False if the buffer is full or the link closed."""
+        """Sends an encoded frame; returns False if it does not fit into the buffer or the link is closed."""
         if not self.connection.open or self.connection.outgoing.free_capacity() < len(data):
             return False
         self.connection.write(data)
@@ -102,7 +102,7 @@
         self.owner.on_closed(self)
 
     def close(self) -> None:
-        """Closes the connection and reports it to the owner; closing again does no harm."""
+        """Closes the connection and reports it to the owner; may be called again."""
         if self.connection.open:
             self.connection.close()
         self.owner.on_closed(self)
--- a/indigohitch/fleet/transport/links.py
+++ b/indigohitch/fleet/transport/links.py
@@ -1,4 +1,4 @@
-"""All links of a member: its listener, the links that it dials and those that it has accepted."""
+"""Transport of a member: its listener, the links that it dials and those that it has accepted."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from .messages import Handshake, HandshakeAccepted, HandshakeRefused
 from .outbound import OutboundLink, Phase
 
-# Connections without an accepted handshake: each member dials one, and anyone else may connect too.
+# Maximum number of connections without an accepted handshake: one from each member, and some of other hosts.
 MAX_UNIDENTIFIED = 32
 
 
 class Transport:
-    """Links of this member to all others.
+    """Maintains the links of this member to all others.
 
-    Callbacks, to be set by the owner:
-        deliver(peer, message): takes a message of a member.
-        record_peer(peer): stores the number of a member; returns why it may not connect, or "".
+    Callbacks, which the owner sets:
+        deliver(peer, message): handles a message of a member.
+        record_peer(peer): stores the number of a member; returns why the link is refused, or "".
         make_acceptance(peer): returns the reply to an accepted handshake.
-        highest_number(name): returns the highest number ever seen of a name, 0 if there is none.
-        on_peer_up(name), on_peer_down(name): messages to that member arrive, or do so no more.
+        highest_number(name): returns the highest number ever seen with a name, or 0.
+        on_peer_up(name), on_peer_down(name): the link to that member has opened, or was lost.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         token: int,
         chance: Callable[[], float],
     ) -> None:
-        """Creates a transport without peers; `chance` returns random numbers for the jitter of dials."""
+        """Creates a transport without peers; `chance` returns random numbers in [0, 1) for dial jitter."""
         self.loop = loop
         self.log = log
         self.kinds = kinds
@@ -65,7 +65,7 @@
         self.acceptor.start(address)
 
     def set_peers(self, addresses: Mapping[str, tuple[str, int]]) -> None:
-        """Sets the other members by name, with the addresses at which this member reaches them."""
+        """Sets the addresses of the other members by name, and closes links to other addresses."""
         for name, link in list(self.peers.items()):
             if addresses.get(name) != link.address:
                 del self.peers[name]
@@ -77,17 +77,17 @@
                 self.peers[name] = OutboundLink(self, name, address)
 
     def set_own_id(self, own_id: MemberId) -> None:
-        """Sets the number that this member has got; the others learn it by new handshakes."""
+        """Sets the number assigned to this member, and reconnects, as peers learn it only by a handshake."""
         self.own_id = own_id
         for name, link in list(self.peers.items()):
             link.close()
             self.peers[name] = OutboundLink(self, name, link.address)
-        for link in list(self.inbound.values()):  # these peers know the old number: they dial again
+        for link in list(self.inbound.values()):  # these peers know the old number; they dial again
             link.close()
         self.tick()
 
     def tick(self) -> None:
-        """Lets each link do what is due."""
+        """Runs the timers of all links."""
         now = self.loop.clock.now()
         for link in list(self.peers.values()):
             link.tick(now)
@@ -96,7 +96,7 @@
     # ---- outbound ----------------------------------------------------------------------------------
 
     def send(self, peer: MemberId, message: Row) -> bool:
-        """Sends to the member of that number and no other of its name; returns False if it was dropped."""
+        """Sends to a member if the peer at that name has its number; returns False if it was dropped."""
         link = self.peers.get(peer.name)
         return link is not None and link.peer == peer and link.send(message)
 
@@ -121,25 +121,25 @@
                 "not_who_was_dialled",
                 member=link.name,
                 why=why,
-                remedy="see the address of that member in this file",
+                remedy="check the address of that member in this file",
             )
         return not why
 
     def on_link_up(self, link: OutboundLink) -> None:
-        """Logs that a member is reached, and reports it."""
+        """Logs and reports that the link to a member has opened."""
         self.log.event("member_reached", member=link.name, number=link.acceptance.who.number)
         self.on_peer_up(link.name)
 
     def on_link_down(self, link: OutboundLink, why: str) -> None:
-        """Logs that a member is reached no more, and reports it."""
+        """Logs and reports that the link to a member was lost."""
         self.log.warning("member_lost", member=link.name, why=why)
         self.on_peer_down(link.name)
 
     def on_unreachable(self, link: OutboundLink, why: str) -> None:
-        """Does nothing: the member is dialled again, and only the loss of an open link is logged."""
+        """Ignores a failed dial: it is retried, and only the loss of an open link is logged."""
 
     def on_reply(self, link: OutboundLink, message: Row) -> None:
-        """Does nothing: members send no messages over a connection that the other one dialled."""
+        """Ignores the message: over a dialled connection members send back only replies about the link."""
 
     def on_corrupt_frame(self, name: str, error: BrokenFrameError) -> None:
         """Logs a corrupt frame of a member."""
@@ -148,7 +148,7 @@
     # ---- inbound -----------------------------------------------------------------------------------
 
     def on_handshake(self, link: InboundLink, handshake: Handshake) -> None:
-        """Accepts a member's link or refuses it."""
+        """Accepts or refuses an inbound link; an accepted one replaces the earlier one of its peer."""
         peer = handshake.who
         why = self._refusal(handshake)
         if why:
@@ -157,7 +157,7 @@
             return
         previous = self.inbound.get(peer.name)
         if previous is not None:
-            previous.close()  # the peer has dialled again: the earlier link is dead, or will be
+            previous.close()  # the peer has dialled again: its earlier connection is dead, or soon will be
         link.peer = peer
         link.token = handshake.token
         self.inbound[peer.name] = link
@@ -165,7 +165,7 @@
         self.peers[peer.name].on_peer_identified(peer, handshake.token)
 
     def _refusal(self, handshake: Handshake) -> str:
-        """Returns why the handshake is refused, and logs it; empty if it is accepted."""
+        """Returns why a handshake is refused, and logs it; "" if it is accepted."""
         peer = handshake.who
         why, kind = check_member(
             handshake, self.fleet, self.own_id.name, self.peers, self.highest_number(peer.name)
@@ -173,19 +173,19 @@
         if not why and peer.number:
             why = self.record_peer(peer)
         if why:
-            self.log.warning("member_refused", why=why, remedy=REMEDIES.get(kind, "it will come again"))
+            self.log.warning("member_refused", why=why, remedy=REMEDIES.get(kind, "none: the peer retries"))
         return why
 
     def on_message(self, link: InboundLink, message: Row) -> None:
-        """Delivers a message of a member."""
+        """Delivers a message of a member to the owner."""
         self.deliver(link.peer, message)
 
     def on_closed(self, link: InboundLink) -> None:
-        """Forgets an inbound link."""
+        """Removes an inbound link, unless a later one has replaced it."""
         if self.inbound.get(link.peer.name) is link:
             del self.inbound[link.peer.name]
 
-    # ---- the end -----------------------------------------------------------------------------------
+    # ---- close and status --------------------------------------------------------------------------
 
     def close(self) -> None:
         """Stops listening and closes all links."""
@@ -196,7 +196,7 @@
             link.close()
 
     def status(self) -> dict[str, dict[str, object]]:
-        """Returns what `status` shows of the link to each member."""
+        """Returns the state of the link to each member, for `status`."""
         now = self.loop.clock.now()
         return {name: self._link_status(link, now) for name, link in sorted(self.peers.items())}
 
--- a/indigohitch/fleet/transport/outbound.py
+++ b/indigohitch/fleet/transport/outbound.py
@@ -1,4 +1,4 @@
-"""The dialling end of a link; `inbound` has the accepting end."""
+"""The dialling end of a link; `inbound` contains the accepting end."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 from .messages import Handshake, HandshakeAccepted, HandshakeRefused, Ping, Pong
 from .phases import Phase
 
-# A connect or a handshake that takes longer than this on one site's network comes to nothing.
+# For a connect and for a handshake; on the network of one site neither succeeds after longer than this.
 HANDSHAKE_TIMEOUT = SECOND
 PING_INTERVAL = SECOND // 2
-# Longer than any pause of a healthy process; a link on which nothing comes back any more is dialled again, as
-# what waits on it is old by then.
+# Longer than any pause of a healthy process.  A link without replies for this time is closed and dialled
+# again, as the messages buffered on it are outdated by then.
 SILENCE_TIMEOUT = 2 * SECOND
-# Backoff between dials, at first and at most; a member that is back receives a leader's messages within the
-# time of an election or two.
+# First and largest backoff between dials, so that a member that is back receives a leader's messages within
+# the time of one or two elections.
 MIN_BACKOFF = SECOND // 20
 MAX_BACKOFF = SECOND // 2
-# Of the kernel's send buffer of one link: what waits in it can't be taken back when it has grown old.
+# Size of the kernel's send buffer of a link.  Data in it cannot be withdrawn when it is outdated.
 SEND_BUFFER_BYTES = 128 << 10
 
 
 class Dialler(Protocol):
-    """Owner of dialled links.  `chance` returns random numbers in [0, 1), for the jitter of the backoff."""
+    """Owner of dialled links; `chance` returns random numbers in [0, 1) for the jitter of the backoff."""
 
     loop: EventLoop
     log: Log
@@ -51,19 +51,19 @@
         """Reports that an open link is lost."""
 
     def on_unreachable(self, link: OutboundLink, why: str) -> None:
-        """Reports that the peer could not be dialled, or did not accept the handshake."""
+        """Reports that the peer could not be connected, or did not accept the handshake."""
 
     def on_reply(self, link: OutboundLink, message: Row) -> None:
-        """Takes a message that came back over the link and is not about the link itself."""
+        """Handles a message that came back over the link and is not about the link itself."""
 
     def on_corrupt_frame(self, name: str, error: BrokenFrameError) -> None:
         """Reports a corrupt frame of the named peer."""
 
 
 class OutboundLink:
-    """Sends messages to one peer, which it dials again whenever the connection is lost.
+    """Sends messages to one peer, and dials it again whenever the connection is lost.
 
-    A message that does not fit into the buffer is dropped, never queued: Raft sends again what matters.
+    A message that does not fit into the buffer is dropped, never queued, as Raft retransmits what matters.
     """
 
     def __init__(
@@ -80,13 +80,13 @@
         self.address = address
         self.ping_interval = ping_interval
         self.silence_timeout = silence_timeout
-        self.phase = Phase.RESTING
+        self.phase = Phase.DISCONNECTED
         self.phase_since = 0
         self.next_dial_at = 0
         self.backoff = MIN_BACKOFF
         self.connection: Connection | None = None
         self.frames = FrameDecoder(owner.kinds)
-        self.acceptance: HandshakeAccepted | None = None  # the last one: its content stays true
+        self.acceptance: HandshakeAccepted | None = None  # the last one; stays valid when the link is lost
         self.last_received_at = 0
         self.next_ping_at = 0
         self.pings = 0
@@ -103,17 +103,17 @@
         self.phase = phase
         self.phase_since = self.owner.loop.clock.now()
 
-    # ---- by time -------------------------------------------------------------------------------------
+    # ---- timers --------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Dials, closes or pings, as is due."""
+        """Dials, closes or pings the link, whichever is due."""
         match self.phase:
-            case Phase.RESTING:
+            case Phase.DISCONNECTED:
                 if now >= self.next_dial_at:
                     self.dial()
-            case Phase.DIALLING | Phase.GREETING:
+            case Phase.DIALLING | Phase.HANDSHAKING:
                 if now - self.phase_since > HANDSHAKE_TIMEOUT:
-                    self.connection.close("no answer")
+                    self.connection.close("timed out")
             case _:
                 self._check_liveness(now)
 
@@ -123,16 +123,16 @@
                 "member_silent",
                 member=self.name,
                 ms=(now - self.last_received_at) / 10,
-                remedy="see whether it runs and whether its address is reached",
+                remedy="check that it runs and that its address is reachable",
             )
-            self.connection.close("silent")
+            self.connection.close("no reply to pings")
         elif now >= self.next_ping_at:
             self.pings += 1
             self.next_ping_at = now + self.ping_interval
             self._write(Ping(self.pings))
 
     def dial(self) -> None:
-        """Starts to connect."""
+        """Starts to connect; a failure schedules the next dial."""
         self.owner.log.count("links_dialled")
         try:
             self.connection = Connection.dial(self.owner.loop, self.address, self)
@@ -147,11 +147,11 @@
 
     def on_connected(self, connection: Connection) -> None:
         """Sends the handshake over the new connection."""
-        self._enter(Phase.GREETING)
+        self._enter(Phase.HANDSHAKING)
         self._write(self.owner.handshake())
 
     def on_data(self, connection: Connection) -> None:
-        """Reads what has arrived; a corrupt frame closes the connection."""
+        """Handles the frames that have arrived; a corrupt one closes the connection."""
         data = connection.incoming.take()
         self.bytes_received += len(data)
         try:
@@ -161,17 +161,17 @@
                     return
         except BrokenFrameError as error:
             self.owner.on_corrupt_frame(self.name, error)
-            connection.close("spoilt")
+            connection.close("corrupt frame")
 
     def _on_frame(self, message: Row) -> None:
         now = self.owner.loop.clock.now()
         match message:
-            case HandshakeAccepted() if self.phase is Phase.GREETING:
+            case HandshakeAccepted() if self.phase is Phase.HANDSHAKING:
                 self._on_accepted(now, message)
             case HandshakeRefused(why):
                 self.owner.log.warning("refused_by_member", member=self.name, why=why)
                 self.backoff = MAX_BACKOFF
-                self.connection.close("refused")
+                self.connection.close("handshake refused")
             case Pong():
                 self.last_received_at = now
             case _ if self.phase is Phase.OPEN:
@@ -180,7 +180,7 @@
 
     def _on_accepted(self, now: int, acceptance: HandshakeAccepted) -> None:
         if not self.owner.on_accepted(self, acceptance):
-            self.connection.close("not who was called")
+            self.connection.close("not the peer that was dialled")
             return
         self.acceptance = acceptance
         self.last_received_at = now
@@ -190,15 +190,15 @@
         self.owner.on_link_up(self)
 
     def on_closed(self, connection: Connection, why: str) -> None:
-        """Schedules the next dial, unless the link was closed or another connection has taken over."""
+        """Schedules the next dial, unless the link was closed or has a newer connection."""
         if connection is self.connection and self.phase is not Phase.CLOSED:
             self._lose(why)
 
     def _lose(self, why: str) -> None:
-        """Backs off exponentially, with jitter so that many members do not dial at once."""
+        """Schedules the next dial with exponential backoff; jitter keeps members from dialling at once."""
         was_open = self.phase is Phase.OPEN
         self.connection = None
-        self._enter(Phase.RESTING)
+        self._enter(Phase.DISCONNECTED)
         self.next_dial_at = self.phase_since + int(self.backoff * (0.5 + self.owner.chance()))
         self.backoff = min(2 * self.backoff, MAX_BACKOFF)
         if was_open:
@@ -206,7 +206,7 @@
         else:
             self.owner.on_unreachable(self, why)
 
-    # ---- by its owner ----------------------------------------------------------------------------------
+    # ---- calls of the owner ----------------------------------------------------------------------------
 
     def send(self, message: Row) -> bool:
         """Sends a message; returns False if it was dropped."""
@@ -226,19 +226,19 @@
         return True
 
     def on_peer_identified(self, peer: MemberId, token: int) -> None:
-        """Dials at once, as the peer has just dialled this member and is reachable.
+        """Dials at once, because the peer has just dialled this member and so is reachable.
 
         An open link to an earlier start of the peer, or to the peer under an earlier number, is closed.
         """
         if self.phase is Phase.OPEN and (self.acceptance.who, self.acceptance.token) != (peer, token):
-            self.connection.close("it began anew")
-        if self.phase is Phase.RESTING:
+            self.connection.close("the peer restarted or changed its number")
+        if self.phase is Phase.DISCONNECTED:
             self.next_dial_at = 0
             self.backoff = MIN_BACKOFF
             self.tick(self.owner.loop.clock.now())
 
     def close(self) -> None:
-        """Closes the link for good."""
+        """Closes the link permanently."""
         self._enter(Phase.CLOSED)
         if self.connection is not None:
             self.connection.close()
--- a/indigohitch/fleet/transport/phases.py
+++ b/indigohitch/fleet/transport/phases.py
@@ -6,10 +6,10 @@
 
 
 class Phase(enum.Enum):
-    """Phase of a dialled link."""
+    """Phase of a dialled link, as `status` shows it."""
 
-    RESTING = "resting"
+    DISCONNECTED = "resting"  # dials at the next due time
     DIALLING = "dialling"
-    GREETING = "greeting"  # connected; the other end has not replied to the handshake
+    HANDSHAKING = "greeting"  # connected; the peer has not replied to the handshake yet
     OPEN = "open"
-    CLOSED = "closed"
+    CLOSED = "closed"  # permanently
