--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -1,4 +1,4 @@
-"""One member of a simulated fleet: its disk, its clock, and the part `things` that it acts on."""
+"""One member of a simulated fleet: its disk, its clock, and the part `things`, whose resources it acts on."""
 
 from itertools import count
 
@@ -14,27 +14,29 @@
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.net.clock import SECOND
 
-SPAN, DRIFT = 2 * SECOND, 0.02  # of a lease; of a clock, at most
+SPAN = 2 * SECOND  # of a lease
+DRIFT = 0.02  # of a clock, at most
 
 
-class Take(Row):
+class AcquireResource(Row):
     what: str
 
 
-class Alter(Row):
+class ChangeContract(Row):
     hard: bool
 
 
-class Things:
-    """What one member at a time may act on, until it is gone; and changes."""
+class ResourcePart:
+    """State machine part with resources, each held by one member until its lease expires, and changes."""
 
-    name, kinds = "things", {"take": Take, "alter": Alter}
+    name = "things"
+    kinds = {"take": AcquireResource, "alter": ChangeContract}
 
     def __init__(self):
         self.held = {}
 
-    def apply(self, at, word, body):
-        if word == "alter":
+    def apply(self, at, kind, body):
+        if kind == "alter":
             self.state_machine.parts["members"].add_change(at, "contract", body.hard, SECOND)
         elif body.what in self.held or self.state_machine.parts["members"].ineligibility(
             at.proposer, at.incarnation
@@ -44,7 +46,7 @@
             self.held[body.what] = (at.proposer, at.incarnation)
 
     def on_member_lease_expired(self, at, name, incarnation):
-        self.held = {what: by for what, by in self.held.items() if by != (name, incarnation)}
+        self.held = {what: holder for what, holder in self.held.items() if holder != (name, incarnation)}
 
     def row(self):
         return self.held
@@ -53,13 +55,15 @@
         self.held = msgspec.msgpack.decode(row, type=dict[str, tuple[str, int]])
 
 
-class Kept:
-    """A disk: records by incarnation."""
+class MemoryStore:
+    """A disk of action records, by incarnation; it never fails."""
 
-    folder, cut = "memory", 0
+    folder = "memory"
+    cut = 0
 
     def __init__(self):
-        self.chains, self.evidence = {}, []
+        self.chains = {}
+        self.evidence = []
 
     def append(self, record, firm):
         self.chains.setdefault(record.stamp.incarnation, []).append(record)
@@ -80,28 +84,34 @@
         self.evidence.append(name)
 
 
-class Simulated:
-    def __init__(self, name, chance):
-        self.name, self.chance = name, chance
-        self.rate, self.offset = 1 + DRIFT * chance.uniform(-1, 1), chance.randint(0, 10**6)
-        self.store, self.slow, self.troubles = Kept(), 200, []
-        self.stopped = 0  # until when
-        self.state_machine = ReplicatedStateMachine([Roster(), Heads(), Things()])
+class SimulatedMember:
+    def __init__(self, name, rng):
+        self.name = name
+        self.rng = rng
+        self.clock_rate = 1 + DRIFT * rng.uniform(-1, 1)
+        self.clock_offset = rng.randint(0, 10**6)
+        self.store = MemoryStore()
+        self.entries_per_step = 200
+        self.errors = []
+        self.paused_until = 0
+        self.state_machine = ReplicatedStateMachine([Roster(), Heads(), ResourcePart()])
         self.start()
 
     def start(self):
-        """A process over what its disk holds."""
+        """Starts a new process with the disk and the state machine of the last one."""
         parts = self.state_machine.parts
         self.membership = Membership(
-            self.name, True, parts["members"], SPAN, DRIFT, lambda: self.chance.getrandbits(62)
+            self.name, True, parts["members"], SPAN, DRIFT, lambda: self.rng.getrandbits(62)
         )
-        self.acts = ActionChain(
-            self.name, self.membership.lease, self.state_machine, self.store, self.troubles.append
+        self.actions = ActionChain(
+            self.name, self.membership.lease, self.state_machine, self.store, self.errors.append
         )
-        self.auditing = AuditWork(self.acts, parts["audit"], self.membership, self.troubles.append)
-        self.auditing.scrub.step = lambda now: []  # there are no files
-        self.out, self.numbers, self.wants = {}, count(1), []
-        self.leads = 0  # the term in which it believes that it leads
+        self.audit_work = AuditWork(self.actions, parts["audit"], self.membership, self.errors.append)
+        self.audit_work.scrub.step = lambda now: []  # there are no files
+        self.pending_proposals = {}
+        self.proposal_numbers = count(1)
+        self.proposal_requests = []
+        self.leader_term = 0  # the term in which it believes that it leads; 0: in none
 
     def now(self, time):
-        return self.offset + int(self.rate * time)
+        return self.clock_offset + int(self.clock_rate * time)
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -1,11 +1,11 @@
-"""The roster, the judge and the leases together: members over one list for a ledger, with faults by seed."""
+"""Roster, failure detector and leases together under seeded faults, in a simulated fleet (fleet_sim)."""
 
 import random
 
 import msgspec
 import pytest
 
-from fleet_sim import SPAN, STEP, Alter, Take, World
+from fleet_sim import SPAN, STEP, AcquireResource, ChangeContract, SimulatedFleet
 from indigohitch.fleet.audit.check import check
 from indigohitch.fleet.membership.leases import LeaseGrantor
 from indigohitch.fleet.membership.member_work import Phase
@@ -14,199 +14,213 @@
 from indigohitch.net.clock import SECOND
 
 
-def disturb(world, chance):
-    """Something for some seconds: a cut one way or both, a stop, a restart, a slow reader, a change."""
-    one, other = chance.sample(list(world.members.values()), 2)
-    match chance.randrange(8):
+def inject_fault(fleet, rng):
+    """Blocks a link or isolates, pauses, restarts or slows down a member, or proposes a change."""
+    member, other = rng.sample(list(fleet.members.values()), 2)
+    match rng.randrange(8):
         case 0 | 1:
-            world.cuts.add((one.name, other.name))
+            fleet.blocked_links.add((member.name, other.name))
         case 2:
-            world.cuts |= {(one.name, m) for m in world.members} | {(m, one.name) for m in world.members}
+            fleet.blocked_links |= {(member.name, name) for name in fleet.members} | {
+                (name, member.name) for name in fleet.members
+            }
         case 3 | 4:
-            one.stopped = world.time + chance.randint(SPAN // 4, 2 * SPAN)
+            member.paused_until = fleet.time + rng.randint(SPAN // 4, 2 * SPAN)
         case 5:
-            one.start()
-            if world.leader is one:
-                world.leader, world.lost = None, world.time
+            member.start()
+            if fleet.leader is member:
+                fleet.leader = None
+                fleet.leader_alive_at = fleet.time
         case 6:
-            one.slow = chance.choice((0, 1, 20))
+            member.entries_per_step = rng.choice((0, 1, 20))
         case 7:
-            world.propose(other, "things.alter", Alter(chance.random() < 0.6))
-    if chance.random() < 0.5:
-        world.cuts.clear()
-        one.slow = other.slow = 200
+            fleet.propose(other, "things.alter", ChangeContract(rng.random() < 0.6))
+    if rng.random() < 0.5:
+        fleet.blocked_links.clear()
+        member.entries_per_step = other.entries_per_step = 200
 
 
-def heal(world):
-    world.cuts.clear()
-    for member in world.members.values():
-        member.slow, member.stopped = 200, 0
+def remove_faults(fleet):
+    fleet.blocked_links.clear()
+    for member in fleet.members.values():
+        member.entries_per_step = 200
+        member.paused_until = 0
 
 
-def faulty(seed, rounds=25):
-    world, chance = World(seed), random.Random(-seed - 1)
-    world.run(4)
+def fleet_after_faults(seed, rounds=25):
+    fleet, rng = SimulatedFleet(seed), random.Random(-seed - 1)
+    fleet.run(4)
     for _ in range(rounds):
-        disturb(world, chance)
-        world.run(chance.randint(1, 3))
-    heal(world)
-    return world
+        inject_fault(fleet, rng)
+        fleet.run(rng.randint(1, 3))
+    remove_faults(fleet)
+    return fleet
 
 
-def leased(world):
-    return all(m.membership.lease(m.now(world.time)) for m in world.members.values())
+def all_hold_leases(fleet):
+    return all(m.membership.lease(m.now(fleet.time)) for m in fleet.members.values())
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_nobody_acts_on_what_another_was_given(seed):
-    """The rules are checked at every act (fleet_sim.World.act); after quiet all are back."""
-    world = faulty(seed)
-    world.run(10)
+def test_no_member_acts_on_a_resource_that_another_holds_and_all_recover_after_faults(seed):
+    """SimulatedFleet.act checks the invariants at every action."""
+    fleet = fleet_after_faults(seed)
+    fleet.run(10)
     for _ in range(6 * SECOND // STEP):
-        if not leased(world):
-            world.step()
-    assert leased(world)
-    state_machines = {
+        if not all_hold_leases(fleet):
+            fleet.step()
+    assert all_hold_leases(fleet)
+    digests = {
         m.state_machine.digest()
-        for m in world.members.values()
-        if m.state_machine.index == world.leader.state_machine.index
+        for m in fleet.members.values()
+        if m.state_machine.index == fleet.leader.state_machine.index
     }
-    assert len(state_machines) == 1 and world.acted > 500
-    for member in world.members.values():
-        assert member.membership.phase is Phase.VALID and not member.troubles
-    assert not check(world.records(), world.leader.state_machine.parts["audit"].facts, 10**9)
+    assert len(digests) == 1 and fleet.action_count > 500
+    for member in fleet.members.values():
+        assert member.membership.phase is Phase.VALID and not member.errors
+    assert not check(fleet.records(), fleet.leader.state_machine.parts["audit"].facts, 10**9)
 
 
-@pytest.mark.parametrize("guard", ["over", "lease", "in_force"])
-def test_a_guard_taken_away_is_found_by_the_rules(guard, monkeypatch):
+@pytest.mark.parametrize("guard", ["lease_expiry", "holder_lease", "in_force"])
+def test_the_invariants_detect_a_removed_guard(guard, monkeypatch):
     match guard:
-        case "over":  # given on as soon as it is shut out
+        case "lease_expiry":  # resources are free as soon as their holder is evicted
             monkeypatch.setattr(LeaseGrantor, "has_expired", lambda *_: True)
-        case "lease":  # a member acts until it hears that it is shut out
+        case "holder_lease":  # a member acts until it learns of its eviction
             monkeypatch.setattr("indigohitch.fleet.membership.leases.holder_span", lambda *_: 10**9)
-        case "in_force":  # in force without asking who has taken it
+        case "in_force":  # a change is in force no matter who has applied it
             monkeypatch.setattr(
                 "indigohitch.fleet.membership.failure_detector.FailureDetector.has_applied", lambda *_: True
             )
     with pytest.raises(AssertionError, match="acts on|acts by"):
-        stalled(cut=guard == "lease")
-
-
-def stalled(cut):
-    """Who holds something hears no entries more, and a hard change comes."""
-    world = settled()
-    world.run(4)
-    held = world.leader.state_machine.parts["things"].held
-    one = next(m for m in world.members.values() if m is not world.leader and (m.name, 1) in held.values())
-    one.slow = 0
-    if cut:
-        world.cuts |= {(one.name, m) for m in world.members} | {(m, one.name) for m in world.members}
-    world.propose(world.leader, "things.alter", Alter(True))
-    world.run(12)
-    return world, one
-
-
-@pytest.mark.parametrize("cut", [False, True])
-def test_a_holder_that_hears_nothing_is_shut_out(cut):
-    world, one = stalled(cut)
-    roster = world.leader.state_machine.parts["members"]
-    assert one.membership.lease(one.now(world.time)) is None and roster.ineligibility(one.name, 1) == "gone"
+        fleet_with_stalled_holder(isolated=guard == "holder_lease")
+
+
+def fleet_with_stalled_holder(isolated):
+    """Returns a fleet after a hard change, and a holder of a resource that has applied no entries since."""
+    fleet = running_fleet()
+    fleet.run(4)
+    held = fleet.leader.state_machine.parts["things"].held
+    member = next(m for m in fleet.members.values() if m is not fleet.leader and (m.name, 1) in held.values())
+    member.entries_per_step = 0
+    if isolated:
+        fleet.blocked_links |= {(member.name, name) for name in fleet.members} | {
+            (name, member.name) for name in fleet.members
+        }
+    fleet.propose(fleet.leader, "things.alter", ChangeContract(True))
+    fleet.run(12)
+    return fleet, member
+
+
+@pytest.mark.parametrize("isolated", [False, True])
+def test_a_holder_that_applies_no_entries_is_evicted_and_the_hard_change_gets_in_force(isolated):
+    fleet, member = fleet_with_stalled_holder(isolated)
+    roster = fleet.leader.state_machine.parts["members"]
+    assert (
+        member.membership.lease(member.now(fleet.time)) is None
+        and roster.ineligibility(member.name, 1) == "gone"
+    )
     assert roster.in_force and not roster.changes
 
 
-def settled(seed=1):
-    world = World(seed)
-    world.run(4)
-    return world
+def running_fleet(seed=1):
+    fleet = SimulatedFleet(seed)
+    fleet.run(4)
+    return fleet
 
 
-def follower(world):
-    return next(m for m in world.members.values() if m is not world.leader)
+def follower(fleet):
+    return next(m for m in fleet.members.values() if m is not fleet.leader)
 
 
-def test_a_straggler_two_thousand_entries_behind_is_brought_up():
-    world = settled()
-    one = follower(world)
-    one.slow = 0
+def test_a_straggler_2000_entries_behind_catches_up_without_eviction():
+    fleet = running_fleet()
+    member = follower(fleet)
+    member.entries_per_step = 0
     for n in range(2000):
-        world.propose(world.leader, "things.alter", Alter(False))
+        fleet.propose(fleet.leader, "things.alter", ChangeContract(False))
         if n % 200 == 0:
-            world.step()
-    one.slow = 60
-    world.standings.clear()
-    world.run(4)
-    assert one.state_machine.index == world.leader.state_machine.index and one.membership.incarnation == 1
-    assert MemberStanding.CATCHING_UP in world.standings
-
-
-def test_a_straggler_that_does_not_move_is_shut_out_and_comes_back():
-    world = settled()
-    one = follower(world)
-    one.slow = 0
-    world.propose(world.leader, "things.alter", Alter(True))
-    world.run(8)
-    assert one.membership.lease(one.now(world.time)) is None
-    roster = world.leader.state_machine.parts["members"]
-    assert not roster.changes and roster.in_force and roster.ineligibility(one.name, 1)
-    assert {MemberStanding.BEHIND, MemberStanding.STRAGGLER, MemberStanding.EVICTED} <= world.standings
-    one.slow = 200
-    world.run(4)
-    assert one.membership.incarnation == 2 and one.membership.phase is Phase.VALID
-
-
-def test_a_state_that_differs_shuts_its_member_out_and_keeps_the_evidence():
-    world = settled()
-    one = follower(world)
-    one.state_machine.parts["things"].held["forged"] = (one.name, 1)
-    world.propose(world.leader, "members.compare", Alter(True))  # any body: a point of comparing has none
-    world.run(4)
-    assert one.membership.phase is Phase.DIFFERS and one.store.evidence
-    assert one.membership.lease(one.now(world.time)) is None
-    assert "acts no more" in str(one.troubles[0]) and one.troubles[0].remedy
-    assert world.leader.state_machine.parts["members"].ineligibility(one.name, 1)
-    assert sum(m.membership.phase is Phase.VALID for m in world.members.values()) == 4
-
-
-def test_a_process_that_was_replaced_does_not_come_back():
-    world = settled()
-    one = follower(world)
-    old = one.membership
-    one.start()
-    world.run(4)
-    assert one.membership.incarnation == 2
-    old.turn(one.now(world.time), None)
-    assert old.phase is Phase.REPLACED and old.lease(one.now(world.time)) is None
-    assert old.renew(one.now(world.time), 0, 0, {}) is None
-
-
-def test_a_member_that_leaves_frees_at_once():
-    world = settled()
-    world.run(4)
-    things = world.leader.state_machine.parts["things"].held
-    one = next(m for m in world.members.values() if any(by[0] == m.name for by in things.values()))
-    for wanted in one.membership.leave():
-        world.propose(one, wanted.kind, wanted.body, wanted.tag)
+            fleet.step()
+    member.entries_per_step = 60
+    fleet.standings.clear()
+    fleet.run(4)
+    assert (
+        member.state_machine.index == fleet.leader.state_machine.index and member.membership.incarnation == 1
+    )
+    assert MemberStanding.CATCHING_UP in fleet.standings
+
+
+def test_a_straggler_without_progress_is_evicted_and_rejoins():
+    fleet = running_fleet()
+    member = follower(fleet)
+    member.entries_per_step = 0
+    fleet.propose(fleet.leader, "things.alter", ChangeContract(True))
+    fleet.run(8)
+    assert member.membership.lease(member.now(fleet.time)) is None
+    roster = fleet.leader.state_machine.parts["members"]
+    assert not roster.changes and roster.in_force and roster.ineligibility(member.name, 1)
+    assert {MemberStanding.BEHIND, MemberStanding.STRAGGLER, MemberStanding.EVICTED} <= fleet.standings
+    member.entries_per_step = 200
+    fleet.run(4)
+    assert member.membership.incarnation == 2 and member.membership.phase is Phase.VALID
+
+
+def test_a_member_with_a_differing_state_is_evicted_and_keeps_the_evidence():
+    fleet = running_fleet()
+    member = follower(fleet)
+    member.state_machine.parts["things"].held["forged"] = (member.name, 1)
+    fleet.propose(fleet.leader, "members.compare", ChangeContract(True))  # the body is ignored
+    fleet.run(4)
+    assert member.membership.phase is Phase.DIFFERS and member.store.evidence
+    assert member.membership.lease(member.now(fleet.time)) is None
+    assert "acts no more" in str(member.errors[0]) and member.errors[0].remedy
+    assert fleet.leader.state_machine.parts["members"].ineligibility(member.name, 1)
+    assert sum(m.membership.phase is Phase.VALID for m in fleet.members.values()) == 4
+
+
+def test_a_replaced_process_does_not_rejoin():
+    fleet = running_fleet()
+    member = follower(fleet)
+    replaced = member.membership
+    member.start()
+    fleet.run(4)
+    assert member.membership.incarnation == 2
+    replaced.turn(member.now(fleet.time), None)
+    assert replaced.phase is Phase.REPLACED and replaced.lease(member.now(fleet.time)) is None
+    assert replaced.renew(member.now(fleet.time), 0, 0, {}) is None
+
+
+def test_leaving_frees_resources_at_once():
+    fleet = running_fleet()
+    fleet.run(4)
+    held = fleet.leader.state_machine.parts["things"].held
+    member = next(m for m in fleet.members.values() if any(holder[0] == m.name for holder in held.values()))
+    for request in member.membership.leave():
+        fleet.propose(member, request.kind, request.body, request.tag)
     for _ in range(4 * SECOND // (4 * STEP)):
-        world.step()
-    held = world.leader.state_machine.parts["things"].held
-    assert not any(by == (one.name, 1) for by in held.values())
-    assert world.leader.state_machine.parts["members"].ineligibility(one.name, 1) == "gone"
+        fleet.step()
+    held = fleet.leader.state_machine.parts["things"].held
+    assert not any(holder == (member.name, 1) for holder in held.values())
+    assert fleet.leader.state_machine.parts["members"].ineligibility(member.name, 1) == "gone"
 
 
-def test_a_roster_restored_is_the_same():
-    roster = faulty(3).leader.state_machine.parts["members"]
+def test_a_restored_roster_equals_the_original():
+    roster = fleet_after_faults(3).leader.state_machine.parts["members"]
     other = Roster()
     other.restore(msgspec.msgpack.encode(roster.row()))
     assert other.row() == roster.row() and len(other.members) >= 5
 
 
-def test_one_that_asks_and_hears_nothing_is_shut_out():
-    """Cut one way: its askings come, no answer and no entry goes to it."""
-    world = settled()
-    one = follower(world)
-    world.cuts |= {(m, one.name) for m in world.members if m != one.name}
+def test_a_member_that_sends_renewals_but_receives_nothing_is_evicted():
+    """Only the links to it are blocked: its renewals arrive, but no replies and no entries reach it."""
+    fleet = running_fleet()
+    member = follower(fleet)
+    fleet.blocked_links |= {(name, member.name) for name in fleet.members if name != member.name}
     for _ in range(10):
-        world.propose(world.leader, "things.take", Take("x"))
-        world.run(1)
-    roster = world.leader.state_machine.parts["members"]
-    assert roster.ineligibility(one.name, 1) == "gone" and "takes no entry" in roster.members[one.name, 1].why
+        fleet.propose(fleet.leader, "things.take", AcquireResource("x"))
+        fleet.run(1)
+    roster = fleet.leader.state_machine.parts["members"]
+    assert (
+        roster.ineligibility(member.name, 1) == "gone"
+        and "takes no entry" in roster.members[member.name, 1].why
+    )
