--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -1,4 +1,4 @@
-"""No two act under one lease: every order of a small case with drifting clocks, and guards taken away."""
+"""Safety of leases: all orders of events of a small model with drifting clocks, also with guards removed."""
 
 import itertools
 from fractions import Fraction
@@ -9,96 +9,110 @@
 from indigohitch.fleet.membership.leases import Answer, LeaseGrantor, LeaseHolder, ReadFirst
 from indigohitch.fleet.membership.messages import LeaseRenewed, RenewLease
 
-SPAN, DRIFT = 8, 0.25  # so coarse that what a drift does shows within a few steps
-RATES = Fraction(3, 4), Fraction(5, 4)
-END = 19  # true time: an election and a whole lease after the asking fit in
-ASKINGS = 1
+SPAN = 8  # of a lease, in ticks
+DRIFT = 0.25  # so large that its effect shows within a few ticks
+CLOCK_RATES = Fraction(3, 4), Fraction(5, 4)
+END_TICK = 19  # true time; leaves room for an election and a whole lease after the request
+MAX_REQUESTS = 1
 
 
-class Case:
-    """One member `m` that holds something, the leader that it asks, and one that is elected later.  A
-    majority confirms a read of the first only before it votes for the second; that word may come late."""
+class LeaseModel:
+    """A member `m` that holds a lease, the leader that it sends requests to, and one that is elected later.
 
-    def __init__(self, rates):
-        self.rates, self.time = rates, 0
-        self.holder, self.first = LeaseHolder(SPAN, DRIFT), LeaseGrantor(SPAN, DRIFT, lambda *_: "")
-        self.second = LeaseGrantor(SPAN, DRIFT, lambda *_: "")
+    A majority confirms a read of the first leader only before it votes for the second; the confirmation may
+    arrive late.
+    """
+
+    def __init__(self, clock_rates):
+        self.clock_rates = clock_rates
+        self.time = 0
+        self.holder = LeaseHolder(SPAN, DRIFT)
+        self.first_leader = LeaseGrantor(SPAN, DRIFT, lambda *_: "")
+        self.second_leader = LeaseGrantor(SPAN, DRIFT, lambda *_: "")
         self.holder.start(1)
-        self.first.on_elected(0, 1)
-        self.asked, self.told, self.read, self.confirmed, self.out = [], [], 0, 0, False
+        self.first_leader.on_elected(0, 1)
+        self.requests = []
+        self.replies = []
+        self.pending_read = 0
+        self.confirmed_read = 0
 
-    def clock(self, n):
-        return int(self.rates[n] * self.time)
+    def clock(self, process):
+        """Returns the clock reading of the holder (0), the first (1) or the second leader (2)."""
+        return int(self.clock_rates[process] * self.time)
 
     def steps(self):
-        """What may happen next, by name."""
-        if self.time < END:
-            yield "wait"
-        if self.holder.number < ASKINGS and self.clock(0) >= self.holder.renewal_due_at:
-            yield "ask"
-        yield from (["come"] if self.asked else []) + (["hear"] if self.told else [])
-        if self.read and not self.confirmed and not self.second.term:
-            yield "confirm"  # a majority has answered: the first doesn't know yet
-        if self.confirmed:
-            yield "answer"
-        if not self.second.term:
-            yield "elect"
-
-    def go(self, step):
-        new = Case.__new__(Case)
-        new.__dict__.update(self.__dict__)
-        for name in ("holder", "first", "second"):
-            old = getattr(self, name)
-            one = type(old).__new__(type(old))
-            one.__dict__.update(
-                {k: v.copy() if isinstance(v, dict | set) else v for k, v in old.__dict__.items()}
+        """Yields the names of the methods for each event that may come next."""
+        if self.time < END_TICK:
+            yield "advance_time"
+        if self.holder.number < MAX_REQUESTS and self.clock(0) >= self.holder.renewal_due_at:
+            yield "send_request"
+        yield from (["deliver_request"] if self.requests else []) + (
+            ["deliver_reply"] if self.replies else []
+        )
+        if self.pending_read and not self.confirmed_read and not self.second_leader.term:
+            yield "confirm_read"  # by a majority; the first leader does not know it yet
+        if self.confirmed_read:
+            yield "deliver_confirmation"
+        if not self.second_leader.term:
+            yield "elect_second_leader"
+
+    def after(self, step):
+        """Returns a copy of the model, after one more step."""
+        copy = LeaseModel.__new__(LeaseModel)
+        copy.__dict__.update(self.__dict__)
+        for name in ("holder", "first_leader", "second_leader"):
+            original = getattr(self, name)
+            duplicate = type(original).__new__(type(original))
+            duplicate.__dict__.update(
+                {k: v.copy() if isinstance(v, dict | set) else v for k, v in original.__dict__.items()}
             )
-            setattr(new, name, one)
-        getattr(new, step)()
-        return new
+            setattr(copy, name, duplicate)
+        getattr(copy, step)()
+        return copy
 
-    def wait(self):
+    def advance_time(self):
         self.time += 1
 
-    def ask(self):
-        self.asked = self.asked + [RenewLease(self.holder.next_renewal(self.clock(0)), 1, 0)]
+    def send_request(self):
+        self.requests = self.requests + [RenewLease(self.holder.next_renewal(self.clock(0)), 1, 0)]
 
-    def come(self):
-        self.carry(self.first.on_renewal(self.clock(1), "m", self.asked[0]))
-        self.asked = self.asked[1:]
+    def deliver_request(self):
+        self.carry_out(self.first_leader.on_renewal(self.clock(1), "m", self.requests[0]))
+        self.requests = self.requests[1:]
 
-    def confirm(self):
-        self.confirmed = self.read
+    def confirm_read(self):
+        self.confirmed_read = self.pending_read
 
-    def answer(self):
-        number, self.confirmed, self.read = self.confirmed, 0, 0
-        self.carry(self.first.on_read_confirmed(self.clock(1), number))
+    def deliver_confirmation(self):
+        number, self.confirmed_read, self.pending_read = self.confirmed_read, 0, 0
+        self.carry_out(self.first_leader.on_read_confirmed(self.clock(1), number))
 
-    def elect(self):
-        self.second.on_elected(self.clock(2), 2)
+    def elect_second_leader(self):
+        self.second_leader.on_elected(self.clock(2), 2)
 
-    def hear(self):
-        self.holder.on_renewed(self.told[0])
-        self.told = self.told[1:]
+    def deliver_reply(self):
+        self.holder.on_renewed(self.replies[0])
+        self.replies = self.replies[1:]
 
-    def carry(self, outs):
-        for out in outs:
-            match out:
+    def carry_out(self, orders):
+        for order in orders:
+            match order:
                 case ReadFirst(number):
-                    self.read, self.confirmed = number, 0
-                case Answer(_, LeaseRenewed() as word):
-                    self.told = self.told + [word]
+                    self.pending_read, self.confirmed_read = number, 0
+                case Answer(_, LeaseRenewed() as message):
+                    self.replies = self.replies + [message]
 
-    def broken(self):
-        """Someone would give on what the member still holds."""
+    def is_unsafe(self):
+        """Returns whether a leader takes the lease for expired while the member still holds it."""
         return self.holder.lease(self.clock(0)) is not None and (
-            self.second.has_expired(self.clock(2), "m", 1)
-            or not self.second.term
-            and self.first.has_expired(self.clock(1), "m", 1)
+            self.second_leader.has_expired(self.clock(2), "m", 1)
+            or not self.second_leader.term
+            and self.first_leader.has_expired(self.clock(1), "m", 1)
         )
 
     def key(self):
-        first, second = self.first, self.second
+        """Returns the state for the comparison of models."""
+        first, second = self.first_leader, self.second_leader
         return (
             self.time,
             self.holder.valid_until,
@@ -108,90 +122,94 @@
             len(first.waiting),
             first.round and first.round.number,
             second.assumed_until,
-            len(self.asked),
-            len(self.told),
-            self.told[0].number if self.told else 0,
-            self.read,
-            self.confirmed,
+            len(self.requests),
+            len(self.replies),
+            self.replies[0].number if self.replies else 0,
+            self.pending_read,
+            self.confirmed_read,
         )
 
 
-def walked(rates):
-    """States seen, and whether one of them broke the promise."""
-    seen, stack = set(), [Case(rates)]
+def explore(clock_rates):
+    """Returns how many states were visited, and whether an unsafe one was among them."""
+    visited, stack = set(), [LeaseModel(clock_rates)]
     while stack:
-        case = stack.pop()
-        if case.broken():
-            return len(seen), True
-        if (key := case.key()) not in seen:
-            seen.add(key)
-            stack += [case.go(step) for step in case.steps()]
-    return len(seen), False
+        model = stack.pop()
+        if model.is_unsafe():
+            return len(visited), True
+        if (key := model.key()) not in visited:
+            visited.add(key)
+            stack += [model.after(step) for step in model.steps()]
+    return len(visited), False
 
 
-@pytest.mark.parametrize("rates", list(itertools.product(RATES, repeat=3)))
-def test_what_is_given_on_is_held_by_nobody(rates):
-    states, broken = walked(rates)
-    assert not broken and states > 1000
+@pytest.mark.parametrize("clock_rates", list(itertools.product(CLOCK_RATES, repeat=3)))
+def test_no_leader_takes_a_held_lease_for_expired(clock_rates):
+    states, unsafe = explore(clock_rates)
+    assert not unsafe and states > 1000
 
 
-def unread(self, now, name, word):
-    return [Answer(name, self._reply(now, name, word, True))]
+def reply_without_read(self, now, name, message):
+    return [Answer(name, self._reply(now, name, message, True))]
 
 
-@pytest.mark.parametrize("guard", ["from_hearing", "holder_drift", "giver_drift", "election", "read"])
-def test_a_guard_taken_away_is_found(guard, monkeypatch):
+@pytest.mark.parametrize("guard", ["request_time", "holder_drift", "grantor_drift", "election", "read"])
+def test_exploration_detects_a_removed_guard(guard, monkeypatch):
     match guard:
-        case "from_hearing":  # the holder counts from when the answer came
+        case "request_time":  # the holder counts the whole span, and from its last request on
             monkeypatch.setattr(
                 LeaseHolder,
                 "on_renewed",
-                lambda self, word: (
+                lambda self, message: (
                     setattr(self, "valid_until", SPAN + max(self.sent.values()))
-                    if word.number in self.sent
+                    if message.number in self.sent
                     else None
                 ),
             )
         case "holder_drift":
             monkeypatch.setattr(leases, "holder_span", lambda span, drift: span)
-        case "giver_drift":
+        case "grantor_drift":
             monkeypatch.setattr(leases, "grantor_span", lambda span, drift: span)
-        case "election":  # what another leader gave is not thought of
+        case "election":  # leases that another leader granted are ignored
             monkeypatch.setattr(
                 LeaseGrantor,
                 "has_expired",
-                lambda self, now, *one: bool(self.term) and now >= (self.granted_until.get(one, 0)),
+                lambda self, now, *member: bool(self.term) and now >= (self.granted_until.get(member, 0)),
             )
-        case "read":  # the leader answers without asking whether it still leads
-            monkeypatch.setattr(LeaseGrantor, "on_renewal", unread)
-    assert any(walked(rates)[1] for rates in itertools.product(RATES, repeat=3))
+        case "read":  # the leader replies without confirming that it still leads
+            monkeypatch.setattr(LeaseGrantor, "on_renewal", reply_without_read)
+    assert any(explore(clock_rates)[1] for clock_rates in itertools.product(CLOCK_RATES, repeat=3))
 
 
-class Counting(dict):
-    """How often all of it is looked through."""
+class IterationCounter(dict):
+    """A dictionary that counts how often it is iterated over."""
 
-    looks = 0
+    iterations = 0
 
     def __iter__(self):
-        self.looks += 1
+        self.iterations += 1
         return super().__iter__()
 
     def items(self):
-        self.looks += 1
+        self.iterations += 1
         return super().items()
 
 
-def test_a_round_of_answers_looks_through_all_leases_once():
-    """Found by make bench-capacity: it was once for each answer, 3.9 s a round for 6,500 members."""
-    giver, members = LeaseGrantor(SPAN, DRIFT, lambda *_: ""), [f"m{number}" for number in range(300)]
-    giver.on_elected(0, 1)
-    until = giver.granted_until = Counting({(name, 1): 40 for name in members} | {("ended", 1): 30})
+def test_a_round_of_replies_iterates_over_the_leases_once():
+    """One iteration for each reply took 3.9 s a round for 6,500 members (found by make bench-capacity)."""
+    grantor, members = LeaseGrantor(SPAN, DRIFT, lambda *_: ""), [f"m{number}" for number in range(300)]
+    grantor.on_elected(0, 1)
+    leases = grantor.granted_until = IterationCounter(
+        {(name, 1): 40 for name in members} | {("ended", 1): 30}
+    )
     for name in members:
-        giver.on_renewal(30, name, RenewLease(1, 1, 0, 0, b"", 0, 0, {}))
-    answers = []
-    while giver.round is not None:
-        answers += [one for one in giver.on_read_confirmed(30, giver.reads) if isinstance(one, Answer)]
-    assert len(answers) == 300 and all(isinstance(one.word, LeaseRenewed) for one in answers)
-    assert until.looks == 1
-    assert giver.granted_until == {(name, 1): 30 + giver.duration for name in members}
-    assert giver.has_expired(30, "ended", 1) and not giver.has_expired(30, "m0", 1)
+        grantor.on_renewal(30, name, RenewLease(1, 1, 0, 0, b"", 0, 0, {}))
+    replies = []
+    while grantor.round is not None:
+        replies += [
+            order for order in grantor.on_read_confirmed(30, grantor.reads) if isinstance(order, Answer)
+        ]
+    assert len(replies) == 300 and all(isinstance(reply.word, LeaseRenewed) for reply in replies)
+    assert leases.iterations == 1
+    assert grantor.granted_until == {(name, 1): 30 + grantor.duration for name in members}
+    assert grantor.has_expired(30, "ended", 1) and not grantor.has_expired(30, "m0", 1)
