--- a/tests/test_transport_links.py
+++ b/tests/test_transport_links.py
@@ -1,4 +1,4 @@
-"""Links between members over loopback: greetings, strangers, spoilt frames, slow and silent peers."""
+"""Links between members over loopback: handshakes, unidentified connections, corrupt frames, slow peers."""
 
 import random
 import socket
@@ -16,17 +16,17 @@
 from nodes import Kept, Looped, free
 
 
-class Pair(Looped):
-    """Links by name, each with what it heard."""
+class TransportHarness(Looped):
+    """Transports in one event loop, by name, with the messages that each has received."""
 
     def __init__(self, *names):
         super().__init__()
-        self.at = {name: free() for name in names}
-        self.heard = {name: [] for name in names}
-        self.links = {}
+        self.addresses = {name: free() for name in names}
+        self.received = {name: [] for name in names}
+        self.transports = {}
 
     def start(self, name, number=1, fleet="whk", token=7, peers=None):
-        links = self.links[name] = Transport(
+        transport = self.transports[name] = Transport(
             self.loop,
             Kept(self.clock, name),
             KINDS,
@@ -35,71 +35,75 @@
             token,
             random.Random(1).random,
         )
-        links.deliver = lambda who, word: self.heard[name].append((who, word))
-        links.start(self.at[name])
-        links.set_peers({other: at for other, at in (peers or self.at).items() if other != name})
-        links.tick()
-        return links
+        transport.deliver = lambda peer, message: self.received[name].append((peer, message))
+        transport.start(self.addresses[name])
+        transport.set_peers(
+            {peer: address for peer, address in (peers or self.addresses).items() if peer != name}
+        )
+        transport.tick()
+        return transport
 
-    def beat(self):
-        for links in self.links.values():
-            links.tick()
-        self.loop.call_after(500, self.beat)
+    def tick_regularly(self):
+        for transport in self.transports.values():
+            transport.tick()
+        self.loop.call_after(500, self.tick_regularly)
 
-    def up(self, name, to):
-        self.until(lambda: self.links[name].peers[to].phase is outbound.Phase.OPEN)
+    def wait_until_open(self, name, peer):
+        self.until(lambda: self.transports[name].peers[peer].phase is outbound.Phase.OPEN)
 
     def close(self):
-        for links in self.links.values():
-            links.close()
+        for transport in self.transports.values():
+            transport.close()
         self.loop.close()
         assert not self.failed
 
 
 @pytest.fixture
-def pair():
-    pair = Pair("a", "b")
-    pair.beat()
-    yield pair
-    pair.close()
+def harness():
+    harness = TransportHarness("a", "b")
+    harness.tick_regularly()
+    yield harness
+    harness.close()
 
 
-def both(pair):
-    a, b = pair.start("a"), pair.start("b")
-    pair.up("a", "b"), pair.up("b", "a")
+def start_both(harness):
+    a, b = harness.start("a"), harness.start("b")
+    harness.wait_until_open("a", "b"), harness.wait_until_open("b", "a")
     return a, b
 
 
-def test_words_arrive_in_order_from_who_said_them(pair):
-    a, b = both(pair)
+def test_messages_arrive_in_order_and_with_their_sender(harness):
+    a, b = start_both(harness)
     for term in range(500):
         assert a.send(MemberId("b", 1), RequestVoteResponse(term, True))
-    pair.until(lambda: len(pair.heard["b"]) == 500)
-    assert pair.heard["b"] == [(MemberId("a", 1), RequestVoteResponse(term, True)) for term in range(500)]
+    harness.until(lambda: len(harness.received["b"]) == 500)
+    assert harness.received["b"] == [
+        (MemberId("a", 1), RequestVoteResponse(term, True)) for term in range(500)
+    ]
 
 
-def test_nothing_is_said_to_another_number_of_that_name(pair):
-    a, b = both(pair)
+def test_nothing_is_sent_to_a_member_with_another_number(harness):
+    a, b = start_both(harness)
     assert not a.send(MemberId("b", 2), RequestVoteResponse(1, True))
     b.set_own_id(MemberId("b", 2))
-    pair.until(lambda: a.send(MemberId("b", 2), RequestVoteResponse(2, True)))
-    pair.until(lambda: pair.heard["b"])
+    harness.until(lambda: a.send(MemberId("b", 2), RequestVoteResponse(2, True)))
+    harness.until(lambda: harness.received["b"])
     assert not a.send(MemberId("b", 1), RequestVoteResponse(1, True))
 
 
-def test_a_member_that_comes_back_is_dialled_again(pair):
-    a, b = both(pair)
+def test_a_restarted_member_is_dialled_again(harness):
+    a, b = start_both(harness)
     b.close()
-    pair.until(lambda: a.peers["b"].phase is not outbound.Phase.OPEN)
+    harness.until(lambda: a.peers["b"].phase is not outbound.Phase.OPEN)
     assert not a.send(MemberId("b", 1), RequestVoteResponse(1, True))
-    pair.turns(300)
-    pair.start("b", token=8)
-    pair.up("a", "b")
+    harness.turns(300)
+    harness.start("b", token=8)
+    harness.wait_until_open("a", "b")
     assert a.peers["b"].acceptance.token == 8
 
 
 @pytest.mark.parametrize(
-    "greeting, kind",
+    "handshake, refusal",
     [
         (Handshake("other", MemberId("b", 1), 5), "another fleet"),
         (Handshake("whk", MemberId("x", 1), 5), "no member"),
@@ -111,118 +115,118 @@
         (Handshake("whk", MemberId("b", 4), 5, 1, 2), ""),
     ],
 )
-def test_who_may_speak(greeting, kind):
-    assert check_member(greeting, "whk", "a", {"b", "c"}, 3)[1] == kind
+def test_handshakes_of_other_fleets_unknown_members_old_disks_and_protocols_are_refused(handshake, refusal):
+    assert check_member(handshake, "whk", "a", {"b", "c"}, 3)[1] == refusal
 
 
-def spoken(pair, data):
-    """What a stranger who says this hears until it is closed."""
-    with socket.create_connection(pair.at["a"], 5) as sock:
+def replies_to(harness, data):
+    """Sends bytes over a new connection and returns the messages received until it is closed."""
+    with socket.create_connection(harness.addresses["a"], 5) as sock:
         sock.setblocking(False)
         sock.sendall(data)
-        got = bytearray()
+        received = bytearray()
 
         def closed():
             try:
-                part = sock.recv(4096)
+                chunk = sock.recv(4096)
             except BlockingIOError:
                 return False
             except ConnectionError:
                 return True
-            got.extend(part)
-            return not part
+            received.extend(chunk)
+            return not chunk
 
-        pair.until(closed)
-    return [word for word, _ in FrameDecoder(KINDS).feed(bytes(got))]
+        harness.until(closed)
+    return [message for message, _ in FrameDecoder(KINDS).feed(bytes(received))]
 
 
-def test_strangers_are_closed_counted_and_told_why(pair):
-    a = pair.start("a")
-    other = KINDS.frame(Handshake("other", MemberId("b", 1), 5))
-    assert spoken(pair, other) == [HandshakeRefused("of fleet other, this is whk")]
-    assert spoken(pair, b"GET / HTTP/1.1\r\n\r\n") == []
-    assert spoken(pair, KINDS.frame(RequestVoteResponse(1, True))) == []  # a word before the greeting
-    assert spoken(pair, b"") == []  # says nothing at all
+def test_unidentified_connections_are_closed_and_counted_and_refusals_state_why(harness):
+    a = harness.start("a")
+    other_fleet = KINDS.frame(Handshake("other", MemberId("b", 1), 5))
+    assert replies_to(harness, other_fleet) == [HandshakeRefused("of fleet other, this is whk")]
+    assert replies_to(harness, b"GET / HTTP/1.1\r\n\r\n") == []
+    assert replies_to(harness, KINDS.frame(RequestVoteResponse(1, True))) == []  # before a handshake
+    assert replies_to(harness, b"") == []  # sends nothing
     assert a.log.counts["member_refused"] == 1 and a.log.counts["frame_spoilt"] == 1
     assert a.log.counts["stranger"] == 2
     assert all(fields["remedy"] for name, fields in a.log.events if name in ("stranger", "frame_spoilt"))
-    assert pair.heard["a"] == []
+    assert harness.received["a"] == []
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_spoilt_frames_close_and_never_reach_the_member(pair, seed):
-    chance, a = random.Random(seed), pair.start("a")
-    good = KINDS.frame(Handshake("whk", MemberId("b", 1), 5)) + KINDS.frame(RequestVoteResponse(1, True))
-    data = bytearray(good)
-    at = chance.randrange(len(KINDS.frame(Handshake("whk", MemberId("b", 1), 5))), len(good))
-    data[at] ^= 1 << chance.randrange(8)
-    with socket.create_connection(pair.at["a"], 5) as sock:
+def test_a_flipped_bit_never_delivers_a_changed_message(harness, seed):
+    rng, a = random.Random(seed), harness.start("a")
+    intact = KINDS.frame(Handshake("whk", MemberId("b", 1), 5)) + KINDS.frame(RequestVoteResponse(1, True))
+    data = bytearray(intact)
+    position = rng.randrange(len(KINDS.frame(Handshake("whk", MemberId("b", 1), 5))), len(intact))
+    data[position] ^= 1 << rng.randrange(8)
+    with socket.create_connection(harness.addresses["a"], 5) as sock:
         sock.sendall(data)
-        pair.until(lambda: a.inbound or a.log.counts["frame_spoilt"])
-        pair.turns(30)
-    # A length made longer only waits for more, and the number of descriptors says nothing here.
-    assert all(word == RequestVoteResponse(1, True) for _, word in pair.heard["a"])
+        harness.until(lambda: a.inbound or a.log.counts["frame_spoilt"])
+        harness.turns(30)
+    # A larger length only waits for more bytes, and the number of descriptors has no effect here.
+    assert all(message == RequestVoteResponse(1, True) for _, message in harness.received["a"])
     assert (
         a.log.counts["frame_spoilt"]
-        or pair.heard["a"]
-        or at - (len(good) - len(KINDS.frame(RequestVoteResponse(1, True)))) in range(8, 16)
+        or harness.received["a"]
+        or position - (len(intact) - len(KINDS.frame(RequestVoteResponse(1, True)))) in range(8, 16)
     )
 
 
-def test_many_strangers_leave_room_for_members(pair):
-    a = pair.start("a")
-    socks = [socket.create_connection(pair.at["a"], 5) for _ in range(MAX_UNIDENTIFIED + 20)]
-    pair.until(lambda: a.log.counts["strangers_too_many"])
+def test_many_unidentified_connections_leave_room_for_members(harness):
+    a = harness.start("a")
+    socks = [socket.create_connection(harness.addresses["a"], 5) for _ in range(MAX_UNIDENTIFIED + 20)]
+    harness.until(lambda: a.log.counts["strangers_too_many"])
     assert len(a.acceptor.unidentified) <= MAX_UNIDENTIFIED
-    pair.start("b")
-    pair.up("b", "a")  # once those have said nothing for a second
+    harness.start("b")
+    harness.wait_until_open("b", "a")  # once those have timed out, without a handshake for a second
     for sock in socks:
         sock.close()
 
 
-def test_a_peer_that_reads_nothing_loses_words_and_holds_up_nobody(pair):
-    """It greets and then reads no more: what it can't take is dropped, memory stays bounded."""
-    pair.at["c"] = free()
-    pair.heard["c"] = []
-    with socket.create_server(pair.at["c"]) as server:
+def test_messages_to_a_peer_that_does_not_read_are_dropped_and_delay_no_other_peer(harness):
+    """The peer accepts the handshake and then does not read; memory stays bounded."""
+    harness.addresses["c"] = free()
+    harness.received["c"] = []
+    with socket.create_server(harness.addresses["c"]) as server:
         server.setblocking(False)
-        a, b = both(pair)
-        found = []
+        a, b = start_both(harness)
+        accepted = []
 
-        def came():
+        def has_accepted():
             try:
-                found.append(server.accept()[0])
+                accepted.append(server.accept()[0])
             except BlockingIOError:
                 return False
             return True
 
-        pair.until(came)
-        found[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        found[0].sendall(KINDS.frame(HandshakeAccepted(MemberId("c", 1), 3)))
-        pair.up("a", "c")
-        word = AppendEntries(1, 0, 0, 0, (LogEntry(1, 1, "notes.add", bytes(40_000)),))
-        said = sum(a.send(MemberId("c", 1), word) for _ in range(200))
-        assert said < 60 and a.peers["c"].dropped == 200 - said
+        harness.until(has_accepted)
+        accepted[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        accepted[0].sendall(KINDS.frame(HandshakeAccepted(MemberId("c", 1), 3)))
+        harness.wait_until_open("a", "c")
+        message = AppendEntries(1, 0, 0, 0, (LogEntry(1, 1, "notes.add", bytes(40_000)),))
+        sent = sum(a.send(MemberId("c", 1), message) for _ in range(200))
+        assert sent < 60 and a.peers["c"].dropped == 200 - sent
         assert len(a.peers["c"].connection.outgoing) <= a.peers["c"].connection.BOUND
-        assert a.send(MemberId("b", 1), word)
-        pair.until(lambda: pair.heard["b"])
-        pair.until(lambda: a.log.said("member_silent"))  # and it is noticed
-        found[0].close()
-
-
-def test_who_answers_at_anothers_address_is_not_taken_for_it(pair):
-    pair.at["c"] = free()
-    pair.heard["c"] = []
-    pair.start("c")
-    a = pair.start("a", peers=pair.at | {"b": pair.at["c"]})
-    pair.until(lambda: a.log.said("not_who_was_dialled"))
+        assert a.send(MemberId("b", 1), message)
+        harness.until(lambda: harness.received["b"])
+        harness.until(lambda: a.log.said("member_silent"))
+        accepted[0].close()
+
+
+def test_a_link_is_not_opened_to_another_member_at_the_address(harness):
+    harness.addresses["c"] = free()
+    harness.received["c"] = []
+    harness.start("c")
+    a = harness.start("a", peers=harness.addresses | {"b": harness.addresses["c"]})
+    harness.until(lambda: a.log.said("not_who_was_dialled"))
     assert a.peers["b"].phase is not outbound.Phase.OPEN and a.peers["c"].peer == MemberId("c", 1)
 
 
-def test_files_read_again_move_links(pair):
-    a, b = both(pair)
+def test_links_follow_a_changed_list_of_members(harness):
+    a, b = start_both(harness)
     a.set_peers({})
     assert not a.send(MemberId("b", 1), RequestVoteResponse(1, True)) and not a.inbound
-    pair.until(lambda: b.log.said("refused_by_member"))
-    a.set_peers({"b": pair.at["b"]})
-    pair.up("a", "b"), pair.up("b", "a")
+    harness.until(lambda: b.log.said("refused_by_member"))
+    a.set_peers({"b": harness.addresses["b"]})
+    harness.wait_until_open("a", "b"), harness.wait_until_open("b", "a")
