--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -37,8 +37,10 @@
         self.standings = set()
 
     def can_receive(self, receiver, sender):
-        is_running = max(receiver.paused_until, sender.paused_until) <= self.time
-        return is_running and (sender.name, receiver.name) not in self.blocked_links
+        return (
+            max(receiver.paused_until, sender.paused_until) <= self.time
+            and (sender.name, receiver.name) not in self.blocked_links
+        )
 
     def are_connected(self, one, other):
         return one is other or self.can_receive(one, other) and self.can_receive(other, one)
@@ -97,8 +99,11 @@
             self.highest_in_force = max(self.highest_in_force, member.state_machine.parts["members"].in_force)
             now = member.now(self.time)
             member.proposal_requests += member.membership.applied(now, entry, outcome)
-            key = (entry.proposer, entry.incarnation, entry.number)
-            if (pending := member.pending_proposals.pop(key, None)) is not None:
+            if (
+                pending := member.pending_proposals.pop(
+                    (entry.proposer, entry.incarnation, entry.number), None
+                )
+            ) is not None:
                 self.report_outcome(member, pending, outcome)
 
     def report_outcome(self, member, pending, outcome):
@@ -122,8 +127,7 @@
             if self.time > pending[2] + TIMEOUT:
                 del member.pending_proposals[key]
                 self.report_outcome(member, pending, None)
-        renewal = own.renew(now, 0, member.actions.number, {})
-        if renewal is not None and self.leader is not None:
+        if (renewal := own.renew(now, 0, member.actions.number, {})) is not None and self.leader is not None:
             self.send(member, self.leader, renewal)
         self.act(member, now)
 
@@ -151,8 +155,9 @@
                 self.log.append(msgspec.structs.replace(entry, index=len(self.log) + 1))
 
     def send(self, sender, receiver, message):
-        arrives_at = self.time + self.rng.choice((0, STEP, 2 * STEP, SECOND))
-        self.messages.append((arrives_at, sender, receiver, message))
+        self.messages.append(
+            (self.time + self.rng.choice((0, STEP, 2 * STEP, SECOND)), sender, receiver, message)
+        )
 
     def carry_out(self, member, orders):
         for order in orders:
