--- a/indigohitch/fleet/membership/member_work.py
+++ b/indigohitch/fleet/membership/member_work.py
@@ -121,7 +121,7 @@
             self.detector.start(now)
 
     def on_read_confirmed(self, now: int, number: int, confirmed: bool) -> list[ReadFirst | Answer]:
-        """Handles the result of a `ReadFirst`, once the state machine has applied the log up to it."""
+        """Handles the result of a read; the state machine has applied the log up to its index."""
         return self.grantor.on_read_confirmed(now, number, confirmed)
 
     def reports_for(self, now: int, work: str) -> dict[str, bytes]:
--- a/tests/test_membership_faults.py
+++ b/tests/test_membership_faults.py
@@ -193,8 +193,10 @@
 def test_leaving_frees_resources_at_once():
     fleet = running_fleet()
     fleet.run(4)
-    held = fleet.leader.state_machine.parts["things"].held
-    member = next(m for m in fleet.members.values() if any(holder[0] == m.name for holder in held.values()))
+    previous = fleet.leader.state_machine.parts["things"].held
+    member = next(
+        m for m in fleet.members.values() if any(holder[0] == m.name for holder in previous.values())
+    )
     for request in member.membership.leave():
         fleet.propose(member, request.kind, request.body, request.tag)
     for _ in range(4 * SECOND // (4 * STEP)):
