--- a/indigohitch/upgrade/__init__.py
+++ b/indigohitch/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""A running program hands its listeners, connections and state over to a new process of itself."""
+"""Hands the listeners, connections and state of a running process over to a new one of the same program."""
--- a/indigohitch/upgrade/connection_transfer.py
+++ b/indigohitch/upgrade/connection_transfer.py
@@ -1,4 +1,4 @@
-"""Keeps the connections passed to the new process until it has confirmed that it owns them."""
+"""Passes connections to the new process and keeps each until the new process has confirmed it."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 class ConnectionTransfer:
     """Sends connections by number; each can be taken back until the new process confirms its number."""
 
-    MAX_UNREAD_BYTES = 1 << 20  # unread bytes of connections in one frame: an eighth of a frame's bound
+    MAX_UNREAD_BYTES = 1 << 20  # unread bytes per frame: an eighth of the maximum frame size
 
     def __init__(self, send: Callable[[messages.Message, Sequence[int]], None]) -> None:
-        """Takes the function that sends a message with its descriptors."""
+        """Stores `send`, which sends a message with its descriptors."""
         self.send = send
         self.unconfirmed: dict[int, PassedConnection] = {}  # by number
-        self.number = 0  # the last number that was assigned
+        self.last_number = 0
 
     def add(self, connections: Iterable[PassedConnection]) -> None:
-        """Assigns numbers; from here on each connection can be taken back."""
+        """Assigns numbers to the connections, which can be taken back from then on."""
         for connection in connections:
-            self.number += 1
-            self.unconfirmed[self.number] = connection
+            self.last_number += 1
+            self.unconfirmed[self.last_number] = connection
 
     def send_all(self) -> None:
         """Sends all unconfirmed connections in batches.
@@ -44,12 +44,12 @@
         self._send_batch(batch)
 
     def send_single(self, connection: PassedConnection) -> bool:
-        """Sends one connection; False: it could not be sent, and stays with the caller."""
+        """Sends one connection; returns False if that failed and the caller keeps the connection."""
         self.add([connection])
         try:
-            self._send_batch([self.number])
+            self._send_batch([self.last_number])
         except OSError:
-            del self.unconfirmed[self.number]
+            del self.unconfirmed[self.last_number]
             return False
         return True
 
@@ -57,19 +57,19 @@
         if not numbers:
             return
         batch = [self.unconfirmed[number] for number in numbers]
-        rests = [rest for _, _, rest in batch]
+        unread = [unread_bytes for _, _, unread_bytes in batch]
         kinds = [kind for kind, _, _ in batch]
         descriptors = [sock.fileno() for _, sock, _ in batch]
-        self.send(messages.ConnectionsPassed(numbers, rests, kinds), descriptors)
+        self.send(messages.ConnectionsPassed(numbers, unread, kinds), descriptors)
 
     def confirm(self, numbers: Iterable[int]) -> None:
-        """Closes this process' side of connections that the new process owns; unknown numbers are ignored."""
+        """Closes this process' copies of connections that the new process owns; ignores unknown numbers."""
         for number in numbers:
             if number in self.unconfirmed:
                 self.unconfirmed.pop(number)[1].close()
 
     def take_back(self) -> list[PassedConnection]:
-        """Returns all unconfirmed connections; they belong to this process again."""
+        """Returns and removes all unconfirmed connections, which this process owns again."""
         connections = list(self.unconfirmed.values())
         self.unconfirmed = {}
         return connections
--- a/indigohitch/upgrade/event_codec.py
+++ b/indigohitch/upgrade/event_codec.py
@@ -1,7 +1,7 @@
 """Converts events and orders of the decision module to plain data and back; no I/O.
 
-The rows go into handovers and snapshots: a wire name, then the values in the order of `_WIRE`.  A class or a
-field of the package may be renamed; the wire names and the order of the values stay.
+Handovers and snapshots contain the rows: a wire name, then the values in the order of `_WIRE_FORMATS`.
+Classes and fields of the package may be renamed; the wire names and the order of the values may not change.
 """
 
 from __future__ import annotations
@@ -11,76 +11,76 @@
 
 import msgspec
 
-from .. import interface as face
+from .. import interface
 
-# By class: its wire name, and its fields in the order of their values on the wire.
-_WIRE: dict[type, tuple[str, tuple[str, ...]]] = {
-    face.BackendList: ("BackendList", ("scope", "version", "entries")),
-    face.ProbeResult: ("Probed", ("backend", "outcome", "duration", "load")),
-    face.SliceDemand: ("SliceDemand", ("slice", "method", "total", "unanswered", "elapsed")),
-    face.ProxyDemand: ("ProxyDemand", ("proxy", "method", "total", "unanswered", "elapsed")),
-    face.BackendTraffic: (
+# The wire name of each class, and its fields in the order of their values on the wire.
+_WIRE_FORMATS: dict[type, tuple[str, tuple[str, ...]]] = {
+    interface.BackendList: ("BackendList", ("scope", "version", "entries")),
+    interface.ProbeResult: ("Probed", ("backend", "outcome", "duration", "load")),
+    interface.SliceDemand: ("SliceDemand", ("slice", "method", "total", "unanswered", "elapsed")),
+    interface.ProxyDemand: ("ProxyDemand", ("proxy", "method", "total", "unanswered", "elapsed")),
+    interface.BackendTraffic: (
         "Traffic",
         ("zone", "backend", "attempts", "failures", "duration", "elapsed", "load"),
     ),
-    face.ProxyJoined: ("ProxyJoined", ("proxy", "zone", "request_rate", "has_no_tables")),
-    face.ProxyLeft: ("ProxyLeft", ("proxy",)),
-    face.UpdateAcknowledged: ("Acked", ("proxy", "marker", "duration")),
-    face.SliceOwnership: ("Charge", ("slice", "is_owned")),
-    face.StoredRoute: ("StoredLine", ("slice", "backend", "weight")),
-    face.PeerMessage: ("PeerNote", ("peer", "body")),
-    face.TimerFired: ("TimerDue", ("tag",)),
-    face.SetRoute: ("SetLine", ("table", "backend", "weight")),
-    face.ClearTable: ("ClearTable", ("table",)),
-    face.SetAdmission: ("SetLevel", ("table", "methods", "admission_ratio", "retry_level")),
-    face.EjectBackend: ("Withdraw", ("backend", "ejected")),
-    face.BindTable: ("Bind", ("proxy", "table", "methods")),
-    face.UpdateMarker: ("Mark", ("marker", "to_all_proxies")),
-    face.ProbeBackend: ("Probe", ("backend",)),
-    face.SendToPeer: ("TellPeer", ("peer", "body")),
-    face.WatchBackends: ("Subscribe", ("enabled",)),
-    face.FetchBackends: ("FetchList", ()),
-    face.SetTimer: ("SetTimer", ("due_at", "tag")),
-    face.LogMessage: ("LogLine", ("text",)),
+    interface.ProxyJoined: ("ProxyJoined", ("proxy", "zone", "request_rate", "has_no_tables")),
+    interface.ProxyLeft: ("ProxyLeft", ("proxy",)),
+    interface.UpdateAcknowledged: ("Acked", ("proxy", "marker", "duration")),
+    interface.SliceOwnership: ("Charge", ("slice", "is_owned")),
+    interface.StoredRoute: ("StoredLine", ("slice", "backend", "weight")),
+    interface.PeerMessage: ("PeerNote", ("peer", "body")),
+    interface.TimerFired: ("TimerDue", ("tag",)),
+    interface.SetRoute: ("SetLine", ("table", "backend", "weight")),
+    interface.ClearTable: ("ClearTable", ("table",)),
+    interface.SetAdmission: ("SetLevel", ("table", "methods", "admission_ratio", "retry_level")),
+    interface.EjectBackend: ("Withdraw", ("backend", "ejected")),
+    interface.BindTable: ("Bind", ("proxy", "table", "methods")),
+    interface.UpdateMarker: ("Mark", ("marker", "to_all_proxies")),
+    interface.ProbeBackend: ("Probe", ("backend",)),
+    interface.SendToPeer: ("TellPeer", ("peer", "body")),
+    interface.WatchBackends: ("Subscribe", ("enabled",)),
+    interface.FetchBackends: ("FetchList", ()),
+    interface.SetTimer: ("SetTimer", ("due_at", "tag")),
+    interface.LogMessage: ("LogLine", ("text",)),
 }
-_KINDS = {name: (kind, fields) for kind, (name, fields) in _WIRE.items()}
-# One entry of a list of backends, which has no name on the wire.
-_LISTED = ("backend", "state", "weight", "zone", "cell", "kind", "started_at")
+_CLASSES_BY_WIRE_NAME = {name: (item_class, fields) for item_class, (name, fields) in _WIRE_FORMATS.items()}
+# An entry of a backend list has no name on the wire.
+_ENTRY_FIELDS = ("backend", "state", "weight", "zone", "cell", "kind", "started_at")
 
 
-def pack_entry(entry: face.BackendEntry) -> tuple:
-    """Return the values of one entry of a list of backends."""
-    return tuple(getattr(entry, field) for field in _LISTED)
+def pack_entry(entry: interface.BackendEntry) -> tuple:
+    """Return the values of an entry of a backend list, in wire order."""
+    return tuple(getattr(entry, field) for field in _ENTRY_FIELDS)
 
 
-def unpack_entry(row: Iterable) -> face.BackendEntry:
-    """Return the entry of a list of backends with these values; raises ValueError."""
-    return face.BackendEntry(**dict(zip(_LISTED, row, strict=True)))
+def unpack_entry(row: Iterable) -> interface.BackendEntry:
+    """Return the entry of a backend list that has these values; raises ValueError for a wrong number."""
+    return interface.BackendEntry(**dict(zip(_ENTRY_FIELDS, row, strict=True)))
 
 
-def pack(item: face.Event | face.Order) -> tuple:
+def pack(item: interface.Event | interface.Order) -> tuple:
     """Return the wire name of an event or order, followed by its values."""
-    name, fields = _WIRE[type(item)]
+    name, fields = _WIRE_FORMATS[type(item)]
     values = [getattr(item, field) for field in fields]
-    if type(item) is face.BackendList:
+    if type(item) is interface.BackendList:
         values[-1] = [pack_entry(entry) for entry in item.entries]
     return (name, *values)
 
 
-def unpack(row: Iterable) -> face.Event | face.Order:
+def unpack(row: Iterable) -> interface.Event | interface.Order:
     """Return the event or order in a row of `pack`; raises ValueError."""
     name, *values = row
-    if name not in _KINDS or len(values) != len(_KINDS[name][1]):
-        raise ValueError(f"no event or order: {name!r} with {len(values)} values")
-    kind, fields = _KINDS[name]
-    if kind is face.BackendList:
+    if name not in _CLASSES_BY_WIRE_NAME or len(values) != len(_CLASSES_BY_WIRE_NAME[name][1]):
+        raise ValueError(f"unknown event or order: {name!r} with {len(values)} values")
+    item_class, fields = _CLASSES_BY_WIRE_NAME[name]
+    if item_class is interface.BackendList:
         values[-1] = tuple(map(unpack_entry, values[-1]))
-    elif kind is face.SetAdmission:
+    elif item_class is interface.SetAdmission:
         values[1] = tuple(values[1])
-    return kind(**dict(zip(fields, values)))
+    return item_class(**dict(zip(fields, values)))
 
 
-def pack_all(items: Iterable[face.Event | face.Order]) -> list[tuple]:
+def pack_all(items: Iterable[interface.Event | interface.Order]) -> list[tuple]:
     """Return the rows of several events or orders."""
     return [pack(item) for item in items]
 
@@ -91,6 +91,6 @@
 
 
 def rehearsal_digest(coordinators: Iterable, now: int) -> bytes:
-    """Return the digest of the next orders of these modules; it advances the modules to `now`."""
+    """Return the digest of the orders that these modules issue at `now`; advances the modules to `now`."""
     orders = [pack_all(coordinator.handle(now, [])) for coordinator in coordinators]
     return hashlib.blake2b(msgspec.msgpack.encode(orders), digest_size=16).digest()
--- a/indigohitch/upgrade/messages.py
+++ b/indigohitch/upgrade/messages.py
@@ -1,6 +1,6 @@
 """The messages between the old and the new process of an upgrade.
 
-They travel in the frames of `encoding.frames`; file descriptors are attached to the first byte of a frame.
+They are sent in the frames of `encoding.frames`; file descriptors are attached to the first byte of a frame.
 This module does no I/O.
 """
 
@@ -15,7 +15,7 @@
 
 
 class Hello(Message):
-    """New to old: the new process has started; the protocol and the state schema that it reads."""
+    """New to old: the new process has started, and reads this protocol and state schema."""
 
     protocol: int
     schema: int
@@ -24,52 +24,49 @@
 
 
 class Listeners(Message):
-    """Old to new, with their descriptors: the listening sockets by name, in order."""
+    """Old to new: the names of the listening sockets, in the order of the attached descriptors."""
 
     names: list[str]
-    now: int  # by the clock of the old process, which the new one continues
+    now: int  # ticks of the old process' clock, which the new process continues
     state_bytes: int
-    rehearse_at: int  # the time for which the new process computes the orders of its module
+    rehearse_at: int  # ticks: the time for which the new process computes the orders of its module
 
 
 class StateChunk(Message):
-    """Old to new: a part of the encoded state."""
+    """Old to new: a chunk of the encoded state."""
 
     data: bytes
 
 
 class StateRestored(Message):
-    """New to old: the digest of the state after decoding and encoding it once more."""
+    """New to old: the state was decoded and encoded again, with this digest."""
 
     digest: bytes
 
 
 class StateProven(Message):
-    """New to old: the restored module works."""
+    """New to old: the restored decision module has computed its orders."""
 
-    orders: bytes  # digest of the orders of its module at `rehearse_at`
+    orders: bytes  # digest of the orders at `rehearse_at`
 
 
 class ConnectionsPassed(Message):
-    """Old to new, with their descriptors: connections by number, their unread bytes and their kinds.
+    """Old to new: connections by number, in the order of the attached descriptors.
 
-    The kind is "client" at a sidecar; at a coordinator it is a JSON array of the
-    caller's figures, by position.
+    The kind is "client" in a sidecar; in a coordinator it is a JSON array of values that describe the
+    connection, by position.
     """
 
     numbers: list[int]
-    rests: list[bytes]
+    unread: list[bytes]  # received bytes that were not processed yet
     kinds: list[str]
 
 
 class CommitHandover(Message):
-    """Old to new: accept from here on.
+    """Old to new: the old process has stopped accepting; the new one starts."""
 
-    `rest` holds the events since the state was taken; `reload` is true if SIGHUP arrived meanwhile.
-    """
-
-    rest: bytes
-    reload: bool = False
+    late_events: bytes  # encoded events since the state was taken
+    reload: bool = False  # whether SIGHUP has arrived during the upgrade
 
 
 class AcceptingStarted(Message):
@@ -77,15 +74,15 @@
 
 
 class ConnectionsAdopted(Message):
-    """New to old: the numbers of the passed connections that the new process owns now."""
+    """New to old: the new process owns the passed connections with these numbers."""
 
     numbers: list[int]
 
 
 class LateEvents(Message):
-    """Old to new: the events that the old process received while it drained."""
+    """Old to new: the encoded events that the old process received while it drained."""
 
-    rest: bytes
+    late_events: bytes
 
 
 class DrainCompleted(Message):
@@ -93,15 +90,15 @@
 
 
 class HandoverCalledOff(Message):
-    """Old to new: the upgrade is cancelled, with the reason."""
+    """Old to new: the upgrade is cancelled."""
 
-    why: str
+    reason: str
 
 
 class HandoverRefused(Message):
-    """New to old: the new process does not take over, with the reason."""
+    """New to old: the new process does not take over, or ends."""
 
-    why: str
+    reason: str
 
 
 MESSAGE_TYPES = MessageTypes(
--- a/indigohitch/upgrade/optional_channel.py
+++ b/indigohitch/upgrade/optional_channel.py
@@ -1,4 +1,4 @@
-"""A channel that is there only while a new process is."""
+"""A channel that exists only while a new process exists."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class OptionalChannel:
-    """Passes calls on to the attached channel; without one they do nothing."""
+    """Forwards calls to the attached channel; without one they do nothing."""
 
     def __init__(self) -> None:
         self.channel: Channel | None = None
 
     def is_attached(self) -> bool:
-        """Whether there is a channel."""
+        """Whether a channel is attached."""
         return self.channel is not None
 
     def attach(self, channel: Channel) -> None:
-        """Replaces the channel."""
+        """Attaches a channel in place of the current one."""
         self.channel = channel
 
     def detach(self) -> None:
-        """Forgets the channel without closing it."""
+        """Detaches the channel without closing it."""
         self.channel = None
 
     def send(self, message: Message, descriptors: Sequence[int] = (), last: bool = False) -> None:
-        """Sends a message; `last`: blocks for a short time until it is sent."""
+        """Sends a message; with `last`, blocks for a short time until it is sent."""
         if self.channel is not None:
             self.channel.send(message, descriptors)
             if last:
-                self.channel.flush_hard()
+                self.channel.flush_blocking()
 
     def read(self) -> None:
-        """Receives and delivers what has arrived."""
+        """Receives and delivers everything in the receive buffer."""
         if self.channel is not None:
             self.channel.read()
 
--- a/indigohitch/upgrade/phase_condition.py
+++ b/indigohitch/upgrade/phase_condition.py
@@ -1,4 +1,4 @@
-"""Waits for a condition as long as a phase of the old process lasts."""
+"""Waits for a condition during one phase of the old process."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class PhaseCondition:
-    """Polls a condition and feeds an event to the state machine once it holds."""
+    """Polls a condition and feeds an event to the state machine once the condition holds."""
 
-    POLL_INTERVAL = SECOND // 200
+    POLL_INTERVAL = SECOND // 200  # ticks
 
     def __init__(self, loop: EventLoop, machine: Predecessor, step: Callable[[str], None]) -> None:
-        """Takes the machine whose phase counts, and the function that feeds it an event."""
+        """Stores the state machine and `step`, which feeds it an event."""
         self.loop = loop
         self.machine = machine
         self.step = step
 
     def poll(self, phase: Phase, is_ready: Callable[[], bool], event: str) -> None:
-        """Feeds `event` once `is_ready()`, as long as the phase lasts."""
+        """Feeds `event` once `is_ready()`; stops polling when the machine leaves `phase`."""
         if self.machine.phase is phase:
             if is_ready():
                 self.step(event)
--- a/indigohitch/upgrade/phase_timeouts.py
+++ b/indigohitch/upgrade/phase_timeouts.py
@@ -1,4 +1,4 @@
-"""How long the old process of an upgrade waits in each of its phases, in ticks.  No I/O."""
+"""The timeouts of the phases of the old process of an upgrade, in ticks.  No I/O."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from ..net.clock import SECOND
 
-# Restoring 10,000 slices takes half a second on a busy core; a new interpreter with all libraries a second
-# where the disk is cold.
+# Restoring 10,000 slices takes half a second on a busy core; starting an interpreter with all libraries takes
+# a second with a cold disk cache.
 DEFAULT_TIMEOUTS = {
     "start": 10 * SECOND,
     "settle": 2 * SECOND,
@@ -16,12 +16,13 @@
     "commit": 2 * SECOND,
     "drain": 30 * SECOND,
     "reclaim": SECOND,
-    "watch": SECOND,  # the old process stays ready: a first accept or plan that fails shows within this time
+    # The old process stays ready to take over: a failure of the first accept or plan shows within this time.
+    "watch": SECOND,
 }
 
 
 def phase_timeouts(configured: Mapping[str, int]) -> dict[str, int]:
-    """Returns the defaults, replaced by the operator's settings; `takeover` sets both `give` and `prove`."""
+    """Returns the defaults, overridden by the operator's settings; `takeover` sets `give` and `prove`."""
     timeouts = {name: span for name, span in configured.items() if name in DEFAULT_TIMEOUTS}
     if "takeover" in configured:
         timeouts |= {"give": configured["takeover"], "prove": configured["takeover"]}
--- a/indigohitch/upgrade/predecessor.py
+++ b/indigohitch/upgrade/predecessor.py
@@ -1,16 +1,16 @@
-"""The state machine of the old process of an upgrade.  No I/O; phases.py states the rules."""
+"""The state machine of the old process of an upgrade.  No I/O; phases.py states the invariants."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from .phases import Act, Phase
+from .phases import Action, Phase
 
 
 class Predecessor:
     """Decides whether the old process accepts connections, and what it does next."""
 
-    WAITS = {
+    TIMEOUT_NAMES = {
         Phase.OFFERED: "start",
         Phase.SETTLING: "settle",
         Phase.GIVING: "give",
@@ -23,31 +23,32 @@
 
     def __init__(self) -> None:
         self.phase = Phase.SERVING
-        self.result = ""  # of the last upgrade: "upgraded", or why not
-        self.frozen = False
-        self.ending = False
-        # Of the draining: stood by long enough; nothing left in hand; the new one was told to end.
-        self.watched = False
-        self.drained = False
-        self.left = False
-        self.late = False  # while it is reclaimed, the new one says that it accepts
+        self.result = ""  # of the last upgrade: "upgraded", or the reason of its failure
+        self.is_frozen = False
+        self.is_ending = False
+        # While draining:
+        self.is_watch_over = False  # the new process has served for the `watch` timeout
+        self.is_drained = False  # no connection or call is left here
+        self.child_left = False  # the new process, a child of this one, was ordered to end
+        # While reclaiming: the new process has reported that it accepts.
+        self.has_accepted_late = False
 
     @property
-    def wait(self) -> str | None:
-        """The name of the deadline that this phase has."""
-        return self.WAITS.get(self.phase)
+    def timeout_name(self) -> str | None:
+        """The name of the timeout of this phase, if it has one."""
+        return self.TIMEOUT_NAMES.get(self.phase)
 
     @property
     def accepting(self) -> bool:
         """Whether this process accepts connections."""
         return self.phase is Phase.SERVING or self.phase in self.BEFORE_COMMIT
 
-    def step(self, event: str, why: str = "") -> list[Act]:
-        """Handles an event; returns what the process has to do, in order.  Raises KeyError."""
-        return self._handlers()[event](why)
+    def step(self, event: str, reason: str = "") -> list[Action]:
+        """Returns the actions that an event results in, in order; raises KeyError for an unknown event."""
+        return self._handlers()[event](reason)
 
-    def _handlers(self) -> dict[str, Callable[[str], list[Act]]]:
-        """Returns the handler of each event; the names of events are shown in the log."""
+    def _handlers(self) -> dict[str, Callable[[str], list[Action]]]:
+        """Returns the handlers by event; the names of events are in the log."""
         return {
             "asked": self.on_asked,
             "told_to_end": self.on_told_to_end,
@@ -65,159 +66,159 @@
             "died": self.on_died,
         }
 
-    # ---- asked by people
+    # ---- requests from outside
 
-    def on_asked(self, why: str) -> list[Act]:
-        """Starts an upgrade; there is one at a time, and the driver refuses a second."""
-        if self.phase is not Phase.SERVING or self.ending:
+    def on_asked(self, reason: str) -> list[Action]:
+        """Starts an upgrade, unless one is under way or the process is ending."""
+        if self.phase is not Phase.SERVING or self.is_ending:
             return []
         self.phase = Phase.OFFERED
         self.result = ""
-        return [Act.SPAWN]
+        return [Action.SPAWN]
 
-    def on_told_to_end(self, why: str) -> list[Act]:
+    def on_told_to_end(self, reason: str) -> list[Action]:
         """Handles SIGTERM.
 
-        Before the commit the upgrade is called off and this process ends as usual; after it this process
-        ends anyway, and the new one serves.
+        Before the commit the upgrade is cancelled and this process ends as usual.  After the commit this
+        process ends anyway, and the new one serves.
         """
         if self.phase in (Phase.COMMITTED, Phase.RECLAIMING, Phase.DRAINING):
-            # Once it is known who accepts.  If both were signalled, neither goes on.
-            self.ending = True
+            # Ends once it is known which process accepts.  If both were signalled, both end.
+            self.is_ending = True
             return []
         if self.phase is Phase.ENDED:
             return []
-        acts = self.call_off("told to end") if self.phase in self.BEFORE_COMMIT else []
-        self.ending = True
-        return [*acts, Act.END]
+        actions = self.call_off("told to end") if self.phase in self.BEFORE_COMMIT else []
+        self.is_ending = True
+        return [*actions, Action.END]
 
-    # ---- the way through
+    # ---- upgrade without faults
 
-    def on_hello(self, why: str) -> list[Act]:
-        """The new process reads this protocol and schema."""
+    def on_hello(self, reason: str) -> list[Action]:
+        """Starts to settle: the new process can read this protocol and schema."""
         if self.phase is not Phase.OFFERED:
             return []
         self.phase = Phase.SETTLING
-        return [Act.SETTLE]
+        return [Action.SETTLE]
 
-    def on_settled(self, why: str) -> list[Act]:
-        """No call is in flight that the state can not hold."""
+    def on_settled(self, reason: str) -> list[Action]:
+        """Freezes and sends the state: no work is in flight that a snapshot can't represent."""
         if self.phase is not Phase.SETTLING:
             return []
         self.phase = Phase.GIVING
-        self.frozen = True
-        return [Act.GIVE]
+        self.is_frozen = True
+        return [Action.GIVE]
 
-    def on_restored(self, why: str) -> list[Act]:
-        """The new process holds the same state."""
+    def on_restored(self, reason: str) -> list[Action]:
+        """Waits for the proof: the new process has restored the same state."""
         if self.phase is Phase.GIVING:
             self.phase = Phase.RESTORED
         return []
 
-    def on_proven(self, why: str) -> list[Act]:
-        """The new process has shown that it works: the handover is committed."""
+    def on_proven(self, reason: str) -> list[Action]:
+        """Commits the handover: the new process has checked the restored state."""
         if self.phase is not Phase.RESTORED:
             return []
         self.phase = Phase.COMMITTED
-        return [Act.COMMIT]
+        return [Action.COMMIT]
 
-    def on_accepting(self, why: str) -> list[Act]:
-        """The new process accepts connections."""
-        self.late |= self.phase is Phase.RECLAIMING
+    def on_accepting(self, reason: str) -> list[Action]:
+        """Starts to drain: the new process accepts connections."""
+        self.has_accepted_late |= self.phase is Phase.RECLAIMING
         if self.phase is not Phase.COMMITTED:
             return []
         self.phase = Phase.DRAINING
         self.result = "upgraded"
-        self.watched = False
-        self.drained = False
-        self.left = False
-        return [Act.RELEASE, Act.REPORT, Act.DRAIN]
-
-    def on_drained(self, why: str) -> list[Act]:
-        """No connection or call is left in this process."""
-        self.drained |= self.phase is Phase.DRAINING
+        self.is_watch_over = False
+        self.is_drained = False
+        self.child_left = False
+        return [Action.RELEASE, Action.REPORT, Action.DRAIN]
+
+    def on_drained(self, reason: str) -> list[Action]:
+        """Records that no connection or call is left in this process."""
+        self.is_drained |= self.phase is Phase.DRAINING
         return self.finish_draining()
 
-    def on_watched(self, why: str) -> list[Act]:
-        """The new process has served for the time that this one monitors it."""
-        self.watched |= self.phase is Phase.DRAINING
+    def on_watched(self, reason: str) -> list[Action]:
+        """Records that the new process has served for the `watch` timeout."""
+        self.is_watch_over |= self.phase is Phase.DRAINING
         return self.finish_draining()
 
-    def finish_draining(self) -> list[Act]:
-        """Ends this process once it is drained and the new one has been monitored."""
-        if self.phase is not Phase.DRAINING or not (self.watched and self.drained):
+    def finish_draining(self) -> list[Action]:
+        """Ends this process once it is drained and the `watch` timeout has passed."""
+        if self.phase is not Phase.DRAINING or not (self.is_watch_over and self.is_drained):
             return []
         self.phase = Phase.ENDED
-        return [Act.DONE, Act.END]
+        return [Action.DONE, Action.END]
 
-    # ---- what goes wrong
+    # ---- faults
 
-    def call_off(self, why: str) -> list[Act]:
-        """Ends the upgrade before the commit; this process serves."""
-        acts = [Act.CALL_OFF, Act.KILL, Act.REPORT]
+    def call_off(self, reason: str) -> list[Action]:
+        """Cancels the upgrade before the commit; this process continues to serve."""
+        actions = [Action.CALL_OFF, Action.KILL, Action.REPORT]
         self.phase = Phase.SERVING
-        self.result = why
-        if self.frozen:
-            self.frozen = False
-            acts.append(Act.THAW)
-        return acts
+        self.result = reason
+        if self.is_frozen:
+            self.is_frozen = False
+            actions.append(Action.THAW)
+        return actions
 
-    def on_refused(self, why: str) -> list[Act]:
-        """The new process ends.
+    def on_refused(self, reason: str) -> list[Action]:
+        """Handles the announced end of the new process.
 
-        Before the commit it never accepted.  While it serves it was signalled to end: then this process
-        does not replace it.
+        Before the commit the new process has never accepted, so the upgrade is cancelled.  During the drain
+        it was ordered to end while it served, so this process does not replace it.
         """
         if self.phase in self.BEFORE_COMMIT:
-            return self.call_off(why)
+            return self.call_off(reason)
         if self.phase is Phase.DRAINING:
-            self.watched = True
-            self.left = True
+            self.is_watch_over = True
+            self.child_left = True
             return self.finish_draining()
-        self.ending |= self.phase is Phase.RECLAIMING and self.late
-        return self.reclaim(why)
+        self.is_ending |= self.phase is Phase.RECLAIMING and self.has_accepted_late
+        return self.reclaim(reason)
 
-    def on_eof(self, why: str) -> list[Act]:
-        """The channel has ended."""
+    def on_eof(self, reason: str) -> list[Action]:
+        """Cancels the upgrade, or kills the new process after the commit: the channel has ended."""
         if self.phase in self.BEFORE_COMMIT:
-            return self.call_off(why or "the channel ended")
-        return self.reclaim(why or "the channel ended")
+            return self.call_off(reason or "the channel was closed")
+        return self.reclaim(reason or "the channel was closed")
 
-    def on_broken(self, why: str) -> list[Act]:
-        """The data of the channel is invalid."""
-        return self.on_eof(why)
+    def on_broken(self, reason: str) -> list[Action]:
+        """Handles invalid data on the channel like its end."""
+        return self.on_eof(reason)
 
-    def on_deadline(self, why: str) -> list[Act]:
-        """The phase has lasted for its timeout."""
+    def on_deadline(self, reason: str) -> list[Action]:
+        """Handles the timeout of the phase."""
         if self.phase in self.BEFORE_COMMIT:
-            return self.call_off(f"no word in time while {self.phase.value}")
+            return self.call_off(f"timed out while {self.phase.value}")
         if self.phase is Phase.DRAINING:
-            # What is in hand outlived the bound; the new one has served for longer than that.
+            # The remaining requests exceed the drain timeout; the new process has served for all of it.
             self.phase = Phase.ENDED
-            return [Act.DONE, Act.END]
+            return [Action.DONE, Action.END]
         if self.phase is Phase.RECLAIMING:
-            return [Act.KILL]
-        return self.reclaim("no word in time after the commit")
+            return [Action.KILL]
+        return self.reclaim("timed out after the commit")
 
-    def reclaim(self, why: str) -> list[Act]:
-        """Kills the new process, which may accept already, before this one accepts again."""
+    def reclaim(self, reason: str) -> list[Action]:
+        """Kills the new process, which may accept already, so that this one can accept again."""
         if self.phase is not Phase.COMMITTED:
             return []
         self.phase = Phase.RECLAIMING
-        self.result = why
-        self.late = False
-        return [Act.KILL]
+        self.result = reason
+        self.has_accepted_late = False
+        return [Action.KILL]
 
-    def on_died(self, why: str) -> list[Act]:
-        """The new process is dead."""
-        why = why or "the new process died"
+    def on_died(self, reason: str) -> list[Action]:
+        """Cancels the upgrade or takes the service back: the new process is dead."""
+        reason = reason or "the new process died"
         if self.phase in self.BEFORE_COMMIT:
-            return self.call_off(why)
-        if self.phase in (Phase.COMMITTED, Phase.RECLAIMING, Phase.DRAINING) and not self.left:
-            late = self.phase is Phase.DRAINING
-            self.result = self.result if self.phase is Phase.RECLAIMING else why
+            return self.call_off(reason)
+        if self.phase in (Phase.COMMITTED, Phase.RECLAIMING, Phase.DRAINING) and not self.child_left:
+            is_reported = self.phase is Phase.DRAINING
+            self.result = self.result if self.phase is Phase.RECLAIMING else reason
             self.phase = Phase.SERVING
-            self.frozen = False
-            acts = [Act.RECLAIM, Act.THAW] + ([] if late else [Act.REPORT])
-            return acts + ([Act.END] if self.ending else [])
+            self.is_frozen = False
+            actions = [Action.RECLAIM, Action.THAW] + ([] if is_reported else [Action.REPORT])
+            return actions + ([Action.END] if self.is_ending else [])
         return []
--- a/indigohitch/upgrade/process_launch.py
+++ b/indigohitch/upgrade/process_launch.py
@@ -1,4 +1,4 @@
-"""The new program as a process: started from the file on disk as it is now, watched through its pidfd."""
+"""Starts the new process from the program file that is on disk now, and watches it through a pidfd."""
 
 from __future__ import annotations
 
@@ -13,105 +13,106 @@
 from ..net.connection import READ
 from ..net.loop import EventLoop
 
-VARIABLE = "INDIGOHITCH_CHANNEL"  # holds the new process' channel descriptor and our pid, as `fd:pid`
+# Value `fd:pid`: the channel's descriptor in the new process, and the pid of the old one.
+CHANNEL_VARIABLE = "INDIGOHITCH_CHANNEL"
 
 
-def command(program: Sequence[str]) -> list[str]:
-    """Returns the command to start: the configured one, else this process' own with its interpreter."""
+def successor_command(program: Sequence[str]) -> list[str]:
+    """Returns the configured command, or by default the command line of this process with its interpreter."""
     return list(program) or [sys.executable, *sys.orig_argv[1:]]
 
 
 class ProcessWatch:
-    """Reports the death of another process, which need not be a child, in the event loop."""
+    """Watches another process, which need not be a child, and reports its death in the event loop."""
 
-    def __init__(self, loop: EventLoop, pid: int, died: Callable[[], None]) -> None:
+    def __init__(self, loop: EventLoop, pid: int, on_death: Callable[[], None]) -> None:
         """Opens the pidfd and watches it.
 
         Raises:
-            ProcessLookupError: the process is dead already.
+            ProcessLookupError: the process is already dead.
             OSError: the pidfd can't be opened.
         """
         self.loop = loop
-        self.died = died
+        self.on_death = on_death
         self.fd = os.pidfd_open(pid)
-        self.number = loop.watch(self.fd, self, READ)
+        self.watch_number = loop.watch(self.fd, self, READ)
 
     def ready(self, readable: bool, writable: bool) -> None:
-        """Called by the loop once the process is dead: closes the watch and reports it."""
+        """Stops the watch and reports the death; the loop calls it when the process is dead."""
         self.close()
-        self.died()
+        self.on_death()
 
     def kill(self, signal_number: int = signal.SIGKILL) -> None:
-        """Sends a signal through the pidfd: it never reaches another process that got the same pid."""
+        """Sends a signal through the pidfd, which can't reach another process that has reused the pid."""
         if self.fd >= 0:
             with contextlib.suppress(ProcessLookupError):
                 signal.pidfd_send_signal(self.fd, signal_number)
 
     def close(self) -> None:
-        """Stops the watch; closing twice is allowed."""
+        """Stops the watch; does nothing if it was stopped before."""
         if self.fd >= 0:
-            self.loop.forget(self.fd, self.number)
+            self.loop.forget(self.fd, self.watch_number)
             os.close(self.fd)
             self.fd = -1
 
 
 class StartedProcess:
-    """The new program's process, and this process' end of the channel to it."""
+    """The new process, and this process' end of the channel to it."""
 
     def __init__(
-        self, loop: EventLoop, program: Sequence[str], died: Callable[[StartedProcess, str], None]
+        self, loop: EventLoop, program: Sequence[str], on_death: Callable[[StartedProcess, str], None]
     ) -> None:
         """Starts the program.
 
         Raises:
             OSError: it can't be started.
         """
-        ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
-        channel_setting = {VARIABLE: f"{theirs.fileno()}:{os.getpid()}"}
+        own_end, successor_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
+        channel_setting = {CHANNEL_VARIABLE: f"{successor_end.fileno()}:{os.getpid()}"}
         try:
-            # Its log goes where ours goes.
+            # The new process inherits stdout and stderr, so it logs to the same place.
             self.process = subprocess.Popen(
-                command(program),
+                successor_command(program),
                 stdin=subprocess.DEVNULL,
                 env=os.environ | channel_setting,
-                pass_fds=[theirs.fileno()],
+                pass_fds=[successor_end.fileno()],
             )
             self.pid = self.process.pid
-            self._died = died
-            self.watch = ProcessWatch(loop, self.pid, self._ended)
+            self._on_death = on_death
+            self.watch = ProcessWatch(loop, self.pid, self._on_process_end)
         except BaseException:
-            ours.close()
+            own_end.close()
             raise
         finally:
-            theirs.close()
-        self.channel = ours
+            successor_end.close()
+        self.channel = own_end
 
-    def _ended(self) -> None:
+    def _on_process_end(self) -> None:
         code = self.process.poll()
         if code is None:  # the pidfd is readable before the child can be waited for
             code = self.process.wait()
-        self._died(self, f"the new process ended with {code}")
+        self._on_death(self, f"the new process ended with {code}")
 
     def kill(self) -> None:
-        """Kills the process; its death is reported through `died`."""
+        """Kills the process, whose death is then reported through `on_death`."""
         self.watch.kill()
 
     def reap(self) -> None:
-        """Stops watching the process, which lives on or is dead, and collects its exit code if it has one."""
+        """Stops watching the process and collects its exit code if it has ended."""
         self.watch.close()
         self.process.poll()
         self.process.returncode = self.process.returncode or 0  # Popen warns of a child that still runs
 
 
 def inherited_channel() -> tuple[socket.socket, int] | None:
-    """Returns this process' end of the channel and the old process' pid if it was started for an upgrade.
+    """Returns the channel and the old process' pid, or None if this process was not started by an upgrade.
 
-    The environment variable is removed, so that children do not inherit it.
+    The environment variable is removed, so that child processes do not inherit it.
     """
-    text = os.environ.pop(VARIABLE, "")
-    if not text:
+    setting = os.environ.pop(CHANNEL_VARIABLE, "")
+    if not setting:
         return None
-    number, _, pid = text.partition(":")
-    sock = socket.socket(fileno=int(number))
+    fd, _, pid = setting.partition(":")
+    sock = socket.socket(fileno=int(fd))
     sock.set_inheritable(False)
     return sock, int(pid)
--- a/indigohitch/upgrade/received_handover.py
+++ b/indigohitch/upgrade/received_handover.py
@@ -1,4 +1,4 @@
-"""What the new process has received of the handover and has not put to use yet."""
+"""The parts of a handover that the new process has received and not used yet."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @dataclass(slots=True)
 class ReceivedHandover:
-    """Listeners, restored state, connections and late events, as far as they were received."""
+    """Listeners, restored state, connections and late events that were received so far."""
 
     listeners: dict[str, socket.socket] = field(default_factory=dict)
     rehearse_at: int = 0  # ticks
     snapshot: Snapshot | None = None
     connections: list[tuple[int, PassedConnection]] = field(default_factory=list)  # with their numbers
-    late_events: bytes = b""  # those that came with the commit
+    late_events: bytes = b""  # received with the commit
 
     def add_listeners(self, message: messages.Listeners, descriptors: list[int]) -> bool:
-        """Opens the listening sockets; False: the number of descriptors is wrong."""
+        """Opens the listening sockets; returns False if the number of descriptors is wrong."""
         if len(descriptors) != len(message.names):
             return False
         self.listeners = {name: socket.socket(fileno=fd) for name, fd in zip(message.names, descriptors)}
@@ -29,13 +29,13 @@
         return True
 
     def check_listening(self) -> None:
-        """Raises ValueError if one of the listeners does not listen."""
+        """Raises ValueError if one of the sockets is not in the listening state."""
         for name, sock in self.listeners.items():
             if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-                raise ValueError(f"{name} does not listen")
+                raise ValueError(f"listener {name} is not a listening socket")
 
     def remove_connections(self) -> list[tuple[int, PassedConnection]]:
-        """Returns the connections and keeps none."""
+        """Removes and returns all connections."""
         connections = self.connections
         self.connections = []
         return connections
@@ -44,10 +44,10 @@
 def open_connections(
     message: messages.ConnectionsPassed, descriptors: list[int]
 ) -> list[tuple[int, PassedConnection]] | None:
-    """Returns the connections with their numbers; None: the number of descriptors is wrong."""
-    if not len(message.numbers) == len(message.rests) == len(message.kinds) == len(descriptors):
+    """Returns the connections with their numbers, or None if the number of descriptors is wrong."""
+    if not len(message.numbers) == len(message.unread) == len(message.kinds) == len(descriptors):
         return None
     return [
-        (number, (kind, socket.socket(fileno=fd), rest))
-        for number, kind, fd, rest in zip(message.numbers, message.kinds, descriptors, message.rests)
+        (number, (kind, socket.socket(fileno=fd), unread_bytes))
+        for number, kind, fd, unread_bytes in zip(message.numbers, message.kinds, descriptors, message.unread)
     ]
--- a/indigohitch/upgrade/snapshot.py
+++ b/indigohitch/upgrade/snapshot.py
@@ -1,8 +1,8 @@
-"""A snapshot as bytes and as a file; a truncated, damaged or incompatible one is refused whole.
+"""Encodes snapshots and reads them from files; a truncated, damaged or incompatible one is refused whole.
 
-Form: magic, schema version, length, digest, msgpack.  A reader accepts versions from its own less one to its
-own plus one: fields of array-like rows are only added, at the end and with defaults, so that an older
-snapshot lacks some and a newer one has some that are ignored.
+Format: magic, schema version, length, digest, msgpack.  A reader accepts its own version and the adjacent
+ones.  Fields of array-like rows are only added, at the end and with defaults: an older snapshot lacks some
+fields, and the additional fields of a newer one are ignored.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 __all__ = ["Snapshot", "UnusableSnapshotError", "decode", "digest", "encode", "read", "write"]
 
 SCHEMA = 1
-MAGIC = b"IHSNAP\r\n"  # as in PNG: a transfer that changes line ends shows itself
-_HEAD = struct.Struct("!8sHQ16s")
+MAGIC = b"IHSNAP\r\n"  # with CR LF, as in PNG: detects a transfer that converts line ends
+_HEADER = struct.Struct("!8sHQ16s")
 MAX_FILE_BYTES = 1 << 30
 
 
 class UnusableSnapshotError(InvalidDataError):
-    """A snapshot that is refused whole."""
+    """Raised for a snapshot that is refused as a whole."""
 
-    remedy = "the program begins without it; remove the file if it is of no use"
+    remedy = "the program starts without it; remove the file if it is not needed"
 
 
 class ServerRow(Row):
@@ -45,26 +45,26 @@
 class TableRow(Row):
     """One routing table of a sidecar's pool: its weights and admission levels."""
 
-    lines: list[tuple[int, float]]  # place in the servers, weight
+    lines: list[tuple[int, float]]  # index of the server, weight
     level: float
     levels: dict[str, float]
     tries: int
 
 
 class PoolRow(Row):
-    """One pool of a sidecar: its decision module, servers, tables and open probes."""
+    """One pool of a sidecar: its decision module, servers, tables and pending probes."""
 
     name: str
     slices: int
     module: ModuleRow
     servers: list[ServerRow]
     tables: list[TableRow]
-    chance: tuple[int, list[int], float | None]
+    chance: tuple[int, list[int], float | None]  # state of the random generator
     version: int
     turn: int
     reported: int
-    listed: list[tuple]  # name, host, port, weight, zone, kind: the list as last received
-    probing: list[str]  # probes without a result: to be sent again
+    listed: list[tuple]  # name, host, port, weight, zone, kind: the last received list
+    probing: list[str]  # backends whose probe has no result: it is sent again
 
 
 class SidecarState(Row):
@@ -78,7 +78,7 @@
 
     number: int
     lines: list[tuple[str, float]]
-    level: list | None  # the order that set it
+    level: list | None  # the SetAdmission order that set the admission
 
 
 class CoordinatorState(Row):
@@ -90,59 +90,61 @@
     heard_of: list[str]
     version: int
     watching: bool
-    waiting: list[list[list]]  # the relay's unconfirmed calls, each a list of orders
-    written: list[int]  # when calls went out that count as messages to the proxies
+    waiting: list[list[list]]  # unconfirmed calls to the relay, each a list of orders
+    written: list[int]  # send times of calls that count as messages to the proxies
     failures: int
-    proxies: list[list]  # as they joined
+    proxies: list[list]  # ProxyJoined events
     stood: list[StoredTableRow]
     begun: bool
-    lost: list[int]  # tables to be sent again
+    lost: list[int]  # dropped tables, which are sent again
     probing: list[str]
-    maybe: list[list] = []  # orders of earlier calls of unknown result; `waiting` repeats them
-    starts: list[tuple[str, int, int]] = []  # backends: their start by the wall clock, and by the process's
-    list_heard: int = 0  # when discovery's list came last
+    maybe: list[list] = []  # orders of earlier calls with unknown outcome; `waiting` repeats them
+    starts: list[
+        tuple[str, int, int]
+    ] = []  # backend, its start time by the wall clock, and by the clock of the process
+    list_heard: int = 0  # when the last list from discovery was received
 
 
 class Snapshot(Row):
-    """The state of one program at one time."""
+    """The state of one program at one point in time."""
 
     kind: str  # "sidecar" or "coordinator"
-    taken: int  # Unix time, tenths of a ms
+    taken: int  # Unix time in tenths of a ms
     sidecar: SidecarState | None = None
     coordinator: CoordinatorState | None = None
 
 
 def encode(snapshot: Snapshot, version: int = SCHEMA) -> bytes:
-    """Return the snapshot as bytes, with its head."""
+    """Return the snapshot as bytes, with its header."""
     body = msgspec.msgpack.encode(snapshot)
-    return _HEAD.pack(MAGIC, version, len(body), digest(body, version)) + body
+    return _HEADER.pack(MAGIC, version, len(body), digest(body, version)) + body
 
 
 def decode(data: bytes, schema: int = SCHEMA) -> Snapshot:
     """Return the snapshot in `data`, as a reader of version `schema`; raises UnusableSnapshotError."""
-    if len(data) < _HEAD.size:
-        raise UnusableSnapshotError("truncated: no whole head")
-    magic, version, length, found = _HEAD.unpack_from(data)
+    if len(data) < _HEADER.size:
+        raise UnusableSnapshotError("truncated: incomplete header")
+    magic, version, length, expected_digest = _HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise UnusableSnapshotError("no snapshot")
+        raise UnusableSnapshotError("not a snapshot")
     if not schema - 1 <= version <= schema + 1:
         raise UnusableSnapshotError(
-            f"of version {version}; this program reads {max(1, schema - 1)} to {schema + 1}"
+            f"schema version {version}; this program reads {max(1, schema - 1)} to {schema + 1}"
         )
-    body = data[_HEAD.size :]
+    body = data[_HEADER.size :]
     if len(body) != length:
-        raise UnusableSnapshotError(f"truncated or added to: {len(body)} bytes of {length}")
-    if digest(body, version) != found:
-        raise UnusableSnapshotError("harmed: another digest")
+        raise UnusableSnapshotError(f"truncated or extended: {len(body)} bytes instead of {length}")
+    if digest(body, version) != expected_digest:
+        raise UnusableSnapshotError("damaged: wrong digest")
     try:
         return msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as error:
-        raise UnusableSnapshotError(f"not in this form: {error}") from None
+        raise UnusableSnapshotError(f"invalid content: {error}") from None
 
 
 def read(path: str) -> Snapshot:
-    """Return the snapshot in the file; raises OSError and UnusableSnapshotError."""
+    """Return the snapshot in a file; raises OSError and UnusableSnapshotError."""
     with open(path, "rb") as file:
         if os.fstat(file.fileno()).st_size > MAX_FILE_BYTES:
-            raise UnusableSnapshotError("larger than any state")
+            raise UnusableSnapshotError("larger than any snapshot")
         return decode(file.read())
--- a/indigohitch/upgrade/state_transfer.py
+++ b/indigohitch/upgrade/state_transfer.py
@@ -1,4 +1,4 @@
-"""Sends the old process' listeners and state to the new process and compares what both compute from it."""
+"""Sends listeners and state to the new process and compares the orders that both processes compute."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from . import messages
 from .handover_participant import HandoverParticipant
 
-CHUNK_BYTES = 1 << 16  # of the state: a frame that a socket's buffer takes in one write
+CHUNK_BYTES = 1 << 16  # of the state per frame: fits into a socket buffer in one write
 
 
 class StateTransfer:
-    """The state as it was sent, and the orders that the new process computed from it."""
+    """The state that was sent, and the digest of the orders that the new process computed from it."""
 
-    REHEARSAL_DELAY = 2 * SECOND  # four beats, so that the module has something to order
+    REHEARSAL_DELAY = 2 * SECOND  # four beats of the decision module, so that it issues orders
 
     def __init__(self) -> None:
         self.state = b""  # encoded
         self.rehearse_at = 0  # ticks
-        self.successor_orders = b""  # encoded, as of `rehearse_at`
+        self.successor_orders = b""  # digest of the orders at `rehearse_at`
 
     def send_state(
         self,
@@ -30,7 +30,7 @@
         now: int,
         rehearse_at: int,
     ) -> None:
-        """Sends the listeners by name, then the encoded state in chunks; times are in ticks."""
+        """Sends the listeners, then the encoded state in chunks; times are in ticks."""
         self.state = state
         self.rehearse_at = rehearse_at
         descriptors = [sock.fileno() for sock in listeners.values()]
@@ -39,5 +39,5 @@
             send(messages.StateChunk(state[offset : offset + CHUNK_BYTES]))
 
     def is_equal(self, side: HandoverParticipant) -> bool:
-        """Whether this process computes the same orders as the new process."""
+        """Whether this process computes the same orders as the new one; advances its decision module."""
         return side.rehearse(self.rehearse_at) == self.successor_orders
--- a/indigohitch/upgrade/successor.py
+++ b/indigohitch/upgrade/successor.py
@@ -1,38 +1,38 @@
-"""The state machine of the new process of an upgrade.  No I/O; phases.py states the rules."""
+"""The state machine of the new process of an upgrade.  No I/O; phases.py states the invariants."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from .phases import Act, Phase
+from .phases import Action, Phase
 
 
 class Successor:
     """Decides whether the new process accepts connections, and what it does next."""
 
-    WAITS = {Phase.ORPHAN: "orphan"}
+    TIMEOUT_NAMES = {Phase.ORPHAN: "orphan"}
 
     def __init__(self) -> None:
         self.phase = Phase.STARTING
-        self.listeners = False  # received
-        self.state = False  # restored
+        self.has_listeners = False
+        self.is_state_restored = False
 
     @property
-    def wait(self) -> str | None:
-        """The name of the timeout of this phase."""
-        return self.WAITS.get(self.phase)
+    def timeout_name(self) -> str | None:
+        """The name of the timeout of this phase, if it has one."""
+        return self.TIMEOUT_NAMES.get(self.phase)
 
     @property
     def accepting(self) -> bool:
         """Whether this process accepts connections."""
         return self.phase in (Phase.FOLLOWING, Phase.SERVING)
 
-    def step(self, event: str, why: str = "") -> list[Act]:
-        """Handles an event; returns what the process has to do, in order.  Raises KeyError."""
-        return self._handlers()[event](why)
+    def step(self, event: str, reason: str = "") -> list[Action]:
+        """Returns the actions that an event results in, in order; raises KeyError for an unknown event."""
+        return self._handlers()[event](reason)
 
-    def _handlers(self) -> dict[str, Callable[[str], list[Act]]]:
-        """Returns the handler of each event; the names of events are shown in the log."""
+    def _handlers(self) -> dict[str, Callable[[str], list[Action]]]:
+        """Returns the handlers by event; the names of events are in the log."""
         return {
             "started": self.on_started,
             "listeners": self.on_listeners,
@@ -49,88 +49,88 @@
             "deadline": self.on_deadline,
         }
 
-    def on_started(self, why: str) -> list[Act]:
-        """The process runs."""
-        return [Act.HELLO] if self.phase is Phase.STARTING else []
+    def on_started(self, reason: str) -> list[Action]:
+        """Sends hello: the process has started."""
+        return [Action.HELLO] if self.phase is Phase.STARTING else []
 
-    def on_listeners(self, why: str) -> list[Act]:
-        """The listening sockets have come."""
+    def on_listeners(self, reason: str) -> list[Action]:
+        """Records that the listening sockets were received."""
         if self.phase is Phase.STARTING:
             self.phase = Phase.TAKING
-            self.listeners = True
+            self.has_listeners = True
         return []
 
-    def on_state(self, why: str) -> list[Act]:
-        """The whole state has come."""
-        return [Act.RESTORE] if self.phase is Phase.TAKING else []
+    def on_state(self, reason: str) -> list[Action]:
+        """Restores the state, which was received completely."""
+        return [Action.RESTORE] if self.phase is Phase.TAKING else []
 
-    def on_built(self, why: str) -> list[Act]:
-        """The state is restored."""
+    def on_built(self, reason: str) -> list[Action]:
+        """Starts the check of the restored state."""
         if self.phase is not Phase.TAKING:
             return []
         self.phase = Phase.PROVING
-        self.state = True
-        return [Act.PROVE]
+        self.is_state_restored = True
+        return [Action.PROVE]
 
-    def on_works(self, why: str) -> list[Act]:
-        """The restored state has passed its checks."""
+    def on_works(self, reason: str) -> list[Action]:
+        """Waits for the commit: the restored state has passed its checks."""
         if self.phase is Phase.PROVING:
             self.phase = Phase.PROVEN
         return []
 
-    def on_commit(self, why: str) -> list[Act]:
-        """The old process accepts no more; this one may."""
+    def on_commit(self, reason: str) -> list[Action]:
+        """Starts accepting: the old process has stopped."""
         if self.phase is not Phase.PROVEN:
-            return self.on_failed("a commit out of turn")
+            return self.on_failed("unexpected commit")
         self.phase = Phase.FOLLOWING
-        return [Act.ACCEPT]
+        return [Action.ACCEPT]
 
-    def on_done(self, why: str) -> list[Act]:
-        """The old process has drained and ends."""
+    def on_done(self, reason: str) -> list[Action]:
+        """Records that the old process has drained and ends."""
         if self.phase is Phase.FOLLOWING:
             self.phase = Phase.SERVING
         return []
 
-    # ---- what goes wrong
+    # ---- faults
 
-    def on_failed(self, why: str) -> list[Act]:
-        """Its own step has failed, or the data of the channel is invalid."""
+    def on_failed(self, reason: str) -> list[Action]:
+        """Refuses the upgrade: an action of this process failed, or the data of the channel is invalid."""
         if self.phase in (Phase.FOLLOWING, Phase.SERVING, Phase.ENDED):
             return []
         self.phase = Phase.ENDED
-        return [Act.REFUSE, Act.END]
+        return [Action.REFUSE, Action.END]
 
-    def on_call_off(self, why: str) -> list[Act]:
-        """The old process has called the upgrade off."""
-        return self.on_told_to_end(why) if not self.accepting else []
+    def on_call_off(self, reason: str) -> list[Action]:
+        """Ends this process: the old one has cancelled the upgrade."""
+        return self.on_told_to_end(reason) if not self.accepting else []
 
-    def on_told_to_end(self, why: str) -> list[Act]:
-        """Handles SIGTERM; while it serves beside the old process it announces that it ends."""
+    def on_told_to_end(self, reason: str) -> list[Action]:
+        """Handles SIGTERM; if the old process still drains, notifies it that this one ends."""
         if self.phase in (Phase.SERVING, Phase.ENDED):
             return []
         if self.phase is Phase.FOLLOWING:  # it serves; the process itself handles its end
             self.phase = Phase.SERVING
-            return [Act.LEAVE]
+            return [Action.LEAVE]
         self.phase = Phase.ENDED
-        return [Act.END]
+        return [Action.END]
 
-    def on_eof(self, why: str) -> list[Act]:
-        """The channel has ended."""
+    def on_eof(self, reason: str) -> list[Action]:
+        """Handles the end of the channel; before the commit the old process may be dead or alive."""
         if self.phase is Phase.FOLLOWING:
             self.phase = Phase.SERVING  # the old process will not accept again
         elif not self.accepting and self.phase is not Phase.ENDED:
             self.phase = Phase.ORPHAN
         return []
 
-    def on_died(self, why: str) -> list[Act]:
-        """The old process is dead, so no process accepts: this one starts to."""
+    def on_died(self, reason: str) -> list[Action]:
+        """Starts serving if no process accepts: the old process is dead."""
         if self.phase is Phase.FOLLOWING:
             self.phase = Phase.SERVING
         elif not self.accepting and self.phase is not Phase.ENDED:
             self.phase = Phase.SERVING
-            return [Act.BEGIN]
+            return [Action.BEGIN]
         return []
 
-    def on_deadline(self, why: str) -> list[Act]:
-        """The channel has ended and the old process lives and serves: this one ends."""
-        return self.on_told_to_end(why) if self.phase is Phase.ORPHAN else []
+    def on_deadline(self, reason: str) -> list[Action]:
+        """Ends this process: the channel has ended, but the old process is still alive and serves."""
+        return self.on_told_to_end(reason) if self.phase is Phase.ORPHAN else []
--- a/tests/apart.py
+++ b/tests/apart.py
@@ -1,5 +1,7 @@
-"""Settings far apart, a seeded day of events for each, and the ways in which two or three of them can come
-one between the other in one process.  The days name the same backends and slices, and tell other things."""
+"""Three very different settings, a seeded event sequence for each, and interleavings of them in one process.
+
+The sequences name the same backends and slices, but differ in everything else.
+"""
 
 import random
 import sys
@@ -9,7 +11,7 @@
 import msgspec
 
 import world
-from indigohitch import interface as face
+from indigohitch import interface
 from indigohitch.logic import Coordinator
 from indigohitch.settings import parse_settings
 from indigohitch.upgrade.event_codec import pack_all
@@ -96,7 +98,7 @@
 }
 ALL = (ONE, TWO, SAME_NAMES)
 
-SEEDS = 140, 124, 145  # of days with few slices: all splits of one take 15,000 batches
+SEEDS = 140, 124, 145  # sequences with few slices: all interleavings of one take 15,000 batches
 LOADS = (
     {"queued": 90, "service_time": 2500},
     {"service_time": 400, "busy": 0.25, "queued": 7},
@@ -105,50 +107,54 @@
 
 
 def day(place, monkeypatch, steps=20):
-    """(now, events) batch by batch, of a seeded day as its settings have it: names, zones, load reports."""
-    kept = []
+    """Return (now, events) for each batch of a seeded scenario, with the names and zones of the settings."""
+    recorded = []
 
     class Recording(Coordinator):
         def handle(self, now, events):
-            kept.append((now, list(events)))
+            recorded.append((now, list(events)))
             return super().handle(now, events)
 
     monkeypatch.setattr(world, "Coordinator", Recording)
     random_day(SEEDS[place], steps)
     monkeypatch.undo()
-    names, zone, rng = [m["name"] for m in ALL[place]["classes"]], ALL[place]["zone"], random.Random(place)
+    names = [method_["name"] for method_ in ALL[place]["classes"]]
+    zone = ALL[place]["zone"]
+    rng = random.Random(place)
 
-    def own(event):
+    def adapted(event):
         match event:
-            case face.SliceDemand():
+            case interface.SliceDemand():
                 return replace(event, method=rng.choice(names), total=event.total * (1 + place))
-            case face.BackendTraffic():
-                load, slow = LOADS[place] if event.load else {}, 1 + ord(event.backend[-1]) % 4
-                return replace(event, zone=zone, load={n: v * slow for n, v in load.items()})
-            case face.BackendList(scope, version, entries):
-                return face.BackendList(
+            case interface.BackendTraffic():
+                load = LOADS[place] if event.load else {}
+                factor = 1 + ord(event.backend[-1]) % 4
+                return replace(event, zone=zone, load={name: value * factor for name, value in load.items()})
+            case interface.BackendList(scope, version, entries):
+                return interface.BackendList(
                     scope,
                     version,
                     tuple(
-                        replace(e, zone=zone, weight=e.weight + place, kind=f"{e.kind}{place}")
-                        for e in entries
+                        replace(entry, zone=zone, weight=entry.weight + place, kind=f"{entry.kind}{place}")
+                        for entry in entries
                     ),
                 )
         return event
 
-    lost = [face.BackendList("failed", 0, ())]  # asked for again after a time that chance draws
+    # The module requests the list again after a random delay.
+    failed_list = [interface.BackendList("failed", 0, ())]
     return [
-        (now, [own(event) for event in events] + (lost if n % 9 == 5 else []))
-        for n, (now, events) in enumerate(kept)
+        (now, [adapted(event) for event in events] + (failed_list if n % 9 == 5 else []))
+        for n, (now, events) in enumerate(recorded)
     ]
 
 
 def short(day, count):
-    """The whole of it in so many batches, each of what came over a part of the day."""
-    cuts = [len(day) * n // count for n in range(count + 1)]
+    """Merge the batches of a sequence into `count` batches."""
+    bounds = [len(day) * n // count for n in range(count + 1)]
     return [
-        (day[end - 1][0], [e for _, events in day[start:end] for e in events])
-        for start, end in zip(cuts, cuts[1:])
+        (day[end - 1][0], [event for _, events in day[start:end] for event in events])
+        for start, end in zip(bounds, bounds[1:])
     ]
 
 
@@ -157,56 +163,57 @@
 
 
 def letters(orders):
-    """To the byte."""
+    """Encode orders, so that two lists can be compared byte by byte."""
     return msgspec.msgpack.encode(pack_all(orders))
 
 
 def alone(place, day):
-    """What one in a process of its own orders, batch by batch."""
-    one = instance(place)
-    return [letters(one.handle(now, events)) for now, events in day]
+    """Return the encoded orders of each batch, from a module without others beside it."""
+    coordinator = instance(place)
+    return [letters(coordinator.handle(now, events)) for now, events in day]
 
 
 def splits(*counts):
-    """Every order in which sequences of these lengths can come between each other."""
+    """Yield every interleaving of sequences of these lengths, as the indexes of the sequences."""
     if not any(counts):
         yield ()
     for place, count in enumerate(counts):
         if count:
-            left = [c - (n == place) for n, c in enumerate(counts)]
-            for rest in splits(*left):
-                yield (place, *rest)
+            remaining = [remaining_count - (n == place) for n, remaining_count in enumerate(counts)]
+            for tail in splits(*remaining):
+                yield (place, *tail)
 
 
 def shuffled(rng, *counts):
-    """One of these, drawn: in runs of all lengths."""
-    left, split = list(counts), []
-    while any(left):
-        place = rng.choice([n for n, count in enumerate(left) if count])
-        run = min(left[place], rng.choice((1, 1, 2, 5, 30)))
-        split += [place] * run
-        left[place] -= run
-    return split
+    """Return a random interleaving with short and long runs of one sequence."""
+    remaining = list(counts)
+    schedule = []
+    while any(remaining):
+        place = rng.choice([n for n, count in enumerate(remaining) if count])
+        run = min(remaining[place], rng.choice((1, 1, 2, 5, 30)))
+        schedule += [place] * run
+        remaining[place] -= run
+    return schedule
 
 
-KEPT = (dict, list, set, Counter, deque, bytearray)
+MUTABLE_TYPES = (dict, list, set, Counter, deque, bytearray)
 
 
 def kept():
-    """By name, all that a module or a class of ours holds and that can be changed."""
-    found = {}
+    """Return the text of all mutable values, defaults and caches in the package's modules and classes."""
+    values = {}
     for name in [n for n in sys.modules if n.split(".")[0] == "indigohitch"]:
         for where, holder in [(name, sys.modules[name])] + [
-            (f"{name}.{n}", c)
-            for n, c in vars(sys.modules[name]).items()
-            if isinstance(c, type) and c.__module__ == name
+            (f"{name}.{member_name}", member)
+            for member_name, member in vars(sys.modules[name]).items()
+            if isinstance(member, type) and member.__module__ == name
         ]:
             for key, value in vars(holder).items():
                 defaults = getattr(value, "__defaults__", None) or ()
-                if isinstance(value, KEPT) and not key.startswith("__"):
-                    found[f"{where}.{key}"] = repr(value)
-                elif any(isinstance(d, KEPT) for d in defaults):
-                    found[f"{where}.{key}()"] = repr(defaults)
+                if isinstance(value, MUTABLE_TYPES) and not key.startswith("__"):
+                    values[f"{where}.{key}"] = repr(value)
+                elif any(isinstance(default, MUTABLE_TYPES) for default in defaults):
+                    values[f"{where}.{key}()"] = repr(defaults)
                 elif hasattr(value, "cache_info"):
-                    found[f"{where}.{key}.cache"] = repr(value.cache_info())
-    return found
+                    values[f"{where}.{key}.cache"] = repr(value.cache_info())
+    return values
--- a/tests/faulty.py
+++ b/tests/faulty.py
@@ -1,5 +1,8 @@
-"""The program with a fault at one point of taking over: `faulty.py POINT HOW WORDS...`, HOW being crash,
-hang, wait or exit.  Run as the operator's `program`: the old process starts it as it would a new version."""
+"""The program with a fault injected at one point of an upgrade: `faulty.py POINT HOW ARGUMENTS...`.
+
+HOW is crash, hang, wait, exit or none.  The line `program` of the operator's file names it, so that the old
+process starts it like a new version.
+"""
 
 import os
 import signal
@@ -10,13 +13,12 @@
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
 from indigohitch.sidecar.host import Host  # noqa: E402
-from indigohitch.upgrade import messages  # noqa: E402
-from indigohitch.upgrade import snapshot as shots  # noqa: E402
+from indigohitch.upgrade import messages, snapshot  # noqa: E402
 from indigohitch.upgrade.successor_driver import SuccessorDriver  # noqa: E402
 
 
-def struck(how):
-    os.write(1, b'{"event":"fault","point":"%b"}\n' % sys.argv[1].encode())  # it came to that
+def trigger_fault(how):
+    os.write(1, b'{"event":"fault","point":"%b"}\n' % sys.argv[1].encode())  # the fault point was reached
     if how == "hang":
         while True:
             time.sleep(60)
@@ -32,55 +34,61 @@
 
 
 def main(point, how):
-    heard, say, begin = SuccessorDriver.on_message, SuccessorDriver.send, SuccessorDriver.do_accept
-
-    def on_heard(self, word, descriptors):
-        if (point, type(word)) == ("commit", messages.CommitHandover):
-            struck(how)
-        heard(self, word, descriptors)
-        if (point, type(word)) == ("half", messages.StateChunk) and len(self.parts) < self.size:
-            struck(how)
-        if (point, type(word)) == ("listener", messages.Listeners):
-            struck(how)
-
-    def on_say(self, word):
-        if point == "newer" and type(word) is messages.Hello:
-            word = messages.Hello(word.protocol, shots.SCHEMA + 2, word.pid)
-            struck("none")
-        if point == "differs" and type(word) is messages.StateRestored:
-            word = messages.StateRestored(b"another digest..")
-            struck("none")
-        if point == "garbled" and type(word) is messages.StateRestored:
-            self.channel.out.append((memoryview(b"rubbish" * 20), []))
-            struck("none")
-        if point == "descriptors" and type(word) is messages.Hello:
+    original_on_message = SuccessorDriver.on_message
+    original_send = SuccessorDriver.send
+    original_do_accept = SuccessorDriver.do_accept
+
+    def on_message(self, message, descriptors):
+        if (point, type(message)) == ("commit", messages.CommitHandover):
+            trigger_fault(how)
+        original_on_message(self, message, descriptors)
+        if (point, type(message)) == ("half", messages.StateChunk) and len(self.state_data) < self.state_size:
+            trigger_fault(how)
+        if (point, type(message)) == ("listener", messages.Listeners):
+            trigger_fault(how)
+
+    def send(self, message):
+        if point == "newer" and type(message) is messages.Hello:
+            message = messages.Hello(message.protocol, snapshot.SCHEMA + 2, message.pid)
+            trigger_fault("none")
+        if point == "differs" and type(message) is messages.StateRestored:
+            message = messages.StateRestored(b"another digest..")
+            trigger_fault("none")
+        if point == "garbled" and type(message) is messages.StateRestored:
+            self.channel.send_queue.append((memoryview(b"rubbish" * 20), []))
+            trigger_fault("none")
+        if point == "descriptors" and type(message) is messages.Hello:
             import resource
 
-            say(self, word)
-            struck("none")
-            spare = os.dup(1)
-            os.close(spare)
-            resource.setrlimit(resource.RLIMIT_NOFILE, (spare, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
+            original_send(self, message)
+            trigger_fault("none")
+            next_fd = os.dup(1)
+            os.close(next_fd)
+            resource.setrlimit(
+                resource.RLIMIT_NOFILE, (next_fd, resource.getrlimit(resource.RLIMIT_NOFILE)[1])
+            )
             return
-        say(self, word)
-        if (point, type(word)) in (
+        original_send(self, message)
+        if (point, type(message)) in (
             ("restored", messages.StateRestored),
             ("proven", messages.StateProven),
             ("hello", messages.Hello),
             ("acked", messages.AcceptingStarted),
         ):
-            struck(how)
+            trigger_fault(how)
 
-    def on_accept(self):
-        begin(self)
+    def do_accept(self):
+        original_do_accept(self)
         if point == "drain":
-            self.loop.call_after(1500, lambda: struck(how))
+            self.loop.call_after(1500, lambda: trigger_fault(how))
 
-    SuccessorDriver.on_message, SuccessorDriver.send, SuccessorDriver.do_accept = on_heard, on_say, on_accept
+    SuccessorDriver.on_message = on_message
+    SuccessorDriver.send = send
+    SuccessorDriver.do_accept = do_accept
     if point == "start":
-        struck(how)
+        trigger_fault(how)
     if point == "accept":
-        Host.greet = lambda self, sock: struck(how)
+        Host.greet = lambda self, sock: trigger_fault(how)
     from indigohitch.cli import main as command_line
 
     command_line(sys.argv[3:], prog_name="indigohitch")
--- a/tests/test_golden_upgrade.py
+++ b/tests/test_golden_upgrade.py
@@ -1,5 +1,4 @@
-"""States and frames that the code wrote before its names changed are read, mean what they did, and are
-written again byte for byte."""
+"""States and frames that an earlier version wrote keep their meaning and are written byte for byte."""
 
 import os
 
@@ -34,10 +33,9 @@
 from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.handover import CoordinatorHandover
 from indigohitch.settings import parse_settings
-from indigohitch.sidecar.handover import SidecarHandover as SidecarHandover
+from indigohitch.sidecar.handover import SidecarHandover
 from indigohitch.sidecar.host import Host
-from indigohitch.upgrade import event_codec
-from indigohitch.upgrade import snapshot as shots
+from indigohitch.upgrade import event_codec, snapshot
 from indigohitch.upgrade.messages import MESSAGE_TYPES, FrameDecoder, frame
 from indigohitch.upgrade.module_rows import ModuleRow
 from indigohitch.upgrade.module_state import freeze, thaw
@@ -61,7 +59,7 @@
 
 
 def plain(name: str) -> list:
-    """The body of a snapshot, by position alone."""
+    """Return the body of a recorded snapshot as plain lists."""
     return msgspec.msgpack.decode(recorded(f"{name}.snapshot")[34:])
 
 
@@ -71,9 +69,9 @@
 
 @pytest.fixture
 def loop():
-    found = EventLoop(Clock(), lambda broken: None)
-    yield found
-    found.close()
+    event_loop = EventLoop(Clock(), lambda broken: None)
+    yield event_loop
+    event_loop.close()
 
 
 @pytest.fixture
@@ -84,7 +82,7 @@
 
 
 def coordinator(loop, log) -> CoordinatorHandover:
-    found = {
+    document = {
         "name": "n0",
         "discovery": free_address(),
         "seed": "8c1f30d2",
@@ -95,7 +93,7 @@
     }
     return CoordinatorHandover(
         None,
-        lambda listening: Front(loop, log, found | {"listen": free_address()}),
+        lambda listening: Front(loop, log, document | {"listen": free_address()}),
         lambda: None,
         lambda sock: None,
         lambda: None,
@@ -107,39 +105,40 @@
     return SidecarHandover(host, lambda: None, lambda sock: None, lambda: None)
 
 
-def test_a_coordinator_restored_writes_the_same_state(loop, log):
-    data, side = recorded("coordinator.snapshot"), coordinator(loop, log)
-    state = shots.decode(data)
-    assert shots.encode(state) == data
+def test_a_restored_coordinator_encodes_the_same_state(loop, log):
+    data = recorded("coordinator.snapshot")
+    side = coordinator(loop, log)
+    state = snapshot.decode(data)
+    assert snapshot.encode(state) == data
     side.restore(state, {})
     try:
-        assert shots.encode(side.snapshot_again()) == data
+        assert snapshot.encode(side.snapshot_again()) == data
         module = plain("coordinator")[3][0]
         orders = side.rehearse_copy(state, module[1] + REHEARSED_AFTER)
         assert orders == ordered_next(data)
-        word, _ = next(FrameDecoder(MESSAGE_TYPES).feed(recorded("proven.frame")))
-        assert msgspec.structs.astuple(word) == (orders,)
+        message, _ = next(FrameDecoder(MESSAGE_TYPES).feed(recorded("proven.frame")))
+        assert msgspec.structs.astuple(message) == (orders,)
         assert side.rehearse(module[1] + REHEARSED_AFTER) == orders
     finally:
         side.front.close()
 
 
-def test_a_sidecar_restored_writes_the_same_state(loop, log):
+def test_a_restored_sidecar_encodes_the_same_state(loop, log):
     data = recorded("sidecar.snapshot")
-    state = shots.decode(data)
-    assert shots.encode(state) == data
+    state = snapshot.decode(data)
+    assert snapshot.encode(state) == data
     side = sidecar(loop, log)
     host = side.host
     side.restore(state, {})
-    assert side.cold == [] and shots.encode(side.snapshot_again()) == data
+    assert side.cold == [] and snapshot.encode(side.snapshot_again()) == data
     side.take_late_events(msgspec.msgpack.encode(SIDECAR_REST))
-    told = {name: event_codec.pack_all(pool.event_batch.take()) for name, pool in host.pools.items()}
-    assert {name: [list(row) for row in rows] for name, rows in told.items()} == {
+    taken_events = {name: event_codec.pack_all(pool.event_batch.take()) for name, pool in host.pools.items()}
+    assert {name: [list(row) for row in rows] for name, rows in taken_events.items()} == {
         name: rows for name, (rows, _) in SIDECAR_REST.items()
     }
 
 
-def test_the_states_hold_what_an_upgrade_may_meet():
+def test_recorded_states_contain_work_in_progress():
     kind, taken, _, front = plain("coordinator")
     assert (kind, taken) == ("coordinator", TAKEN) and eventful(front[0])
     assert front[6] == ORDERS and front[13] == [b[0] for b in front[0][BACKENDS] if b[PROBE_OUT]] != []
@@ -152,10 +151,10 @@
     assert all(closed) and sidecar[0][0][10] != []
 
 
-@pytest.mark.parametrize("place", range(3))
-def test_a_module_comes_back_byte_for_byte(place):
-    """Each value in the place that it had, whatever the names of rows and module are."""
-    row = modules()[place]
+@pytest.mark.parametrize("index", range(3))
+def test_a_restored_module_encodes_the_same_bytes(index):
+    """Each value keeps its position, whatever the names of rows and attributes are."""
+    row = modules()[index]
     boot, _ = parse_settings(SETTINGS_OF_COORDINATOR)
     module = thaw(msgspec.convert(row, ModuleRow), boot)
     data = msgspec.msgpack.encode(freeze(module))
@@ -164,18 +163,18 @@
 
 
 @pytest.mark.parametrize("number", range(len(FRAMES)))
-def test_a_frame_is_read_and_written_as_it_was(number):
-    name, descriptors, given = FRAMES[number]
+def test_a_recorded_frame_is_decoded_and_encoded_unchanged(number):
+    name, descriptors, expected = FRAMES[number]
     data = recorded(f"{name}.frame")
-    ((word, count),) = FrameDecoder(MESSAGE_TYPES).feed(data)
-    assert type(word) is MESSAGE_TYPES.rows[number] and count == descriptors
-    assert frame(word, count) == data
-    found = values(name, given, recorded("coordinator.snapshot"))
-    assert list(msgspec.structs.astuple(word)) == found
-    assert msgspec.msgpack.decode(data[-len(msgspec.msgpack.encode(found)) :]) == found
+    ((message, count),) = FrameDecoder(MESSAGE_TYPES).feed(data)
+    assert type(message) is MESSAGE_TYPES.rows[number] and count == descriptors
+    assert frame(message, count) == data
+    expected_values = values(name, expected, recorded("coordinator.snapshot"))
+    assert list(msgspec.structs.astuple(message)) == expected_values
+    assert msgspec.msgpack.decode(data[-len(msgspec.msgpack.encode(expected_values)) :]) == expected_values
 
 
-def test_each_word_has_its_frame():
+def test_each_message_has_a_recorded_frame():
     assert (
         len(MESSAGE_TYPES.rows) == len(FRAMES)
         and MESSAGE_TYPES.magic == b"IHup"
@@ -184,19 +183,21 @@
     assert {path.name for path in FOLDER.glob("*.frame")} == {f"{name}.frame" for name, _, _ in FRAMES}
 
 
-def test_what_came_since_the_state_is_read_and_written_as_it_was():
+def test_recorded_late_events_are_decoded_and_encoded_unchanged():
     ((commit, _),) = FrameDecoder(MESSAGE_TYPES).feed(recorded("commit.frame"))
-    rest = msgspec.structs.astuple(commit)[0]
+    late_events = msgspec.structs.astuple(commit)[0]
     assert (
-        msgspec.msgpack.encode(event_codec.pack_all(event_codec.unpack_all(msgspec.msgpack.decode(rest))))
-        == rest
+        msgspec.msgpack.encode(
+            event_codec.pack_all(event_codec.unpack_all(msgspec.msgpack.decode(late_events)))
+        )
+        == late_events
     )
-    assert msgspec.msgpack.decode(rest) == REST
+    assert msgspec.msgpack.decode(late_events) == REST
 
 
-@pytest.mark.parametrize("place", range(len(ORDERS)))
-def test_orders_that_wait_are_read_and_written_as_they_were(place):
-    rows = ORDERS[place]
+@pytest.mark.parametrize("index", range(len(ORDERS)))
+def test_recorded_pending_orders_are_decoded_and_encoded_unchanged(index):
+    rows = ORDERS[index]
     assert msgspec.msgpack.encode(
         event_codec.pack_all(event_codec.unpack_all(rows))
     ) == msgspec.msgpack.encode(rows)
--- a/tests/test_upgrade_channel.py
+++ b/tests/test_upgrade_channel.py
@@ -1,4 +1,4 @@
-"""The channel between the two processes of an upgrade: words, descriptors, and what is no word."""
+"""The channel between the two processes of an upgrade: messages, descriptors and invalid input."""
 
 import os
 import random
@@ -14,16 +14,19 @@
 from indigohitch.upgrade.channel import Channel
 
 
-class Ends:
+class ChannelHarness:
+    """A channel on a loop of its own, and the other end of its socket."""
+
     def __init__(self):
         self.loop = EventLoop(Clock(), self.fail)
-        self.heard, self.ended = [], []
-        self.ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
+        self.received = []
+        self.ends = []
+        self.other_end, own_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
         self.channel = Channel(
             self.loop,
-            theirs,
-            lambda word, fds: self.heard.append((word, fds)),
-            lambda why, broken: self.ended.append((why, broken)),
+            own_end,
+            lambda message, fds: self.received.append((message, fds)),
+            lambda reason, broken: self.ends.append((reason, broken)),
         )
 
     @staticmethod
@@ -36,39 +39,41 @@
             self.loop.turn()
 
 
-def test_words_and_descriptors_arrive_in_order_in_any_pieces():
-    a, b = Ends(), Ends()
+def test_messages_and_descriptors_arrive_in_order_however_the_stream_is_split():
+    harness = ChannelHarness()
+    other_harness = ChannelHarness()
     rng = random.Random(3)
-    data, sent = b"", []
+    data = b""
+    sent = []
     for n in range(30):
-        word = rng.choice(
+        message = rng.choice(
             [
                 messages.StateChunk(os.urandom(rng.randrange(3000))),
                 messages.ConnectionsAdopted([n]),
                 messages.DrainCompleted(),
             ]
         )
-        data += messages.frame(word)
-        sent.append(word)
+        data += messages.frame(message)
+        sent.append(message)
     while data:
         count = rng.randint(1, 700)
-        a.ours.send(data[:count])
+        harness.other_end.send(data[:count])
         data = data[count:]
-        a.turn(1)
-    assert [word for word, _ in a.heard] == sent
+        harness.turn(1)
+    assert [message for message, _ in harness.received] == sent
     read, write = os.pipe()
-    other = Channel(b.loop, a.ours.dup(), lambda *_: None, lambda *_: None)
+    other = Channel(other_harness.loop, harness.other_end.dup(), lambda *_: None, lambda *_: None)
     other.send(messages.ConnectionsPassed([1, 2], [b"", b"x"], ["c", "c"]), [read, write])
-    a.turn()
-    word, (got, put) = a.heard[-1]
-    os.write(put, b"hello")
-    assert word.rests == [b"", b"x"] and os.read(read, 10) == b"hello" and got not in (read, write)
+    harness.turn()
+    message, (new_read, new_write) = harness.received[-1]
+    os.write(new_write, b"hello")
+    assert message.unread == [b"", b"x"] and os.read(read, 10) == b"hello" and new_read not in (read, write)
 
 
 @pytest.mark.parametrize(
-    "harm, why",
+    "fault, reason",
     [
-        ("cut", "cut inside"),
+        ("cut", "closed inside a message"),
         ("flip", "checksum"),
         ("magic", "protocol"),
         ("few", "lacks 2 descriptors"),
@@ -76,18 +81,18 @@
         ("form", "Hello"),
     ],
 )
-def test_what_is_not_a_word_ends_the_channel(harm, why):
-    ends = Ends()
-    frame = bytearray(messages.frame(messages.Hello(1, 1, 5), 2 if harm == "few" else 0))
-    if harm == "cut":
+def test_an_invalid_frame_ends_the_channel(fault, reason):
+    harness = ChannelHarness()
+    frame = bytearray(messages.frame(messages.Hello(1, 1, 5), 2 if fault == "few" else 0))
+    if fault == "cut":
         frame = frame[:-2]
-    elif harm == "flip":
+    elif fault == "flip":
         frame[-1] ^= 1
-    elif harm == "magic":
+    elif fault == "magic":
         frame[0] ^= 1
-    elif harm == "kind":
+    elif fault == "kind":
         frame[5] = 200
-    elif harm == "form":
+    elif fault == "form":
         body = msgspec.msgpack.encode(["x"])
         frame = (
             frames._HEADER.pack(
@@ -100,24 +105,25 @@
             )
             + body
         )
-    ends.ours.send(frame)
-    ends.ours.close()
-    ends.turn()
-    assert len(ends.ended) == 1 and why in ends.ended[0][0] and ends.ended[0][1] and not ends.heard
-
-
-def test_last_words_count_though_a_write_fails_first():
-    """Who refuses says why and ends, while the state is still being written to it."""
-    ends = Ends()
-    now = ends.loop.clock.now()
-    ends.loop.clock.now = lambda: now  # the failed write is dealt with in this turn
-
-    def meanwhile():
-        ends.ours.send(messages.frame(messages.HandoverRefused("no room")))
-        ends.ours.close()
-        ends.channel.send(messages.StateChunk(b"x" * 1000))
-
-    ends.loop.call_after(0, meanwhile)
-    ends.loop.turn()
-    assert [word for word, _ in ends.heard] == [messages.HandoverRefused("no room")]
-    assert len(ends.ended) == 1 and not ends.ended[0][1]
+    harness.other_end.send(frame)
+    harness.other_end.close()
+    harness.turn()
+    assert len(harness.ends) == 1 and reason in harness.ends[0][0]
+    assert harness.ends[0][1] and not harness.received
+
+
+def test_a_refusal_is_received_although_a_write_fails_first():
+    """A process that refuses sends the reason and exits while the state is still being written to it."""
+    harness = ChannelHarness()
+    now = harness.loop.clock.now()
+    harness.loop.clock.now = lambda: now  # the failed write is handled in this turn
+
+    def refuse_then_write():
+        harness.other_end.send(messages.frame(messages.HandoverRefused("no room")))
+        harness.other_end.close()
+        harness.channel.send(messages.StateChunk(b"x" * 1000))
+
+    harness.loop.call_after(0, refuse_then_write)
+    harness.loop.turn()
+    assert [message for message, _ in harness.received] == [messages.HandoverRefused("no room")]
+    assert len(harness.ends) == 1 and not harness.ends[0][1]
--- a/tests/test_upgrade_coordinator.py
+++ b/tests/test_upgrade_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator that replaces itself, between the platform's stand-ins."""
+"""Upgrades and restarts of a coordinator process that runs against a simulated platform."""
 
 import json
 import os
@@ -17,59 +17,61 @@
 
 @pytest.fixture
 def platform(tmp_path):
-    found = Platform(tmp_path)
+    simulated_platform = Platform(tmp_path)
     (tmp_path / "operator.conf").write_text(
         f"control {tmp_path / 'control'}\nwait watch 200ms\npidfile {tmp_path / 'pid'}\n"
     )
-    found.words = ["run", "--operator", str(tmp_path / "operator.conf")]
-    found.ask = lambda what: json.loads(
+    simulated_platform.words = ["run", "--operator", str(tmp_path / "operator.conf")]
+    simulated_platform.ask = lambda command: json.loads(
         subprocess.run(
-            [sys.executable, "-m", "indigohitch", what, str(tmp_path / "operator.conf")],
+            [sys.executable, "-m", "indigohitch", command, str(tmp_path / "operator.conf")],
             capture_output=True,
             check=False,
         ).stdout
     )
-    yield found
-    for e in found.program.said("starts"):
+    yield simulated_platform
+    for event in simulated_platform.program.said("starts"):
         try:
-            os.kill(e["pid"], signal.SIGKILL)
+            os.kill(event["pid"], signal.SIGKILL)
         except ProcessLookupError:
             pass
-    found.close()
+    simulated_platform.close()
 
 
 def drain(platform, backend):
     platform.change(backend, "DRAINING")
 
 
-def over(platform, most, span=10.0):
-    """Messages to a proxy over the allowed, in any such span."""
+def excess_messages(platform, max_messages, span=10.0):
+    """Return the number of messages to a proxy above the limit, over all windows of `span` seconds."""
     times = platform.times
-    return sum(max(0, sum(t <= u < t + span for u in times) - most) for t in times)
+    return sum(max(0, sum(start <= sent < start + span for sent in times) - max_messages) for start in times)
 
 
 @pytest.mark.parametrize("fault", [None, "hang", "close", "reset done"])
-def test_a_coordinator_with_calls_out_is_upgraded(platform, fault):
-    """The relay awaits a message as the upgrade lands: each is sent by one process, the same again only where
-    its outcome is unclear, and all count in the window of the new one."""
+def test_a_coordinator_with_calls_in_flight_is_upgraded(platform, fault):
+    """Each call to the relay is sent by one process, and sent again only if its outcome is unknown.
+
+    All calls count in the message window of the new process.
+    """
     program = platform.serving(platform.words)
     eventually(platform.agrees)
     platform.relay_faults += [fault] * (fault is not None)
     for n in range(3):
         platform.change(f"b{n}", "DRAINING")
-        told = platform.ask("upgrade")
-        assert told["result"] == "upgraded", told
+        result = platform.ask("upgrade")
+        assert result["result"] == "upgraded", result
         eventually(lambda n=n: not any(f"b{n}" in t for t in platform.tables.values()))
         eventually(lambda n=n: len(program.said("phase", now="ended")) == n + 1)
     eventually(platform.agrees)
-    assert [e["equal"] for e in program.said("state_compared")] == [True] * 3
-    marks = [m for m, before in zip(platform.marks, [0, *platform.marks]) if m != before]
+    assert [event["equal"] for event in program.said("state_compared")] == [True] * 3
+    marks = [mark for mark, previous in zip(platform.marks, [0, *platform.marks]) if mark != previous]
     assert marks == list(range(marks[0], marks[0] + len(marks)))
     if fault is None:
-        assert len(set(platform.marks)) == len(platform.marks)  # nothing went twice
+        assert len(set(platform.marks)) == len(platform.marks)  # no call was sent twice
 
 
-def test_a_collector_half_way_through_a_line_goes_over(platform):
+def test_a_collector_connection_with_a_partial_line_is_passed_on(platform):
     program = platform.serving(platform.words)
     with platform.call() as sock:
         sock.sendall(b"telemetry site=east\r\nrange_stats range=0 lane=sea")
@@ -82,30 +84,31 @@
     assert not program.said("line_invalid")
 
 
-def test_a_coordinator_goes_on_from_its_file(platform, tmp_path):
-    """What stands is not moved by a restart that read the state, and its window goes on."""
+def test_a_coordinator_continues_from_its_state_file(platform, tmp_path):
+    """A restart that reads the state does not change stored routes, and continues the message window."""
     with open(tmp_path / "operator.conf", "a") as file:
         file.write(f"state {tmp_path / 'state'}\n")
     first = platform.serving(platform.words)
     drain(platform, "b0")
     eventually(lambda: platform.agrees() and not any("b0" in t for t in platform.tables.values()))
-    before, calls = {s: dict(t) for s, t in platform.tables.items()}, len(platform.calls)
+    tables = {slice_: dict(table) for slice_, table in platform.tables.items()}
+    call_count = len(platform.calls)
     assert first.end() == 0
     second = platform.serving(platform.words)
     assert second.said("state_read")
     eventually(lambda: second.said("relay_watch_started"))
     time.sleep(1.0)
-    assert platform.tables == before
-    # A module that began anew would tell every proxy the further tries again; this one knows who has heard.
-    assert not [o for call in platform.calls[calls:] for o in call if o.startswith("put")]
+    assert platform.tables == tables
+    # A new module would send the retry levels to every proxy again; this one knows which proxies have them.
+    assert not [order for call in platform.calls[call_count:] for order in call if order.startswith("put")]
     drain(platform, "b1")
     eventually(lambda: platform.agrees() and not any("b1" in t for t in platform.tables.values()))
     assert second.end() == 0
 
 
-def test_the_messages_sent_count_in_the_new_window(platform):
-    """With few messages allowed in 10 s the window would be exceeded if the new process began at none."""
-    platform.start(platform.words, settings=limited(6))
+def test_messages_of_the_old_process_count_in_the_window_of_the_new_one(platform):
+    """With a low limit per 10 s, a new process that started to count at zero would exceed it."""
+    platform.start(platform.words, settings=settings_with_message_limit(6))
     eventually(lambda: platform.program.said("phase", now="serving"))
     for n in range(5):
         platform.change(f"b{n}", "DRAINING")
@@ -114,27 +117,27 @@
         time.sleep(0.8)
         platform.change(f"b{n}", "SERVING")
     time.sleep(0.5)
-    assert len(platform.times) >= 4 and over(platform, 6) == 0
+    assert len(platform.times) >= 4 and excess_messages(platform, 6) == 0
 
 
-def limited(most):
+def settings_with_message_limit(max_messages):
     return SETTINGS | {
-        "family-info": SETTINGS["family-info"] | {"messages-most": most, "counted-over": 10000.0}
+        "family-info": SETTINGS["family-info"] | {"messages-most": max_messages, "counted-over": 10000.0}
     }
 
 
-def test_run_without_a_file_has_no_control(tmp_path):
-    """As the platform starts it: nothing more is imported, no socket beside the one."""
+def test_run_without_an_operator_file_imports_no_upgrade_modules(tmp_path):
+    """The platform starts the coordinator this way, without a control socket."""
     code = (
         "import sys; import indigohitch.service; not_these = ('upgrade', 'click', 'msgspec', 'sidecar');"
         "print([m for m in sys.modules if m.split('.')[-1] in not_these])"
     )
-    found = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
-    assert found.stdout.strip() == b"[]"
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, check=True)
+    assert result.stdout.strip() == b"[]"
 
 
-def test_a_drain_told_while_the_next_process_hangs_is_kept(platform):
-    """The upgrade would wait for it for longer than a drain may."""
+def test_a_drain_during_an_upgrade_whose_new_process_hangs_is_in_time(platform):
+    """The timeouts of the upgrade are longer than the drain grace."""
     faulty = f"{sys.executable} {Path(__file__).parent / 'faulty.py'} restored hang"
     file = platform.path / "operator.conf"
     file.write_text(f"{file.read_text()}program {faulty} run --operator {file}\n")
@@ -143,10 +146,11 @@
     asking = threading.Thread(target=platform.ask, args=("upgrade",), daemon=True)
     asking.start()
     eventually(lambda: program.said("fault"))
-    began = time.monotonic()
+    started_at = time.monotonic()
     drain(platform, "b1")
     eventually(lambda: not any("b1" in table for table in platform.tables.values()))
-    assert time.monotonic() - began < 2.5  # of three seconds, and the way of a message
+    # The drain grace is three seconds, less the time that a message takes.
+    assert time.monotonic() - started_at < 2.5
     asking.join(30)
     eventually(platform.agrees)
     assert program.said("upgrade_called_off")
--- a/tests/test_upgrade_front_state.py
+++ b/tests/test_upgrade_front_state.py
@@ -1,11 +1,11 @@
-"""The state of a front that an upgrade hands over includes all that is still in progress."""
+"""The state of a front that an upgrade hands over includes all work in progress."""
 
 import contextlib
 import json
 
 import pytest
 
-from indigohitch import interface as face
+from indigohitch import interface
 from indigohitch.log import Log
 from indigohitch.logic import Coordinator
 from indigohitch.net.clock import Clock
@@ -13,7 +13,7 @@
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.front import Front
 from indigohitch.platform_protocol.handover import CoordinatorHandover
-from indigohitch.upgrade import snapshot as shots
+from indigohitch.upgrade import snapshot
 from stage import SETTINGS
 from waiting import free_address
 
@@ -64,12 +64,12 @@
         self.front.store_mirror.on_watch_requested()
         self.front.store_mirror.on_watch_opened()
         self.deliver(
-            face.ProxyJoined(1, "east", 5.0, True),
-            face.ProxyJoined(2, "east", 5.0, True),
-            face.SliceOwnership(3, True),
-            face.StoredRoute(3, "b0", 1.0),
-            face.SliceOwnership(4, True),
-            face.StoredRoute(4, "b1", 1.0),
+            interface.ProxyJoined(1, "east", 5.0, True),
+            interface.ProxyJoined(2, "east", 5.0, True),
+            interface.SliceOwnership(3, True),
+            interface.StoredRoute(3, "b0", 1.0),
+            interface.SliceOwnership(4, True),
+            interface.StoredRoute(4, "b1", 1.0),
         )
         self.front.store_mirror.on_keepalive()
         self.run_decision_round()
@@ -90,24 +90,24 @@
         self.front.event_batch.flush_if_due()
 
     def hand_over(self):
-        """Restore the new process from the encoded state of the old one; return its front."""
+        """Restore the new process from the encoded state of the old one, and return its front."""
         snapshots = []
         self.old.freeze(lambda state, error: snapshots.append((state, error)))
         assert snapshots[0][1] is None, snapshots
-        state = shots.decode(snapshots[0][0])
+        state = snapshot.decode(snapshots[0][0])
         self.new.restore(state, {})
-        assert shots.encode(self.new.snapshot_again()) == snapshots[0][0]
+        assert snapshot.encode(self.new.snapshot_again()) == snapshots[0][0]
         return self.new.front
 
 
 @pytest.fixture
 def harness():
-    found = UpgradeHarness()
-    yield found
-    for handover in (found.old, found.new):
+    upgrade_harness = UpgradeHarness()
+    yield upgrade_harness
+    for handover in (upgrade_harness.old, upgrade_harness.new):
         with contextlib.suppress(AttributeError):
             handover.front.close()
-    found.loop.close()
+    upgrade_harness.loop.close()
 
 
 @pytest.mark.parametrize("target", ["upgrade", "file"])
@@ -122,16 +122,16 @@
     discovery = harness.front.discovery
     discovery._apply_response(discovery.versions.new_request(0, False), HttpResponse("answered", 200, body))
     harness.deliver(
-        face.ProxyLeft(1),
-        face.SliceOwnership(3, False),
-        face.SliceOwnership(9, True),
-        face.StoredRoute(9, "b2", 1.0),
+        interface.ProxyLeft(1),
+        interface.SliceOwnership(3, False),
+        interface.SliceOwnership(9, True),
+        interface.StoredRoute(9, "b2", 1.0),
     )
     harness.front.store_mirror._settle()
     if target == "upgrade":
         front = harness.hand_over()
     else:
-        harness.new.restore(shots.decode(shots.encode(harness.old.snapshot())), {})
+        harness.new.restore(snapshot.decode(snapshot.encode(harness.old.snapshot())), {})
         front = harness.new.front
     coordinator = front.coordinator
     assert front.discovery.version == 2 and coordinator.backends["b1"].state == "draining"
@@ -179,10 +179,10 @@
         raise ZeroDivisionError
 
     harness.front.coordinator.handle = fail
-    harness.deliver(face.ProxyJoined(3, "east", 5.0, True))
+    harness.deliver(interface.ProxyJoined(3, "east", 5.0, True))
     if failure == "before":
         harness.run_decision_round()  # a new module, which gets only later events before the full state
-        harness.deliver(face.ProxyJoined(3, "east", 5.0, True))
+        harness.deliver(interface.ProxyJoined(3, "east", 5.0, True))
         harness.run_decision_round()
     elif failure == "in every round":
         with monkeypatch.context() as patched:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade_sidecar.py
@@ -1,4 +1,4 @@
-"""The program replaces itself under load, and new programs that fail at every point of it."""
+"""Upgrades of a sidecar process under load, and new processes that fail at each point of an upgrade."""
 
 import os
 import signal
@@ -10,9 +10,9 @@
 from field import Field, answers
 from waiting import eventually
 
-# Where a new program hangs its wait runs out; all others are too long to matter on a busy machine.
-LONG = {"start": "30s", "takeover": "20s", "commit": "10s"}
-HANGS = {
+# A new process that hangs exceeds a short timeout; the others are too long to expire on a busy machine.
+LONG_TIMEOUTS = {"start": "30s", "takeover": "20s", "commit": "10s"}
+TIMEOUTS_BY_HANG_POINT = {
     "start": {"start": "4s"},
     "hello": {"takeover": "3s"},
     "half": {"takeover": "3s"},
@@ -22,22 +22,22 @@
 
 @pytest.fixture
 def field(tmp_path, request):
-    given = request.node.callspec.params if hasattr(request.node, "callspec") else {}
-    waits = LONG | {"watch": "300ms", "drain": "4s"}
-    waits |= HANGS[given["point"]] if given.get("how") == "hang" else {}
-    found = Field(
+    params = request.node.callspec.params if hasattr(request.node, "callspec") else {}
+    timeouts = LONG_TIMEOUTS | {"watch": "300ms", "drain": "4s"}
+    timeouts |= TIMEOUTS_BY_HANG_POINT[params["point"]] if params.get("how") == "hang" else {}
+    sidecar_field = Field(
         tmp_path,
         slices=600,
-        deadlines=("20s", "20s"),  # a state in more than one piece
-        more=[f"wait {name} {span}" for name, span in waits.items()],
+        deadlines=("20s", "20s"),  # the state needs more than one chunk
+        more=[f"wait {name} {span}" for name, span in timeouts.items()],
     ).start()
-    yield found
-    found.close()
+    yield sidecar_field
+    sidecar_field.close()
 
 
-# What each fault must lead to: before the new one accepts nothing at all is lost.
+# Each fault with the reported reason; no request is lost before the new process accepts.
 @pytest.mark.parametrize(
-    "point, how, why",
+    "point, how, reason",
     [
         ("start", "crash", "ended with"),
         ("start", "hang", "while offered"),
@@ -55,44 +55,47 @@
         ("descriptors", "none", "descriptors ran out"),
     ],
 )
-def test_a_new_program_that_fails_costs_nothing(field, point, how, why):
+def test_a_new_process_that_fails_before_it_accepts_loses_no_request(field, point, how, reason):
     load = field.load(120, 6.5 if how == "hang" else 2.5)
     time.sleep(0.3)
-    before = field.pid()
+    old_pid = field.pid()
     field.fault(point, how)
-    told = field.ask("upgrade")
-    assert why in told["error"] and field.said("fault", point=point), told
-    assert field.pid() == before and field.get().status == 200
+    result = field.ask("upgrade")
+    assert reason in result["error"] and field.said("fault", point=point), result
+    assert field.pid() == old_pid and field.get().status == 200
     field.fault("", "")
-    eventually(lambda: field.ask("upgrade")["result"] == "upgraded")  # in as short a wait, where it hung
-    assert field.pid() != before
-    found = load.join()
-    assert found["lost"] == 0, found
-    acts = field.acts()
-    assert all(acts.get(id) == 1 for id in load.made.reserves)
+    # After a hang this upgrade has the same short timeout.
+    eventually(lambda: field.ask("upgrade")["result"] == "upgraded")
+    assert field.pid() != old_pid
+    load_result = load.join()
+    assert load_result["lost"] == 0, load_result
+    executions = field.acts()
+    assert all(executions.get(id) == 1 for id in load.made.reserves)
     eventually(field.one)
-    assert all(e["equal"] for e in field.said("state_compared")) and field.said("state_compared")
+    assert all(event["equal"] for event in field.said("state_compared")) and field.said("state_compared")
 
 
 @pytest.mark.parametrize("point", ["accept", "drain"])
-def test_a_new_program_that_dies_in_service_loses_only_what_it_accepted(field, point):
-    """The old one still stands by and accepts again.  Kept connections that the new one had taken end; who
-    connects anew is answered, by the old one."""
-    before = field.pid()
+def test_a_new_process_that_dies_after_accepting_loses_only_its_own_connections(field, point):
+    """The old process still monitors the new one and accepts again.
+
+    Connections that the new process had taken over are closed; new connections are served by the old process.
+    """
+    old_pid = field.pid()
     field.fault(point, "crash")
-    # A long answer is in hand, so the old one drains for longer than it stands by.
+    # A slow request makes the drain longer than the `watch` timeout.
     slow = field.raw(b"GET /vacancies/1 HTTP/1.1\r\nHost: t\r\nX-Act: wait=2500\r\n\r\n")
     time.sleep(0.2)
-    asked = threading.Thread(target=lambda: field.ask("upgrade"))
-    asked.start()
+    upgrading = threading.Thread(target=lambda: field.ask("upgrade"))
+    upgrading.start()
     eventually(lambda: field.said("takeover", now="following"))
     lost = field.raw(b"GET /vacancies/2 HTTP/1.1\r\nHost: t\r\n\r\n")
     eventually(lambda: field.said("upgrade_taken_back"))
-    asked.join()
-    assert field.pid() == before
+    upgrading.join()
+    assert field.pid() == old_pid
     assert field.get().status == 200 and answers(slow, 1)[0][0] == 200
     if point == "accept":
-        with pytest.raises(ConnectionError):  # what it accepted goes with it
+        with pytest.raises(ConnectionError):  # the new process had accepted this connection
             if not lost.recv(1):
                 raise ConnectionError
     field.fault("", "")
@@ -100,38 +103,38 @@
 
 
 @pytest.mark.parametrize("point, restored", [("start", False), ("restored", True)])
-def test_the_old_one_dies_half_way_and_the_new_one_begins(field, point, restored):
-    before = field.pid()
+def test_the_new_process_serves_after_the_old_one_dies_during_the_upgrade(field, point, restored):
+    old_pid = field.pid()
     field.fault(point, "wait")
     threading.Thread(target=lambda: pytest.raises((OSError, ValueError), field.ask, "upgrade")).start()
     eventually(lambda: field.said("upgrade", now="restored" if restored else "offered"))
-    os.kill(before, signal.SIGKILL)
+    os.kill(old_pid, signal.SIGKILL)
     field.process.wait()
     eventually(lambda: field.said("begun_as_orphan"))
     assert field.said("begun_as_orphan")[0]["restored"] is restored
     eventually(lambda: field.said("phase", now="serving")[1:])
-    assert field.get().status == 200 and field.pid() != before
+    assert field.get().status == 200 and field.pid() != old_pid
 
 
-def test_half_a_request_and_pipelined_ones_come_through(field):
-    half = field.raw(b"GET /vacancies/1 HTTP/1.1\r\nHo")
-    pipe = field.raw(
+def test_partial_and_pipelined_requests_are_answered_across_an_upgrade(field):
+    partial = field.raw(b"GET /vacancies/1 HTTP/1.1\r\nHo")
+    pipelined = field.raw(
         b"GET /vacancies/1 HTTP/1.1\r\nHost: t\r\nX-Act: wait=700\r\n\r\n"
         + 2 * b"GET /vacancies/2 HTTP/1.1\r\nHost: t\r\n\r\n"
     )
     time.sleep(0.2)
-    before = field.pid()
+    old_pid = field.pid()
     assert field.ask("upgrade")["result"] == "upgraded"
-    half.sendall(b"st: t\r\n\r\n")
-    assert answers(half, 1)[0][0] == 200
-    assert [status for status, _ in answers(pipe, 3)] == [200] * 3
-    assert field.pid() != before
+    partial.sendall(b"st: t\r\n\r\n")
+    assert answers(partial, 1)[0][0] == 200
+    assert [status for status, _ in answers(pipelined, 3)] == [200] * 3
+    assert field.pid() != old_pid
     eventually(field.one)
-    half.sendall(b"GET /vacancies/4 HTTP/1.1\r\nHost: t\r\n\r\n")
-    assert answers(half, 1)[0][0] == 200  # the same connection, in the new process
+    partial.sendall(b"GET /vacancies/4 HTTP/1.1\r\nHost: t\r\n\r\n")
+    assert answers(partial, 1)[0][0] == 200  # the same connection, in the new process
 
 
-def test_a_reservation_on_the_wire_is_acted_on_once(field):
+def test_a_request_whose_body_arrives_during_the_drain_is_executed_once(field):
     sock = field.raw(
         b"POST /places/7/reserve HTTP/1.1\r\nHost: t\r\nX-Id: one\r\nX-Act: wait=600\r\n"
         b"Content-Length: 5\r\n\r\n"
@@ -143,68 +146,69 @@
     assert field.acts() == {"one": 1}
 
 
-def test_a_long_answer_ends_at_the_bound(field):
-    """A stated end: the old process closes it after `wait drain` and says so."""
+def test_a_response_longer_than_the_drain_timeout_is_cut(field):
+    """The old process closes the connection after `wait drain` and logs it."""
     sock = field.raw(b"GET /vacancies/1 HTTP/1.1\r\nHost: t\r\nX-Act: size=100000,drip=100\r\n\r\n")
     sock.recv(1000)
     assert field.ask("upgrade")["result"] == "upgraded"
-    began, got = time.monotonic(), 0
+    started_at = time.monotonic()
+    received = 0
     while data := sock.recv(65536):
-        got += len(data)
-    assert 2.5 < time.monotonic() - began < 6 and got < 100000
+        received += len(data)
+    assert 2.5 < time.monotonic() - started_at < 6 and received < 100000
     assert field.said("rpc_outlived_the_bound")
     assert field.get().status == 200
 
 
-def test_several_at_once_and_signals_meanwhile(field):
+def test_a_second_upgrade_sighup_and_sigterm_during_an_upgrade(field):
     field.fault("restored", "wait")
-    first = []
-    asking = threading.Thread(target=lambda: first.append(field.ask("upgrade")))
-    asking.start()
+    results = []
+    upgrading = threading.Thread(target=lambda: results.append(field.ask("upgrade")))
+    upgrading.start()
     eventually(lambda: field.said("upgrade", now="offered"))
     assert field.ask("upgrade")["result"] == "not now"
-    field.write(servers=field.servers[:1])  # and read by whoever is the service afterwards
+    field.write(servers=field.servers[:1])  # reloaded by the process that serves after the upgrade
     os.kill(field.pid(), signal.SIGHUP)
-    asking.join()
-    assert first[0]["result"] == "upgraded"
+    upgrading.join()
+    assert results[0]["result"] == "upgraded"
     eventually(lambda: field.said("reloaded"))
     eventually(lambda: {field.get(f"/vacancies/{n}").headers["X-Server"] for n in range(20)} == {"s0"})
     eventually(field.one)
     field.fault("restored", "wait")
-    asking = threading.Thread(target=lambda: first.append(field.ask("upgrade")))
-    asking.start()
+    upgrading = threading.Thread(target=lambda: results.append(field.ask("upgrade")))
+    upgrading.start()
     eventually(lambda: len(field.said("upgrade", now="offered")) == 2)
     os.kill(field.pid(), signal.SIGTERM)
-    asking.join()
-    assert first[1]["error"] == "told to end"
-    eventually(lambda: not any(field.mine(e["pid"]) for e in field.said("starts")))
+    upgrading.join()
+    assert results[1]["error"] == "told to end"
+    eventually(lambda: not any(field.mine(event["pid"]) for event in field.said("starts")))
 
 
-def test_a_file_with_a_mistake_calls_the_upgrade_off(field):
-    before = field.pid()
+def test_an_invalid_operator_file_cancels_the_upgrade(field):
+    old_pid = field.pid()
     field.write("wiat drain 3s")
     assert "ended with 1" in field.ask("upgrade")["error"]
-    assert field.pid() == before and field.get().status == 200
+    assert field.pid() == old_pid and field.get().status == 200
 
 
-def test_other_servers_in_the_file_come_with_the_upgrade(field):
+def test_an_upgrade_applies_a_changed_list_of_servers(field):
     field.write(servers=field.servers[:1])
     assert field.ask("upgrade")["result"] == "upgraded"
     assert eventually(lambda: field.said("servers_changed"))[0]["left"] == ["s1"]
     eventually(lambda: {field.get(f"/vacancies/{n}").headers["X-Server"] for n in range(20)} == {"s0"}, 2)
 
 
-def test_the_state_is_written_at_the_end_and_read_at_the_start(tmp_path):
+def test_the_state_file_is_written_at_exit_and_read_at_start(tmp_path):
     field = Field(tmp_path, more=[f"state {tmp_path / 'state'}"])
     try:
         field.start()
         assert field.ask("snapshot")["bytes"] > 1000
-        where = {n: field.get(f"/vacancies/{n}").headers["X-Server"] for n in range(30)}
+        server_by_key = {n: field.get(f"/vacancies/{n}").headers["X-Server"] for n in range(30)}
         os.kill(field.pid(), signal.SIGTERM)
         assert field.process.wait(5) == 0
         field.start()
         assert field.said("state_read")
-        assert {n: field.get(f"/vacancies/{n}").headers["X-Server"] for n in range(30)} == where
+        assert {n: field.get(f"/vacancies/{n}").headers["X-Server"] for n in range(30)} == server_by_key
         os.kill(field.pid(), signal.SIGTERM)
         field.process.wait(5)
         data = bytearray((tmp_path / "state").read_bytes())
--- a/tests/test_upgrade_signals.py
+++ b/tests/test_upgrade_signals.py
@@ -1,4 +1,4 @@
-"""Signals and deaths that meet an upgrade in the phase in which the old process stands by."""
+"""Signals and deaths during an upgrade, mostly while the old process drains and monitors the new one."""
 
 import os
 import signal
@@ -11,8 +11,7 @@
 
 from field import Field
 from indigohitch import control
-from indigohitch.upgrade import messages, predecessor_driver
-from indigohitch.upgrade import snapshot as shots
+from indigohitch.upgrade import messages, predecessor_driver, snapshot
 from indigohitch.upgrade.phases import Phase
 from indigohitch.upgrade.successor_driver import SuccessorDriver
 from stage import Platform
@@ -21,36 +20,37 @@
 
 @pytest.fixture
 def field(tmp_path):
-    """Its old process stands by for longer than any test takes, with nothing in hand."""
-    found = Field(tmp_path, more=["wait watch 60s", "wait drain 60s", "wait start 60s"]).start()
-    yield found
-    found.close()
+    """A field whose old process monitors the new one for longer than any test, without work in flight."""
+    sidecar_field = Field(tmp_path, more=["wait watch 60s", "wait drain 60s", "wait start 60s"]).start()
+    yield sidecar_field
+    sidecar_field.close()
 
 
-def upgraded(field):
+def upgrade(field):
+    """Upgrade the program; return the pids of the old and the new process."""
     before = field.pid()
     assert field.ask("upgrade")["result"] == "upgraded"
     return before, field.pid()
 
 
-def test_the_service_is_told_to_end_while_the_old_one_stands_by(field):
-    """Seen: the old one took its end for a death and went on, with no control socket and no pid file."""
-    old, new = upgraded(field)
+def test_sigterm_to_the_new_process_during_the_drain_ends_both(field):
+    """The old process took that end for a crash and served on, without control socket and pid file."""
+    old, new = upgrade(field)
     os.kill(new, signal.SIGTERM)
     eventually(lambda: not field.mine(old) and not field.mine(new), 10)
     assert not field.said("upgrade_taken_back") and not Path(field.socket).exists()
 
 
-def test_sighup_to_the_old_one_after_the_word_is_heard_by_the_service(field):
-    old, _ = upgraded(field)
+def test_sighup_to_the_old_process_after_the_commit_reloads_the_new_one(field):
+    old, _ = upgrade(field)
     field.write(servers=field.servers[:1])
     os.kill(old, signal.SIGHUP)
     eventually(lambda: field.said("reloaded"))
     eventually(lambda: {field.get(f"/vacancies/{n}").headers["X-Server"] for n in range(20)} == {"s0"})
 
 
-def test_sighup_during_an_upgrade_that_comes_to_nothing_early(field):
-    """Before the state was taken: nothing thawed, and nothing was read either."""
+def test_sighup_during_an_upgrade_that_fails_early_reloads_the_old_process(field):
+    """An upgrade that failed before the state was taken never thawed the module, and so did not reload."""
     before = field.pid()
     field.fault("start", "hang")
     asking = threading.Thread(target=lambda: field.ask("upgrade"))
@@ -58,7 +58,7 @@
     eventually(lambda: field.said("fault", point="start"))
     field.write(servers=field.servers[:1])
     os.kill(before, signal.SIGHUP)
-    for _ in range(2):  # turns of its loop after the signal
+    for _ in range(2):  # so that its loop has run after the signal
         assert field.ask("status")["upgrade"] == "offered"
     assert not field.said("reloaded")
     for child in Path(f"/proc/{before}/task/{before}/children").read_text().split():
@@ -68,8 +68,8 @@
     eventually(lambda: {field.get(f"/vacancies/{n}").headers["X-Server"] for n in range(20)} == {"s0"})
 
 
-def test_the_pid_file_names_the_old_one_again_once_it_took_over_again(field):
-    old, new = upgraded(field)
+def test_the_pid_file_names_the_old_process_after_it_has_taken_the_service_back(field):
+    old, new = upgrade(field)
     assert (field.path / "pid").read_text() == f"{new}\n"
     os.kill(new, signal.SIGKILL)
     eventually(lambda: field.said("upgrade_taken_back"))
@@ -77,7 +77,7 @@
     assert field.pid() == old and field.get().status == 200
 
 
-def test_a_relays_move_to_the_old_one_after_the_word(tmp_path):
+def test_sighup_after_a_move_of_the_relay_reaches_the_new_process(tmp_path):
     platform = Platform(tmp_path)
     file = tmp_path / "operator.conf"
     file.write_text(f"control {tmp_path / 'control'}\nwait watch 60s\nwait drain 60s\n")
@@ -98,39 +98,42 @@
         platform.close()
 
 
-def test_an_earlier_upgrades_time_to_stand_by_does_not_end_a_later_one(monkeypatch):
-    """Taken back, and asked for again within that time."""
+def test_the_watch_timer_of_an_earlier_upgrade_does_not_affect_a_later_one(monkeypatch):
+    """The first upgrade is taken back, and the next one starts before the first `watch` timeout."""
     monkeypatch.setattr(
         predecessor_driver, "StartedProcess", mock.MagicMock(side_effect=lambda *_: mock.MagicMock())
     )
     monkeypatch.setattr(predecessor_driver, "Channel", mock.MagicMock())
-    loop, side, due = mock.MagicMock(), mock.MagicMock(), []
+    loop = mock.MagicMock()
+    side = mock.MagicMock()
+    timers = []
     loop.clock.now.return_value = 1000
-    loop.call_after = lambda span, action: due.append((span, action)) or mock.MagicMock()
+    loop.call_after = lambda delay, action: timers.append((delay, action)) or mock.MagicMock()
     side.is_settled.return_value = side.is_drained.return_value = False
     side.listeners.return_value = {}
     side.take_idle_connections.return_value = []
     side.late_events.return_value = b""
-    given = predecessor_driver.PredecessorDriver(
-        loop, mock.MagicMock(), side, [], {"watch": 7}, lambda: None, lambda told: None
+    driver = predecessor_driver.PredecessorDriver(
+        loop, mock.MagicMock(), side, [], {"watch": 7}, lambda: None, lambda result: None
     )
-    stood = []
+    watch_timers = []
     for end in ("died", ""):
         for event in ("asked", "hello", "settled", "restored", "proven", "accepting"):
-            given.step(event)
-        stood += [action for span, action in due if span == 7]
-        due.clear()
+            driver.step(event)
+        watch_timers += [action for delay, action in timers if delay == 7]
+        timers.clear()
         if end:
-            given.step(end)
-    stood[0]()
-    assert not given.machine.watched
-    stood[1]()
-    assert given.machine.watched
+            driver.step(end)
+    watch_timers[0]()
+    assert not driver.machine.is_watch_over
+    watch_timers[1]()
+    assert driver.machine.is_watch_over
 
 
-def test_a_call_that_went_after_sigterm_is_in_the_state_of_the_end(tmp_path):
-    """Seen: the file held it as one that waits, and not among the messages that count."""
-    platform, state = Platform(tmp_path), tmp_path / "state"
+def test_a_call_sent_after_sigterm_is_in_the_final_state_file(tmp_path):
+    """The file listed such a call as pending, and did not count it among the sent messages."""
+    platform = Platform(tmp_path)
+    state = tmp_path / "state"
     file = tmp_path / "operator.conf"
     file.write_text(f"control {tmp_path / 'control'}\nstate {state}\n")
     try:
@@ -141,29 +144,34 @@
         eventually(lambda: control.send_command(str(tmp_path / "control"), "status")["calls_waiting"])
         program.process.send_signal(signal.SIGTERM)
         eventually(lambda: program.said("state_written"))
-        first, calls, turned = shots.read(str(state)), len(platform.calls), len(platform.relay_faults)
-        assert first.coordinator.waiting
-        eventually(lambda: len(platform.relay_faults) < turned - 2)  # what was out then was turned away
+        first_state = snapshot.read(str(state))
+        call_count = len(platform.calls)
+        fault_count = len(platform.relay_faults)
+        assert first_state.coordinator.waiting
+        # The calls that were in flight at that time have been rejected.
+        eventually(lambda: len(platform.relay_faults) < fault_count - 2)
         platform.relay_faults.clear()
         assert program.process.wait(10) == 0
-        assert len(platform.calls) > calls
-        ended = shots.read(str(state)).coordinator
-        assert not ended.waiting and ended.written[-1] > first.taken
+        assert len(platform.calls) > call_count
+        final_state = snapshot.read(str(state)).coordinator
+        assert not final_state.waiting and final_state.written[-1] > first_state.taken
     finally:
         platform.close()
 
 
-def test_a_new_process_that_can_not_begin_makes_room():
-    """After the word: it says nothing of what was passed, and is dead soon, so the old one has all of it."""
-    side, ended, began = mock.MagicMock(), [], []
+def test_a_new_process_that_cannot_start_serving_exits_without_confirming_connections():
+    """After the commit the old process takes over again, and still owns all connections."""
+    side = mock.MagicMock()
+    exit_codes = []
+    serving_calls = []
     side.start_serving.side_effect = RuntimeError("no")
     pair = socket.socketpair()
     loop = mock.MagicMock()
-    taking = SuccessorDriver(
-        loop, mock.MagicMock(), side, pair[0], os.getpid(), lambda: began.append(1), ended.append
+    driver = SuccessorDriver(
+        loop, mock.MagicMock(), side, pair[0], os.getpid(), lambda: serving_calls.append(1), exit_codes.append
     )
-    taking.machine.phase = Phase.PROVEN
-    taking.on_message(messages.CommitHandover(b""), [])
-    assert pair[1].recv(100) == b""  # closed without a word
+    driver.machine.phase = Phase.PROVEN
+    driver.on_message(messages.CommitHandover(b""), [])
+    assert pair[1].recv(100) == b""  # closed without a message
     pair[1].close()
-    assert ended == [1] and not began and not side.adopt.called
+    assert exit_codes == [1] and not serving_calls and not side.adopt.called
--- a/tests/upgrade_actions.py
+++ b/tests/upgrade_actions.py
@@ -12,54 +12,56 @@
 
 
 class OldActions:
-    """The actions of the old process, by the values of `Act`."""
+    """The actions of the old process, by the values of `Action`."""
 
     def __init__(self, pair: Pair) -> None:
         self.pair = pair
 
     def spawn(self) -> None:
         """Start a new process, which has to be the only one."""
-        assert self.pair.new is None or not self.pair.new.alive, "a second new process beside a living one"
+        assert self.pair.new is None or not self.pair.new.is_alive, (
+            "a second new process was started while the first is alive"
+        )
         self.pair.new = Process(Successor())
-        self.pair.held = set()
+        self.pair.received = set()
         old = self.pair.old
         old.inbox = []
-        old.cut = False
-        old.heard_cut = False
-        old.sees_death = False
-        old.saw_death = False
+        old.channel_cut = False
+        old.noticed_cut = False
+        old.other_is_dead = False
+        old.noticed_death = False
 
     def settle(self) -> None:
         """Do nothing: no work is pending in this model."""
 
     def give(self) -> None:
         """Send the listeners and the state."""
-        self.pair.say(self.pair.new, "listeners")
-        self.pair.say(self.pair.new, "state")
+        self.pair.send(self.pair.new, "listeners")
+        self.pair.send(self.pair.new, "state")
 
     def commit(self) -> None:
         """Pass some of the connections, then send the commit."""
-        waiting = {number for number in self.pair.old.reads if self.pair.rng.random() < 0.7}
-        self.pair.old.reads -= waiting
-        self.pair.passed |= waiting
-        self.pair.say(self.pair.new, ("passed", frozenset(waiting)))
-        self.pair.say(self.pair.new, "commit")
+        idle = {number for number in self.pair.old.owned if self.pair.rng.random() < 0.7}
+        self.pair.old.owned -= idle
+        self.pair.unconfirmed |= idle
+        self.pair.send(self.pair.new, ("passed", frozenset(idle)))
+        self.pair.send(self.pair.new, "commit")
 
     def release(self) -> None:
         """Check that the new process has confirmed every passed connection."""
-        assert not self.pair.passed, "released what nobody said to have"
+        assert not self.pair.unconfirmed, "released a connection that was not confirmed"
 
     def drain(self) -> None:
-        """Do nothing: `late` passes the rest."""
+        """Do nothing: `pass_late` passes the remaining connections."""
 
     def thaw(self) -> None:
-        """Do nothing: there is no module in this model."""
+        """Do nothing: this model has no decision module."""
 
     def reclaim(self) -> None:
         """Take the passed connections back from a dead process."""
-        assert not self.pair.new.alive, "taken back beside a living one"
-        self.pair.old.reads |= self.pair.passed
-        self.pair.passed = set()
+        assert not self.pair.new.is_alive, "taken back from a living process"
+        self.pair.old.owned |= self.pair.unconfirmed
+        self.pair.unconfirmed = set()
 
     def kill(self) -> None:
         """Kill the new process."""
@@ -67,11 +69,11 @@
 
     def call_off(self) -> None:
         """Send the cancellation."""
-        self.pair.say(self.pair.new, "call_off")
+        self.pair.send(self.pair.new, "call_off")
 
     def done(self) -> None:
-        """Send the end of the drain."""
-        self.pair.say(self.pair.new, "done")
+        """Notify the new process that the drain is complete."""
+        self.pair.send(self.pair.new, "done")
 
     def report(self) -> None:
         """Record the result of the upgrade."""
@@ -83,19 +85,19 @@
 
 
 class NewActions:
-    """The actions of the new process, by the values of `Act`."""
+    """The actions of the new process, by the values of `Action`."""
 
     def __init__(self, pair: Pair) -> None:
         self.pair = pair
 
     def hello(self) -> None:
         """Send hello."""
-        self.pair.say(self.pair.old, "hello")
+        self.pair.send(self.pair.old, "hello")
 
     def restore(self) -> None:
         """Restore the state, which sometimes fails."""
         if self.pair.rng.random() < 0.9:
-            self.pair.say(self.pair.old, "restored")
+            self.pair.send(self.pair.old, "restored")
             self.pair.step("new", "built")
         else:
             self.pair.step("new", "failed")
@@ -103,31 +105,31 @@
     def prove(self) -> None:
         """Check the state, which sometimes fails."""
         if self.pair.rng.random() < 0.9:
-            self.pair.say(self.pair.old, "proven")
+            self.pair.send(self.pair.old, "proven")
             self.pair.step("new", "works")
         else:
             self.pair.step("new", "failed")
 
     def accept(self) -> None:
-        """Confirm the passed connections and read them."""
-        self.pair.say(self.pair.old, ("adopted", frozenset(self.pair.held)))
-        self.pair.say(self.pair.old, "accepting")
-        self.pair.new.reads |= self.pair.held
-        self.pair.held = set()
+        """Confirm the passed connections and take ownership of them."""
+        self.pair.send(self.pair.old, ("adopted", frozenset(self.pair.received)))
+        self.pair.send(self.pair.old, "accepting")
+        self.pair.new.owned |= self.pair.received
+        self.pair.received = set()
 
     def begin(self) -> None:
-        """Read the passed connections; the old process is dead."""
-        assert not self.pair.old.alive
-        self.pair.new.reads |= self.pair.held
-        self.pair.held = set()
+        """Take ownership of the passed connections from the dead old process."""
+        assert not self.pair.old.is_alive
+        self.pair.new.owned |= self.pair.received
+        self.pair.received = set()
 
     def refuse(self) -> None:
         """Send the refusal."""
-        self.pair.say(self.pair.old, "refused")
+        self.pair.send(self.pair.old, "refused")
 
     def leave(self) -> None:
-        """Send the refusal of a service that has to end."""
-        self.pair.say(self.pair.old, "refused")
+        """Notify the old process that this one was ordered to end while it served."""
+        self.pair.send(self.pair.old, "refused")
 
     def end(self) -> None:
         """End the new process."""
--- a/tests/upgrade_process.py
+++ b/tests/upgrade_process.py
@@ -11,19 +11,19 @@
 
     def __init__(self, machine: Predecessor | Successor) -> None:
         self.machine = machine
-        self.alive = True
-        self.hung = False
-        self.told_to_end = False
-        self.reads: set[int] = set()  # connections that it reads
-        self.inbox: list[str | tuple[str, frozenset[int]]] = []  # messages that are not delivered yet
-        self.cut = False  # of its end of the channel
-        self.heard_cut = False
-        self.sees_death = False
-        self.saw_death = False
-        self.started = False
-        self.in_order = False  # a service that had to end, and did
+        self.is_alive = True
+        self.is_hung = False
+        self.ordered_to_end = False
+        self.owned: set[int] = set()  # connections that it owns and reads
+        self.inbox: list[str | tuple[str, frozenset[int]]] = []  # messages sent to it and not delivered yet
+        self.channel_cut = False  # whether its end of the channel is closed
+        self.noticed_cut = False
+        self.other_is_dead = False
+        self.noticed_death = False
+        self.has_started = False
+        self.ended_by_order = False  # it was serving, was ordered to end, and did
 
     @property
     def accepting(self) -> bool:
         """Whether the process accepts connections."""
-        return self.alive and not self.told_to_end and self.machine.accepting
+        return self.is_alive and not self.ordered_to_end and self.machine.accepting
