--- a/indigohitch/upgrade/predecessor.py
+++ b/indigohitch/upgrade/predecessor.py
@@ -69,7 +69,7 @@
     # ---- requests from outside
 
     def on_asked(self, reason: str) -> list[Action]:
-        """Starts an upgrade, unless one is under way or the process is ending."""
+        """Starts an upgrade, unless one is under way (the driver refuses a second) or the process ends."""
         if self.phase is not Phase.SERVING or self.is_ending:
             return []
         self.phase = Phase.OFFERED
--- a/tests/test_upgrade_sidecar.py
+++ b/tests/test_upgrade_sidecar.py
@@ -160,7 +160,7 @@
     assert field.get().status == 200
 
 
-def test_a_second_upgrade_sighup_and_sigterm_during_an_upgrade(field):
+def test_during_an_upgrade_a_second_one_is_refused_and_signals_take_effect(field):
     field.fault("restored", "wait")
     results = []
     upgrading = threading.Thread(target=lambda: results.append(field.ask("upgrade")))
