--- a/indigohitch/fleet/node/__init__.py
+++ b/indigohitch/fleet/node/__init__.py
@@ -1,1 +1,1 @@
-"""A member of the fleet in its process: Raft, the replicated state machine and the works over it."""
+"""A member of the fleet as a process: Raft, the replicated state machine and the works that use it."""
--- a/indigohitch/fleet/node/admin_requests.py
+++ b/indigohitch/fleet/node/admin_requests.py
@@ -1,15 +1,15 @@
-"""Commands of operators to a node over the control socket, beside `status`.
+"""Handles the commands of operators to a node over the control socket, other than `status`.
 
-{"ask": "note TEXT"}                    stores a text in the state machine for all to see
-{"ask": "notes"}                        the texts stored
-{"ask": "propose", "kind": "notes.add", "body": ["text"]}   any entry
-{"ask": "read"}                         an index confirmed by a majority, and the state machine's digest there
-{"ask": "book"}                         index and digest of the state; `book NAME`: one part's row
+{"ask": "note TEXT"}                    adds a note to the replicated state, which every member can read
+{"ask": "notes"}                        returns the notes
+{"ask": "propose", "kind": "notes.add", "body": ["text"]}   proposes an entry of any kind
+{"ask": "read"}                         returns an index confirmed by a majority, and the state's digest there
+{"ask": "book"}                         returns index and digest of the state; `book NAME`: one part's row
 {"ask": "out NAME"}                     removes a member that no file lists any more; only at the leader
-{"ask": "batch", "batch": {...}}        submits one (batches/asking.py shows its shape)
+{"ask": "batch", "batch": {...}}        submits a batch (`FORM` in batches/admin_requests.py shows its shape)
 {"ask": "piece ID from STEP"}           restarts a piece of a batch; or `done`, or `drop`
-{"ask": "distribute set", "services": {...}}   or `remove`, `replace` (distribution/asking.py)
-{"ask": "ledger"}                       the last entries, each with a digest
+{"ask": "distribute set", "services": {...}}   or `remove`, `replace` (distribution/admin_requests.py)
+{"ask": "ledger"}                       returns the last entries, each with a digest
 """
 
 from __future__ import annotations
@@ -28,122 +28,130 @@
 if TYPE_CHECKING:
     from .node import Node
 
-# A line of the control socket: a JSON object.
-Line = dict[str, object]
+# A command or a reply: one line on the control socket.
+JsonObject = dict[str, object]
 
-MAX_SHOWN = 256  # entries of `ledger`
+MAX_SHOWN_ENTRIES = 256  # in the reply to `ledger`
 
 
 class AdminRequests:
-    """Handles one command; `answer` is called with its result, at once or later."""
+    """Handles one command; `reply` is called with its result, at once or later."""
 
-    def __init__(self, node: Node | None, answer: Callable[[Line], None]) -> None:
-        """`node` is None while this process takes no part in the fleet."""
+    def __init__(self, node: Node | None, reply: Callable[[JsonObject], None]) -> None:
+        """Creates a handler; `node` is None while this process takes no part in the fleet."""
         self.node = node
-        self.answer = answer
+        self.reply = reply
 
-    def handle(self, what: str, line: Line) -> bool:
-        """Handles a command; returns False for one of another part of the process."""
-        first, _, rest = what.partition(" ")
+    def handle(self, name: str, command: JsonObject) -> bool:
+        """Handles the command `name`; returns False if another part of the process handles it."""
+        verb, _, argument = name.partition(" ")
         action = {
             "note": self._note,
             "notes": self._notes,
             "propose": self._propose,
             "read": self._read,
             "book": self._replicated_state,
-            "ledger": self._ledger,
+            "ledger": self._recent_entries,
             "out": self._remove_member,
-            "batch": self._batch,
-            "piece": self._piece,
+            "batch": self._submit_batch,
+            "piece": self._control_piece,
             "distribute": self._distribute,
-        }.get(first)
+        }.get(verb)
         if action is None:
             return False
-        if self.node is None or self.node.driver.machine is None:
-            self.answer({"error": "this process takes no part in the fleet now", "again_ms": 500})
+        if self.node is None or self.node.driver.raft_node is None:
+            self.reply({"error": "this process takes no part in the fleet now", "again_ms": 500})
             return True
         try:
-            action(rest, line)
+            action(argument, command)
         except UnavailableError as error:
-            self.answer({"error": error.problem, "again_ms": error.retry_after_ticks / 10})
+            self.reply({"error": error.problem, "again_ms": error.retry_after_ticks / 10})
         except InvalidRequestError as error:
-            self.answer({"error": str(error)})
+            self.reply({"error": str(error)})
         return True
 
-    def _remove_member(self, rest: str, line: Line) -> None:
+    def _remove_member(self, argument: str, command: JsonObject) -> None:
         node = self.node
         leader = node.driver.leader_name
         if not node.driver.leads:
-            self.answer({"error": f"{leader or 'nobody'} leads: ask there", "leader": leader})
+            self.reply(
+                {
+                    "error": f"only the leader removes members, and it is {leader or 'unknown'}",
+                    "leader": leader,
+                }
+            )
             return
-        why = node.join.remove_member(rest)
-        self.answer({"error": why} if why else {"result": "it goes out with the next entries"})
+        refusal = node.join.remove_member(argument)
+        self.reply({"error": refusal} if refusal else {"result": "its removal is proposed"})
 
-    def _note(self, rest: str, line: Line) -> None:
-        self._submit("notes.add", msgspec.msgpack.encode([rest]))
+    def _note(self, argument: str, command: JsonObject) -> None:
+        self._submit("notes.add", msgspec.msgpack.encode([argument]))
 
-    def _propose(self, rest: str, line: Line) -> None:
-        self._submit(str(line.get("kind", rest)), msgspec.msgpack.encode(line.get("body", [])))
+    def _propose(self, argument: str, command: JsonObject) -> None:
+        self._submit(str(command.get("kind", argument)), msgspec.msgpack.encode(command.get("body", [])))
 
-    def _batch(self, rest: str, line: Line) -> None:
-        self._submit("batches.submit", msgspec.msgpack.encode(batch_of(line.get("batch"))))
+    def _submit_batch(self, argument: str, command: JsonObject) -> None:
+        self._submit("batches.submit", msgspec.msgpack.encode(batch_of(command.get("batch"))))
 
-    def _piece(self, rest: str, line: Line) -> None:
-        self._submit("batches.word", msgspec.msgpack.encode(word_of(rest)))
+    def _control_piece(self, argument: str, command: JsonObject) -> None:
+        self._submit("batches.word", msgspec.msgpack.encode(word_of(argument)))
 
-    def _distribute(self, rest: str, line: Line) -> None:
-        entry = parse_entry(rest, line.get("services"))
-        self._submit(f"distribution.{rest}", msgspec.msgpack.encode(entry))
+    def _distribute(self, argument: str, command: JsonObject) -> None:
+        entry = parse_entry(argument, command.get("services"))
+        self._submit(f"distribution.{argument}", msgspec.msgpack.encode(entry))
 
     def _submit(self, kind: str, body: bytes) -> None:
         if len(body) > MAX_BODY_BYTES or not kind or kind.startswith("ledger."):
-            self.answer({"error": f"no entry of this kind or size: {kind[:40]}, {len(body)} bytes"})
+            self.reply({"error": f"no entry of this kind or size: {kind[:40]}, {len(body)} bytes"})
             return
-        self.node.traffic.propose(kind, body, self._on_outcome)
+        self.node.messaging.propose(kind, body, self._on_outcome)
 
     def _on_outcome(self, outcome: Outcome | None) -> None:
         if outcome is None:
-            self.answer(
-                {"error": "not known: this member began anew; it may have taken effect", "unknown": True}
+            self.reply(
+                {
+                    "error": "outcome unknown: this member has a new incarnation; the entry may be committed",
+                    "unknown": True,
+                }
             )
             return
-        result: Line = {"index": outcome.index, "doubled": outcome.is_duplicate}
+        result: JsonObject = {"index": outcome.index, "doubled": outcome.is_duplicate}
         if outcome.rejection:
             result |= {"refused": outcome.rejection, "error": outcome.rejection}
         elif outcome.result:
             result["told"] = msgspec.msgpack.decode(outcome.result)
-        self.answer(result)
+        self.reply(result)
 
-    def _read(self, rest: str, line: Line) -> None:
+    def _read(self, argument: str, command: JsonObject) -> None:
         def done(index: int | None) -> None:
             if index is None:
-                self.answer({"error": "no majority confirmed it", "again_ms": 100})
+                self.reply({"error": "no majority confirmed it", "again_ms": 100})
             else:
-                self.answer({"index": index, "digest": self.node.state_machine.digest().hex()})
+                self.reply({"index": index, "digest": self.node.state_machine.digest().hex()})
 
-        self.node.traffic.read(done)
+        self.node.messaging.read(done)
 
-    def _notes(self, rest: str, line: Line) -> None:
-        self._replicated_state("notes", line)
+    def _notes(self, argument: str, command: JsonObject) -> None:
+        self._replicated_state("notes", command)
 
-    def _replicated_state(self, rest: str, line: Line) -> None:
+    def _replicated_state(self, argument: str, command: JsonObject) -> None:
         state_machine = self.node.state_machine
-        result: Line = {
+        result: JsonObject = {
             "index": state_machine.index,
             "term": state_machine.term,
             "digest": state_machine.digest().hex(),
         }
-        if rest == "notes":
+        if argument == "notes":
             result["texts"] = [text for _, text in state_machine.parts["notes"].texts]
-        elif rest in state_machine.parts:
-            result["part"] = msgspec.to_builtins(state_machine.parts[rest].row(), str_keys=True)
-        elif rest:
-            result = {"error": f"no part {rest[:40]}; there are {', '.join(state_machine.parts)}"}
-        self.answer(result)
-
-    def _ledger(self, rest: str, line: Line) -> None:
-        recent = list(self.node.driver.recent)[-MAX_SHOWN:]
-        self.answer(
+        elif argument in state_machine.parts:
+            result["part"] = msgspec.to_builtins(state_machine.parts[argument].row(), str_keys=True)
+        elif argument:
+            result = {"error": f"no part {argument[:40]}; there are {', '.join(state_machine.parts)}"}
+        self.reply(result)
+
+    def _recent_entries(self, argument: str, command: JsonObject) -> None:
+        recent = list(self.node.driver.recent_entries)[-MAX_SHOWN_ENTRIES:]
+        self.reply(
             {
                 "index": self.node.state_machine.index,
                 "digest": self.node.state_machine.digest().hex(),
@@ -157,9 +165,9 @@
                         "number": entry.number,
                         "refused": outcome.rejection,
                         "doubled": outcome.is_duplicate,
-                        "digest": check.hex(),
+                        "digest": entry_digest.hex(),
                     }
-                    for entry, check, outcome in recent
+                    for entry, entry_digest, outcome in recent
                 ],
             }
         )
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -1,6 +1,6 @@
 """Connects the Raft node to its disk, its links, its timer and the replicated state machine.
 
-Inputs are taken one after the other, also those that come while one is being carried out.
+Inputs are processed in order; those that arrive while outputs are being carried out are queued.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from ..transport.links import Transport
 from ..types import LogEntry, MemberId, Outcome, Proposal
 
-MAX_RECENT = 512  # entries whose digests the control socket shows
+MAX_RECENT = 512  # entries that the control socket can show with their digests
 
 
 class Driver:
@@ -50,9 +50,9 @@
         disk: Storage,
         links: Transport,
         state_machine: ReplicatedStateMachine,
-        bootstrap: Mapping[str, int],
-        chance: Callable[[], float],
-        broken: Callable[[BaseException], None],
+        settings: Mapping[str, int],
+        uniform: Callable[[], float],
+        on_broken: Callable[[BaseException], None],
     ) -> None:
         """Creates a driver without a Raft node.
 
@@ -61,26 +61,26 @@
             log: log of this process.
             disk: storage of this member.
             links: transport of this member.
-            state_machine: takes the committed entries.
-            bootstrap: settings of the Raft node.
-            chance: returns random numbers in [0, 1).
-            broken: called with the error when an invariant is violated; this member has to end.
+            state_machine: applies the committed entries.
+            settings: settings of the Raft node.
+            uniform: returns random numbers in [0, 1), for the election timeouts.
+            on_broken: called with an error after which this member has to stop.
         """
         self.loop = loop
         self.log = log
         self.disk = disk
         self.links = links
         self.state_machine = state_machine
-        self.bootstrap = bootstrap
-        self.chance = chance
-        self.broken = broken
-        self.machine: RaftNode | None = None
+        self.settings = settings
+        self.uniform = uniform
+        self.on_broken = on_broken
+        self.raft_node: RaftNode | None = None
         self.inputs: deque[Input] = deque()
         self.is_stepping = False
         self.timer = DueTimer(loop, self._due_at, lambda: self.step(Tick()))
-        self.recent: deque[tuple[LogEntry, bytes, Outcome]] = deque(
+        self.recent_entries: deque[tuple[LogEntry, bytes, Outcome]] = deque(
             maxlen=MAX_RECENT
-        )  # without bodies; digests
+        )  # entries without bodies, their digests, their outcomes
         self.on_applied: Callable[[LogEntry, Outcome], None] = lambda entry, outcome: None
         self.on_restored: Callable[[], None] = lambda: None
         self.on_rejected: Callable[[Proposal, int], None] = lambda proposal, retry_after: None
@@ -91,52 +91,52 @@
         """Starts the Raft node; raises InvalidDataError for a snapshot that can't be read."""
         if recovered.snapshot.state:
             self.state_machine.restore(recovered.snapshot.state)
-        self.machine = RaftNode(own_id, recovered, self.bootstrap, self.chance, self.loop.clock.now())
+        self.raft_node = RaftNode(own_id, recovered, self.settings, self.uniform, self.loop.clock.now())
         self.on_restored()
         self.timer.arm()
 
     @property
     def members(self) -> Members:
-        """Raft's configuration, empty while this member takes no part."""
-        return self.machine.members if self.machine is not None else Members(())
+        """The Raft configuration; empty while this member takes no part."""
+        return self.raft_node.members if self.raft_node is not None else Members(())
 
     @property
     def leads(self) -> bool:
         """Whether this member is the leader."""
-        return self.machine is not None and self.machine.role.value == "leader"
+        return self.raft_node is not None and self.raft_node.role.value == "leader"
 
     @property
     def leader(self) -> MemberId | None:
-        """The leader as far as it is known here."""
-        return self.machine.leader if self.machine is not None else None
+        """The leader that this member knows of, if any."""
+        return self.raft_node.leader if self.raft_node is not None else None
 
     @property
     def leader_name(self) -> str:
-        """The name of the leader, "" if none is known."""
+        """The name of the leader; "" if none is known."""
         return self.leader.name if self.leader is not None else ""
 
     @property
     def voter_names(self) -> tuple[str, ...]:
-        """The names of the voters in Raft's configuration."""
+        """The names of the voters in the Raft configuration."""
         return tuple(member.name for member in self.members.voters)
 
     # ---- inputs and outputs --------------------------------------------------------------------------------
 
     def step(self, event: Input) -> None:
-        """Takes an input; one that comes while another is being carried out waits its turn."""
-        if self.machine is None:
+        """Processes an input, or queues it while another one is being processed."""
+        if self.raft_node is None:
             return
         self.inputs.append(event)
         if self.is_stepping:
             return
         self.is_stepping = True
         try:
-            while self.inputs and self.machine is not None:
-                for output in self.machine.step(self.loop.clock.now(), self.inputs.popleft()):
+            while self.inputs and self.raft_node is not None:
+                for output in self.raft_node.step(self.loop.clock.now(), self.inputs.popleft()):
                     self._carry_out(output)
-        except Exception as error:  # whatever it is, going on could break a promise
+        except Exception as error:  # after any error, going on could break a vote or an acknowledgement
             self.end()
-            self.broken(error)
+            self.on_broken(error)
         finally:
             self.is_stepping = False
         self.timer.arm()
@@ -163,7 +163,7 @@
                 self.log.event(event, **fields)
 
     def _restore(self, snapshot: Snapshot) -> None:
-        if snapshot.index > self.state_machine.index:  # else it comes again, after a disk that failed
+        if snapshot.index > self.state_machine.index:  # otherwise it is a repetition after a disk failure
             self.state_machine.restore(snapshot.state)
             self.log.event("snapshot_taken_over", index=snapshot.index, bytes=len(snapshot.state))
             self.on_restored()
@@ -184,19 +184,23 @@
 
     def _apply(self, entry: LogEntry) -> None:
         outcome = self.state_machine.apply(entry)
-        check = digest(msgspec.msgpack.encode(entry))
-        self.recent.append(
-            (msgspec.structs.replace(entry, body=b""), check, msgspec.structs.replace(outcome, result=b""))
+        entry_digest = digest(msgspec.msgpack.encode(entry))
+        self.recent_entries.append(
+            (
+                msgspec.structs.replace(entry, body=b""),
+                entry_digest,
+                msgspec.structs.replace(outcome, result=b""),
+            )
         )
         self.on_applied(entry, outcome)
 
     # ---- time --------------------------------------------------------------------------------------
 
     def _due_at(self) -> int | None:
-        return self.machine.due_at if self.machine is not None else None
+        return self.raft_node.due_at if self.raft_node is not None else None
 
     def end(self) -> None:
-        """Ends the Raft node; what is still to be carried out is dropped."""
-        self.machine = None
+        """Stops the Raft node; queued inputs are dropped."""
+        self.raft_node = None
         self.inputs.clear()
         self.timer.cancel()
--- a/indigohitch/fleet/node/headless.py
+++ b/indigohitch/fleet/node/headless.py
@@ -1,4 +1,4 @@
-"""A process of the fleet without a front; its companion takes the file when it is reloaded."""
+"""Base of the fleet's processes without a front; a reload passes the file to the companion."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     """A process that can be upgraded and has no front."""
 
     def __init__(self, text: Text) -> None:
-        """Creates the process of an operator's file."""
+        """Creates the process that the operator's file describes."""
         self.text = text
         super().__init__(text.single["name"], text.single, text.waits)
 
     def read_operator_file(self) -> Text:
-        """Returns the file as it is now; raises OSError or ValueError if it can't be read."""
+        """Reads the file again; raises OSError or ValueError if it can't be read."""
         return operator_file.load(self.text.source)
 
     def reload(self) -> None:
-        """Applies what of the file may change while it runs; a file with a mistake changes nothing."""
+        """Applies the reloadable settings of the file; a file with an error changes nothing."""
         try:
             self.companion.reread(self.read_operator_file().fleet)
         except (OSError, ValueError) as error:
--- a/indigohitch/fleet/node/headless_handover.py
+++ b/indigohitch/fleet/node/headless_handover.py
@@ -1,4 +1,4 @@
-"""The side of an upgrade of a process without a front."""
+"""The participant of handovers of a process without a front."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HeadlessHandover:
-    """Hands over nothing but the control socket: the log is on the disk (HandoverParticipant)."""
+    """Hands over only the control socket: the Raft log is on disk (HandoverParticipant)."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         take_over_control: Callable[[socket.socket], None],
         reload: Callable[[], None],
     ) -> None:
-        """Creates a side from the functions of its process."""
+        """Creates a participant that calls these functions of its process."""
         self.clock = clock
         self.control_listener = control_listener
         self.take_over_control = take_over_control
@@ -32,27 +32,27 @@
     # ---- in the old process ------------------------------------------------------------------------
 
     def listeners(self) -> dict[str, socket.socket]:
-        """Returns the control socket, by its name."""
+        """Returns the control socket by its name, if it is open."""
         control = self.control_listener()
         return {"control": control.sock} if control else {}
 
     def settle(self, on: bool) -> None:
-        """Does nothing: there is no work of a front."""
+        """Does nothing: there is no front whose work could be settled."""
 
     def has_urgent_work(self) -> bool:
-        """Returns False: there is no work of a front."""
+        """Returns False: there is no front with work."""
         return False
 
     def is_settled(self) -> bool:
-        """Returns True: there is no work of a front."""
+        """Returns True: there is no front with work."""
         return True
 
     def snapshot(self) -> snapshot.Snapshot:
-        """Returns a state without content."""
+        """Returns an empty state."""
         return snapshot.Snapshot("member", self.clock.now())
 
     def freeze(self, taken: Callable[[bytes | None, BaseException | None], None]) -> None:
-        """Passes the state on at once."""
+        """Passes the empty state to `taken` at once."""
         taken(snapshot.encode(self.snapshot()), None)
 
     def thaw(self) -> None:
@@ -64,22 +64,22 @@
             control.accept(on)
 
     def late_events(self) -> bytes:
-        """Returns nothing: a state without content is never late."""
+        """Returns nothing: no event can change an empty state."""
         return b""
 
     def take_idle_connections(self) -> list[PassedConnection]:
-        """Returns none: there are no connections of a front."""
+        """Returns none: there is no front with connections."""
         return []
 
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
-        """Closes a connection, as there is no front for it."""
+        """Closes a passed connection, as there is no front for it."""
         sock.close()
 
     def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
-        """Does nothing: there are no connections of a front."""
+        """Does nothing: there is no front with connections."""
 
     def is_drained(self) -> bool:
-        """Returns True: there are no connections of a front."""
+        """Returns True: there is no front with connections."""
         return True
 
     def rehearse(self, at: int) -> bytes:
@@ -89,9 +89,9 @@
     # ---- in the new process ------------------------------------------------------------------------
 
     def restore(self, state: snapshot.Snapshot, listeners: dict[str, socket.socket]) -> None:
-        """Takes the state and the sockets; raises ValueError for another program's state."""
+        """Keeps the state and the sockets; raises ValueError for the state of another kind of process."""
         if state.kind != "member":
-            raise ValueError(f"the state of a {state.kind}")
+            raise ValueError(f"snapshot holds the state of a {state.kind}, not of a member")
         self.state = state
         self.inherited = listeners
 
@@ -104,10 +104,10 @@
         return b""
 
     def take_late_events(self, rest: bytes) -> None:
-        """Does nothing: a state without content is never late."""
+        """Does nothing: no event can change an empty state."""
 
     def start_empty(self, listeners: dict[str, socket.socket]) -> None:
-        """Takes the sockets without a state."""
+        """Keeps the sockets."""
         self.inherited = listeners
 
     def start_serving(self, restored: bool) -> None:
--- a/indigohitch/fleet/node/headless_member.py
+++ b/indigohitch/fleet/node/headless_member.py
@@ -1,4 +1,4 @@
-"""A member of the fleet as a process without a front: it votes and stores the log."""
+"""Runs a member of the fleet without a front: it votes and stores the Raft log."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class HeadlessMember(HeadlessProcess):
-    """A process that is nothing but a member."""
+    """A process that runs only a node."""
 
     def __init__(self, text: Text, follows: bool) -> None:
-        """With `follows` the process was started for an upgrade."""
+        """Creates the process; `follows`: it was started for an upgrade."""
         self.follows = follows
         super().__init__(text)
 
     def make_participant(self) -> HandoverParticipant:
-        """Returns the process' side of an upgrade, with its node."""
-        side = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
-        return node_companion(self, side, self.text.fleet, True, self.follows)
+        """Returns the participant of handovers, which includes the node."""
+        participant = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
+        return node_companion(self, participant, self.text.fleet, True, self.follows)
 
 
 def main(text: Text) -> int:
--- a/indigohitch/fleet/node/introductions.py
+++ b/indigohitch/fleet/node/introductions.py
@@ -1,4 +1,4 @@
-"""What this member reports of itself in a handshake, and the highest number it has seen of each name."""
+"""Replies to handshakes, and the highest number that this member has seen of each name."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from ..types import MemberId
 
 
-class Introductions:
-    """Replies to handshakes from what the disk knows."""
+class HandshakeReplies:
+    """Replies to handshakes with the identity and the numbers stored on the disk."""
 
     def __init__(
         self, disk: Storage, links: Transport, configured_voters: Callable[[], tuple[str, ...]]
     ) -> None:
-        """`configured_voters` returns the names of the voters in this member's file, sorted."""
+        """Creates the replies; `configured_voters` returns the sorted voters of this member's file."""
         self.disk = disk
         self.links = links
         self.configured_voters = configured_voters
 
     def highest_number(self, name: str) -> int:
-        """Returns the highest number seen of that name; 0 if there is none."""
+        """Returns the highest number seen of that name; 0 if none was seen."""
         return self.disk.identity.seen_numbers.get(name, 0)
 
     def acceptance(self, peer: MemberId) -> HandshakeAccepted:
-        """Returns the reply to an accepted handshake."""
+        """Returns the reply that accepts the handshake of a peer."""
         identity = self.disk.identity
         return HandshakeAccepted(
             self.links.own_id,
@@ -36,7 +36,7 @@
         )
 
     def record(self, peer: MemberId) -> str:
-        """Stores the number of a peer; returns why the peer may not connect, "" if it may."""
+        """Stores the number of a peer; returns the reason to refuse it, "" to accept it."""
         if 0 < peer.number < self.highest_number(peer.name):
             return f"{peer.name} comes with an old disk, number {peer.number}"
         try:
--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -1,4 +1,4 @@
-"""A member's orderly leave: it gives up its leadership and its incarnation, or stays after all."""
+"""The orderly leave of a member: it transfers its leadership and releases its incarnation."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from .ports import NodeContext
 
 
-class Leaving:
-    """Takes a node out of its work before its process ends or is upgraded."""
+class LeaveProcedure:
+    """Stops a node from taking part before its process ends or is upgraded."""
 
     def __init__(self, node: NodeContext) -> None:
-        """Creates the procedure for that node."""
+        """Creates the procedure of a node."""
         self.node = node
 
     def leave(self, give_up: bool) -> None:
-        """Gives up the leadership, and with `give_up` also the incarnation if no work depends on it.
+        """Transfers the leadership; with `give_up` also releases the incarnation if no work depends on it.
 
-        Where a work still does, the lease expires instead.  `has_left` becomes true once that is done.
+        If a work still depends on it, the lease expires instead.  `has_left` becomes true when it is done.
         """
         node = self.node
         if node.phase is not Phase.TAKING_PART:
@@ -26,14 +26,14 @@
         node.enter(Phase.LEAVING)
         now = node.loop.clock.now()
         if give_up and not node.work_loop.has_leased_resources(now):
-            auditing = node.assembly.auditing
+            audit_work = node.assembly.audit_work
             membership = node.assembly.membership
-            node.work_loop.request(auditing, auditing.last(now))
+            node.work_loop.request(audit_work, audit_work.last(now))
             node.work_loop.request(membership, membership.leave())
         self._transfer_leadership()
 
     def _transfer_leadership(self) -> None:
-        """Once the outcome of its own proposals is known: from then on it rejects all."""
+        """Waits for the outcome of the leave first: during a transfer, Raft rejects all proposals."""
         node = self.node
         if node.phase is Phase.LEAVING and node.driver.leads:
             if not node.membership_driver.is_leaving:
@@ -42,7 +42,7 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether nothing is left to wait for."""
+        """Whether the leave is complete, or the node does not leave."""
         node = self.node
         if node.phase is not Phase.LEAVING:
             return True
@@ -50,8 +50,8 @@
             return False
         return not node.driver.leads or len(node.driver.members.voters) <= 1
 
-    def stay(self) -> None:
-        """Takes part again, under a new incarnation if it had given the old one up."""
+    def cancel(self) -> None:
+        """Takes part again, under a new incarnation if the old one was released."""
         node = self.node
         if node.phase is Phase.LEAVING:
             node.enter(Phase.TAKING_PART)
--- a/indigohitch/fleet/node/membership.py
+++ b/indigohitch/fleet/node/membership.py
@@ -1,4 +1,4 @@
-"""Drives this process' part in the roster: its proposer, its lease, and as leader the leases of all."""
+"""Connects the membership of this process to its node: its proposer, its lease, and as leader all leases."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
         Args:
             log: log of this process.
             clock: clock of this process.
-            membership: this process' part in the roster.
-            proposals: the proposals of this process.
-            read: starts a confirmed read; its argument is called with the index or None.
-            send_to: sends a message to a member by name, this one too.
-            action_count: returns the number of actions that this member has stamped.
+            membership: the state machine of this process' membership.
+            proposals: the pending proposals of this process.
+            read: starts a linearizable read, and calls its argument with the index or None.
+            send_to: sends a message to a member by name, this one included.
+            action_count: returns how many actions this member has stamped.
         """
         self.log = log
         self.clock = clock
@@ -49,24 +49,24 @@
         self.logged_phase = membership.phase
 
     def lease(self, now: int) -> Lease | None:
-        """Returns the lease held now, None if there is none."""
+        """Returns the lease held now; None if there is none."""
         return self.membership.lease(now)
 
     @property
     def may_propose(self) -> bool:
-        """Whether works other than the membership may propose: this incarnation is a member."""
+        """Whether works other than the membership may propose: the roster has accepted this incarnation."""
         return self.membership.phase in (Phase.COMPARED, Phase.VALID)
 
     @property
     def is_leaving(self) -> bool:
-        """Whether its leave is proposed and not applied yet."""
+        """Whether its leave is proposed but not applied yet."""
         membership = self.membership
         return membership.phase is Phase.LEFT and not membership.roster.ineligibility(
             membership.member_name, membership.incarnation
         )
 
     def follow_phase(self) -> None:
-        """Updates the proposer and the log after anything that may have changed the membership's phase."""
+        """Updates the proposer, and logs a change of the phase; called after anything that may change it."""
         proposer = self.membership.proposer()
         if proposer != (self.proposals.proposer, self.proposals.incarnation):
             self.proposals.start(*proposer)
@@ -86,10 +86,10 @@
                 index=index,
                 own=own.hex(),
                 agreed=agreed.hex(),
-                remedy="keep the folder for who looks into it, and start the member without it",
+                remedy="keep the folder for an investigation, and start the member without it",
             )
         elif phase is Phase.REPLACED:
-            self.log.warning("replaced", **fields, remedy="another process bears this name: end one of them")
+            self.log.warning("replaced", **fields, remedy="another process uses this name: stop one of them")
         else:
             refusal = membership.refusal
             self.log.event("membership", **fields, **({"why": refusal} if refusal else {}))
@@ -104,16 +104,16 @@
                 self.send_to(leader, message)
 
     def on_message(self, sender: MemberId, message: Row) -> None:
-        """Takes a message about leases."""
+        """Handles a message about leases."""
         self._carry_out(self.membership.on_message(self.clock.now(), sender.name, message))
 
     def on_role_changed(self, change: RoleChanged) -> None:
-        """Takes this member's role in Raft."""
+        """Handles a change of this member's role in Raft."""
         self.membership.on_role_changed(self.clock.now(), change.role, change.term)
 
-    def _carry_out(self, orders: list[ReadFirst | Answer]) -> None:
-        for order in orders:
-            match order:
+    def _carry_out(self, actions: list[ReadFirst | Answer]) -> None:
+        for action in actions:
+            match action:
                 case ReadFirst(number):
                     self._start_read(number)
                 case Answer(to, message):
@@ -125,5 +125,5 @@
 
         try:
             self.read(done)
-        except UnavailableError:  # the next renewals start another one
+        except UnavailableError:  # the next renewals start another read
             self.log.count("reads_without_room")
--- a/indigohitch/fleet/node/messages.py
+++ b/indigohitch/fleet/node/messages.py
@@ -1,6 +1,6 @@
-"""Messages between nodes beside Raft's, and all message types of a link by number.
+"""Messages between nodes other than those of Raft, and all message types of a link by number.
 
-Rows only; fields are only ever added at the end.
+A message is encoded as an array: new fields are added at the end.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 class Forward(Row, frozen=True):
-    """A proposal of the sender, for the leader."""
+    """Passes a proposal of the sender to the leader."""
 
     proposal: Proposal
 
 
 class ProposalRejected(Row, frozen=True):
-    """The proposal was not taken; it may be sent again after `retry_after` ticks."""
+    """Rejects a proposal; it may be sent again after `retry_after` ticks."""
 
     proposer: str
     incarnation: int
@@ -30,13 +30,13 @@
 
 
 class ReadIndexRequest(Row, frozen=True):
-    """Request to the leader for the index of a linearizable read."""
+    """Requests the index of a linearizable read from the leader."""
 
     number: int
 
 
 class ReadIndexResponse(Row, frozen=True):
-    """Reply to `ReadIndexRequest`; `ok` is False if the receiver did not lead."""
+    """Replies to `ReadIndexRequest`; `ok` is False if the read was not confirmed."""
 
     number: int
     index: int
@@ -44,9 +44,9 @@
 
 
 class JoinRequest(Row, frozen=True):
-    """Request to the leader of a member that Raft's configuration does not have as its file has it.
+    """Asks the leader to add a member that the Raft configuration lacks in the role that its file gives it.
 
-    `number` is 0 if its disk is new; `token` is that of its start.
+    `number` is 0 if the disk is new; `token` identifies the start of the process.
     """
 
     name: str
@@ -56,14 +56,14 @@
 
 
 class JoinResponse(Row, frozen=True):
-    """The number of the member with that token is committed."""
+    """Tells a member that its number is committed; `token` is that of the request."""
 
     who: MemberId
     token: int
     founders: tuple[str, ...]
 
 
-# In the order of their numbers on the wire: what is added goes to the end.
+# The place of a type is its number on the wire: new types are added at the end.
 MESSAGE_TYPES = (
     links.Handshake,
     links.HandshakeAccepted,
@@ -89,6 +89,6 @@
     distribution.Report,
 )
 RAFT_MESSAGES = frozenset(ledger.MESSAGE_TYPES)
-# A frame has room for four messages of entries; a proposal's body is a tenth of it at most.
+# A frame has room for four messages of entries; the body of a proposal takes at most a tenth of a frame.
 KINDS = MessageTypes(b"IHfl", links.PROTOCOL, MESSAGE_TYPES, 512 << 10)
 MAX_BODY_BYTES = 48 << 10
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -1,4 +1,4 @@
-"""A member of the fleet: its phases, its tick, and how its parts are connected."""
+"""Runs a member of the fleet: its phases, its periodic tick, and the connections between its parts."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from ..transport.links import Transport
 from ..types import Lease, LogEntry, MemberId, Outcome
 from .driver import Driver
-from .introductions import Introductions
+from .introductions import HandshakeReplies
 from .join import JoinProcedure
-from .leaving import Leaving
+from .leaving import LeaveProcedure
 from .membership import MembershipDriver
 from .messages import KINDS
 from .phases import Phase
-from .standard import Place, assemble
-from .traffic import Traffic
+from .standard import WorkContext, assemble
+from .traffic import Messaging
 from .wiring import connect_handlers, connect_raft, connect_transport, raft_settings
 from .work_loop import WorkLoop
 
@@ -31,92 +31,92 @@
 
 
 class Node:
-    """One member in its process."""
+    """A member of the fleet in its process."""
 
     def __init__(
         self,
         loop: EventLoop,
         log: Log,
         text: FleetText,
-        chance: random.Random,
-        ended: Callable[[str], None],
+        rng: random.Random,
+        on_ended: Callable[[str], None],
         files: FileSystem | None = None,
     ) -> None:
-        """Creates a closed node of an operator's file.
+        """Creates a closed node from the fleet section of an operator's file.
 
-        `chance` is a seeded generator, for timeouts, jitter and tokens; `ended` is called with the reason if
+        `rng` is a seeded generator for timeouts, jitter and tokens; `on_ended` is called with the reason if
         this member can't go on; `files` is the file system, by default that of the machine.
         """
         self.loop = loop
         self.log = log
         self.text = text
-        self.ended = ended
+        self.on_ended = on_ended
         self.phase = Phase.CLOSED
         self.tick_timer: Deadline | None = None
-        self.token = chance.getrandbits(62)
+        self.token = rng.getrandbits(62)
         self.disk = Storage(
             loop, log, text.folder, text.name, text.me, lambda event: self.driver.step(event), files
         )
-        self.links = Transport(loop, log, KINDS, text.name, MemberId(text.me, 0), self.token, chance.random)
+        self.links = Transport(loop, log, KINDS, text.name, MemberId(text.me, 0), self.token, rng.random)
         self.assembly = assemble(
-            Place(
+            WorkContext(
                 loop,
                 log,
                 text,
                 lambda: self.driver.voter_names,
                 self.lease,
-                lambda: chance.getrandbits(62),
-                lambda done: self.traffic.read(done),
+                lambda: rng.getrandbits(62),
+                lambda done: self.messaging.read(done),
                 self.links.send_to,
             )
         )
         self.state_machine = self.assembly.state_machine
         settings = raft_settings(text)
         self.driver = Driver(
-            loop, log, self.disk, self.links, self.state_machine, settings, chance.random, self._on_broken
+            loop, log, self.disk, self.links, self.state_machine, settings, rng.random, self._on_broken
         )
-        self.traffic = Traffic(
+        self.messaging = Messaging(
             loop.clock, self.links, self.driver, text.me, self.token, 2 * text.waits["election"]
         )
         self.membership_driver = MembershipDriver(
             log,
             loop.clock,
             self.assembly.membership,
-            self.traffic.proposals,
-            self.traffic.read,
-            self.traffic.send_to,
+            self.messaging.proposals,
+            self.messaging.read,
+            self.messaging.send_to,
             lambda: self.assembly.acts.number,
         )
         self.work_loop = WorkLoop(
             loop,
             log,
             self.assembly.works,
-            self.traffic.proposals,
+            self.messaging.proposals,
             lambda work: work is self.assembly.membership or self.membership_driver.may_propose,
-            self.traffic.send_due,
+            self.messaging.send_due,
         )
         self.join = JoinProcedure(self)
-        self.leaving = Leaving(self)
-        self.introductions = Introductions(self.disk, self.links, self.configured_voters)
+        self.leaving = LeaveProcedure(self)
+        self.handshake_replies = HandshakeReplies(self.disk, self.links, self.configured_voters)
         self.driver.on_applied = self._on_applied
         self.driver.on_role_changed = self._on_role_changed
-        connect_raft(self.driver, self.traffic, self.work_loop)
-        connect_handlers(self.traffic, self.assembly, self.membership_driver, self.join)
-        connect_transport(self.links, self.traffic, self.introductions)
+        connect_raft(self.driver, self.messaging, self.work_loop)
+        connect_handlers(self.messaging, self.assembly, self.membership_driver, self.join)
+        connect_transport(self.links, self.messaging, self.handshake_replies)
 
     # ---- configuration -----------------------------------------------------------------------------
 
     @property
     def votes(self) -> bool:
-        """Whether this member votes, by its file."""
+        """Whether the file lists this member as a voter."""
         return self.text.members[self.text.me].votes
 
     def configured_voters(self) -> tuple[str, ...]:
-        """Returns the names of the voters in its file, sorted."""
+        """Returns the names of the voters in the file, sorted."""
         return tuple(sorted(name for name, member in self.text.members.items() if member.votes))
 
     def reread(self, text: FleetText) -> None:
-        """Takes addresses and members of a file read again; its other lines need a restart."""
+        """Applies addresses and members after a reload; other changes of the file need a restart."""
         self.text.members = text.members
         self.text.edition = text.edition
         self.text.parts = text.parts
@@ -135,7 +135,7 @@
         self.phase = phase
 
     def open(self) -> None:
-        """Opens disk and links and starts to tick; if it raises DirectorError or OSError, it stays closed."""
+        """Opens disk and links, and starts to tick; stays closed if it raises DirectorError or OSError."""
         recovered = self.disk.open()
         try:
             self.links.start(self.text.members[self.text.me].address)
@@ -150,7 +150,7 @@
         self.tick()
 
     def participate(self, recovered: RecoveredState) -> None:
-        """Starts Raft as the member that the disk says this is."""
+        """Starts Raft under the identity stored on the disk."""
         identity = self.disk.identity
         own_id = MemberId(identity.name, identity.number)
         self.log.event(
@@ -165,80 +165,80 @@
         self.driver.start(own_id, recovered)
 
     def _on_broken(self, error: BaseException) -> None:
-        """Stops: going on could break a promise, and the others do without this member."""
+        """Stops the member: going on could break a vote or an acknowledgement, and the others can go on."""
         self.loop.failed(error)
         self.stop(
             f"{type(error).__name__}: {error}",
-            "keep the folder for who looks into it; start the member "
-            "again, or without its folder if it comes again",
+            "keep the folder for an investigation; start the member "
+            "again, or without its folder if the error recurs",
         )
 
     def stop(self, why: str, remedy: str) -> None:
-        """Stops for good after an error, and reports it."""
+        """Stops permanently after an error, and reports it."""
         self.log.warning("member_stops", why=why, remedy=remedy)
         self.enter(Phase.BROKEN)
         if self.tick_timer is not None:
             self.tick_timer.cancel()
         self.driver.end()
-        self.assembly.stop_distributing()
+        self.assembly.close_distributor()
         self.links.close()
-        self.ended(why)
+        self.on_ended(why)
 
     def close(self) -> None:
-        """Closes the node; disk and port may be another process' from here on."""
+        """Closes the node; another process may then open its disk and port."""
         if self.phase is Phase.CLOSED:
             return
         if self.tick_timer is not None:
             self.tick_timer.cancel()
             self.tick_timer = None
         self.assembly.close()
-        self.disk.close()  # first: messages that wait for its last writes may still be sent
+        self.disk.close()  # before the links: messages that wait for its last writes are still sent
         self.driver.end()
         self.links.close()
         self.enter(Phase.CLOSED)
 
-    # ---- by time -----------------------------------------------------------------------------------
+    # ---- timer -------------------------------------------------------------------------------------
 
     def tick(self) -> None:
-        """Does what is due, and schedules the next tick."""
+        """Runs everything that is due, and schedules the next tick."""
         self.tick_timer = self.loop.call_after(TICK_INTERVAL, self.tick)
         now = self.loop.clock.now()
         self.links.tick()
         self.join.tick(now)
         if self.phase in (Phase.TAKING_PART, Phase.LEAVING):
-            self.traffic.reads.tick(now)
-            self.traffic.send_due()
+            self.messaging.reads.tick(now)
+            self.messaging.send_due()
         if self.is_incarnation_active:
             self.membership_driver.renew(now, self.driver.leader_name, self.work_loop.reports)
             self.work_loop.tick(now, self.lease(now))
-        # One elected right after a start decides nothing until its state has what was committed before.
-        if self.phase is Phase.TAKING_PART and self.driver.machine.has_committed_in_term:
+        # A leader elected right after its start makes no decision before its state has all committed entries.
+        if self.phase is Phase.TAKING_PART and self.driver.raft_node.has_committed_in_term:
             self.lead(now)
         self.membership_driver.follow_phase()
 
     def lead(self, now: int) -> None:
-        """Gives the works their turn as those of the leader."""
+        """Runs the leader's duties of the works."""
         self.work_loop.lead(now, self.assembly.membership.reports_for)
         if self.assembly.membership.phase is MemberPhase.DIFFERS:
-            # No member is to follow a state that differs from the others'.
+            # A member whose state differs from the others' must not lead.
             self.driver.step(TransferLeadership())
 
     @property
     def is_incarnation_active(self) -> bool:
-        """Whether its incarnation counts: a front under upgrade acts until disk and port are handed over."""
+        """Whether its incarnation may act: in an upgrade it may until disk and port are handed over."""
         return self.phase is Phase.TAKING_PART or (
             self.phase is Phase.LEAVING and self.assembly.membership.phase is not MemberPhase.LEFT
         )
 
     def lease(self, now: int) -> Lease | None:
-        """Returns the lease held now, None if there is none."""
+        """Returns the lease held now; None if there is none."""
         return self.membership_driver.lease(now) if self.is_incarnation_active else None
 
     # ---- events ------------------------------------------------------------------------------------
 
     def _on_applied(self, entry: LogEntry, outcome: Outcome) -> None:
-        self.traffic.proposals.on_applied(entry, outcome)
-        self.traffic.reads.on_applied(self.state_machine.index)
+        self.messaging.proposals.on_applied(entry, outcome)
+        self.messaging.reads.on_applied(self.state_machine.index)
         self.membership_driver.follow_phase()
         self.work_loop.on_applied(entry, outcome)
         self.membership_driver.follow_phase()
@@ -246,5 +246,5 @@
     def _on_role_changed(self, change: RoleChanged) -> None:
         self.membership_driver.on_role_changed(change)
         if change.leader is not None:
-            self.traffic.proposals.resend_all(self.loop.clock.now())
-            self.loop.call_after(0, self.traffic.send_due)
+            self.messaging.proposals.resend_all(self.loop.clock.now())
+            self.loop.call_after(0, self.messaging.send_due)
--- a/indigohitch/fleet/node/notes.py
+++ b/indigohitch/fleet/node/notes.py
@@ -1,4 +1,4 @@
-"""The part `notes` of the state machine: texts of operators for all members to see.  No I/O."""
+"""The state machine part `notes`: texts that operators add and every member can read.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from ..interfaces import EntryContext
 from ..state_machine import ReplicatedStateMachine
 
-MAX_NOTES = 4096  # some months of an operator's; older ones are dropped
+MAX_NOTES = 4096  # some months of notes; older ones are dropped
 MAX_CHARACTERS = 1024
 
 
 class Add(Row, frozen=True):
-    """Entry that adds a note."""
+    """An entry that adds a note."""
 
     text: str
 
 
 class NotesRow(Row):
-    """Snapshot of the notes: each with the index of its entry."""
+    """A snapshot of the notes, each with the index of its entry; `count` includes dropped notes."""
 
     texts: list[tuple[int, str]]
     count: int = 0
 
 
 class Notes:
-    """The state machine part `notes`."""
+    """Keeps the last notes (interfaces.StateMachinePart)."""
 
     name = "notes"
     kinds: Mapping[str, type[Row]] = {"add": Add}
@@ -42,7 +42,7 @@
         self.count = 0
 
     def apply(self, at: EntryContext, word: str, body: Add) -> int:
-        """Adds a note and returns how many there have been; raises InvalidRequestError if it is too long."""
+        """Adds a note and returns how many were ever added; raises InvalidRequestError if it is too long."""
         if len(body.text) > MAX_CHARACTERS:
             raise InvalidRequestError(
                 f"a note of {len(body.text)} characters", remedy=f"{MAX_CHARACTERS} at most"
@@ -52,11 +52,11 @@
         return self.count
 
     def row(self) -> NotesRow:
-        """Returns the snapshot."""
+        """Returns a snapshot of the notes."""
         return NotesRow(list(self.texts), self.count)
 
     def restore(self, row: bytes) -> None:
-        """Restores a snapshot; raises InvalidDataError if it can't be read."""
+        """Restores an encoded snapshot; raises InvalidDataError if it can't be decoded."""
         try:
             found = msgspec.msgpack.decode(row, type=NotesRow)
         except msgspec.MsgspecError as error:
--- a/indigohitch/fleet/node/phases.py
+++ b/indigohitch/fleet/node/phases.py
@@ -1,13 +1,13 @@
-"""Phases of a member in its process."""
+"""The phases of a node."""
 
 import enum
 
 
 class Phase(enum.Enum):
-    """Phase of a node."""
+    """The phase of a node; the values are shown in the log and by `status`."""
 
     CLOSED = "closed"
-    FRESH = "fresh"  # its disk is new: it bootstraps with the others, or requests to join
+    FRESH = "fresh"  # its disk is new: it bootstraps with the other voters, or requests to join
     TAKING_PART = "taking part"
-    LEAVING = "leaving"  # gives its leadership up, and its incarnation where nothing depends on that
-    BROKEN = "broken"  # an invariant is violated: it sends and promises nothing any more
+    LEAVING = "leaving"  # it transfers its leadership, and releases its incarnation if no work depends on it
+    BROKEN = "broken"  # stopped after an error: it sends no messages and acknowledges nothing
--- a/indigohitch/fleet/node/ports.py
+++ b/indigohitch/fleet/node/ports.py
@@ -1,4 +1,4 @@
-"""Interface of a node for its own parts.  Shapes only."""
+"""The interface of a node for its own parts; declarations only."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class NodeContext(Protocol):
-    """A member in its process (node.Node)."""
+    """What the parts of a node use of it (implemented by node.Node)."""
 
     loop: EventLoop
     log: Log
     text: FleetText
-    token: int  # of this start, 62 random bits
+    token: int  # 62 random bits that identify this start of the process
     phase: Phase
     disk: Storage
     links: Transport
@@ -34,13 +34,13 @@
 
     @property
     def votes(self) -> bool:
-        """Whether this member votes, by its file."""
+        """Whether the file lists this member as a voter."""
 
     def configured_voters(self) -> tuple[str, ...]:
-        """The names of the voters in its file, sorted."""
+        """Returns the names of the voters in the file, sorted."""
 
     def enter(self, phase: Phase) -> None:
-        """Enters the phase and logs it."""
+        """Enters a phase and logs it."""
 
     def participate(self, recovered: RecoveredState) -> None:
-        """Starts as the member that its disk says it is."""
+        """Starts Raft under the identity stored on the disk."""
--- a/indigohitch/fleet/node/proposals.py
+++ b/indigohitch/fleet/node/proposals.py
@@ -1,8 +1,8 @@
-"""This process' own proposals, each under one number until its outcome is known.  No I/O.
+"""The pending proposals of this process, each under one number until its outcome is known.  No I/O.
 
-They are sent again and again: the leader may be lost, the message dropped, the entry overwritten.  The state
-machine lets each take effect once, as long as its number is within the window; so none leaves it before its
-outcome is known.
+A proposal is resent until then: the leader may fail, the message may be lost, the entry may be overwritten.
+The state machine applies each number once as long as the number is within its deduplication window, so no
+pending number may leave the window.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from ..state_machine import WINDOW
 from ..types import LogEntry, Outcome, Proposal
 
-# The rest of the window is for proposals that arrive late for a second time.
+# The rest of the window is kept for duplicates that arrive late.
 MAX_PENDING = WINDOW // 2
-# Longest delay of a resend, in first delays.
+# The longest delay of a resend, as a multiple of the first delay.
 MAX_BACKOFF_FACTOR = 8
 
 Done = Callable[[Outcome | None], None]
@@ -24,11 +24,11 @@
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A proposal without an outcome; times in ticks."""
+    """A proposal whose outcome is not known yet; times in ticks."""
 
     proposal: Proposal
     done: Done
-    due_at: int  # when it is to be sent (again)
+    due_at: int  # when to send or resend it
     backoff: int
 
 
@@ -36,7 +36,7 @@
     """The pending proposals of one incarnation, in the order of their numbers."""
 
     def __init__(self, proposer: str, incarnation: int, resend_after: int) -> None:
-        """Creates an empty list; `resend_after` is the first delay of a resend, which doubles each time."""
+        """Creates an empty list; `resend_after` is the delay of the first resend, in ticks; it doubles."""
         self.proposer = proposer
         self.incarnation = incarnation
         self.resend_after = resend_after
@@ -44,7 +44,7 @@
         self.pending: dict[int, PendingProposal] = {}
 
     def start(self, proposer: str, incarnation: int) -> None:
-        """Starts another incarnation; the outcomes of the pending proposals stay unknown."""
+        """Starts another incarnation; pending proposals end with an unknown outcome."""
         abandoned = self.pending
         self.pending = {}
         self.proposer = proposer
@@ -58,8 +58,8 @@
         first = next(iter(self.pending), self.number + 1)
         if len(self.pending) >= MAX_PENDING or self.number + 1 - first >= WINDOW - 1:
             raise UnavailableError(
-                f"{len(self.pending)} proposals are out",
-                remedy="come back once some are known",
+                f"{len(self.pending)} proposals are pending",
+                remedy="retry once some of them are committed",
                 retry_after_ticks=self.resend_after,
             )
         self.number += 1
@@ -76,19 +76,19 @@
         pending.backoff = min(2 * pending.backoff, MAX_BACKOFF_FACTOR * self.resend_after)
 
     def on_rejected(self, now: int, proposer: str, incarnation: int, number: int, retry_after: int) -> None:
-        """Schedules the resend of a proposal that was not taken."""
+        """Schedules the resend of a proposal that the leader rejected."""
         if (proposer, incarnation) == (self.proposer, self.incarnation) and number in self.pending:
             self.pending[number].due_at = now + retry_after
             self.pending[number].backoff = self.resend_after
 
     def resend_all(self, now: int) -> None:
-        """Makes all due, as there is another leader: what the last one had may be void."""
+        """Makes all proposals due, as a new leader may lack the entries of the previous one."""
         for pending in self.pending.values():
             pending.due_at = now
             pending.backoff = self.resend_after
 
     def on_applied(self, entry: LogEntry, outcome: Outcome) -> bool:
-        """Passes the outcome on if the entry is one of these proposals; returns whether it is."""
+        """Reports the outcome if the entry is one of these proposals; returns whether it is."""
         if (entry.proposer, entry.incarnation) != (self.proposer, self.incarnation):
             return False
         pending = self.pending.pop(entry.number, None)
--- a/indigohitch/fleet/node/reads.py
+++ b/indigohitch/fleet/node/reads.py
@@ -1,4 +1,4 @@
-"""Reads confirmed by a majority, requested here or by another member.  No I/O."""
+"""Linearizable reads in progress, requested here or by another member.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from ...errors import UnavailableError
 from ...net.clock import SECOND
 
-READ_TIMEOUT = 2 * SECOND  # longer than an election: the caller retries
+READ_TIMEOUT = 2 * SECOND  # longer than an election; the caller retries
 MAX_PENDING = 1024
 RETRY_AFTER = SECOND // 10
 
-Done = Callable[[int | None], None]  # the index that the state machine has reached; None: not confirmed
+Done = Callable[[int | None], None]  # called with the applied index; with None if the read was not confirmed
 
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read without a result."""
+    """A read that waits for its confirmation."""
 
     deadline: int
     done: Done
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class ConfirmedRead:
-    """A confirmed read for which the state machine has not been applied far enough yet."""
+    """A confirmed read that waits until the state machine has applied its index."""
 
     deadline: int
     index: int
@@ -33,7 +33,7 @@
 
 
 class Reads:
-    """The reads in flight; the caller sends each to Raft or to the leader, and passes the results in."""
+    """Tracks the reads; the caller sends each to Raft or to the leader, and passes the results in."""
 
     def __init__(self) -> None:
         """Creates an empty list."""
@@ -42,15 +42,15 @@
         self.confirmed: list[ConfirmedRead] = []
 
     def start(self, now: int, done: Done) -> int:
-        """Returns the number of a new read; raises UnavailableError if too many are in flight."""
+        """Adds a read and returns its number; raises UnavailableError if too many are in progress."""
         if len(self.pending) + len(self.confirmed) >= MAX_PENDING:
-            raise UnavailableError(f"{MAX_PENDING} reads are out", retry_after_ticks=RETRY_AFTER)
+            raise UnavailableError(f"{MAX_PENDING} reads are pending", retry_after_ticks=RETRY_AFTER)
         self.number += 1
         self.pending[self.number] = PendingRead(now + READ_TIMEOUT, done)
         return self.number
 
     def on_result(self, number: int, index: int, ok: bool, applied: int) -> None:
-        """Takes the result of a read; `applied` is the index that the state machine here has reached."""
+        """Handles the result of a read; `applied` is the last index applied here."""
         read = self.pending.pop(number, None)
         if read is None:
             return
@@ -62,7 +62,7 @@
             self.confirmed.append(ConfirmedRead(read.deadline, index, read.done))
 
     def on_applied(self, applied: int) -> None:
-        """Ends the confirmed reads for which the state machine has been applied far enough."""
+        """Completes the confirmed reads whose index has been applied."""
         if self.confirmed:
             ready = [read.done for read in self.confirmed if read.index <= applied]
             self.confirmed = [read for read in self.confirmed if read.index > applied]
@@ -70,7 +70,7 @@
                 done(applied)
 
     def tick(self, now: int) -> None:
-        """Ends the reads that have timed out."""
+        """Ends the reads that have timed out, as not confirmed."""
         late = [number for number, read in self.pending.items() if read.deadline <= now]
         expired = [self.pending.pop(number).done for number in late]
         expired += [read.done for read in self.confirmed if read.deadline <= now]
--- a/indigohitch/fleet/node/standard.py
+++ b/indigohitch/fleet/node/standard.py
@@ -1,4 +1,4 @@
-"""The parts of the state machine and the works that every member of a fleet has."""
+"""Assembles the parts of the state machine and the works that every member of a fleet has."""
 
 from __future__ import annotations
 
@@ -33,17 +33,17 @@
 
 
 @dataclass(slots=True)
-class Place:
-    """The process of a work."""
+class WorkContext:
+    """What the works need of their process."""
 
     loop: EventLoop
     log: Log
     text: FleetText
     voters: Callable[[], Collection[str]]
     lease: Callable[[int], Lease | None]
-    token: Callable[[], int]  # 62 bits of chance
-    read: ConfirmedRead | None = None  # confirmed by a majority
-    send_to: Callable[[str, Row], bool] | None = None  # to another member
+    token: Callable[[], int]  # returns 62 random bits
+    read: ConfirmedRead | None = None  # starts a linearizable read
+    send_to: Callable[[str, Row], bool] | None = None  # sends a message to another member
 
 
 @dataclass(slots=True)
@@ -53,76 +53,86 @@
     state_machine: ReplicatedStateMachine
     membership: Membership
     acts: ActionChain
-    auditing: AuditWork
-    works: list[Work] = field(default_factory=list)  # the membership first
+    audit_work: AuditWork
+    works: list[Work] = field(default_factory=list)  # the membership is first
     on_rpc_completed: Callable[[int, str, int], None] = lambda now, rpc, latency: (
         None
-    )  # time, RPC and latency
-    distributing: DistributorRole | None = None
+    )  # called with the time, the RPC and its latency
+    distributor_role: DistributorRole | None = None
 
     def on_report(self, sender: MemberId, report: Report) -> None:
-        """Takes the report of another distributor."""
-        if self.distributing is not None:
-            self.distributing.on_report(sender, report)
+        """Passes the report of another distributor to the distributor of this member, if there is one."""
+        if self.distributor_role is not None:
+            self.distributor_role.on_report(sender, report)
 
-    def stop_distributing(self) -> None:
-        """Closes the distributor; its subscribers connect to another one."""
-        if self.distributing is not None:
-            self.distributing.close()
+    def close_distributor(self) -> None:
+        """Closes the distributor, if there is one; its subscribers connect to another one."""
+        if self.distributor_role is not None:
+            self.distributor_role.close()
 
     def close(self) -> None:
         """Closes the action chain and the distributor."""
         self.acts.close()
-        self.stop_distributing()
+        self.close_distributor()
 
 
 def parts() -> list[StateMachinePart]:
-    """Returns new parts in a fixed order; each only uses those before it."""
+    """Returns new state machine parts in a fixed order; each only uses those before it."""
     return [Notes(), Roster(), FleetClock(), Heads(), Seats(), Batches(), DistributionPart()]
 
 
-def assemble(place: Place) -> Assembly:
-    """Returns a new state machine and the works over it."""
+def assemble(context: WorkContext) -> Assembly:
+    """Creates a state machine and the works that use it."""
     state_machine = ReplicatedStateMachine(parts())
-    text = place.text
+    text = context.text
     membership = Membership(
         text.me,
         text.members[text.me].votes,
         state_machine.parts["members"],
         text.waits["lease"],
         text.drift,
-        place.token,
+        context.token,
     )
-    hours = FleetClockWork(state_machine.parts["hours"], text.me, Clock.wall, place.voters)
-    membership.detector.fleet_time = hours.time
+    fleet_clock_work = FleetClockWork(state_machine.parts["hours"], text.me, Clock.wall, context.voters)
+    membership.detector.fleet_time = fleet_clock_work.time
 
     def log_fault(error: DirectorError) -> None:
-        place.log.warning("audit", **error_fields(error))
+        context.log.warning("audit", **error_fields(error))
 
     acts = ActionChain(
         text.me,
-        place.lease,
+        context.lease,
         state_machine,
-        Store(f"{text.folder}/audit", begun=lambda: WorkerThread(place.loop)),
+        Store(f"{text.folder}/audit", begun=lambda: WorkerThread(context.loop)),
         log_fault,
-        when=hours.time,
+        when=fleet_clock_work.time,
     )
-    auditing = AuditWork(acts, state_machine.parts["audit"], membership, log_fault)
-    seats = seats_work(text, state_machine.parts["seats"], acts, hours.time)
-    batches = batches_work(place.loop, place.log, text, state_machine.parts["batches"], acts, hours.time)
-    works = [membership, hours, auditing, seats, batches]
-    distributing = _distributor(place, state_machine.parts["distribution"])
-    if distributing is not None:
-        works.append(distributing)
-    return Assembly(state_machine, membership, acts, auditing, works, batches.felt, distributing)
-
-
-def _distributor(place: Place, part: DistributionPart) -> DistributorRole | None:
-    """Returns this member's distributor role; None if its file does not name it as one."""
-    text = place.text
+    audit_work = AuditWork(acts, state_machine.parts["audit"], membership, log_fault)
+    seats = seats_work(text, state_machine.parts["seats"], acts, fleet_clock_work.time)
+    batches = batches_work(
+        context.loop, context.log, text, state_machine.parts["batches"], acts, fleet_clock_work.time
+    )
+    works = [membership, fleet_clock_work, audit_work, seats, batches]
+    distributor_role = _distributor(context, state_machine.parts["distribution"])
+    if distributor_role is not None:
+        works.append(distributor_role)
+    return Assembly(state_machine, membership, acts, audit_work, works, batches.felt, distributor_role)
+
+
+def _distributor(context: WorkContext, part: DistributionPart) -> DistributorRole | None:
+    """Creates the distributor role; None if the file does not list this member as a distributor."""
+    text = context.text
     if text.me not in text.distributors:
         return None
     addresses = {each.name: each.address for each in text.distributors.values()}
     return DistributorRole(
-        place.loop, place.log, text.name, text.me, place.token(), addresses, part, place.read, place.send_to
+        context.loop,
+        context.log,
+        text.name,
+        text.me,
+        context.token(),
+        addresses,
+        part,
+        context.read,
+        context.send_to,
     )
--- a/indigohitch/fleet/node/status.py
+++ b/indigohitch/fleet/node/status.py
@@ -1,4 +1,4 @@
-"""What `status` shows of a node."""
+"""The status of a node, for the `status` command."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def node_status(node: Node) -> dict[str, object]:
-    """Returns the status of a node as plain JSON."""
+    """Returns the status of a node as JSON values."""
     now = node.loop.clock.now()
     driver = node.driver
-    raft = driver.machine
+    raft = driver.raft_node
     lease = node.lease(now)
     members = driver.members
     status: dict[str, object] = {
@@ -36,9 +36,9 @@
         "voters": [_plain(voter) for voter in members.voters],
         "followers": [_plain(follower) for follower in members.followers],
         "edition": node.text.edition,
-        "proposals": len(node.traffic.proposals.pending),
+        "proposals": len(node.messaging.proposals.pending),
         "proposals_waiting": len(node.work_loop.waiting),
-        "reads": len(node.traffic.reads.pending),
+        "reads": len(node.messaging.reads.pending),
         "disk": node.disk.figures(),
         "links": node.links.status(),
         "works": node.work_loop.status(),
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -1,4 +1,4 @@
-"""A subscriber as a process: it has the content of its scope, and shows its version and age."""
+"""Runs a subscriber: it receives the resources of its services, and logs their version and age."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from .headless import HeadlessProcess
 from .headless_handover import HeadlessHandover
 
-LOG_INTERVAL = 60 * SECOND  # between two log lines with the version and its age, beside each change
+LOG_INTERVAL = 60 * SECOND  # between log lines with version and age; each change is logged too
 
 
 class Subscription:
-    """The companion of a process (upgradable_parts.Companion) that subscribes."""
+    """Subscribes as the companion of a process (upgradable_parts.Companion)."""
 
     left = True
 
@@ -33,13 +33,13 @@
         self.loop = loop
         self.log = log
         self.text = text
-        # For the front here, if there is one: the index of the entry, and the services.
+        # Set by a front in this process; called with the index of an entry and the services.
         self.on_services_applied: Callable[[int, Collection[str]], None] = lambda index, services: None
         self.connection: SubscriberConnection | None = None
         self.log_timer: Deadline | None = None
 
     def open(self) -> None:
-        """Subscribes, unless it is open already."""
+        """Connects to a distributor and subscribes, unless it is open already."""
         if self.connection is not None:
             return
         text = self.text
@@ -73,44 +73,44 @@
         self.on_services_applied(output.version.index, self.connection.machine.scope.services.keys())
 
     def resources(self, service: str) -> Mapping[str, bytes]:
-        """Returns the resources of a service, by key."""
+        """Returns the resources of a service by key; none while it is closed."""
         return self.connection.machine.resources(service) if self.connection is not None else {}
 
     def reread(self, text: FleetText | None) -> None:
-        """Takes the services of a file read again; raises InvalidRequestError for another change."""
+        """Applies the services of a reloaded file; raises InvalidRequestError if its distributors changed."""
         if text is None or not text.services:
             raise InvalidRequestError(
-                "it has no `subscribe` lines any more", "", "start the program anew for it"
+                "the file has no `subscribe` lines any more", "", "restart the program to apply this"
             )
         addresses = {name: each.address for name, each in text.distributors.items()}
         if addresses != {name: each.address for name, each in self.text.distributors.items()}:
             raise InvalidRequestError(
-                "other distributors than at the start", "", "start the subscriber anew for these"
+                "the distributors have changed since the start", "", "restart the subscriber to apply this"
             )
         self.text = text
         if self.connection is not None:
             self.connection.rescope(text.services)
 
     def status(self) -> dict[str, object]:
-        """Returns what `status` shows."""
+        """Returns the keys that the subscription adds to the `status` of the process."""
         return self.connection.status() if self.connection is not None else {}
 
     def on_command(
-        self, what: str, line: dict[str, object], answer: Callable[[dict[str, object]], None]
+        self, name: str, command: dict[str, object], reply: Callable[[dict[str, object]], None]
     ) -> bool:
-        """Answers `resources SERVICE`; returns False for another command."""
-        command, _, service = what.partition(" ")
-        if command != "resources" or self.connection is None:
+        """Handles `resources SERVICE`; returns False for another command."""
+        verb, _, service = name.partition(" ")
+        if verb != "resources" or self.connection is None:
             return False
         resources = self.resources(service)
-        answer({"resources": {key: body.decode(errors="replace") for key, body in sorted(resources.items())}})
+        reply({"resources": {key: body.decode(errors="replace") for key, body in sorted(resources.items())}})
         return True
 
     def leave(self, give_up: bool) -> None:
-        """Does nothing: a subscriber has no lease."""
+        """Does nothing: a subscriber has no lease to release."""
 
     def close(self) -> None:
-        """Ends the subscription."""
+        """Closes the subscription."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
@@ -118,42 +118,42 @@
 
 
 class SubscriberSide:
-    """The side of an upgrade of a process that subscribes (HandoverParticipant).
+    """Extends the HandoverParticipant of a process by its subscription.
 
-    The new process subscribes once the old one has closed its subscription, and starts without content.
+    The old process closes its subscription before the new one subscribes and starts without resources.
     """
 
-    def __init__(self, side: HandoverParticipant, subscription: Subscription) -> None:
-        """`side` is that of the process without the subscription."""
-        self.side = side
+    def __init__(self, participant: HandoverParticipant, subscription: Subscription) -> None:
+        """Wraps `participant`, which hands over the rest of the process."""
+        self.participant = participant
         self.subscription = subscription
 
     def __getattr__(self, name: str) -> object:
-        return getattr(self.side, name)
+        return getattr(self.participant, name)
 
     def set_accepting(self, on: bool) -> None:
-        """Opens or closes the subscription with the listeners."""
-        self.side.set_accepting(on)
+        """Opens or closes the subscription together with the listeners."""
+        self.participant.set_accepting(on)
         if on:
             self.subscription.open()
         else:
             self.subscription.close()
 
     def start_serving(self, restored: bool) -> None:
-        """Subscribes in the new process."""
-        self.side.start_serving(restored)
+        """Starts the rest of the new process and subscribes."""
+        self.participant.start_serving(restored)
         self.subscription.open()
 
 
 class SubscriberProcess(HeadlessProcess):
-    """A process that is nothing but a subscriber."""
+    """A process that runs only a subscription."""
 
     def make_participant(self) -> HandoverParticipant:
-        """Returns the process' side of an upgrade."""
+        """Returns the participant of handovers, which includes the subscription."""
         if self.companion is None:
             self.companion = Subscription(self.loop, self.log, self.text.fleet)
-        side = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
-        return SubscriberSide(side, self.companion)
+        participant = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
+        return SubscriberSide(participant, self.companion)
 
 
 def main(text: Text) -> int:
--- a/indigohitch/fleet/node/traffic.py
+++ b/indigohitch/fleet/node/traffic.py
@@ -1,4 +1,4 @@
-"""Messages between this node and the others beside Raft's: proposals, reads and those of the handlers."""
+"""Routes messages between this node and others: Raft's, proposals, reads and those of other handlers."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 Handler = Callable[[MemberId, Row], None]
 
 
-class Traffic:
-    """Sends and takes messages.
+class Messaging:
+    """Sends messages, and passes received ones to their handlers.
 
-    `handlers` has those of the message types that others than this class take; the node fills it.
+    `handlers` maps a message type to its handler; the node adds those of its other parts.
     """
 
     def __init__(
         self, clock: Clock, links: Transport, driver: Driver, name: str, token: int, resend_after: int
     ) -> None:
-        """Creates the traffic of the member `name`, whose process has that start token."""
+        """Creates the messaging of the member `name`; `token` identifies the start of its process."""
         self.clock = clock
         self.links = links
         self.driver = driver
@@ -43,7 +43,7 @@
         }
 
     def on_message(self, sender: MemberId, message: Row) -> None:
-        """Passes a message to Raft or to its handler; one without a handler is ignored."""
+        """Passes a message to Raft or to its handler; ignores one without a handler."""
         if type(message) in RAFT_MESSAGES:
             self.driver.step(MessageReceived(sender, message))
             return
@@ -52,7 +52,7 @@
             handler(sender, message)
 
     def send_to(self, name: str, message: Row) -> None:
-        """Sends a message to a member by name, or handles it if that is this member."""
+        """Sends a message to a member by name; handles it at once if that is this member."""
         if name == self.name:
             self.handlers[type(message)](self.links.own_id, message)
         else:
@@ -66,7 +66,7 @@
         self.send_due()
 
     def send_due(self) -> None:
-        """Sends the proposals that are due to the leader, if there is one."""
+        """Sends the due proposals to the leader, if there is one."""
         leader = self.driver.leader
         now = self.clock.now()
         if leader is None:
@@ -81,12 +81,12 @@
                 return  # the next tick retries
 
     def on_rejected(self, proposal: Proposal, retry_after: int) -> None:
-        """Sends the proposer of a proposal that Raft here did not take a rejection."""
+        """Tells the proposer that Raft at this member rejected the proposal."""
         message = ProposalRejected(proposal.proposer, proposal.incarnation, proposal.number, retry_after)
         self.send_to(proposal.proposer.partition("?")[0], message)
 
     def on_forward(self, sender: MemberId, message: Forward) -> None:
-        """Proposes on behalf of another member."""
+        """Proposes an entry on behalf of another member."""
         self.driver.step(Propose(message.proposal))
 
     def on_proposal_rejected(self, sender: MemberId, message: ProposalRejected) -> None:
@@ -98,10 +98,10 @@
     # ---- reads -------------------------------------------------------------------------------------
 
     def read(self, done: Callable[[int | None], None]) -> None:
-        """Starts a linearizable read; raises UnavailableError if too many are in flight.
+        """Starts a linearizable read; raises UnavailableError if too many are in progress.
 
-        `done(index)` is called once the state here has all that was committed before this call, and is
-        applied up to `index` or later; `done(None)` if that is not confirmed.
+        `done(index)` is called once the state machine here has applied every entry committed before this
+        call, the last one being `index` or later; `done(None)` if a majority does not confirm the read.
         """
         number = self.reads.start(self.clock.now(), done)
         leader = self.driver.leader
@@ -111,13 +111,13 @@
             self.reads.on_result(number, 0, False, 0)
 
     def on_read_request(self, sender: MemberId, message: ReadIndexRequest) -> None:
-        """Starts a read for another member; only a leader does."""
+        """Starts a read for another member; only the leader does."""
 
         def done(index: int | None) -> None:
             self.links.send_to(sender.name, ReadIndexResponse(message.number, index or 0, index is not None))
 
         if not self.driver.leads:
-            done(None)  # it is not passed on to another leader
+            done(None)  # it is not forwarded to another leader
             return
         try:
             self.read(done)
@@ -125,9 +125,9 @@
             done(None)
 
     def on_read_response(self, sender: MemberId, message: ReadIndexResponse) -> None:
-        """Takes the leader's result of a read."""
+        """Handles the leader's response to a read request."""
         self.on_read_result(message.number, message.index, message.ok)
 
     def on_read_result(self, number: int, index: int, ok: bool) -> None:
-        """Takes the result of a read."""
+        """Handles the result of a read."""
         self.reads.on_result(number, index, ok, self.state_machine.index)
--- a/indigohitch/fleet/node/wiring.py
+++ b/indigohitch/fleet/node/wiring.py
@@ -1,4 +1,4 @@
-"""The callbacks between the parts of a node, and the settings of its Raft node."""
+"""Sets the callbacks between the parts of a node; the settings of its Raft node."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from ..membership.messages import LeaseNotRenewed, LeaseRenewed, RenewLease
 from ..transport.links import Transport
 from .driver import Driver
-from .introductions import Introductions
+from .introductions import HandshakeReplies
 from .join import JoinProcedure
 from .membership import MembershipDriver
 from .messages import JoinRequest, JoinResponse
 from .standard import Assembly
-from .traffic import Traffic
+from .traffic import Messaging
 from .work_loop import WorkLoop
 
-# Of Raft: a message of entries small enough that a heartbeat is not late behind it on a slow link, and so
-# many of them in flight that 50 MB/s pass at a round trip of 10 ms.
+# Messages of entries are small enough not to delay a heartbeat behind them on a slow link, and enough of them
+# are in flight to reach 50 MB/s at a round trip of 10 ms.
 BOUNDS = {"append_most": 64 << 10, "piece": 64 << 10, "inflight": 8, "proposals_most": 1024}
 
 
@@ -26,18 +26,18 @@
     return BOUNDS | {"election": waits["election"], "beat": waits["beat"], "log_most": text.limit}
 
 
-def connect_raft(driver: Driver, traffic: Traffic, work_loop: WorkLoop) -> None:
-    """Sets the callbacks of the Raft node."""
+def connect_raft(driver: Driver, messaging: Messaging, work_loop: WorkLoop) -> None:
+    """Sets the callbacks of the Raft driver."""
     driver.on_restored = work_loop.on_restored
-    driver.on_rejected = traffic.on_rejected
-    driver.on_read_result = traffic.on_read_result
+    driver.on_rejected = messaging.on_rejected
+    driver.on_read_result = messaging.on_read_result
 
 
 def connect_handlers(
-    traffic: Traffic, assembly: Assembly, membership_driver: MembershipDriver, join: JoinProcedure
+    messaging: Messaging, assembly: Assembly, membership_driver: MembershipDriver, join: JoinProcedure
 ) -> None:
-    """Sets the handlers of the messages beside Raft's."""
-    traffic.handlers |= {
+    """Sets the handlers of the messages that neither Raft nor `messaging` handles."""
+    messaging.handlers |= {
         JoinRequest: join.on_request,
         JoinResponse: join.on_response,
         Report: assembly.on_report,
@@ -47,9 +47,9 @@
     }
 
 
-def connect_transport(links: Transport, traffic: Traffic, introductions: Introductions) -> None:
+def connect_transport(links: Transport, messaging: Messaging, handshake_replies: HandshakeReplies) -> None:
     """Sets the callbacks of the links."""
-    links.deliver = traffic.on_message
-    links.record_peer = introductions.record
-    links.make_acceptance = introductions.acceptance
-    links.highest_number = introductions.highest_number
+    links.deliver = messaging.on_message
+    links.record_peer = handshake_replies.record
+    links.make_acceptance = handshake_replies.acceptance
+    links.highest_number = handshake_replies.highest_number
--- a/indigohitch/fleet/node/work_loop.py
+++ b/indigohitch/fleet/node/work_loop.py
@@ -1,4 +1,4 @@
-"""Calls the works of this process and submits the proposals that they request."""
+"""Calls the works of this process, and submits the proposals that they request."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from .messages import MAX_BODY_BYTES
 from .proposals import Proposals
 
-# Proposals of works that wait for capacity.  For one that finds none the outcome is unknown, and its work
-# requests it again.
+# The most proposals of works that wait for capacity.  One that exceeds it is dropped with an unknown outcome,
+# and its work requests it again.
 MAX_WAITING = 256
 
 Arguments = ParamSpec("Arguments")
@@ -25,7 +25,7 @@
 
 
 class WorkLoop:
-    """Isolates the works: one that raises has a defect, which is logged, and the others go on."""
+    """Isolates the works: an exception of one is a defect, which is logged, and the others go on."""
 
     def __init__(
         self,
@@ -36,7 +36,10 @@
         may_propose: Callable[[Work], bool],
         send_due: Callable[[], None],
     ) -> None:
-        """`may_propose(work)` is read before each submit; `send_due` sends what was submitted."""
+        """Creates the loop.
+
+        `may_propose(work)` is called before each submit; `send_due` sends the submitted proposals.
+        """
         self.loop = loop
         self.log = log
         self.works = list(works)
@@ -44,7 +47,7 @@
         self.may_propose = may_propose
         self.send_due = send_due
         self.waiting: deque[tuple[Work, ProposalRequest]] = deque()
-        # Their works are notified at the next tick, not within the call that requested them.
+        # The works are told at the next tick, not within the call that requested the proposal.
         self.dropped: deque[tuple[Work, str]] = deque(maxlen=MAX_WAITING)
 
     def _call(self, work: Work, method: Callable[Arguments, Result], *args: Arguments.args) -> Result | None:
@@ -60,7 +63,7 @@
             self.request(work, self._call(work, method, work))
 
     def request(self, work: Work, requests: list[ProposalRequest] | None) -> None:
-        """Submits the proposals that a work requests, or lets them wait for capacity."""
+        """Submits the proposals that a work requests, or queues them while there is no capacity."""
         for request in requests or ():
             if len(self.waiting) >= MAX_WAITING:
                 self.log.count("proposals_without_room")
@@ -75,7 +78,7 @@
         self.send_due()
 
     def _submit(self, work: Work, request: ProposalRequest) -> bool:
-        """Submits a proposal or drops it; returns False if there is no capacity now."""
+        """Submits a proposal or drops it; returns False if there is no capacity for it now."""
         body = msgspec.msgpack.encode(request.body)
         is_too_large = len(body) > MAX_BODY_BYTES
         if is_too_large or not self.may_propose(work):
@@ -105,12 +108,12 @@
         self._call_each(lambda work: work.applied(now, entry, outcome))
 
     def on_restored(self) -> None:
-        """Notifies all works that the state machine was set to a snapshot."""
+        """Notifies all works that the state machine was restored from a snapshot."""
         now = self.loop.clock.now()
         self._call_each(lambda work: work.restored(now))
 
     def tick(self, now: int, lease: Lease | None) -> None:
-        """Gives each work its turn."""
+        """Reports dropped proposals, submits waiting ones, and runs the periodic step of each work."""
         dropped = list(self.dropped)
         self.dropped.clear()
         for work, tag in dropped:
@@ -119,7 +122,7 @@
         self._call_each(lambda work: work.turn(now, lease))
 
     def lead(self, now: int, reports: Callable[[int, str], Mapping[str, bytes]]) -> None:
-        """At the leader: gives each work the members' reports."""
+        """Runs the leader's step of each work with the members' reports; only the leader calls it."""
         for work in self.works:
             self.request(work, self._call(work, work.lead, now, reports(now, work.name)))
 
@@ -129,9 +132,12 @@
         return {name: report for name, report in found.items() if report}
 
     def has_leased_resources(self, now: int) -> bool:
-        """Whether something ends with the lease, as a job with a seat: it must not be given on before."""
+        """Whether a work has granted something that ends with the lease, such as a seat.
+
+        Such a grant must not go to another member before the lease has ended.
+        """
         return any(work.has_leased_resources(now) for work in self.works if isinstance(work, LeaseBoundWork))
 
     def status(self) -> dict[str, dict]:
-        """Returns what `status` shows of each work."""
+        """Returns the status of each work, by name."""
         return {work.name: self._call(work, work.figures) or {} for work in self.works}
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -97,7 +97,7 @@
 
     def leader(self, but=""):
         found = [
-            (node.driver.machine.term, name)
+            (node.driver.raft_node.term, name)
             for name, node in self.nodes.items()
             if node.driver.leads and name != but
         ]
@@ -115,7 +115,7 @@
         """A note through that member, and what it came to."""
         told = []
         body = b"\x91" + bytes([0xD9, len(text)]) + text.encode()
-        self.nodes[name].traffic.propose("notes.add", body, told.append)
+        self.nodes[name].messaging.propose("notes.add", body, told.append)
         self.until(lambda: told, seconds)
         return told[0]
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -112,7 +112,7 @@
         writer, reader = f"v{number % 3 + 1}", f"v{(number + 1) % 3 + 1}"
         index = world.put(writer, f"n{number}").index
         told = []
-        world.nodes[reader].traffic.read(told.append)
+        world.nodes[reader].messaging.read(told.append)
         world.until(lambda told=told: told)
         assert told[0] >= index and f"n{number}" in world.texts(reader)
 
@@ -125,8 +125,8 @@
     told = []
     with pytest.raises(UnavailableError) as full:
         for _ in range(1000):
-            world.nodes[leader].traffic.propose("notes.add", b"\x91\xa1x", told.append)
-    assert full.value.retry_after_ticks > 0 and len(world.nodes[leader].traffic.proposals.pending) < 200
+            world.nodes[leader].messaging.propose("notes.add", b"\x91\xa1x", told.append)
+    assert full.value.retry_after_ticks > 0 and len(world.nodes[leader].messaging.proposals.pending) < 200
     world.start(*[n for n in world.members if n != leader])
     world.until(lambda: len(told) >= 100)
     assert all(outcome.index for outcome in told)
@@ -142,7 +142,7 @@
     assert world.until(lambda: world.leader(but=leader)) in others
     assert not node.lease(world.clock.now())
     assert node.state_machine.parts["members"].ineligibility(leader, incarnation)
-    node.leaving.stay()  # the upgrade was called off
+    node.leaving.cancel()  # the upgrade was called off
     world.valid()
     assert node.assembly.membership.incarnation > incarnation
     world.put(leader, "stays")
--- a/tests/test_node_inside.py
+++ b/tests/test_node_inside.py
@@ -79,7 +79,7 @@
     began = world.clock.now()
     side.settle(True)
     world.until(side.is_settled)
-    assert world.clock.now() - began < 2 * within.LEAVING
+    assert world.clock.now() - began < 2 * within.LEAVE_TIMEOUT
 
 
 def test_two_processes_never_share_a_member(world):
@@ -103,7 +103,7 @@
         world.nodes[name].reread(world.text(name))
     world.start("v4").valid()
     world.until(lambda: {"name": "v4", "number": 1} in world.figures(world.leader())["voters"])
-    assert "stands in this member's file" in asked(world, world.leader(), "out v4")["error"]
+    assert "is still in this member's file" in asked(world, world.leader(), "out v4")["error"]
     world.kill("v4")
     del world.members["v4"]
     for name in world.nodes:
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -102,21 +102,21 @@
     [
         (True, {}, BootstrapMode.WAIT),
         (True, {"b": welcomed("b"), "c": None}, BootstrapMode.WAIT),
-        (True, {"b": welcomed("b"), "c": welcomed("c")}, BootstrapMode.FOUND),
+        (True, {"b": welcomed("b"), "c": welcomed("c")}, BootstrapMode.BOOTSTRAP),
         (
             True,
             {"b": welcomed("b", 1), "c": welcomed("c")},
-            BootstrapMode.FOUND,
+            BootstrapMode.BOOTSTRAP,
         ),  # it founded a moment before
-        (True, {"b": welcomed("b", 1, met=1), "c": None}, BootstrapMode.ASK),
-        (True, {"b": welcomed("b"), "c": welcomed("c", 1, met=3)}, BootstrapMode.ASK),
+        (True, {"b": welcomed("b", 1, met=1), "c": None}, BootstrapMode.REQUEST),
+        (True, {"b": welcomed("b"), "c": welcomed("c", 1, met=3)}, BootstrapMode.REQUEST),
         (
             True,
             {"b": welcomed("b", 1, founders=("b", "c")), "c": None},
-            BootstrapMode.ASK,
+            BootstrapMode.REQUEST,
         ),  # older than this file
         (True, {"b": welcomed("b", founders=("a", "b")), "c": welcomed("c")}, BootstrapMode.WAIT),
-        (False, {}, BootstrapMode.ASK),
+        (False, {}, BootstrapMode.REQUEST),
     ],
 )
 def test_what_a_new_disk_may_do(votes, welcomes, expected):
