--- a/tests/golden_files_control.py
+++ b/tests/golden_files_control.py
@@ -1,4 +1,4 @@
-"""The control socket: what is asked and answered, and the keys of `status` of each kind of process."""
+"""Content of the golden files of the control socket: commands, replies and the keys of `status`."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 """
 MEMBER = "name n1\nfleet whk\nmember n1 127.0.0.1:7401 votes\nledger {folder}/n1\n"
 SUBSCRIBER = "name c1\nfleet whk\ndistributor d1 127.0.0.1:7501\nsubscribe maps\n"
-# One line each that is written to the socket.
-ASKED = (
+# Lines that are written to the socket.
+COMMANDS = (
     b'{"ask": "status"}',
     b'{"ask": "note TEXT", "mark": 7, "kind": "notes.add", "body": ["text"]}',
     b'{"ask": 5, "mark": null}',
@@ -46,27 +46,28 @@
 
 
 def dialogue() -> bytes:
-    """Each line that is asked, what the program behind the socket is told, and the line that answers."""
-    looped, found = Looped(), []
+    """Returns each command line, the arguments that the handler of the process gets, and the reply line."""
+    looped = Looped()
+    lines = []
 
-    def asked(what: str, line: dict, answer: Callable[[dict], None]) -> None:
-        found[-1]["told"] = [what, line]
-        answer({"result": what, "number": 1.5, "path": Path("/x")})
+    def handle(name: str, command: dict, reply: Callable[[dict], None]) -> None:
+        lines[-1]["told"] = [name, command]
+        reply({"result": name, "number": 1.5, "path": Path("/x")})
 
     with tempfile.TemporaryDirectory() as folder:
         path = f"{folder}/control"
-        control = ControlSocket(looped.loop, path, asked)
+        control = ControlSocket(looped.loop, path, handle)
         mode = os.stat(path).st_mode & 0o777
         with socket.socket(socket.AF_UNIX) as sock:
             sock.connect(path)
             sock.setblocking(False)
-            for line in ASKED:
-                found.append({"asked": line.decode()})
+            for line in COMMANDS:
+                lines.append({"asked": line.decode()})
                 sock.sendall(line + b"\n")
-                found[-1]["answered"] = looped.until(lambda: received(sock)).decode()
+                lines[-1]["answered"] = looped.until(lambda: received(sock)).decode()
         control.close(unlink=True)
         looped.loop.close()
-    return as_json({"mode": f"{mode:o}", "lines": found})
+    return as_json({"mode": f"{mode:o}", "lines": lines})
 
 
 def received(sock: socket.socket) -> bytes:
@@ -78,14 +79,14 @@
 
 @contextmanager
 def signals_kept() -> Iterator[None]:
-    """A process takes the signals for itself."""
-    kept = {number: signal.getsignal(number) for number in UpgradableProcess.SIGNALS}
+    """Restores the signal handlers that an UpgradableProcess replaces."""
+    handlers = {number: signal.getsignal(number) for number in UpgradableProcess.SIGNALS}
     wakeup = signal.set_wakeup_fd(-1)
     try:
         yield
     finally:
         signal.set_wakeup_fd(wakeup)
-        for number, handler in kept.items():
+        for number, handler in handlers.items():
             signal.signal(number, handler)
 
 
@@ -96,7 +97,7 @@
 
 
 def processes(folder: str) -> dict[str, UpgradableProcess]:
-    """Not started: no socket of theirs is open."""
+    """Creates a process of each kind without starting it, so that none has an open socket."""
     sidecar = sidecar_file.read(SIDECAR.format(port=free_port()))
     member = operator_file.read(MEMBER.format(folder=folder))
     return {
@@ -106,60 +107,63 @@
     }
 
 
-def told(process: UpgradableProcess, what: str) -> dict:
-    found: list[dict] = []
-    process.on_command(what, {"ask": what}, found.append)
-    return orjson.loads(orjson.dumps(found[0], default=str))
+def response(process: UpgradableProcess, command: str) -> dict:
+    responses: list[dict] = []
+    process.on_command(command, {"ask": command}, responses.append)
+    return orjson.loads(orjson.dumps(responses[0], default=str))
 
 
 def answers() -> bytes:
-    """Of processes that are starting: whole, but for the number of the process."""
+    """Returns the whole replies of processes that are starting, without their process ids."""
     with tempfile.TemporaryDirectory() as folder, signals_kept():
         return as_json(
             {
-                name: {what: told(process, what) | ({"pid": 0} if what == "status" else {}) for what in WORDS}
+                name: {
+                    command: response(process, command) | ({"pid": 0} if command == "status" else {})
+                    for command in PROCESS_COMMANDS
+                }
                 for name, process in processes(folder).items()
             }
         )
 
 
-WORDS = ("status", "upgrade", "snapshot", "no such word")
+PROCESS_COMMANDS = ("status", "upgrade", "snapshot", "no such word")
 
 
 def member_status() -> bytes:
-    """The keys that a member adds, of the leader of a fleet of three and of one that follows."""
+    """Returns the status keys that a member adds, at the leader of three voters and at another voter."""
     with tempfile.TemporaryDirectory() as folder:
         world = World(Path(folder))
         try:
             world.start().valid()
             leader = world.until(world.leader)
             follower = next(name for name in world.nodes if name != leader)
-            found = {"leader": keys(world.figures(leader)), "follower": keys(world.figures(follower))}
+            status_keys = {"leader": keys(world.figures(leader)), "follower": keys(world.figures(follower))}
         finally:
             world.close()
-    return as_json(found)
+    return as_json(status_keys)
 
 
 def keys(figures: dict) -> dict:
-    """What is below a part's own keys depends on what the fleet has been through."""
+    """Returns the upper levels of keys only: those below depend on past events."""
     return {
         "keys": list(figures),
         "me": list(figures["me"]),
         "voters": list(figures["voters"][0]),
         "disk": list(figures["disk"]),
         "link": list(next(iter(figures["links"].values()))),
-        "works": {name: list(one) for name, one in figures["works"].items()},
+        "works": {name: list(work) for name, work in figures["works"].items()},
     }
 
 
 def phases() -> bytes:
-    """All words that `phase`, `upgrade` and `role` can have."""
+    """Returns all values that `phase`, `upgrade` and `role` can have."""
     return as_json(
         {
-            "phase": sorted(one.value for one in ProcessPhase),
-            "upgrade": sorted(one.value for one in UpgradePhase),
-            "fleet.phase": sorted(one.value for one in MemberPhase),
-            "fleet.role": sorted(one.value for one in Role),
+            "phase": sorted(member.value for member in ProcessPhase),
+            "upgrade": sorted(member.value for member in UpgradePhase),
+            "fleet.phase": sorted(member.value for member in MemberPhase),
+            "fleet.role": sorted(member.value for member in Role),
         }
     )
 
--- a/tests/nodes.py
+++ b/tests/nodes.py
@@ -1,4 +1,4 @@
-"""Several nodes in one loop over real sockets and folders, for tests of links and nodes."""
+"""Test support: several nodes in one event loop, with real sockets and folders."""
 
 import os
 import random
@@ -21,7 +21,7 @@
 
 
 class Kept(Log):
-    """A log whose events can be looked at."""
+    """Keeps the events of a log for assertions."""
 
     def __init__(self, clock, name):
         super().__init__(clock, name, NOWHERE)
@@ -35,6 +35,8 @@
 
 
 class Looped:
+    """Owns an event loop that the test drives."""
+
     def __init__(self):
         self.clock, self.failed = Clock(), []
         self.loop = EventLoop(self.clock, self.failed.append)
@@ -42,8 +44,8 @@
     def until(self, holds, seconds=30):
         end = time.monotonic() + seconds
         while not (found := holds()):
-            assert time.monotonic() < end, "it did not come"
-            self.loop.call_after(50, lambda: None)  # a turn at least each 5 ms
+            assert time.monotonic() < end, "the condition did not become true in time"
+            self.loop.call_after(50, lambda: None)  # the loop wakes up at least every 5 ms
             self.loop.turn()
         return found
 
@@ -53,15 +55,17 @@
 
 
 class World(Looped):
-    """`nodes` by name; "v1" .. vote, "s1" .. follow."""
+    """Runs a fleet; `nodes` has its open nodes by name: "v1" .. are voters, "s1" .. followers."""
 
     def __init__(self, path, voters=3, followers=0, limit=16 << 20, seed=1):
         super().__init__()
         self.path, self.limit, self.seed = path, limit, seed
-        names = [f"v{n + 1}" for n in range(voters)] + [f"s{n + 1}" for n in range(followers)]
+        names = [f"v{number + 1}" for number in range(voters)] + [
+            f"s{number + 1}" for number in range(followers)
+        ]
         self.members = {name: MemberText(name, free(), name[0] == "v", 1) for name in names}
         self.nodes, self.ended = {}, []
-        self.files = {}  # by name, for faults
+        self.files = {}  # file systems by member name, for fault injection
 
     def text(self, name):
         return FleetText(
@@ -90,40 +94,41 @@
         return self
 
     def kill(self, name):
-        """Without a word; what was under way on its disk ends there."""
+        """Ends a member without a leave; Raft stops first, so that disk writes in progress have no effect."""
         node = self.nodes.pop(name)
         node.driver.end()
         node.close()
 
     def leader(self, but=""):
-        found = [
+        """Returns the leader of the highest term other than `but`; "" if there is none."""
+        leaders = [
             (node.driver.raft_node.term, name)
             for name, node in self.nodes.items()
             if node.driver.leads and name != but
         ]
-        return max(found)[1] if found else ""
+        return max(leaders)[1] if leaders else ""
 
     def valid(self, *names):
-        """Each holds a lease."""
+        """Waits until each of these members holds a lease; by default all."""
 
         def all_valid():
-            return all(self.nodes[n].lease(self.clock.now()) for n in names or self.nodes)
+            return all(self.nodes[name].lease(self.clock.now()) for name in names or self.nodes)
 
         self.until(all_valid)
 
     def put(self, name, text, seconds=30):
-        """A note through that member, and what it came to."""
-        told = []
+        """Adds a note through a member and returns the outcome."""
+        outcomes = []
         body = b"\x91" + bytes([0xD9, len(text)]) + text.encode()
-        self.nodes[name].messaging.propose("notes.add", body, told.append)
-        self.until(lambda: told, seconds)
-        return told[0]
+        self.nodes[name].messaging.propose("notes.add", body, outcomes.append)
+        self.until(lambda: outcomes, seconds)
+        return outcomes[0]
 
     def texts(self, name):
         return [text for _, text in self.nodes[name].state_machine.parts["notes"].texts]
 
     def level(self):
-        """Until all state machines stand at one entry; they are equal."""
+        """Waits until all state machines have applied the same entry, and checks that they are equal."""
         self.until(lambda: len({node.state_machine.index for node in self.nodes.values()}) == 1)
         assert len({node.state_machine.digest() for node in self.nodes.values()}) == 1
 
--- a/tests/test_golden_files_control.py
+++ b/tests/test_golden_files_control.py
@@ -1,20 +1,20 @@
-"""Golden files of the control socket: its lines, its answers, the keys and words of `status`."""
+"""The control socket matches its golden files: lines, replies, and the keys and values of `status`."""
 
 from golden_files import golden
 from golden_files_control import answers, dialogue, member_status, phases
 
 
-def test_lines_over_the_control_socket():
+def test_commands_and_replies_match_the_golden_file():
     assert dialogue() == golden("control/dialogue.json")
 
 
-def test_answers_of_processes_that_start():
+def test_replies_of_starting_processes_match_the_golden_file():
     assert answers() == golden("control/answers.json")
 
 
-def test_keys_of_a_members_status():
+def test_status_keys_of_a_member_match_the_golden_file():
     assert member_status() == golden("control/member-status.json")
 
 
-def test_words_for_phases_and_roles():
+def test_values_of_phases_and_roles_match_the_golden_file():
     assert phases() == golden("control/phases.json")
--- a/tests/test_golden_fleet_frames.py
+++ b/tests/test_golden_fleet_frames.py
@@ -1,4 +1,4 @@
-"""Frames between members, and to subscribers, are the bytes that were written down (tests/golden/fleet)."""
+"""Frames of links between members and of subscriptions match tests/golden/fleet byte for byte."""
 
 import json
 import runpy
@@ -20,37 +20,39 @@
 
 
 @pytest.mark.parametrize("name", TABLES)
-def test_a_frame_is_read_and_written_again_byte_for_byte(name):
-    kinds, words = TABLES[name]
-    for line, word in zip(lines(name), words, strict=True):
+def test_a_frame_is_decoded_and_encoded_again_byte_for_byte(name):
+    kinds, messages = TABLES[name]
+    for line, message in zip(lines(name), messages, strict=True):
         data = bytes.fromhex(line["frame"])
         ((row, descriptors),) = FrameDecoder(kinds).feed(data)
         assert descriptors == 0 and kinds.numbers[type(row)] == line["number"]
         assert plain(row) == line["values"]
         assert kinds.frame(row) == data
-        assert plain(word) == line["values"] and kinds.frame(word) == data
-        assert type(row) is type(word)
+        assert plain(message) == line["values"] and kinds.frame(message) == data
+        assert type(row) is type(message)
         for field in row.__struct_fields__:
-            assert plain(getattr(row, field)) == plain(getattr(word, field)), field
+            assert plain(getattr(row, field)) == plain(getattr(message, field)), field
 
 
 @pytest.mark.parametrize("name", TABLES)
-def test_each_number_has_a_frame_and_keeps_it(name):
+def test_each_message_type_has_a_frame_and_keeps_its_number(name):
     kinds, _ = TABLES[name]
     numbers = [line["number"] for line in lines(name)]
     assert set(numbers) == set(range(COUNTS[name])), "the golden file was changed"
-    assert len(kinds.rows) == COUNTS[name], "a new word is at the end, and gets a golden file of its own"
+    assert len(kinds.rows) == COUNTS[name], (
+        "a new message type goes to the end, and gets a golden file of its own"
+    )
 
 
 @pytest.mark.parametrize("name", TABLES)
-def test_fields_stand_by_their_place(name):
-    """A word's body is a list, so that no field's name is on the wire."""
+def test_fields_are_encoded_by_position(name):
+    """The body of a message is an array, so that no field name is on the wire."""
     for line in lines(name):
         body = bytes.fromhex(line["frame"])[20:]
         assert isinstance(msgspec.msgpack.decode(body), list)
 
 
-def test_the_script_writes_the_same_files(tmp_path):
+def test_the_script_writes_the_golden_files(tmp_path):
     SCRIPT["write"](tmp_path)
     written = sorted(path.name for path in tmp_path.iterdir())
     assert written == sorted(f"{name}.json" for name in TABLES)
--- a/tests/test_golden_fleet_rows.py
+++ b/tests/test_golden_fleet_rows.py
@@ -1,5 +1,4 @@
-"""Bodies of entries, reports, acts in their chains, and names that `status` tells are as they were written
-down (tests/golden/fleet)."""
+"""Bodies of entries, reports, chained actions and names in `status` match tests/golden/fleet."""
 
 import json
 import runpy
@@ -25,7 +24,7 @@
 
 
 @pytest.mark.parametrize("group", ROWS)
-def test_a_row_is_read_and_written_again_byte_for_byte(group):
+def test_a_row_is_decoded_and_encoded_again_byte_for_byte(group):
     assert CLASSES[group].keys() == ROWS[group].keys(), "a new kind gets a golden file of its own"
     for kind, written in ROWS[group].items():
         cls = CLASSES[group][kind]
@@ -36,28 +35,31 @@
             assert row == SCRIPT["Filler"]().row(cls, least), kind
 
 
-def test_names_that_people_and_other_programs_read():
-    told = json.loads((GOLDEN / "told.json").read_text())
-    assert json.loads(json.dumps(SCRIPT["told"]())) == told
-    assert told["seats"]["counts"] == {"given": 1, "refused": 2, "no_lease": 3, "unheard": 4}
-    assert told["wishes"] == [
+def test_names_in_status_match_the_golden_file():
+    names = json.loads((GOLDEN / "told.json").read_text())
+    assert json.loads(json.dumps(SCRIPT["told"]())) == names
+    assert names["seats"]["counts"] == {"given": 1, "refused": 2, "no_lease": 3, "unheard": 4}
+    assert names["wishes"] == [
         f"members.{word}" for word in ("shut_out", "gone", "compare", "agreed", "back", "in_force")
     ]
 
 
-def test_a_stamp_as_servers_and_logs_have_it():
+def test_a_stamp_has_the_form_that_servers_and_logs_record():
     assert mark(Stamp("a", 4, 2, 300, 7)) == "a.4.2.300.7"
 
 
-def test_chains_of_acts_are_read_and_written_again(tmp_path):
+def test_chains_of_actions_are_decoded_and_encoded_again(tmp_path):
     folder = GOLDEN / "audit"
-    records, troubles = read(folder)
-    assert not troubles and {one: len(chain) for one, chain in records.items()} == {1: 25, 2: 15}
+    records, errors = read(folder)
+    assert not errors and {incarnation: len(chain) for incarnation, chain in records.items()} == {
+        1: 25,
+        2: 15,
+    }
     for incarnation, chain in records.items():
-        before = root("m", incarnation)
+        previous_digest = root("m", incarnation)
         for number, record in enumerate(chain, 1):
-            assert record.before == before
-            before = record.digest()
+            assert record.before == previous_digest
+            previous_digest = record.digest()
             assert (record.stamp.member, record.stamp.incarnation, record.stamp.number) == (
                 "m",
                 incarnation,
@@ -70,12 +72,12 @@
     assert (records[2][-1].kind, records[2][0].about) == ("seats.given", b"d-7.25")
     assert len(chains(folder)) > 3
     for _, path in chains(folder):
-        found, end, spoilt = frames(path.read_bytes())
-        assert not spoilt and end == path.stat().st_size
-        assert b"".join(KINDS.frame(record) for record in found) == path.read_bytes()
+        records_of_file, end, problem = frames(path.read_bytes())
+        assert not problem and end == path.stat().st_size
+        assert b"".join(KINDS.frame(record) for record in records_of_file) == path.read_bytes()
 
 
-def test_the_script_writes_the_same_files(tmp_path):
+def test_the_script_writes_the_golden_files(tmp_path):
     SCRIPT["write"](tmp_path)
     for name in ("rows.json", "told.json"):
         assert (tmp_path / name).read_bytes() == (GOLDEN / name).read_bytes()
