--- a/indigohitch/fleet/node/companion.py
+++ b/indigohitch/fleet/node/companion.py
@@ -87,10 +87,10 @@
         if self.should_be_open and self.node is None:
             self.open()
 
-    def _on_node_ended(self, why: str) -> None:
+    def _on_node_ended(self, reason: str) -> None:
         """Records why the node can't go on, and reports it."""
-        self.failure_reason = why
-        self.on_ended(why)
+        self.failure_reason = reason
+        self.on_ended(reason)
 
     def leave(self, give_up: bool) -> None:
         """Starts to leave; with `give_up` it also releases the incarnation if no work depends on it."""
@@ -198,11 +198,11 @@
     if text is None:
         return participant
 
-    def ended(why: str) -> None:
+    def on_ended(why: str) -> None:
         if is_headless:
             process.code = 1
             process.loop.call_after(0, process.end)
 
     if process.companion is None:
-        process.companion = NodeCompanion(process.loop, process.log, text, is_headless, follows, ended)
+        process.companion = NodeCompanion(process.loop, process.log, text, is_headless, follows, on_ended)
     return NodeHandover(participant, process.companion)
--- a/indigohitch/fleet/node/notes.py
+++ b/indigohitch/fleet/node/notes.py
@@ -58,8 +58,8 @@
     def restore(self, row: bytes) -> None:
         """Restores an encoded snapshot; raises InvalidDataError if it can't be decoded."""
         try:
-            found = msgspec.msgpack.decode(row, type=NotesRow)
+            snapshot = msgspec.msgpack.decode(row, type=NotesRow)
         except msgspec.MsgspecError as error:
             raise InvalidDataError(f"not notes: {error}") from None
-        self.texts = deque(found.texts, MAX_NOTES)
-        self.count = found.count
+        self.texts = deque(snapshot.texts, MAX_NOTES)
+        self.count = snapshot.count
--- a/indigohitch/fleet/node/status.py
+++ b/indigohitch/fleet/node/status.py
@@ -10,7 +10,7 @@
     from .node import Node
 
 
-def _plain(member: MemberId) -> dict[str, object]:
+def _member_fields(member: MemberId) -> dict[str, object]:
     return {"name": member.name, "number": member.number}
 
 
@@ -23,7 +23,7 @@
     members = driver.members
     status: dict[str, object] = {
         "name": node.text.name,
-        "me": _plain(node.links.own_id),
+        "me": _member_fields(node.links.own_id),
         "phase": node.phase.value,
         "role": raft.role.value if raft else "none",
         "term": raft.term if raft else 0,
@@ -33,8 +33,8 @@
         "time": node.state_machine.time,
         "incarnation": node.assembly.membership.incarnation,
         "lease_ms": lease.remaining(now) / 10 if lease else 0,
-        "voters": [_plain(voter) for voter in members.voters],
-        "followers": [_plain(follower) for follower in members.followers],
+        "voters": [_member_fields(voter) for voter in members.voters],
+        "followers": [_member_fields(follower) for follower in members.followers],
         "edition": node.text.edition,
         "proposals": len(node.messaging.proposals.pending),
         "proposals_waiting": len(node.work_loop.waiting),
--- a/indigohitch/fleet/node/work_loop.py
+++ b/indigohitch/fleet/node/work_loop.py
@@ -128,8 +128,8 @@
 
     def reports(self, now: int) -> dict[str, bytes]:
         """Returns the works' reports to the leader, by name; empty ones are left out."""
-        found = {work.name: self._call(work, work.report, now) for work in self.works}
-        return {name: report for name, report in found.items() if report}
+        reports = {work.name: self._call(work, work.report, now) for work in self.works}
+        return {name: report for name, report in reports.items() if report}
 
     def has_leased_resources(self, now: int) -> bool:
         """Whether a work has granted something that ends with the lease, such as a seat.
--- a/tests/test_node_upgrades.py
+++ b/tests/test_node_upgrades.py
@@ -73,7 +73,8 @@
     platform = Platform(tmp_path)
     with Fleet(tmp_path / "fleet", voters=1, relay=False) as fleet:
         place = fleet.places["v1"]
-        fleet.write(more=["wait watch 200ms"])
+        lines = ["wait watch 200ms"]
+        fleet.write(more=lines)
         try:
             program = platform.serving(["run", "--operator", str(place.file)])
             eventually(platform.agrees)
