--- a/indigohitch/fleet/node/status.py
+++ b/indigohitch/fleet/node/status.py
@@ -1,4 +1,4 @@
-"""What `status` shows of a node."""
+"""The status of a node, for the `status` command."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
     from .node import Node
 
 
-def _plain(member: MemberId) -> dict[str, object]:
+def _member_fields(member: MemberId) -> dict[str, object]:
     return {"name": member.name, "number": member.number}
 
 
 def node_status(node: Node) -> dict[str, object]:
-    """Returns the status of a node as plain JSON."""
+    """Returns the status of a node as JSON values."""
     now = node.loop.clock.now()
     driver = node.driver
-    raft = driver.machine
+    raft = driver.raft_node
     lease = node.lease(now)
     members = driver.members
     status: dict[str, object] = {
         "name": node.text.name,
-        "me": _plain(node.links.own_id),
+        "me": _member_fields(node.links.own_id),
         "phase": node.phase.value,
         "role": raft.role.value if raft else "none",
         "term": raft.term if raft else 0,
@@ -33,12 +33,12 @@
         "time": node.state_machine.time,
         "incarnation": node.assembly.membership.incarnation,
         "lease_ms": lease.remaining(now) / 10 if lease else 0,
-        "voters": [_plain(voter) for voter in members.voters],
-        "followers": [_plain(follower) for follower in members.followers],
+        "voters": [_member_fields(voter) for voter in members.voters],
+        "followers": [_member_fields(follower) for follower in members.followers],
         "edition": node.text.edition,
-        "proposals": len(node.traffic.proposals.pending),
+        "proposals": len(node.messaging.proposals.pending),
         "proposals_waiting": len(node.work_loop.waiting),
-        "reads": len(node.traffic.reads.pending),
+        "reads": len(node.messaging.reads.pending),
         "disk": node.disk.figures(),
         "links": node.links.status(),
         "works": node.work_loop.status(),
