--- a/indigohitch/fleet/distribution/__init__.py
+++ b/indigohitch/fleet/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Scoped distribution: a subscriber receives only the services that it needs (docs/distribution.md)."""
+"""Scoped distribution: each subscriber receives only the services in its scope (docs/distribution.md)."""
--- a/indigohitch/fleet/distribution/admission.py
+++ b/indigohitch/fleet/distribution/admission.py
@@ -1,6 +1,6 @@
-"""The order in which updates are sent to subscriptions.  No I/O.
+"""Schedules the order in which updates are sent to subscriptions.  No I/O.
 
-Each waiting subscription has one place.  A large update is sent only while there is capacity for it, so that
+Each waiting connection is queued once.  A large update is sent only while there is capacity for it, so that
 many subscribers that reconnect at once do not fill the memory of the distributor.
 """
 
@@ -17,11 +17,13 @@
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
-        self.ready_connections: dict[int, None] = {}  # connections in turn
-        self.waiting_large: dict[int, int] = {}  # connections whose update waits for room, in turn; its bytes
-        self.pacing_heap: list[tuple[int, int]] = []  # a heap: when, connection
-        self.pacing: set[int] = set()  # connections in `paced`
-        self.in_flight_bytes: dict[int, int] = {}  # bytes of large updates that are out, by connection
+        self.ready_connections: dict[int, None] = {}  # in sending order
+        self.waiting_large: dict[
+            int, int
+        ] = {}  # by connection: bytes of a large update that waits for capacity, in order
+        self.pacing_heap: list[tuple[int, int]] = []  # (due time, connection)
+        self.pacing: set[int] = set()  # connections in `pacing_heap`
+        self.in_flight_bytes: dict[int, int] = {}  # bytes of unacknowledged large updates, by connection
         self.large_bytes = 0
 
     def enqueue(self, connection: int) -> None:
@@ -30,15 +32,15 @@
             self.ready_connections[connection] = None
 
     def delay(self, connection: int, due_at: int) -> None:
-        """Holds a connection back until a time: it was sent an update shortly before."""
+        """Delays a connection until `due_at`, because it was sent an update shortly before."""
         self.ready_connections.pop(connection, None)
         self.pacing.add(connection)
         heapq.heappush(self.pacing_heap, (due_at, connection))
 
     def may_send(self, connection: int, size: int) -> bool:
-        """Returns whether an update of this size may be sent now; if not, it waits in order.
+        """Returns whether an update of this size may be sent now; if not, queues it.
 
-        An update that is larger than the whole capacity is sent alone.
+        An update that exceeds the whole capacity is sent when no other large update is in flight.
         """
         if size <= self.limits.small_bytes:
             return True
@@ -64,7 +66,7 @@
         self.large_bytes -= self.in_flight_bytes.pop(connection, 0)
 
     def remove(self, connection: int) -> None:
-        """Forgets a connection that has ended."""
+        """Removes a connection that has closed."""
         self.on_acknowledged(connection)
         self.ready_connections.pop(connection, None)
         self.waiting_large.pop(connection, None)
@@ -90,7 +92,7 @@
             remaining_sends -= serve(connection)
 
     def next_due(self, now: int) -> int | None:
-        """Returns when `serve_ready` is to be called next; None: not until something changes."""
+        """Returns when to call `serve_ready` next, or None if only another event causes a call."""
         if self.ready_connections:
             return now
         return self.pacing_heap[0][0] if self.pacing_heap else None
--- a/indigohitch/fleet/distribution/content.py
+++ b/indigohitch/fleet/distribution/content.py
@@ -1,7 +1,8 @@
 """Content of a service and of a scope, with digests.  Immutable, no I/O.
 
-A digest is computed over services by name, and in each over resources by key: two levels of a Merkle tree.
-Services are small (17 resources on average), so a change recomputes the digest of its service only.
+The digest of a scope covers the digests of its services by name, and each of those its resources by key: a
+Merkle tree of two levels.  Services are small (17 resources on average), so a change recomputes only the
+digest of its service.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 class ServiceContent:
     """Resources of one service: bodies by key.
 
-    A service without resources equals an unknown one.
+    A service without resources is equivalent to an unknown one.
     """
 
     __slots__ = ("service", "bodies", "_digest")
@@ -32,14 +33,14 @@
 
     @property
     def digest(self) -> bytes:
-        """The digest, computed on first use: a burst of changes costs one."""
+        """The digest, computed on first use, so that a burst of changes computes it once."""
         if not self._digest:
             encoded = msgspec.msgpack.encode([self.service, sorted(self.bodies.items())])
             self._digest = digest(encoded, SERVICE_SALT)
         return self._digest
 
     def with_changes(self, changed: Iterable[Resource], removed: Iterable[str]) -> ServiceContent:
-        """Returns the content after these changes."""
+        """Returns a copy with these changes applied."""
         bodies = dict(self.bodies)
         for key in removed:
             bodies.pop(key, None)
@@ -49,6 +50,6 @@
 
 
 def scope_digest(contents: Collection[ServiceContent]) -> bytes:
-    """Returns the digest of services in any order; each service's digest covers its name."""
+    """Returns the digest of a scope's services, given in any order; each service's digest covers its name."""
     ordered = sorted(contents, key=lambda content: content.service)
     return digest(b"".join(content.digest for content in ordered), SCOPE_SALT)
--- a/indigohitch/fleet/distribution/convergence.py
+++ b/indigohitch/fleet/distribution/convergence.py
@@ -1,8 +1,9 @@
-"""Which version is in force: acknowledged versions aggregated per distributor and over all.  No I/O.
+"""Computes the version in force from acknowledged versions, per distributor and fleet-wide.  No I/O.
 
-A connected subscriber that holds a version counts with the oldest change that it lacks.  One that holds
-nothing yet acts on nothing: it is listed as behind and does not hold the version back.  A disconnected one is
-counted separately; its lease bounds how long it may still count as current.
+A version is in force once every connected subscriber has acknowledged all changes of its scope up to it.  A
+connected subscriber holds the version in force back to before the oldest change that it lacks.  One that
+holds nothing yet cannot use outdated content: it is listed as behind and does not hold the version back.  A
+disconnected one is counted separately; its lease bounds how long its content may still count as current.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 from .subscription import Subscription
 from .types import MARK_BYTES, DistributorName, SubscriberName, Version, subscriber_mark
 
-MAX_NAMED = 16  # of those behind and of those lost, in a report
-REPORT_TIMEOUT = (
-    5 * SECOND
-)  # a distributor whose last report is older counts as unreachable, with all of its own
+# Subscribers that are behind, and those that are unreachable, listed by name in a report.
+MAX_LISTED = 16
+# A distributor whose last report is older counts as silent, and its subscribers as unreachable.
+REPORT_TIMEOUT = 5 * SECOND
 
 
 class ConvergenceReport(Row, frozen=True):
-    """How far the fleet has converged; times are tenths of a millisecond.
+    """States how far the fleet has converged; times are tenths of a millisecond.
 
-    `version`: each reachable subscriber has all changes of its scope up to it.  `age`: since the oldest
-    change that is not in force was applied at a distributor; 0: all are in force.  Unreachable subscribers
-    are not included and may act on older content for `acting` at most.  `silent`: distributors whose report
-    is missing or too old; their subscribers count as unreachable.
+    `version`: the version in force; each reachable subscriber has all changes of its scope up to it.
+    `age`: time since a distributor applied the oldest change that is not in force, 0 if all changes are.
+    Unreachable subscribers are not included; they may use older content for at most `acting`.  `silent`:
+    distributors whose report is missing or too old; their subscribers count as unreachable.
     """
 
     version: Version
@@ -47,21 +48,21 @@
 
 
 def split_marks(marks: bytes) -> set[bytes]:
-    """Returns the set of marks in a report's field."""
+    """Returns the subscriber marks in a field of a report."""
     return {marks[at : at + MARK_BYTES] for at in range(0, len(marks), MARK_BYTES)}
 
 
 @dataclass(slots=True, frozen=True)
 class DepartedSubscriber:
-    """What is remembered of a subscriber whose connection has ended."""
+    """State kept of a subscriber whose connection has closed."""
 
     acknowledged: Version
-    acting_until: int
+    lease_until: int
     forget_at: int
 
 
 class ConvergenceTracker:
-    """The convergence of one distributor's subscribers."""
+    """Tracks the convergence of one distributor's subscribers."""
 
     def __init__(self, name: DistributorName, limits: Limits) -> None:
         self.name = name
@@ -74,9 +75,9 @@
         self.departed.pop(name, None)
 
     def on_disconnected(self, now: int, subscription: Subscription) -> None:
-        """Remembers a subscriber whose connection has ended."""
+        """Adds a subscriber to the departed ones."""
         self.departed[subscription.subscriber] = DepartedSubscriber(
-            subscription.acknowledged, subscription.acting_until, now + self.limits.departed_retention
+            subscription.acknowledged, subscription.lease_until, now + self.limits.departed_retention
         )
 
     def forget_connected_elsewhere(self, report: Report) -> None:
@@ -84,12 +85,14 @@
         if self.departed and report.connected:
             connected = split_marks(report.connected)
             self.departed = {
-                name: one for name, one in self.departed.items() if subscriber_mark(name) not in connected
+                name: subscriber
+                for name, subscriber in self.departed.items()
+                if subscriber_mark(name) not in connected
             }
 
     def forget_expired(self, now: int) -> None:
-        """Forgets subscribers that departed too long ago."""
-        for name in [name for name, one in self.departed.items() if now >= one.forget_at]:
+        """Forgets departed subscribers after the retention period."""
+        for name in [name for name, subscriber in self.departed.items() if now >= subscriber.forget_at]:
             del self.departed[name]
 
     def report(
@@ -102,17 +105,19 @@
     ) -> Report:
         """Returns the next report of this distributor.
 
-        `version`: the last one whose changes were announced to the subscriptions.
+        `version`: the last version whose changes were announced to the subscriptions.
         """
         lacking = sorted(
             (each for each in subscriptions if each.missing is not None),
             key=lambda each: each.missing.version,
         )
         joining = [each for each in subscriptions if each.missing is None and not each.is_confirmed]
-        behind = tuple(behind_row(now, each, version) for each in (lacking + joining)[:MAX_NAMED])
+        behind = tuple(behind_row(now, each, version) for each in (lacking + joining)[:MAX_LISTED])
         lost = tuple(
-            Unreachable(name, one.acknowledged, max(0, one.acting_until - now))
-            for name, one in sorted(self.departed.items(), key=lambda item: -item[1].acting_until)[:MAX_NAMED]
+            Unreachable(name, subscriber.acknowledged, max(0, subscriber.lease_until - now))
+            for name, subscriber in sorted(self.departed.items(), key=lambda item: -item[1].lease_until)[
+                :MAX_LISTED
+            ]
         )
         self.number += 1
         return Report(
@@ -132,7 +137,7 @@
 
 
 def behind_row(now: int, subscription: Subscription, version: Version) -> Behind:
-    """Returns the report's row of a subscriber that lacks a change."""
+    """Returns the row of a report for a subscriber that is behind."""
     missing = subscription.missing
     return Behind(
         subscription.subscriber,
@@ -143,7 +148,7 @@
 
 
 def version_in_force(version: Version, store: ResourceStore, lacking: list[Subscription]) -> Version:
-    """Returns the last version before the oldest change that any of them lacks."""
+    """Returns the last version before the oldest change that any subscriber in `lacking` lacks."""
     if not lacking:
         return version
     before = store.before(lacking[0].missing.version)
@@ -151,7 +156,7 @@
 
 
 class FleetConvergence:
-    """The convergence of all distributors, as one of them sees it."""
+    """Aggregates the reports of all distributors, as seen by one of them."""
 
     def __init__(
         self, name: DistributorName, expected_distributors: Collection[DistributorName], limits: Limits
@@ -159,23 +164,29 @@
         self.name = name
         self.limits = limits
         self.expected_distributors = frozenset(expected_distributors) - {name}
-        self.reports: dict[DistributorName, tuple[Report, int]] = {}  # with when it came
+        self.reports: dict[DistributorName, tuple[Report, int]] = {}  # with the time of its arrival
 
     def on_report(self, now: int, report: Report) -> None:
         """Keeps the report of another distributor if it is newer."""
         known = self.reports.get(report.distributor)
-        fresh = known is None or report.number > known[0].number or now - known[1] > REPORT_TIMEOUT
-        if report.distributor != self.name and fresh:
+        is_newer = known is None or report.number > known[0].number or now - known[1] > REPORT_TIMEOUT
+        if report.distributor != self.name and is_newer:
             self.reports[report.distributor] = report, now
         for name in [
-            name for name, one in self.reports.items() if now - one[1] > self.limits.departed_retention
+            name
+            for name, (_, received_at) in self.reports.items()
+            if now - received_at > self.limits.departed_retention
         ]:
             del self.reports[name]
 
     def in_force(self, now: int, own_report: Report) -> ConvergenceReport:
-        """Returns the convergence of the fleet; `own_report` was made now."""
-        recent = {name: one for name, one in self.reports.items() if now - one[1] <= REPORT_TIMEOUT}
-        reports = [(own_report, 0), *((report, now - at) for report, at in recent.values())]
+        """Returns the convergence of the fleet; `own_report` was created at `now`."""
+        recent = {
+            name: (report, received_at)
+            for name, (report, received_at) in self.reports.items()
+            if now - received_at <= REPORT_TIMEOUT
+        }
+        reports = [(own_report, 0), *((report, now - received_at) for report, received_at in recent.values())]
         silent = (self.expected_distributors | self.reports.keys()) - recent.keys()
         newest = max(report.version for report, _ in reports)
         serving = [(report, age) for report, age in reports if report.subscribers]
@@ -184,7 +195,9 @@
         lost |= set().union(
             *(split_marks(self.reports[name][0].connected) for name in silent & self.reports.keys())
         )
-        named = tuple(one for report, age in reports for one in still_unreachable(report, age, connected))
+        named = tuple(
+            subscriber for report, age in reports for subscriber in still_unreachable(report, age, connected)
+        )
         lost -= connected
         return ConvergenceReport(
             min((report.in_force for report, _ in serving), default=newest),
@@ -192,44 +205,44 @@
             max((missing_age(report, age, newest) for report, age in serving), default=0),
             sum(report.subscribers for report, _ in reports),
             sum(report.behind_count for report, _ in reports),
-            tuple(sorted((one for report, _ in reports for one in report.behind), key=missing_order))[
-                :MAX_NAMED
+            tuple(sorted((row for report, _ in reports for row in report.behind), key=behind_order))[
+                :MAX_LISTED
             ],
             len(lost),
-            named[:MAX_NAMED],
-            self.longest_acting(named, len(lost)),
+            named[:MAX_LISTED],
+            self.longest_lease(named, len(lost)),
             tuple(sorted(silent)),
         )
 
-    def longest_acting(self, named: Collection[Unreachable], lost: int) -> int:
-        """Returns how long an unreachable subscriber may still count as current.
+    def longest_lease(self, named: Collection[Unreachable], lost: int) -> int:
+        """Returns for how long an unreachable subscriber may still hold a lease on its content.
 
-        Of those that are not listed only the bound is known: a whole lease.
+        For subscribers that no report names, only the upper bound is known: a whole lease.
         """
         if lost > len(named):
             return grantor_span(self.limits.lease, self.limits.drift)
-        return max((one.acting for one in named), default=0)
+        return max((subscriber.acting for subscriber in named), default=0)
 
 
 def still_unreachable(report: Report, age: int, connected: set[bytes]) -> list[Unreachable]:
-    """Returns those of a report that are connected nowhere, with the time left of their leases."""
+    """Returns a report's unreachable subscribers that are connected nowhere, with their remaining leases."""
     return [
-        Unreachable(one.subscriber, one.acknowledged, max(0, one.acting - age))
-        for one in report.unreachable
-        if subscriber_mark(one.subscriber) not in connected
+        Unreachable(row.subscriber, row.acknowledged, max(0, row.acting - age))
+        for row in report.unreachable
+        if subscriber_mark(row.subscriber) not in connected
     ]
 
 
 def missing_age(report: Report, age: int, newest: Version) -> int:
     """Returns the age of the oldest change that is not in force at that distributor.
 
-    A distributor that lacks a version itself knows only when it had last caught up.
+    A distributor that lags behind the newest version knows only when it had last caught up.
     """
     lags = report.version < newest
     ledger_age = report.ledger_age or 0
     return max(report.in_force_age + age if report.in_force_age else 0, ledger_age + age if lags else 0)
 
 
-def missing_order(behind: Behind) -> tuple[Version, SubscriberName]:
-    """The sort key: the oldest missing change first."""
+def behind_order(behind: Behind) -> tuple[Version, SubscriberName]:
+    """Returns the sort key by which the oldest missing change comes first."""
     return behind.missing, behind.subscriber
--- a/indigohitch/fleet/distribution/distributor.py
+++ b/indigohitch/fleet/distribution/distributor.py
@@ -1,4 +1,4 @@
-"""The state machine of one distributor: subscriptions, their order and what is in force.  No I/O."""
+"""The state machine of one distributor: subscriptions, sending order and convergence.  No I/O."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 from .subscription_server import SubscriptionServer
 from .types import DistributorName
 
-SWEEP_INTERVAL = SECOND // 2  # between checks of unacknowledged updates and claims
+SWEEP_INTERVAL = SECOND // 2  # between checks for overdue acknowledgements and claims
 
 
 class Distributor:
     """Serves the resources of `store`, which the replicated part of this process owns.
 
     The driver reports changes of the store by `ResourcesChanged` and `ResourcesReplaced`, and by `CaughtUp`
-    each confirmed read that shows the store to have caught up with the ledger.  `expected_distributors`:
-    those whose reports are expected.
+    each confirmed read that shows the store to have caught up with the ledger.  `expected_distributors`: the
+    distributors whose reports are expected.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         self.tracker = ConvergenceTracker(name, limits)
         self.fleet_convergence = FleetConvergence(name, expected_distributors, limits)
         self.server = SubscriptionServer(store, limits, self.tracker, now)
-        self.announced_version = store.version  # its changes are marked in all subscriptions
+        self.announced_version = store.version  # subscriptions know of the changes up to it
         self.sweep_at = now + SWEEP_INTERVAL
         self.handlers = {
             SubscriberConnected: self.on_subscriber_connected,
@@ -67,7 +67,7 @@
             Tick: self.on_tick,
         }
 
-    # ---- from outside ------------------------------------------------------------------------------
+    # ---- interface ---------------------------------------------------------------------------------
 
     def step(self, now: int, event: DistributorInput) -> list[DistributorOutput]:
         """Handles one event and returns the outputs in order."""
@@ -77,7 +77,7 @@
 
     @property
     def due(self) -> int:
-        """When `Tick` is due at the latest."""
+        """The time at which `Tick` is due at the latest."""
         next_update = self.server.admission.next_due(self.server.now)
         return self.sweep_at if next_update is None else min(self.sweep_at, next_update)
 
@@ -89,11 +89,11 @@
         return self.tracker.report(now, self.announced_version, self.store, served, ledger_age)
 
     def in_force(self, now: int) -> ConvergenceReport:
-        """Returns the convergence of the fleet, from own subscribers and received reports."""
+        """Returns the convergence of the fleet, from local subscribers and received reports."""
         return self.fleet_convergence.in_force(now, self.report(now))
 
     def status(self, now: int) -> dict:
-        """Returns plain JSON for the `status` command."""
+        """Returns JSON values for the `status` command."""
         report = self.report(now)
         admission = self.server.admission
         return {
@@ -119,11 +119,11 @@
         self.server.on_message(event)
 
     def on_subscriber_disconnected(self, event: SubscriberDisconnected) -> None:
-        """Forgets a connection."""
+        """Removes a connection."""
         self.server.forget(event.connection)
 
     def on_shutdown(self, event: ShutdownStarted) -> None:
-        """Refuses all subscribers, so that they go to other distributors."""
+        """Refuses all subscribers, so that they connect to other distributors."""
         self.server.is_shutting_down = True
         for connection in list(self.server.subscribers.names):
             self.server.refuse(connection, DistributorClosingError("this distributor is about to end"))
@@ -138,27 +138,27 @@
                 self.server.admission.enqueue(connection)
 
     def on_resources_replaced(self, event: ResourcesReplaced) -> None:
-        """Marks all services as pending: any of them may have changed."""
+        """Marks all services as pending, because any of them may have changed."""
         missing = self.announce()
         for connection, subscription in self.server.subscribers.subscriptions.items():
             subscription.on_store_replaced(missing)
             self.server.admission.enqueue(connection)
 
     def announce(self) -> MissingChange:
-        """Returns the oldest change since the last that was announced to the subscriptions."""
+        """Returns the oldest change that was not yet announced, and marks all changes as announced."""
         oldest = self.store.after(self.announced_version)
         self.announced_version = self.store.version
         return MissingChange(oldest, self.server.now, self.server.caught_up_at)
 
     def on_caught_up(self, event: CaughtUp) -> None:
-        """Notes that the store has caught up with the ledger."""
+        """Records that the store has caught up with the ledger, and logs the first time."""
         if not self.server.caught_up_at:
             fields = {"version": self.store.version.text()}
             self.server.outputs.append(Note("distributor_level", fields))
         self.server.on_caught_up(event.confirmed_at)
 
     def on_report(self, event: ReportReceived) -> None:
-        """Takes in the report of another distributor."""
+        """Merges the report of another distributor."""
         self.fleet_convergence.on_report(self.server.now, event.report)
         self.tracker.forget_connected_elsewhere(event.report)
 
--- a/indigohitch/fleet/distribution/distributor_choice.py
+++ b/indigohitch/fleet/distribution/distributor_choice.py
@@ -1,9 +1,9 @@
-"""Which distributor a subscriber connects to next.  No I/O.
+"""Chooses the distributor that a subscriber connects to next.  No I/O.
 
-Each subscriber has its own order of the distributors by weighted rendezvous hashing (Thaler and Ravishankar
-1998): when one fails, its subscribers spread evenly over the others, and all others stay.  Load is bounded by
-the distributors: a refused subscriber goes on to the next of its order (consistent hashing with bounded
-loads, Mirrokni, Thorup and Zadimoghaddam 2018).
+Each subscriber orders the distributors by weighted rendezvous hashing (Thaler and Ravishankar 1998): when a
+distributor fails, its subscribers spread evenly over the others, and all other subscribers stay.
+Distributors bound their load: a refused subscriber tries the next in its order (consistent hashing with
+bounded loads, Mirrokni, Thorup and Zadimoghaddam 2018).
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 def rendezvous_order(
     subscriber: SubscriberName, distributors: Mapping[DistributorName, float]
 ) -> list[DistributorName]:
-    """Returns the distributors by preference.
+    """Returns the distributors in the subscriber's order of preference.
 
-    A distributor of twice the weight comes first twice as often.
+    A distributor of twice the weight is preferred by twice as many subscribers.
     """
 
     def cost(name: DistributorName) -> float:
-        drawn = xxhash.xxh3_64_intdigest(f"{subscriber}\0{name}".encode())
-        return -math.log((drawn + 1) / (1 << 64)) / distributors[name]
+        hash_value = xxhash.xxh3_64_intdigest(f"{subscriber}\0{name}".encode())
+        return -math.log((hash_value + 1) / (1 << 64)) / distributors[name]
 
     return sorted(distributors, key=lambda name: (cost(name), name))
 
 
 class DistributorChoice:
-    """The preferences of one subscriber, with a backoff for each distributor.
+    """Keeps the preferences of one subscriber, with a backoff for each distributor.
 
     `distributors`: positive weights by name.
     """
@@ -52,11 +52,11 @@
         self.limits = limits
         self.random_source = random_source
         self.not_before = dict.fromkeys(self.order, 0)
-        self.failures = dict.fromkeys(self.order, 0)  # in a row
+        self.failures = dict.fromkeys(self.order, 0)  # consecutive failures
 
     @property
     def preferred(self) -> DistributorName:
-        """The first choice."""
+        """The most preferred distributor."""
         return self.order[0]
 
     def next_available(self, now: int) -> DistributorName | None:
@@ -64,7 +64,7 @@
         return next((name for name in self.order if self.not_before[name] <= now), None)
 
     def next_attempt_at(self) -> int:
-        """Returns when the first backoff ends."""
+        """Returns the time at which the first backoff ends."""
         return min(self.not_before.values())
 
     def on_failed(self, now: int, name: DistributorName) -> None:
@@ -75,7 +75,7 @@
         self.delay(now, name, backoff)
 
     def on_refused(self, now: int, name: DistributorName, retry_after: int) -> None:
-        """Backs off for the time that the distributor has asked for."""
+        """Starts the backoff that the distributor has requested, with jitter."""
         self.delay(now, name, retry_after)
 
     def on_served(self, name: DistributorName) -> None:
@@ -83,9 +83,9 @@
         self.failures[name] = 0
 
     def delay(self, now: int, name: DistributorName, duration: int) -> None:
-        """Blocks a distributor for between one and two times the duration."""
+        """Excludes a distributor for a random time between one and two times `duration`."""
         self.not_before[name] = now + duration + self.random_source.randrange(duration + 1)
 
     def have_all_failed(self) -> bool:
-        """Returns whether each distributor has failed since it last served."""
+        """Returns whether each distributor has failed since it last served this subscriber."""
         return all(self.failures.values())
--- a/indigohitch/fleet/distribution/distributor_connector.py
+++ b/indigohitch/fleet/distribution/distributor_connector.py
@@ -1,4 +1,4 @@
-"""Which distributor a subscriber dials when, and when it leaves it.  No I/O."""
+"""Decides when a subscriber connects to which distributor and when it leaves it.  No I/O."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class ConnectionPhase(enum.Enum):
-    """The state of the connection to a distributor."""
+    """States of the connection to a distributor."""
 
-    WAITING = "waiting"  # until the next distributor is dialled
+    WAITING = "waiting"  # until it is time to dial the next distributor
     DIALLING = "dialling"
-    SUBSCRIBING = "subscribing"  # connected, and no update for this subscription yet
+    SUBSCRIBING = "subscribing"  # connected, but the first update of the subscription has not arrived
     SERVED = "served"
 
 
 class DistributorConnector:
-    """Connects one subscriber to one distributor at a time."""
+    """Manages the connection of one subscriber, to one distributor at a time."""
 
     def __init__(
         self,
@@ -48,13 +48,13 @@
 
     @property
     def due(self) -> int:
-        """When the next action is due."""
+        """The time at which the next action is due."""
         if self.phase is ConnectionPhase.WAITING:
             return self.dial_at
         return self.deadlines.silent_at if self.phase is ConnectionPhase.DIALLING else self.deadlines.due
 
     def dial(self, now: int) -> Dial | None:
-        """Returns whom to dial; None: all are in backoff, and `dial_at` is the next attempt."""
+        """Returns the distributor to dial, or None if all are in backoff until `dial_at`."""
         chosen = self.choice.next_available(now)
         if chosen is None:
             self.dial_at = max(self.choice.next_attempt_at(), now + 1)
@@ -65,7 +65,7 @@
         return Dial(chosen)
 
     def on_connected(self, now: int, distributor: DistributorName) -> bool:
-        """Returns whether the connection is to the distributor dialled last."""
+        """Starts the subscription; returns False if another distributor was dialled meanwhile."""
         if self.phase is not ConnectionPhase.DIALLING or distributor != self.distributor:
             return False
         self.phase = ConnectionPhase.SUBSCRIBING
@@ -73,7 +73,7 @@
         return True
 
     def on_served(self) -> None:
-        """Notes the first update of the subscription."""
+        """Handles the first update of the subscription."""
         self.phase = ConnectionPhase.SERVED
         self.choice.on_served(self.distributor)
 
@@ -84,23 +84,23 @@
             self.schedule_dial(now)
 
     def leave_if_overdue(self, now: int, lease_until: int) -> Disconnect | None:
-        """Leaves a silent, stale or less preferred distributor; None: there is no cause."""
+        """Leaves a silent, stale or less preferred distributor when its deadline is reached."""
         deadlines = self.deadlines
         if now >= deadlines.silent_at:
             deadlines.on_left_silent()
-            return self.leave(now, "no answer", failed=True)
+            return self.leave(now, "no message within the response timeout", failed=True)
         if self.phase is ConnectionPhase.DIALLING:
             return None
         if now >= max(deadlines.stale_at, lease_until):
             deadlines.on_left_stale()
             return self.leave(now, "lags behind the ledger", retry_after=self.limits.lease)
-        if now >= deadlines.home_at:
-            deadlines.on_left_for_home()
-            return self.leave(now, "the first choice is tried again")
+        if now >= deadlines.preferred_retry_at:
+            deadlines.on_left_for_preferred()
+            return self.leave(now, "trying the preferred distributor again")
         return None
 
     def leave(self, now: int, reason: str, failed: bool = False, retry_after: int = 0) -> Disconnect:
-        """Leaves the distributor, not to return before `retry_after`."""
+        """Leaves the distributor; it is not dialled again before `retry_after` has passed."""
         distributor = self.distributor
         if failed:
             self.choice.on_failed(now, distributor)
@@ -110,7 +110,7 @@
         return Disconnect(distributor, reason)
 
     def schedule_dial(self, now: int) -> None:
-        """Schedules the next attempt at random, so that subscribers do not reconnect all at once."""
+        """Schedules the next attempt with jitter, so that subscribers do not all reconnect at once."""
         self.phase = ConnectionPhase.WAITING
         self.distributor = ""
-        self.dial_at = now + self.random_source.randrange(self.limits.first_delay + 1)
+        self.dial_at = now + self.random_source.randrange(self.limits.reconnect_jitter + 1)
--- a/indigohitch/fleet/distribution/distributor_listener.py
+++ b/indigohitch/fleet/distribution/distributor_listener.py
@@ -1,4 +1,4 @@
-"""The connections of a distributor's process: its listener, its subscribers, its state machine."""
+"""The network side of a distributor: accepts subscribers and drives the state machine."""
 
 from __future__ import annotations
 
@@ -30,11 +30,13 @@
 from .machine_driver import MachineDriver
 from .messages import MESSAGE_TYPES
 
-MAX_UNIDENTIFIED = 512  # all that another distributor served may come within a second
-# Of the buffers of all connections: what can't be had closes the connection that wanted it.
+# All subscribers of a failed distributor may connect within a second.
+MAX_UNIDENTIFIED = 512
+# For the buffers of all connections; once it is used up, a connection that needs a buffer is closed.
 BUFFER_POOL_BYTES = 64 << 20
-SPARE_OUTPUT_BYTES = 1 << 10  # room beside one update: welcomes and answers to pulses
-# A subscriber renews its lease each second: one that is silent for so long is stopped or cut off.
+# Output buffer beyond one update, for handshake replies and answers to lease renewals.
+SPARE_OUTPUT_BYTES = 1 << 10
+# A subscriber renews its lease each second: one that is silent for this long is stopped or partitioned.
 SUBSCRIBER_TIMEOUT = 6 * SECOND
 
 
@@ -61,13 +63,13 @@
             loop, log, MESSAGE_TYPES, self, "subscribers", MAX_UNIDENTIFIED, BufferPool(BUFFER_POOL_BYTES)
         )
         self.connections: dict[int, InboundLink] = {}
-        self.numbers: dict[InboundLink, int] = {}
-        self.last_number = 0
-        self.bytes_sent = 0  # number of the last connection; bytes
+        self.connection_numbers: dict[InboundLink, int] = {}
+        self.last_connection_number = 0  # number of the newest connection
+        self.bytes_sent = 0
         self.driver = MachineDriver(loop, machine, self.execute)
 
     def start(self, address: tuple[str, int]) -> None:
-        """Starts to listen; raises OSError if the address is not available."""
+        """Starts listening; raises OSError if the address is not available."""
         self.acceptor.start(address)
         self.log.event("distributes", address=f"{address[0]}:{address[1]}")
 
@@ -76,12 +78,12 @@
         """Whether the listener is open."""
         return self.acceptor.listener is not None
 
-    def beat(self, now: int) -> None:
-        """Drops subscribers that have been silent for too long; called once a second."""
+    def check_connections(self, now: int) -> None:
+        """Drops silent subscribers and shrinks unused output buffers; called once a second."""
         self.acceptor.tick(now)
         for number, link in list(self.connections.items()):
             if now - link.last_received_at > SUBSCRIBER_TIMEOUT:
-                self.drop(number, "silent", "see whether it runs; it comes back by itself")
+                self.drop(number, "no message in time", "check whether it runs; it reconnects by itself")
             else:
                 link.connection.outgoing.trim()
 
@@ -91,70 +93,70 @@
         self.log.warning("subscriber_dropped", subscriber=link.peer.name, why=reason, remedy=remedy)
         link.close()
 
-    # ---- who comes ---------------------------------------------------------------------------------
+    # ---- inbound links -----------------------------------------------------------------------------
 
-    def on_handshake(self, link: InboundLink, greeting: links.Handshake) -> None:
+    def on_handshake(self, link: InboundLink, handshake: links.Handshake) -> None:
         """Accepts or refuses a subscriber."""
-        reason, kind = check_subscriber(greeting, self.fleet)
+        reason, kind = check_subscriber(handshake, self.fleet)
         if reason:
             self.log.warning("subscriber_refused", why=reason, remedy=REMEDIES[kind])
             link.send(links.HandshakeRefused(reason))
             link.close()
             return
-        self.last_number += 1
-        link.peer = greeting.who
-        link.token = greeting.token
-        self.connections[self.last_number] = link
-        self.numbers[link] = self.last_number
+        self.last_connection_number += 1
+        link.peer = handshake.who
+        link.token = handshake.token
+        self.connections[self.last_connection_number] = link
+        self.connection_numbers[link] = self.last_connection_number
         link.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         link.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
         link.send(links.HandshakeAccepted(self.member, self.token))
-        self.driver.step(SubscriberConnected(self.last_number, greeting.who.name))
+        self.driver.step(SubscriberConnected(self.last_connection_number, handshake.who.name))
 
     def on_message(self, link: InboundLink, message: Row) -> None:
-        """Hands a subscriber's message to the state machine."""
-        if link in self.numbers:
-            self.driver.step(MessageReceived(self.numbers[link], message))
+        """Passes a subscriber's message to the state machine."""
+        if link in self.connection_numbers:
+            self.driver.step(MessageReceived(self.connection_numbers[link], message))
 
     def on_closed(self, link: InboundLink) -> None:
         """Reports a closed connection to the state machine."""
-        number = self.numbers.pop(link, None)
+        number = self.connection_numbers.pop(link, None)
         if number is not None:
             del self.connections[number]
             self.driver.step(SubscriberDisconnected(number))
 
-    # ---- what the machine wants --------------------------------------------------------------------
+    # ---- outputs of the state machine --------------------------------------------------------------
 
     def execute(self, output: DistributorOutput) -> None:
-        """Carries out one output of the state machine."""
+        """Executes one output of the state machine."""
         match output:
             case SendToSubscriber(number, message):
                 self.send(number, message)
             case CloseConnection(number, _):
-                self.close_one(number)
+                self.close_connection(number)
             case Note(event, fields):
                 self.log.event(event, **fields)
 
     def send(self, number: int, message: Row) -> None:
-        """Sends a message, or drops a subscriber that does not read."""
+        """Sends a message, or drops a subscriber whose send buffer is full."""
         link = self.connections.get(number)
         if link is None:
             return
         data = MESSAGE_TYPES.frame(message)
         if not link.send_frame(data):
-            self.drop(number, "it does not read", "see whether it runs; it comes back by itself")
+            self.drop(number, "its send buffer is full", "check whether it runs; it reconnects by itself")
             return
         self.bytes_sent += len(data)
         link.connection.outgoing.trim()
 
-    def close_one(self, number: int) -> None:
-        """Closes a connection that the state machine has ended."""
+    def close_connection(self, number: int) -> None:
+        """Closes a connection without reporting that to the state machine."""
         link = self.connections.pop(number, None)
         if link is not None:
-            del self.numbers[link]
+            del self.connection_numbers[link]
             link.close()
 
-    # ---- the end -----------------------------------------------------------------------------------
+    # ---- shutdown and status -----------------------------------------------------------------------
 
     def close(self) -> None:
         """Closes the listener and all connections."""
@@ -162,10 +164,10 @@
         self.driver.step(ShutdownStarted())
         self.driver.stop()
         for number in list(self.connections):
-            self.close_one(number)
+            self.close_connection(number)
 
     def status(self) -> dict:
-        """Returns plain JSON for the `status` command."""
+        """Returns JSON values for the `status` command."""
         return {
             "listens": self.is_listening,
             "connections": len(self.connections),
--- a/indigohitch/fleet/distribution/distributor_role.py
+++ b/indigohitch/fleet/distribution/distributor_role.py
@@ -1,7 +1,7 @@
 """The distributor role of a member.
 
-It feeds applied entries to its state machine, keeps that caught up by confirmed reads, and exchanges reports
-with the other distributors.
+It passes applied entries to the distributor's state machine, determines by confirmed reads how far that has
+caught up with the ledger, and exchanges reports with the other distributors.
 """
 
 from __future__ import annotations
@@ -26,21 +26,22 @@
 from .messages import Behind, Report, Unreachable
 from .replicated_part import DistributionPart
 
-CONFIRM_INTERVAL = SECOND // 2  # between confirmed reads: adds at most that to the age of content
+# Between confirmed reads; adds at most this much to the age of content.
+CONFIRM_INTERVAL = SECOND // 2
 REPORT_INTERVAL = SECOND
 LISTEN_RETRY_DELAY = SECOND
-RESERVED_DESCRIPTORS = (
-    MAX_UNIDENTIFIED + 256
-)  # those who have not greeted; members' links, files, the control socket
+# File descriptors for unidentified connections, and for members' links, files and the control socket.
+RESERVED_DESCRIPTORS = MAX_UNIDENTIFIED + 256
 LIMITS = Limits()
 
 ConfirmedRead = Callable[[Callable[[int | None], None]], None]
 
 
 class DistributorRole:
-    """A `Work` of the member.
+    """Runs a distributor as a `Work` of the member.
 
-    `read(on_confirmed)` is a read confirmed by a majority; `send(name, message)` sends to another member.
+    `read(on_confirmed)` starts a read that a majority confirms; `send(name, message)` sends a message to
+    another member.
     """
 
     name = "distribution"
@@ -76,10 +77,10 @@
 
     @property
     def peers(self) -> Collection[str]:
-        """The other distributors."""
+        """The names of the other distributors."""
         return [name for name in self.addresses if name != self.member_name]
 
-    # ---- from the ledger ---------------------------------------------------------------------------
+    # ---- inputs from the ledger --------------------------------------------------------------------
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
         """Reports services changed by an applied entry to the state machine."""
@@ -95,18 +96,18 @@
         return []
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
-        """Does nothing: this work proposes no entries."""
+        """Does nothing, because this work proposes no entries."""
         return []
 
     def report(self, now: int) -> bytes:
-        """Returns nothing for the leader."""
+        """Returns an empty report, because the leader needs none from this work."""
         return b""
 
     def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
-        """Does nothing as leader."""
+        """Does nothing, because a leader has no tasks for this work."""
         return []
 
-    # ---- the beat ----------------------------------------------------------------------------------
+    # ---- periodic work -----------------------------------------------------------------------------
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
         """Listens, confirms reads and sends reports when they are due."""
@@ -119,7 +120,7 @@
             self.confirm_read(now)
         if now >= self.report_due:
             self.report_due = now + REPORT_INTERVAL
-            self.listener.beat(now)
+            self.listener.check_connections(now)
             self.send_reports(now)
         return []
 
@@ -127,7 +128,7 @@
         """Opens the listener, or schedules another attempt."""
         needed = LIMITS.subscribers + RESERVED_DESCRIPTORS
         if (allowed := raise_file_limit(needed)) < needed:
-            remedy = f"raise the limit on descriptors to {needed}"
+            remedy = f"raise the limit on file descriptors to {needed}"
             self.log.warning("descriptors_few", allowed=allowed, wanted=needed, remedy=remedy)
         try:
             self.listener.start(self.addresses[self.member_name])
@@ -136,10 +137,11 @@
             self.log.warning("distributor_cannot_listen", **error_fields(error, "free the address"))
 
     def confirm_read(self, now: int) -> None:
-        """Starts a confirmed read unless one is pending."""
+        """Starts a confirmed read unless one is in progress."""
 
         def on_confirmed(index: int | None) -> None:
-            # In a turn of its own: the machine gets the entry that completes a read only after this.
+            # Deferred to the next turn of the loop: if applying an entry completes the read, the state
+            # machine receives that entry only after this callback.
             self.is_reading = False
             if index is not None:
                 self.loop.call_after(0, lambda: self.listener.driver.step(CaughtUp(now)))
@@ -159,26 +161,26 @@
             self.send(name, report)
 
     def on_report(self, sender: MemberId, report: Report) -> None:
-        """Hands the report of another distributor to the state machine."""
+        """Passes the report of another distributor to the state machine."""
         if not self.is_closed and sender.name == report.distributor:
             self.listener.driver.step(ReportReceived(report))
 
-    # ---- the end, and people -----------------------------------------------------------------------
+    # ---- shutdown and status -----------------------------------------------------------------------
 
     def close(self) -> None:
-        """Frees the port for another process."""
+        """Closes the listener, so that another process can use the port."""
         self.is_closed = True
         self.listener.close()
 
     def figures(self) -> dict:
-        """Returns plain JSON for the `status` command."""
+        """Returns JSON values for the `status` command."""
         now = self.loop.clock.now()
         in_force = convergence_status(self.machine.in_force(now))
         return self.listener.status() | self.machine.status(now) | {"in_force": in_force}
 
 
 def convergence_status(report: ConvergenceReport) -> dict:
-    """Returns the report as `status` shows it; times in tenths of a millisecond."""
+    """Returns a convergence report as shown by `status`; times are tenths of a millisecond."""
     return {
         "version": report.version.text(),
         "newest": report.newest.text(),
@@ -194,7 +196,7 @@
 
 
 def behind_status(row: Behind) -> dict:
-    """Returns one subscriber that is behind, as `status` shows it."""
+    """Returns a subscriber that is behind as shown by `status`."""
     return {
         "subscriber": row.subscriber,
         "acknowledged": row.acknowledged.text(),
@@ -204,7 +206,7 @@
 
 
 def unreachable_status(row: Unreachable) -> dict:
-    """Returns one unreachable subscriber, as `status` shows it."""
+    """Returns an unreachable subscriber as shown by `status`."""
     return {
         "subscriber": row.subscriber,
         "acknowledged": row.acknowledged.text(),
--- a/indigohitch/fleet/distribution/errors.py
+++ b/indigohitch/fleet/distribution/errors.py
@@ -1,36 +1,38 @@
-"""Errors of the distribution; each has a remedy for the operator."""
+"""Errors of scoped distribution, each with a remedy for the operator."""
 
 from __future__ import annotations
 
 from ...errors import DirectorError, InvalidDataError, InvalidRequestError, UnavailableError
 from .messages import RefusalReason
 
-# ---- an update that a subscriber can't take --------------------------------------------------------
+# ---- updates that a subscriber rejects -------------------------------------------------------------
 
 
 class OlderVersionError(InvalidRequestError):
-    """An update has an older version than the one held."""
+    """An update has an older version than the held content."""
 
-    remedy = "nothing, if it stays rare: that distributor lags behind the ledger; see its `status`"
+    remedy = "nothing, if rare: that distributor lags behind the ledger; see its `status`"
 
 
 class UnknownBaseError(InvalidRequestError):
-    """An update is based on a version that is not held."""
+    """An update is a delta from a version that is not held."""
 
-    remedy = "nothing: the subscription resumes from what is held"
+    remedy = "nothing: the subscription resumes from the held version"
 
 
 class DigestMismatchError(InvalidDataError):
-    """The content after an update differs from the distributor's."""
+    """The content after an update differs from the content at the distributor."""
 
-    remedy = "nothing, once: the whole scope is sent; if it comes again, report versions of both programs"
+    remedy = (
+        "nothing, once: the whole scope is sent again; if it recurs, report the versions of both programs"
+    )
 
 
-# ---- a subscription that a distributor doesn't serve -----------------------------------------------
+# ---- subscriptions that a distributor refuses ------------------------------------------------------
 
 
 class ScopeTooLargeError(InvalidRequestError):
-    """A scope has more services, or more bytes, than one update may carry."""
+    """A scope has more services, or more bytes, than one update may contain."""
 
     reason = RefusalReason.SCOPE
     remedy = "let the coordinator reach fewer services, or raise the distributors' limit"
@@ -50,14 +52,14 @@
 
 
 class DistributorBehindError(SubscriptionRefusedError):
-    """The distributor lags behind what the subscriber holds."""
+    """The distributor lags behind the version that the subscriber holds."""
 
     reason = RefusalReason.BEHIND
     remedy = "nothing, if it stays rare; else see that distributor's `ledger_age` in its `status`"
 
 
 class DistributorFullError(SubscriptionRefusedError):
-    """The distributor serves as many subscribers as it may."""
+    """The distributor has reached its limit of subscribers."""
 
     reason = RefusalReason.FULL
     remedy = "add a distributor, or raise the limit on subscribers"
@@ -70,31 +72,33 @@
     remedy = "nothing: subscribers go to the others"
 
 
-# ---- subscribers that a distributor logs -----------------------------------------------------------
+# ---- subscriber faults that a distributor logs -----------------------------------------------------
 
 
 class SubscriberTimeoutError(DirectorError):
     """A subscriber has not acknowledged an update in time; its connection is closed."""
 
-    remedy = "see whether that process hangs or its host is overloaded; it resumes by itself"
+    remedy = "check whether that process hangs or its host is overloaded; it reconnects by itself"
 
 
 class SubscriberReplacedError(DirectorError):
-    """A subscriber has connected again while its earlier connection was open."""
+    """A subscriber has connected again while its previous connection was open."""
 
-    remedy = "nothing, if it stays rare; else two processes bear that name"
+    remedy = "nothing, if rare; otherwise two processes use that name"
 
 
 class UnknownVersionError(DirectorError):
-    """A subscriber claims a version that the ledger never had; it gets its whole scope."""
+    """A subscriber claims a version that the ledger never committed; its whole scope is sent again."""
 
-    remedy = "find out whether the ledger's disks were replaced, or that process belongs to another fleet"
+    remedy = (
+        "check whether the ledger's disks were replaced, or whether that process belongs to another fleet"
+    )
 
 
-# ---- no distributor at all -------------------------------------------------------------------------
+# ---- no distributor reachable ----------------------------------------------------------------------
 
 
 class NoDistributorError(DirectorError):
-    """No distributor can be reached; the last version stays in use and ages."""
+    """No distributor can be reached; the last received version stays in use while its age grows."""
 
-    remedy = "start distributors, or see whether the network lets them through"
+    remedy = "start distributors, or check whether the network lets subscribers reach them"
--- a/indigohitch/fleet/distribution/interfaces.py
+++ b/indigohitch/fleet/distribution/interfaces.py
@@ -1,7 +1,7 @@
 """Events and outputs of the distributor's and the subscriber's state machines.  No I/O.
 
-Both are `step(now, event) -> list[output]`, outputs in order, and `due`, the time at which `Tick` is due at
-the latest.
+Each state machine has `step(now, event) -> list[output]`, which returns the outputs in order, and `due`, the
+time at which `Tick` is due at the latest.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from ...encoding.rows import Row
 from .types import DistributorName, ServiceName, SubscriberName, Version
 
-# ---- into both -------------------------------------------------------------------------------------
+# ---- events of both --------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """The time that `due` has named is reached."""
+    """The time given by `due` has been reached."""
 
 
-# ---- into a distributor ----------------------------------------------------------------------------
+# ---- events of a distributor -----------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class SubscriberConnected:
-    """A subscriber has connected; `connection` is unique in this process and only grows."""
+    """A subscriber has connected; `connection` is a number that only grows within the process."""
 
     connection: int
     subscriber: SubscriberName
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
-    """A message of a subscriber: Subscribe, Acknowledge, Reject, Renew."""
+    """A subscriber has sent a message: Subscribe, Acknowledge, Reject or Renew."""
 
     connection: int
     message: Row
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SubscriberDisconnected:
-    """A connection has ended."""
+    """A connection has closed."""
 
     connection: int
 
@@ -59,9 +59,9 @@
 
 @dataclass(slots=True, frozen=True)
 class CaughtUp:
-    """All that was committed at `confirmed_at` is applied here.
+    """All entries that were committed at `confirmed_at` are applied here.
 
-    `confirmed_at` is the own clock's time before the confirmed read was sent.
+    `confirmed_at`: the time, by the local clock, before the confirmed read was sent.
     """
 
     confirmed_at: int
@@ -69,14 +69,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportReceived:
-    """A report of another distributor."""
+    """Another distributor has sent its report."""
 
     report: Row
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownStarted:
-    """This distributor is about to end: subscribers are sent to others."""
+    """This distributor is shutting down: its subscribers must connect to others."""
 
 
 DistributorInput = (
@@ -91,7 +91,7 @@
     | Tick
 )
 
-# ---- into a subscriber -----------------------------------------------------------------------------
+# ---- events of a subscriber ------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLost:
-    """The dialled distributor did not answer, or its connection has ended."""
+    """The dialled distributor could not be reached, or its connection has closed."""
 
     distributor: DistributorName
     reason: str = ""
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DistributorMessageReceived:
-    """A message of the distributor: Update, Current, Refused."""
+    """The distributor has sent a message: Update, Current or Refused."""
 
     distributor: DistributorName
     message: Row
@@ -119,19 +119,19 @@
 
 @dataclass(slots=True, frozen=True)
 class ScopeChanged:
-    """The services that the subscriber needs from now on."""
+    """The subscriber needs these services from now on."""
 
     services: frozenset[ServiceName]
 
 
 SubscriberInput = ConnectionEstablished | ConnectionLost | DistributorMessageReceived | ScopeChanged | Tick
 
-# ---- out -------------------------------------------------------------------------------------------
+# ---- outputs ---------------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, frozen=True)
 class SendToSubscriber:
-    """Distributor: send a message over this connection."""
+    """Tells a distributor's driver to send a message over this connection."""
 
     connection: int
     message: Row
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CloseConnection:
-    """Distributor: close the connection once its output is sent."""
+    """Tells a distributor's driver to close the connection after its pending output is sent."""
 
     connection: int
     reason: str
@@ -147,14 +147,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Dial:
-    """Subscriber: connect; the result is `ConnectionEstablished` or `ConnectionLost`."""
+    """Tells a subscriber's driver to connect; `ConnectionEstablished` or `ConnectionLost` follows."""
 
     distributor: DistributorName
 
 
 @dataclass(slots=True, frozen=True)
 class Disconnect:
-    """Subscriber: close the connection; no `ConnectionLost` follows."""
+    """Tells a subscriber's driver to close the connection; no `ConnectionLost` follows."""
 
     distributor: DistributorName
     reason: str
@@ -162,16 +162,16 @@
 
 @dataclass(slots=True, frozen=True)
 class SendToDistributor:
-    """Subscriber: send a message to the connected distributor."""
+    """Tells a subscriber's driver to send a message to the connected distributor."""
 
     message: Row
 
 
 @dataclass(slots=True, frozen=True)
 class UpdateApplied:
-    """Subscriber: the content is at `version` now.
+    """Reports that a subscriber's content is now at `version`.
 
-    `services` have changed, were added or were removed.
+    `services`: those that have changed, were added or were removed.
     """
 
     version: Version
@@ -180,7 +180,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Note:
-    """An event for the log."""
+    """Tells the driver to log an event."""
 
     event: str
     fields: dict = field(default_factory=dict)
--- a/indigohitch/fleet/distribution/machine_driver.py
+++ b/indigohitch/fleet/distribution/machine_driver.py
@@ -1,7 +1,7 @@
 """Drives one state machine on the event loop.
 
-Events are handled one after the other, also those that arrive while outputs are carried out; `Tick` comes
-when the machine is due.
+Events are handled one at a time, also those that arrive while outputs are executed.  `Tick` is sent when the
+machine is due.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Machine(Protocol):
-    """A state machine of the distribution."""
+    """Interface of the distributor's and the subscriber's state machines."""
 
     due: int | None
 
@@ -25,7 +25,7 @@
 
 
 class MachineDriver:
-    """Feeds events to a machine and carries out its outputs."""
+    """Passes events to a state machine and executes its outputs."""
 
     def __init__(self, loop: EventLoop, machine: Machine, execute: Callable[[object], None]) -> None:
         self.loop = loop
@@ -37,7 +37,7 @@
         self.timer = DueTimer(loop, lambda: self.machine.due, lambda: self.step(Tick()))
 
     def step(self, event: object) -> None:
-        """Handles an event now, or after the one in progress."""
+        """Handles an event now, or after those that are in progress."""
         if self.stopped:
             return
         self.pending.append(event)
--- a/indigohitch/fleet/distribution/messages.py
+++ b/indigohitch/fleet/distribution/messages.py
@@ -1,7 +1,8 @@
 """Messages between subscribers and distributors, and among distributors.
 
-Rows only; fields are only ever added at the end.  A subscriber connects, sends the handshake of members
-(fleet/transport/messages.py) and then `Subscribe`; all that follows uses that one connection, in order.
+Messages are encoded as arrays, so fields are only ever added at the end.  A subscriber connects, sends the
+handshake of members (fleet/transport/messages.py) and then `Subscribe`; all later messages use the same
+connection, in order.
 """
 
 from __future__ import annotations
@@ -19,17 +20,17 @@
 
 
 class HeldService(Row, frozen=True):
-    """A service with the `digest` of what the subscriber holds; empty: nothing yet."""
+    """Names a service and the `digest` of the content held; the digest is empty if nothing is held."""
 
     service: ServiceName
     digest: bytes = b""
 
 
 class Subscribe(Row, frozen=True):
-    """The scope that the subscriber wants from here on, and what it holds.
+    """Requests a scope and states what the subscriber holds of it.
 
-    All services with a digest are at version `held`.  Sent first on a connection, and again with a higher
-    `request` when the scope changes.
+    All services with a digest are at version `held`.  It is the first message on a connection, and is sent
+    again with a higher `request` when the scope changes.
     """
 
     request: int
@@ -38,7 +39,7 @@
 
 
 class Acknowledge(Row, frozen=True):
-    """ACK: the update of that number is applied; the scope has that version and digest."""
+    """Acknowledges (ACK) the update `number`: the scope now has that version and digest."""
 
     number: int
     version: Version
@@ -46,16 +47,16 @@
 
 
 class RejectReason(enum.IntEnum):
-    """Why an update was rejected."""
+    """Reasons for rejecting an update."""
 
-    OLDER = 1  # the update is older than what is held
-    BASE = 2  # it follows a version that is not held
-    DIGEST = 3  # the content after it has another digest than stated
-    UNREADABLE = 4  # a change in it can't be read
+    OLDER = 1  # the update is older than the held version
+    BASE = 2  # the update is a delta from a version that is not held
+    DIGEST = 3  # the content after the update does not have the stated digest
+    UNREADABLE = 4  # a change in the update can't be decoded
 
 
 class Reject(Row, frozen=True):
-    """NACK: the update of that number changed nothing; the subscriber keeps version `held`."""
+    """Rejects (NACK) the update `number`, which changed nothing: the subscriber keeps version `held`."""
 
     number: int
     reason: RejectReason
@@ -64,7 +65,7 @@
 
 
 class Renew(Row, frozen=True):
-    """Requests another lease for the held version; `number` grows over all connections."""
+    """Requests a lease renewal for the held version; `number` grows across connections."""
 
     number: int
 
@@ -73,9 +74,9 @@
 
 
 class ServiceChange(Row, frozen=True):
-    """The change of one service; if `whole`, resources that are not listed are removed.
+    """Lists the changes of one service; if `whole`, resources that are not listed are removed.
 
-    `digest`: of the service after the change.
+    `digest`: digest of the service after the change.
     """
 
     service: ServiceName
@@ -86,13 +87,13 @@
 
 
 class Update(Row, frozen=True):
-    """A delta from version `base` to `version`, applied in one step or not at all.
+    """Changes the content from version `base` to `version`; it is applied atomically or not at all.
 
-    `request`: of the `Subscribe` whose scope it is for; the first update for a request is sent even if
-    nothing differs.  `changes`: each the msgpack of a `ServiceChange`, encoded once for all subscribers.
-    `digest`: of the whole scope after it.  `whole`: all of the scope, whatever is held.  `void`: a version
-    that the subscriber claimed and that a majority of the ledger never had; only a subscriber that holds
-    exactly this one may go back.
+    `request`: number of the `Subscribe` whose scope it is for; the first update for a request is sent even
+    if nothing differs.  `changes`: encoded `ServiceChange` messages; each is encoded once for all
+    subscribers.  `digest`: digest of the whole scope after the update.  `whole`: the update replaces the
+    whole scope, whatever is held.  `void`: a version that the subscriber claimed and that a majority of the
+    ledger never committed; only a subscriber that holds exactly this version may go back to an older one.
     """
 
     request: int
@@ -106,10 +107,10 @@
 
 
 class Current(Row, frozen=True):
-    """The answer to `Renew`; `version` is that of the distributor's store.
+    """Answers `Renew`; `version` is that of the distributor's store.
 
-    What the subscriber has acknowledged contained all that was committed up to `age` (tenths of a
-    millisecond) before this was sent; None: unknown.
+    The acknowledged content includes all changes that were committed up to `age` (tenths of a millisecond)
+    before this message was sent.  `age` is None if that is unknown.
     """
 
     number: int
@@ -118,19 +119,20 @@
 
 
 class RefusalReason(enum.IntEnum):
-    """Why a subscription was refused."""
+    """Reasons for refusing a subscription."""
 
-    STARTING = 1  # this distributor has not caught up with the ledger since it started
-    BEHIND = 2  # the subscriber holds a newer version than this distributor
-    FULL = 3  # as many subscribers as it takes
-    SCOPE = 4  # the scope is larger than one update may be
-    CLOSING = 5  # this distributor is about to end
+    STARTING = 1  # the distributor has not caught up with the ledger since it started
+    BEHIND = 2  # the subscriber holds a newer version than the distributor
+    FULL = 3  # the distributor has reached its limit of subscribers
+    SCOPE = 4  # the scope does not fit into one update
+    CLOSING = 5  # the distributor is shutting down
 
 
 class Refused(Row, frozen=True):
-    """The subscription is not served here now; the connection is closed after it.
+    """Refuses a subscription; the distributor closes the connection after this message.
 
-    `again`: not to return for so many tenths of a millisecond; other distributors may be tried at once.
+    `again`: how long to wait before returning, in tenths of a millisecond; other distributors may be tried at
+    once.
     """
 
     reason: RefusalReason
@@ -143,16 +145,16 @@
 
 
 class Behind(Row, frozen=True):
-    """A connected subscriber that has not acknowledged a change of its scope."""
+    """Reports a connected subscriber that has not acknowledged a change of its scope."""
 
     subscriber: SubscriberName
     acknowledged: Version
-    missing: Version  # the oldest change that it lacks
-    age: int  # since this distributor applied that change
+    missing: Version  # version of the oldest change that it lacks
+    age: int  # time since the distributor applied that change
 
 
 class Unreachable(Row, frozen=True):
-    """A subscriber whose connection is lost; it may count as current for `acting` at most."""
+    """Reports a disconnected subscriber, whose content may count as current for at most `acting`."""
 
     subscriber: SubscriberName
     acknowledged: Version
@@ -160,20 +162,20 @@
 
 
 class Report(Row, frozen=True):
-    """The acknowledged versions of one distributor, aggregated; sent to the others periodically.
+    """Aggregates the acknowledged versions at one distributor; sent to the others periodically.
 
-    `in_force`: each connected subscriber has all changes of its scope up to it.  `behind` and `unreachable`
-    list the first few; the counts are of all.  `connected` and `lost`: 4 bytes (`types.subscriber_mark`) for
-    each subscriber that is connected here, or was and is remembered: one that is lost here may be connected
-    elsewhere.
+    `in_force`: the version up to which each connected subscriber has all changes of its scope.  `behind` and
+    `unreachable` list only the first few subscribers, the counts include all.  `connected` and `lost`: 4
+    bytes (`types.subscriber_mark`) for each subscriber that is connected here, and for each that is
+    disconnected and still remembered: one that is lost here may be connected elsewhere.
     """
 
     distributor: DistributorName
     number: int
     version: Version
     in_force: Version
-    in_force_age: int  # since the oldest change that is not in force was applied; 0: all are
-    ledger_age: int | None  # since this distributor had surely caught up with the ledger; None: never
+    in_force_age: int  # time since the oldest change that is not in force was applied; 0 if all are
+    ledger_age: int | None  # time since it had last caught up with the ledger; None: never
     subscribers: int
     behind_count: int = 0
     behind: tuple[Behind, ...] = ()
@@ -183,5 +185,5 @@
 
 
 DISTRIBUTION_MESSAGES = (Subscribe, Acknowledge, Reject, Renew, Update, Current, Refused, Report)
-# In the order of their numbers on the wire: what is added goes to the end.
+# The position of a type is its number on the wire, so new types are appended.
 MESSAGE_TYPES = MessageTypes(b"IHds", links.PROTOCOL, (*links.MESSAGE_TYPES, *DISTRIBUTION_MESSAGES), 4 << 20)
--- a/indigohitch/fleet/distribution/pending_updates.py
+++ b/indigohitch/fleet/distribution/pending_updates.py
@@ -1,4 +1,4 @@
-"""Updates on their way to one subscriber, and the changes that it lacks.  No I/O."""
+"""Updates in flight to one subscriber, and the changes that it lacks.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(slots=True, frozen=True)
 class MissingChange:
-    """A change that the subscriber lacks.
+    """Describes a change that the subscriber lacks.
 
-    `applied_at`: when this distributor applied it; `caught_up_at`: when the distributor had last caught up
-    with the ledger before that (0: never).
+    `applied_at`: time at which this distributor applied it.  `caught_up_at`: time at which the distributor
+    had last caught up with the ledger before that (0: never).
     """
 
     version: Version
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InFlightUpdate:
-    """An update that is sent and not yet acknowledged."""
+    """Describes an update that is sent and not yet acknowledged."""
 
     number: int
     request: int
@@ -33,16 +33,16 @@
     digest: bytes
     size: int
     sent_at: int
-    unknown: frozenset[ServiceName]  # whole in it
-    missing: MissingChange | None  # the oldest change in it
+    whole_services: frozenset[ServiceName]  # services that it contains in full
+    missing: MissingChange | None  # the oldest change that it contains
 
 
 def oldest_missing(missing: Iterable[MissingChange | None]) -> MissingChange | None:
-    """Returns the oldest of these changes, None if there is none."""
+    """Returns the oldest of these changes, or None if there is none."""
     known = [each for each in missing if each is not None]
     return min(known, key=lambda each: (each.version, each.applied_at), default=None)
 
 
 def encoded_size(changes: Iterable[msgspec.Raw]) -> int:
-    """Returns the bytes of encoded changes."""
+    """Returns the size of encoded changes in bytes."""
     return sum(len(memoryview(change)) for change in changes)
--- a/indigohitch/fleet/distribution/replicated_part.py
+++ b/indigohitch/fleet/distribution/replicated_part.py
@@ -1,4 +1,4 @@
-"""The part `distribution` of the replicated state machine: services and their resources.
+"""The `distribution` part of the replicated state machine: services and their resources.
 
 Deterministic, no I/O.
 """
@@ -17,43 +17,46 @@
 
 MAX_NAME_LENGTH = 255
 MAX_BODY_BYTES = 4_096
-MAX_SERVICE_BYTES = 256 << 10  # a quarter of what one update may have
+MAX_SERVICE_BYTES = 256 << 10  # a quarter of the largest update
 
 
 class ServiceResources(Row, frozen=True):
-    """Resources of one service."""
+    """Lists resources of one service."""
 
     service: ServiceName
     resources: tuple[Resource, ...]
 
 
 class ServiceKeys(Row, frozen=True):
-    """Keys of resources of one service."""
+    """Lists keys of resources of one service."""
 
     service: ServiceName
     keys: tuple[str, ...]
 
 
 class SetResources(Row, frozen=True):
-    """`distribution.set`: sets these resources and keeps all others."""
+    """Sets these resources and keeps all others (`distribution.set`)."""
 
     services: tuple[ServiceResources, ...]
 
 
 class RemoveResources(Row, frozen=True):
-    """`distribution.remove`: removes these resources where they exist."""
+    """Removes these resources where they exist (`distribution.remove`)."""
 
     services: tuple[ServiceKeys, ...]
 
 
 class ReplaceResources(Row, frozen=True):
-    """`distribution.replace`: these services get exactly these resources."""
+    """Sets the resources of these services and removes their others (`distribution.replace`)."""
 
     services: tuple[ServiceResources, ...]
 
 
 class DistributionPart:
-    """A StateMachinePart; each entry returns the names of the services that it changed."""
+    """Applies entries to a resource store, as a `StateMachinePart`.
+
+    The result of each entry is the names of the services that it changed.
+    """
 
     name = "distribution"
     kinds = {"set": SetResources, "remove": RemoveResources, "replace": ReplaceResources}
@@ -81,14 +84,14 @@
         return self.store.apply(version, changed, removed)
 
     def keys_to_remove(self, service: ServiceName, resources: Iterable[Resource]) -> list[str]:
-        """Returns the present keys that are not among these."""
-        given = {resource.key for resource in resources}
-        return [key for key in self.store.resources(service) if key not in given]
+        """Returns the current keys of a service that are not among `resources`."""
+        kept = {resource.key for resource in resources}
+        return [key for key in self.store.resources(service) if key not in kept]
 
     def check(self, services: Iterable[ServiceResources], keeps_others: bool) -> None:
         """Checks names and sizes; raises InvalidRequestError.
 
-        `keeps_others`: present resources stay beside the given ones and count.
+        `keeps_others`: resources that the service already has stay, and count towards its size.
         """
         for each in services:
             bodies = dict(self.store.resources(each.service)) if keeps_others else {}
@@ -110,10 +113,10 @@
     def restore(self, row: bytes) -> None:
         """Replaces the state by that of a snapshot; raises InvalidDataError."""
         try:
-            found = msgspec.msgpack.decode(row, type=ResourceStoreRow)
+            store_row = msgspec.msgpack.decode(row, type=ResourceStoreRow)
         except msgspec.MsgspecError as error:
             raise InvalidDataError(f"not the services of a state machine: {error}") from None
-        self.store.restore(found)
+        self.store.restore(store_row)
 
 
 def check_resource(service: ServiceName, resource: Resource) -> None:
--- a/indigohitch/fleet/distribution/resource_store.py
+++ b/indigohitch/fleet/distribution/resource_store.py
@@ -1,8 +1,8 @@
-"""The resources of a distributor, with the version of each change and of removals.
+"""The resources of a distributor, with the versions of their changes and removals.
 
-Deterministic, no I/O.  Removed keys are remembered up to a bound; a subscriber whose version is older than
-what is remembered gets the whole service.  Changes are encoded once and shared by all subscribers until the
-service changes again.
+Deterministic, no I/O.  A bounded number of removed keys is remembered; a subscriber whose version is older
+than those gets the whole service.  A change is encoded once and shared by all subscribers until the service
+changes again.
 """
 
 from __future__ import annotations
@@ -18,15 +18,14 @@
 from .messages import ServiceChange
 from .types import NO_VERSION, Resource, ServiceName, Version
 
-MAX_REMOVED_KEYS = 64  # keys remembered for each service beyond as many as it has
+MAX_REMOVED_KEYS = 64  # removed keys remembered for each service, in addition to as many as it has resources
 MAX_EMPTY_SERVICES = 4_096  # services without resources that are remembered
-MAX_VERSION_HISTORY = (
-    4_096  # recent versions: some hours of an ordinary day, six seconds of ten times the worst burst
-)
+# Recent versions remembered: some hours of an ordinary day, or six seconds of ten times the worst burst.
+MAX_VERSION_HISTORY = 4_096
 
 
 class ServiceRow(Row):
-    """One service in a snapshot; resources and removed keys in the order of their last change."""
+    """Stores one service in a snapshot; resources and removed keys are in the order of their last change."""
 
     service: ServiceName
     resources: list[tuple[str, bytes, Version]]
@@ -35,7 +34,7 @@
 
 
 class ResourceStoreRow(Row):
-    """All services in a snapshot."""
+    """Stores all services in a snapshot."""
 
     version: Version = NO_VERSION
     floor: Version = NO_VERSION
@@ -43,10 +42,10 @@
 
 
 class StoredService:
-    """One service with its history.
+    """Holds one service with its history.
 
-    `changed` and `removed`: versions by key, the last change last.  `floor`: version of the newest removed
-    key that is forgotten.
+    `changed` and `removed`: versions by key, in the order of change.  `floor`: version of the newest removal
+    that is no longer remembered; deltas from older versions are impossible.
     """
 
     __slots__ = ("content", "changed", "removed", "floor", "version", "encoded")
@@ -60,7 +59,7 @@
         self.encoded: dict[tuple[int, int], msgspec.Raw] = {}
 
     def apply(self, version: Version, resources: Iterable[Resource], keys: Iterable[str]) -> bool:
-        """Applies changes; returns whether anything differs."""
+        """Applies changes; returns whether the content differs now."""
         bodies = self.content.bodies
         changed = [each for each in resources if bodies.get(each.key) != each.body]
         removed = [key for key in dict.fromkeys(keys) if key in bodies]
@@ -80,23 +79,23 @@
         return True
 
     def forget(self) -> None:
-        """Forgets the oldest removed keys beyond the bound."""
+        """Forgets the oldest removed keys beyond the limit."""
         while len(self.removed) > MAX_REMOVED_KEYS + len(self.changed):
             oldest = next(iter(self.removed))
             self.floor = max(self.floor, self.removed.pop(oldest))
 
-    def since(self, version: Version) -> tuple[list[str], list[str]]:
-        """Returns the keys changed and the keys removed after that version."""
+    def keys_since(self, version: Version) -> tuple[list[str], list[str]]:
+        """Returns the keys changed and the keys removed after a version."""
         return keys_changed_after(self.changed, version), keys_changed_after(self.removed, version)
 
     def change(self, since: Version | None) -> msgspec.Raw:
-        """Returns the encoded change since that version.
+        """Returns the encoded change since a version.
 
-        It is the whole service if the version is None or forgotten, or if that is shorter.
+        It is the whole service if the version is None or older than the history, or if that is shorter.
         """
         bodies = self.content.bodies
         whole = since is None or since < self.floor or since == NO_VERSION
-        changed, removed = ([], []) if whole else self.since(since)
+        changed, removed = ([], []) if whole else self.keys_since(since)
         whole = whole or len(changed) + len(removed) > len(bodies)
         cache_key = (-1, -1) if whole else (len(changed), len(removed))
         if cache_key not in self.encoded:
@@ -112,19 +111,19 @@
         return self.encoded[cache_key]
 
 
-def keys_changed_after(versions: Mapping[str, Version], than: Version) -> list[str]:
-    """Returns keys of later changes; `versions` is in the order of change."""
-    return [key for key, _ in takewhile(lambda item: item[1] > than, reversed(versions.items()))]
+def keys_changed_after(versions: Mapping[str, Version], version: Version) -> list[str]:
+    """Returns the keys changed after a version; `versions` is in the order of change."""
+    return [key for key, _ in takewhile(lambda item: item[1] > version, reversed(versions.items()))]
 
 
 class ResourceStore:
-    """All services, by name."""
+    """Holds all services by name, and the recent versions."""
 
     def __init__(self) -> None:
-        self.version = NO_VERSION  # of the last entry that changed anything
-        self.floor = NO_VERSION  # history of unknown services is forgotten up to here
+        self.version = NO_VERSION  # of the last entry that changed a resource
+        self.floor = NO_VERSION  # up to this version the history of unknown services is forgotten
         self.services: dict[ServiceName, StoredService] = {}
-        self.empty_services: dict[ServiceName, None] = {}  # in the order in which they became so
+        self.empty_services: dict[ServiceName, None] = {}  # in the order in which they became empty
         self.history: list[Version] = []  # recent versions, ascending; not part of the replicated state
 
     def apply(
@@ -133,19 +132,19 @@
         changed: Mapping[ServiceName, Iterable[Resource]],
         removed: Mapping[ServiceName, Iterable[str]],
     ) -> tuple[ServiceName, ...]:
-        """Applies the changes of one entry; returns the services whose content differs now."""
+        """Applies the changes of one ledger entry; returns the services whose content differs now."""
         names = list(dict.fromkeys([*changed, *removed]))
-        touched = [
+        changed_services = [
             name
             for name in names
             if self.apply_to_service(name, version, changed.get(name, ()), removed.get(name, ()))
         ]
-        if touched:
+        if changed_services:
             self.version = version
             self.history.append(version)
             if len(self.history) > 2 * MAX_VERSION_HISTORY:
                 del self.history[:MAX_VERSION_HISTORY]
-        return tuple(touched)
+        return tuple(changed_services)
 
     def apply_to_service(
         self, name: ServiceName, version: Version, resources: Iterable[Resource], keys: Iterable[str]
@@ -164,7 +163,7 @@
         return True
 
     def forget(self) -> None:
-        """Forgets the services that have been empty longest, beyond the bound."""
+        """Forgets the services that have been empty longest, beyond the limit."""
         while len(self.empty_services) > MAX_EMPTY_SERVICES:
             oldest = next(iter(self.empty_services))
             del self.empty_services[oldest]
@@ -186,28 +185,28 @@
         return self.content(name).digest
 
     def changed_at(self, name: ServiceName) -> Version:
-        """Returns the version of the last change; for an unknown service the last possible one."""
+        """Returns the version of the last change, or for an unknown service the latest that it can have."""
         service = self.services.get(name)
         return service.version if service is not None else self.floor
 
     def change(self, name: ServiceName, since: Version | None) -> msgspec.Raw:
-        """Returns the msgpack of a `ServiceChange`; `since` None: the whole service."""
+        """Returns an encoded `ServiceChange`: the change since a version, or the whole service for None."""
         service = self.services.get(name)
         return (service if service is not None else StoredService(name, self.floor)).change(since)
 
     def before(self, version: Version) -> Version | None:
-        """Returns the last version before that one; None: it is not remembered."""
+        """Returns the last version before `version`, or None if it is not remembered."""
         position = bisect_left(self.history, version)
         return self.history[position - 1] if position else None
 
     def after(self, version: Version) -> Version:
-        """Returns the first remembered version after that one, or the least possible."""
+        """Returns the first remembered version after `version`, or else the lowest possible one."""
         position = bisect_right(self.history, version)
         if position < len(self.history):
             return self.history[position]
         return Version(version.term, version.index + 1)
 
-    # ---- as a whole --------------------------------------------------------------------------------
+    # ---- snapshots ---------------------------------------------------------------------------------
 
     def row(self) -> ResourceStoreRow:
         """Returns the state for a snapshot."""
--- a/indigohitch/fleet/distribution/scope_request.py
+++ b/indigohitch/fleet/distribution/scope_request.py
@@ -1,4 +1,4 @@
-"""The last request of a subscriber for a scope, and whether it is answered.  No I/O."""
+"""A subscriber's latest request for a scope, and whether it is answered.  No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ScopeRequest:
-    """The scope of the last `Subscribe`; one request is open at a time."""
+    """Tracks the latest `Subscribe`; one request is open at a time."""
 
     def __init__(self) -> None:
         self.services: frozenset[ServiceName] = frozenset()
@@ -21,5 +21,5 @@
         self.is_open = True
 
     def is_answered_by(self, update: Update) -> bool:
-        """Whether this is the first update for the open request."""
+        """Returns whether this is the first update for the open request."""
         return update.request == self.number and self.is_open
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -1,4 +1,4 @@
-"""The state machine of one subscriber: its content, its scope and its distributor.  No I/O."""
+"""The state machine of one subscriber: its scope, content, lease and connection.  No I/O."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 class Subscriber:
     """Keeps the content of a scope up to date.
 
-    `distributors`: the weight of each by name (1.0, or its share of an ordinary one's load).
+    `distributors`: weights by name; 1.0, or the share of an ordinary distributor's load that one takes.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.request = ScopeRequest()
         self.connector = DistributorConnector(name, distributors, limits, random_source, now)
         self.lease = ContentLease(limits)
-        self.no_distributor_logged = False  # no distributor answers; logged once
+        self.no_distributor_logged = False  # that no distributor can be reached
         self.now = now
         self.outputs: list[SubscriberOutput] = []
 
@@ -75,35 +75,35 @@
 
     @property
     def due(self) -> int:
-        """When `Tick` is due at the latest."""
+        """The time at which `Tick` is due at the latest."""
         connector = self.connector
         return min(connector.due, self.lease.due) if connector.is_connected else connector.due
 
     @property
     def version(self) -> Version:
-        """The version held; NO_VERSION before the first update."""
+        """The held version; NO_VERSION before the first update."""
         return self.scope.version
 
     @property
     def digest(self) -> bytes:
-        """The digest of the whole scope, as held."""
+        """The digest of the whole held content."""
         return self.scope.digest
 
     def resources(self, service: ServiceName) -> Mapping[str, bytes]:
-        """Returns the bodies held of a service by key."""
+        """Returns the held resources of a service: bodies by key."""
         content = self.scope.services.get(service)
         return content.bodies if content is not None else {}
 
-    def acting_until(self, now: int) -> int:
-        """Returns until when the content counts as current, by the own clock."""
+    def lease_until(self, now: int) -> int:
+        """Returns the time, by the local clock, until which the content counts as current."""
         return self.lease.until
 
     def age(self, now: int) -> int | None:
-        """Returns how long ago the content was surely complete; None: never confirmed."""
+        """Returns how long ago the content was last confirmed as up to date, or None if it never was."""
         return self.lease.age(now)
 
     def on_tick(self) -> None:
-        """Dials, leaves a distributor or renews the lease, as is due."""
+        """Dials or leaves a distributor, or renews the lease, whichever is due."""
         if self.connector.phase is ConnectionPhase.WAITING:
             if self.now >= self.connector.dial_at:
                 self.dial()
@@ -115,7 +115,7 @@
             self.renew()
 
     def dial(self) -> None:
-        """Dials the next distributor; logs once if none answers."""
+        """Dials the next distributor; logs once that none can be reached."""
         dial = self.connector.dial(self.now)
         if dial is not None:
             self.outputs.append(dial)
@@ -133,27 +133,27 @@
             self.renew_now()
 
     def on_connection_lost(self, event: ConnectionLost) -> None:
-        """Schedules the next attempt."""
+        """Schedules the next attempt to connect."""
         self.connector.on_lost(self.now, event.distributor)
 
-    def leave_distributor(self, why: str, failed: bool = False, retry_after: int = 0) -> None:
-        """Leaves the distributor, not to return before `retry_after`."""
-        self.outputs.append(self.connector.leave(self.now, why, failed, retry_after))
+    def leave_distributor(self, reason: str, failed: bool = False, retry_after: int = 0) -> None:
+        """Leaves the distributor; it is not dialled again before `retry_after` has passed."""
+        self.outputs.append(self.connector.leave(self.now, reason, failed, retry_after))
 
     def on_scope_changed(self, event: ScopeChanged) -> None:
-        """Requests the new scope; the old content stays until its first update."""
+        """Requests the new scope; the old content stays until the first update for it."""
         self.services = event.services
         if self.connector.phase is ConnectionPhase.SERVED:
             self.subscribe_if_changed()
 
     def subscribe(self) -> None:
-        """Sends a request for the scope."""
+        """Requests the scope, stating what is held of it."""
         self.request.start(self.services)
         claim = self.scope.claim(self.services)
         self.outputs.append(SendToDistributor(Subscribe(self.request.number, self.version, claim)))
 
     def subscribe_if_changed(self) -> None:
-        """Sends another request if the scope has changed and none is open."""
+        """Requests the scope again if it has changed and no request is open."""
         if not self.request.is_open and self.services != self.request.services:
             self.subscribe()
 
@@ -161,7 +161,7 @@
         """Handles a message of the connected distributor."""
         connector = self.connector
         if not connector.is_connected or event.distributor != connector.distributor:
-            return  # of a connection that is over
+            return  # from a connection that is already closed
         connector.deadlines.on_message(self.now)
         match event.message:
             case Update() as update:
@@ -172,7 +172,7 @@
                 self.on_refused(refused)
             case unexpected:
                 name = type(unexpected).__name__
-                self.leave_distributor(f"a distributor doesn't say {name}", failed=True)
+                self.leave_distributor(f"unexpected message {name}", failed=True)
 
     def on_update(self, update: Update) -> None:
         """Applies an update and acknowledges it, or rejects it."""
@@ -195,7 +195,7 @@
             self.on_request_answered()
 
     def on_request_answered(self) -> None:
-        """Continues after the first update for a request."""
+        """Handles the completion of a request; sends another if the scope has changed meanwhile."""
         self.request.is_open = False
         self.no_distributor_logged = False
         if self.connector.phase is ConnectionPhase.SUBSCRIBING:
@@ -208,13 +208,13 @@
         update: Update,
         error: OlderVersionError | UnknownBaseError | DigestMismatchError | InvalidDataError,
     ) -> None:
-        """Rejects an update; leaves a distributor that lags."""
+        """Rejects an update; leaves the distributor if that lags."""
         reason = REJECT_REASONS[type(error)]
         self.outputs.append(SendToDistributor(Reject(update.number, reason, self.version, error.problem)))
         fields = {"distributor": self.connector.distributor, "reason": reason.name}
         self.outputs.append(Note("update_rejected", error.log_fields() | fields))
         if reason is RejectReason.OLDER:
-            self.leave_distributor("it tells an older version", retry_after=self.limits.backoff)
+            self.leave_distributor("the distributor sent an older version", retry_after=self.limits.backoff)
 
     def on_refused(self, message: Refused) -> None:
         """Leaves a distributor that has refused the subscription."""
@@ -227,7 +227,7 @@
         self.leave_distributor(message.why, retry_after=max(message.again, 1))
 
     def renew_now(self) -> None:
-        """Sends a renewal before the next one is due."""
+        """Sends a renewal ahead of schedule."""
         self.send_renewal(self.lease.renewal_now(self.now))
 
     def renew(self) -> None:
@@ -240,7 +240,7 @@
             self.outputs.append(SendToDistributor(renewal))
 
     def on_current(self, message: Current) -> None:
-        """Extends the lease by what the distributor has confirmed."""
+        """Extends the lease if the distributor has confirmed the content."""
         if message.age is None:
             return
         self.lease.on_renewed(message)
--- a/indigohitch/fleet/distribution/subscriber_connection.py
+++ b/indigohitch/fleet/distribution/subscriber_connection.py
@@ -1,4 +1,4 @@
-"""The process side of a subscriber: its state machine and its connection to a distributor."""
+"""The network side of a subscriber: drives the state machine and its connection to a distributor."""
 
 from __future__ import annotations
 
@@ -35,12 +35,13 @@
 from .subscriber_status import subscriber_status
 from .types import DistributorName, ServiceName, SubscriberName
 
-# The machine renews its lease each second and leaves silent distributors: the link needs no heartbeat.
+# Heartbeat interval and timeout of the link.  It needs no heartbeats, because the state machine renews its
+# lease each second and leaves silent distributors.
 NEVER = 1 << 62
 
 
 class SubscriberConnection:
-    """Connects a subscriber; `on_applied(output)` is called when the content has changed."""
+    """Connects a subscriber to distributors; calls `on_applied(output)` when the content has changed."""
 
     def __init__(
         self,
@@ -64,35 +65,35 @@
         self.distributors = dict(distributors)
         self.token = random_source.getrandbits(62)
         self.link: OutboundLink | None = None
-        self._received = 0
-        self._sent = 0  # bytes over connections that are closed
+        self._received = 0  # bytes over closed connections
+        self._sent = 0  # bytes over closed connections
         weights = dict.fromkeys(distributors, 1.0)
         limits = limits or SubscriberLimits()
         self.machine = Subscriber(name, services, weights, limits, random_source, loop.clock.now())
         self.driver = MachineDriver(loop, self.machine, self.execute)
 
     def start(self) -> None:
-        """Starts to connect."""
+        """Starts connecting."""
         self.driver.timer.arm()
 
     def rescope(self, services: Collection[ServiceName]) -> None:
         """Changes the scope."""
         self.driver.step(ScopeChanged(frozenset(services)))
 
-    # ---- what the machine wants --------------------------------------------------------------------
+    # ---- outputs of the state machine --------------------------------------------------------------
 
     def execute(self, output: SubscriberOutput) -> None:
-        """Carries out one output of the state machine."""
+        """Executes one output of the state machine."""
         match output:
             case SendToDistributor(message):
                 if self.link is not None and not self.link.send(message):
-                    self.link.connection.close("no room")
+                    self.link.connection.close("send buffer is full")
             case UpdateApplied():
                 self.on_applied(output)
             case Dial(distributor):
                 self.dial(distributor)
             case Disconnect(_, reason):
-                self.hang_up(reason)
+                self.disconnect(reason)
             case Note(event, fields):
                 self.log.event(event, **fields)
 
@@ -101,42 +102,44 @@
         self.link = OutboundLink(self, distributor, self.distributors[distributor], NEVER, NEVER)
         self.link.dial()
 
-    def hang_up(self, reason: str) -> None:
-        """Closes the connection."""
+    def disconnect(self, reason: str) -> None:
+        """Closes the connection and logs the reason."""
         if self.link is not None:
             self.log.event("distributor_left", distributor=self.link.name, why=reason)
             link = self.detach_link()
             link.close()
 
     def detach_link(self) -> OutboundLink:
-        """Returns the present link and counts its bytes; there is none after this."""
+        """Returns the current link and adds its bytes to the totals; there is no link after this."""
         link = self.link
         self.link = None
         self._received += link.bytes_received
         self._sent += link.bytes_sent
         return link
 
-    # ---- what the connection tells -----------------------------------------------------------------
+    # ---- events of the link ------------------------------------------------------------------------
 
     def handshake(self) -> Handshake:
         """Returns the handshake to send."""
         return Handshake(self.fleet, MemberId(self.name, 0), self.token, role=SUBSCRIBER)
 
-    def on_accepted(self, link: OutboundLink, welcome: HandshakeAccepted) -> bool:
-        """Returns whether the distributor is the one that was dialled."""
-        reason = f"{welcome.who.name} answers" if welcome.who.name != link.name else version_mismatch(welcome)
+    def on_accepted(self, link: OutboundLink, accepted: HandshakeAccepted) -> bool:
+        """Returns whether the process that answered is the dialled distributor, of a compatible version."""
+        reason = (
+            f"{accepted.who.name} answers" if accepted.who.name != link.name else version_mismatch(accepted)
+        )
         if reason:
-            remedy = "see the address of that distributor in this file"
+            remedy = "check the address of that distributor in the configuration"
             self.log.warning("not_who_was_dialled", distributor=link.name, why=reason, remedy=remedy)
         return not reason
 
     def on_link_up(self, link: OutboundLink) -> None:
-        """Reports the connection to the state machine."""
+        """Logs the connection and reports it to the state machine."""
         self.log.event("distributor_reached", distributor=link.name)
         self.driver.step(ConnectionEstablished(link.name))
 
     def on_link_down(self, link: OutboundLink, reason: str) -> None:
-        """Reports the end of the connection."""
+        """Reports that the connection has closed."""
         self.on_lost(link, reason)
 
     def on_unreachable(self, link: OutboundLink, reason: str) -> None:
@@ -153,7 +156,7 @@
             self.driver.step(ConnectionLost(link.name, reason))
 
     def on_reply(self, link: OutboundLink, message: Row) -> None:
-        """Hands a message of the distributor to the state machine."""
+        """Passes a message of the distributor to the state machine."""
         if link is self.link:
             self.driver.step(DistributorMessageReceived(link.name, message))
 
@@ -165,16 +168,16 @@
 
     @property
     def bytes_received(self) -> int:
-        """Bytes received over all connections."""
+        """The bytes received over all connections."""
         return self._received + (self.link.bytes_received if self.link is not None else 0)
 
     @property
     def bytes_sent(self) -> int:
-        """Bytes sent over all connections."""
+        """The bytes sent over all connections."""
         return self._sent + (self.link.bytes_sent if self.link is not None else 0)
 
     def status(self) -> dict:
-        """Returns plain JSON for the `status` command."""
+        """Returns JSON values for the `status` command."""
         now = self.loop.clock.now()
         age = self.machine.age(now)
         return {
@@ -182,7 +185,7 @@
             | {
                 "version": self.machine.version.text(),
                 "age_ms": None if age is None else age / 10,
-                "current": self.machine.acting_until(now) > now,
+                "current": self.machine.lease_until(now) > now,
                 "distributor": self.link.name if self.link is not None else "",
                 "bytes_received": self.bytes_received,
                 "bytes_sent": self.bytes_sent,
--- a/indigohitch/fleet/distribution/subscriber_registry.py
+++ b/indigohitch/fleet/distribution/subscriber_registry.py
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingClaim:
-    """A claim of a newer version than the distributor has.
+    """A subscription that claims a newer version than the distributor has.
 
-    Either the distributor lags, or that version never existed.
+    Either the distributor lags, or the ledger never committed that version.
     """
 
     message: Subscribe
@@ -22,18 +22,18 @@
 
 
 class SubscriberRegistry:
-    """Connections and subscriptions by connection, by name and by service."""
+    """Indexes connections and subscriptions by connection, by name and by service."""
 
     def __init__(self) -> None:
         self.names: dict[int, SubscriberName] = {}  # by connection
-        self.claims: dict[int, PendingClaim] = {}  # that wait until the distributor has caught up
+        self.claims: dict[int, PendingClaim] = {}  # claims that wait until the distributor has caught up
         self.subscriptions: dict[int, Subscription] = {}
-        self.by_name: dict[SubscriberName, int] = {}  # served ones
+        self.by_name: dict[SubscriberName, int] = {}  # connections with a subscription
         self.by_service: dict[ServiceName, dict[int, None]] = {}
         self.indexed: dict[int, tuple[ServiceName, ...]] = {}
 
     def other_count(self, connection: int) -> int:
-        """Returns the number of other subscribers, without the connection this one replaces."""
+        """Returns the number of other subscribers, not counting a connection that this one replaces."""
         replaced = self.names[connection] in self.by_name
         return len(self.subscriptions) + len(self.claims) - replaced - (connection in self.claims)
 
@@ -42,7 +42,7 @@
         return self.subscriptions.values()
 
     def connection_of(self, name: SubscriberName) -> int | None:
-        """Returns the connection that serves a subscriber."""
+        """Returns the connection over which a subscriber is served, if any."""
         return self.by_name.get(name)
 
     def add(self, connection: int, name: SubscriberName) -> None:
@@ -64,11 +64,11 @@
         self.claims[connection] = claim
 
     def resolve_claim(self, connection: int) -> None:
-        """Drops the claim of a connection, if any."""
+        """Removes the claim of a connection, if any."""
         self.claims.pop(connection, None)
 
     def claims_before(self, time: int) -> list[int]:
-        """Returns connections whose claim was made up to that time."""
+        """Returns the connections whose claims were made up to that time."""
         return [connection for connection, claim in self.claims.items() if claim.claimed_at <= time]
 
     def subscribe(self, connection: int, subscription: Subscription) -> None:
@@ -96,7 +96,7 @@
             self.indexed[connection] = scope
 
     def unacknowledged(self, sent_before: int) -> list[int]:
-        """Returns connections with an update in flight that was sent up to that time."""
+        """Returns the connections with an update in flight that was sent up to that time."""
         return [
             connection
             for connection, subscription in self.subscriptions.items()
--- a/indigohitch/fleet/distribution/subscriber_scope.py
+++ b/indigohitch/fleet/distribution/subscriber_scope.py
@@ -1,6 +1,6 @@
 """The content of a subscriber's scope at one version.  No I/O.
 
-An update is applied as a whole or not at all; a rejected one raises a typed error.
+Updates are applied atomically; a rejected update raises a typed error.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from .messages import HeldService, RejectReason, ServiceChange, Update
 from .types import NO_VERSION, ServiceName
 
-# The reason that a NACK states for each error.
+# Reason stated in the NACK for each error.
 REJECT_REASONS = {
     OlderVersionError: RejectReason.OLDER,
     UnknownBaseError: RejectReason.BASE,
@@ -25,7 +25,7 @@
 
 
 class SubscriberScope:
-    """The content held; `guard_versions` is False only in the proof, which must then fail."""
+    """Holds the content; `guard_versions` is False only in proofs, which must then fail."""
 
     def __init__(self, guard_versions: bool = True) -> None:
         self.guard_versions = guard_versions
@@ -38,16 +38,16 @@
         return scope_digest(self.services.values())
 
     def claim(self, scope: Collection[ServiceName]) -> tuple[HeldService, ...]:
-        """Returns what is held of a scope, which may differ from the present one."""
+        """Returns what is held of a scope, which may differ from the current one."""
         return tuple(
             HeldService(name, self.services[name].digest if name in self.services else b"")
             for name in sorted(scope)
         )
 
     def check_version(self, update: Update) -> None:
-        """Raises OlderVersionError if the update would go back.
+        """Raises OlderVersionError if the update would go back to an older version.
 
-        The one exception is a held version that the ledger never had.
+        The only exception is an update that replaces a version which the ledger never committed.
         """
         if not self.guard_versions or update.version >= self.version:
             return
@@ -58,8 +58,8 @@
     def apply(self, update: Update, scope: Collection[ServiceName]) -> tuple[ServiceName, ...]:
         """Applies an update; returns the services that changed, were added or were removed.
 
-        Raises OlderVersionError, UnknownBaseError, DigestMismatchError, InvalidDataError; then nothing has
-        changed.
+        Raises OlderVersionError, UnknownBaseError, DigestMismatchError or InvalidDataError if the update is
+        rejected; the content is then unchanged.
         """
         self.check_version(update)
         if not update.whole and update.base != self.version:
--- a/indigohitch/fleet/distribution/types.py
+++ b/indigohitch/fleet/distribution/types.py
@@ -1,4 +1,4 @@
-"""Basic types of the distribution: versions and resources.  No I/O."""
+"""Basic types of scoped distribution: versions and resources.  No I/O."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class Version(Row, frozen=True, order=True):
-    """The ledger entry that a content is at.
+    """Identifies the ledger entry up to which content is current.
 
-    Ordered by term, then index, as committed entries of the ledger are.
+    Versions are ordered by term, then index, like committed entries of the ledger.
     """
 
     term: int
@@ -25,19 +25,19 @@
         return f"{self.term}.{self.index}"
 
 
-NO_VERSION = Version(0, 0)  # of who holds nothing
+NO_VERSION = Version(0, 0)  # no content is held
 
 
-MARK_BYTES = 4  # bytes of a subscriber's mark: among 6,500 two are alike once in two hundred fleets
+MARK_BYTES = 4  # of a subscriber's mark: two of 6,500 subscribers have the same one in 1 of 200 fleets
 
 
 def subscriber_mark(subscriber: SubscriberName) -> bytes:
-    """Returns the short hash of a name, for reports that list all subscribers."""
+    """Returns a short hash of a subscriber's name, for reports that list all subscribers."""
     return xxhash.xxh32_digest(subscriber.encode())
 
 
 class Resource(Row, frozen=True):
-    """One entry of a service, such as a backend with its state; `body` is opaque."""
+    """A key of a service with its value, such as a backend with its state; `body` is opaque."""
 
     key: str
     body: bytes
--- a/tests/distribution_truth.py
+++ b/tests/distribution_truth.py
@@ -82,7 +82,7 @@
         """Nobody counts as current with what was superseded more than a lease ago."""
         bound = self.now - grantor_span(self.limits.lease, self.limits.drift)
         for name, machine in self.subscribers.items():
-            if self.now < machine.acting_until(self.now) and name not in self.stopped | self.spoilt:
+            if self.now < machine.lease_until(self.now) and name not in self.stopped | self.spoilt:
                 for service in machine.scope.services:
                     assert machine.resources(service) in self.since(service, self.last(service, bound))
 
--- a/tests/test_distribution_faults.py
+++ b/tests/test_distribution_faults.py
@@ -84,7 +84,7 @@
     world.set(service, {"c": b"draining"})
     in_force = world.servers["d1"].machine.in_force(world.now)
     assert in_force.unreachable_count == 4 and in_force.acting == 0
-    assert all(world.now >= world.subscribers[name].acting_until(world.now) for name in region)
+    assert all(world.now >= world.subscribers[name].lease_until(world.now) for name in region)
     back = world.now
     world.isolate(())
     settled(world)
@@ -145,12 +145,12 @@
     world.join("late", world.services[:3])
     world.run(2)
     for subscriber in world.subscribers.values():
-        assert world.now >= subscriber.acting_until(world.now)
+        assert world.now >= subscriber.lease_until(world.now)
         assert subscriber.age(world.now) is None or subscriber.age(world.now) > 25 * SECOND
     assert not world.wrong()
     world.majority = True
     world.run(20)
-    assert all(world.now < each.acting_until(world.now) for each in world.subscribers.values())
+    assert all(world.now < each.lease_until(world.now) for each in world.subscribers.values())
 
 
 def test_a_distributor_that_starts_empty_is_no_authority():
--- a/tests/test_distribution_patience.py
+++ b/tests/test_distribution_patience.py
@@ -33,7 +33,7 @@
     assert patience.stale_at == LIMITS.lease
     patience.on_current(LIMITS.lease + 7)
     assert patience.stale_at == LIMITS.lease + 7
-    assert LIMITS.lease + LIMITS.first_delay < 5 * 10_000
+    assert LIMITS.lease + LIMITS.reconnect_jitter < 5 * 10_000
 
 
 def dials_after(cut, seed):
@@ -57,5 +57,5 @@
     """Seen in proof-scale: 9.2 s after a region was back, as patience had doubled to 10 s."""
     waited = [dials_after(cut * SECOND + seed * SECOND // 7, seed) for seed in range(40)]
     longest = LIMITS.response_timeout << 2 if cut < 30 else LIMITS.response_timeout
-    assert max(waited) <= longest + LIMITS.first_delay
+    assert max(waited) <= longest + LIMITS.reconnect_jitter
     assert cut < 30 or max(waited) + 2 * SECOND < IN_FORCE
--- a/tests/test_distribution_subscribers.py
+++ b/tests/test_distribution_subscribers.py
@@ -123,11 +123,11 @@
         world.churn()
         world.run(1)
     if name in world.subscribers:
-        assert world.now >= world.subscribers[name].acting_until(world.now)
+        assert world.now >= world.subscribers[name].lease_until(world.now)
     world.go_on(name)
     settled(world, 15)
     world.run(5)
-    assert all(world.now < each.acting_until(world.now) for each in world.subscribers.values())
+    assert all(world.now < each.lease_until(world.now) for each in world.subscribers.values())
 
 
 def test_a_lagging_distributor_adds_a_service_that_counts_as_no_newer_than_itself():
@@ -143,7 +143,7 @@
     world.run(9)
     world.kill(ahead)
     world.run(0.7)
-    assert world.now < subscriber.acting_until(world.now)
+    assert world.now < subscriber.lease_until(world.now)
     world.rescope("s0000", world.scopes["s0000"] | {added})
     world.run(1)
     assert added in subscriber.scope.services
