--- a/indigohitch/fleet/distribution/convergence.py
+++ b/indigohitch/fleet/distribution/convergence.py
@@ -173,18 +173,14 @@
         if report.distributor != self.name and is_newer:
             self.reports[report.distributor] = report, now
         for name in [
-            name
-            for name, (_, received_at) in self.reports.items()
-            if now - received_at > self.limits.departed_retention
+            name for name, received in self.reports.items() if now - received[1] > self.limits.departed_retention
         ]:
             del self.reports[name]
 
     def in_force(self, now: int, own_report: Report) -> ConvergenceReport:
         """Returns the convergence of the fleet; `own_report` was created at `now`."""
         recent = {
-            name: (report, received_at)
-            for name, (report, received_at) in self.reports.items()
-            if now - received_at <= REPORT_TIMEOUT
+            name: received for name, received in self.reports.items() if now - received[1] <= REPORT_TIMEOUT
         }
         reports = [(own_report, 0), *((report, now - received_at) for report, received_at in recent.values())]
         silent = (self.expected_distributors | self.reports.keys()) - recent.keys()
--- a/tests/distribution_network.py
+++ b/tests/distribution_network.py
@@ -1,8 +1,8 @@
-"""Links between subscribers and distributors in memory: frames in order, with delays, cut by the test."""
+"""Simulated links between subscribers and distributors: ordered frames with random delays."""
 
 from dataclasses import dataclass, field
 
-from distribution_truth import MS
+from distribution_model import MS
 from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.distribution import interfaces
 from indigohitch.fleet.distribution.messages import MESSAGE_TYPES
@@ -10,72 +10,84 @@
 
 @dataclass(eq=False)
 class Link:
+    """A connection; `decoders` and `last_delivery` have an item for each direction."""
+
     number: int
     subscriber: str
-    server: str
-    frames: tuple = field(default_factory=lambda: (FrameDecoder(MESSAGE_TYPES), FrameDecoder(MESSAGE_TYPES)))
-    last: list = field(default_factory=lambda: [0, 0])
+    distributor: str
+    decoders: tuple = field(
+        default_factory=lambda: (FrameDecoder(MESSAGE_TYPES), FrameDecoder(MESSAGE_TYPES))
+    )
+    last_delivery: list = field(default_factory=lambda: [0, 0])
 
 
 class Network:
-    """Used by World."""
+    """The network of a `Simulation`."""
 
     # ---- the network -------------------------------------------------------------------------------
 
-    def cut(self, link):
+    def break_link(self, link):
         if self.links.pop(link.number, None) is None:
             return
         subscriber = self.subscribers[link.subscriber]
-        self.at(self.now + 5 * MS, self.put, subscriber, interfaces.ConnectionLost(link.server))
-        if link.server in self.servers:
-            self.put(self.servers[link.server], interfaces.SubscriberDisconnected(link.number))
+        self.schedule(
+            self.now + 5 * MS, self.dispatch, subscriber, interfaces.ConnectionLost(link.distributor)
+        )
+        if link.distributor in self.distributors:
+            self.dispatch(self.distributors[link.distributor], interfaces.SubscriberDisconnected(link.number))
 
     def dial(self, subscriber, to):
-        if (old := self.link_of(subscriber.name)) is not None:
-            self.hang_up(old)
-        if to not in self.servers or subscriber.name in self.unreachable:
-            self.at(self.now + 5 * MS, self.put, subscriber, interfaces.ConnectionLost(to))
+        if (previous := self.link_of(subscriber.name)) is not None:
+            self.close_link(previous)
+        if to not in self.distributors or subscriber.name in self.isolated:
+            self.schedule(self.now + 5 * MS, self.dispatch, subscriber, interfaces.ConnectionLost(to))
             return
-        link = self.latest[subscriber.name] = Link(next(self.numbers), subscriber.name, to)
+        link = self.latest_links[subscriber.name] = Link(next(self.link_numbers), subscriber.name, to)
         self.links[link.number] = link
-        self.at(self.now + MS, self.put, subscriber, interfaces.ConnectionEstablished(to))
-        self.at(
+        self.schedule(self.now + MS, self.dispatch, subscriber, interfaces.ConnectionEstablished(to))
+        self.schedule(
             self.now + MS,
-            self.put,
-            self.servers[to],
+            self.dispatch,
+            self.distributors[to],
             interfaces.SubscriberConnected(link.number, subscriber.name),
         )
 
     def link_of(self, subscriber):
-        link = self.latest.get(subscriber)
+        link = self.latest_links.get(subscriber)
         return link if link is not None and link.number in self.links else None
 
-    def hang_up(self, link):
-        if self.links.pop(link.number, None) is not None and link.server in self.servers:
-            self.at(
+    def close_link(self, link):
+        if self.links.pop(link.number, None) is not None and link.distributor in self.distributors:
+            self.schedule(
                 self.now + MS,
-                self.put,
-                self.servers[link.server],
+                self.dispatch,
+                self.distributors[link.distributor],
                 interfaces.SubscriberDisconnected(link.number),
             )
 
-    def send(self, link, way, message):
-        """As bytes, in order, each later than the one before; `way` 0: to the distributor."""
-        link.last[way] = max(link.last[way], self.now + self.chance.randrange(1, 10 * MS))
-        self.at(link.last[way], self.deliver, link, way, MESSAGE_TYPES.frame(message))
+    def send(self, link, direction, message):
+        """Sends encoded bytes, which arrive in order; direction 0 is to the distributor."""
+        link.last_delivery[direction] = max(
+            link.last_delivery[direction], self.now + self.random_source.randrange(1, 10 * MS)
+        )
+        self.schedule(
+            link.last_delivery[direction], self.deliver, link, direction, MESSAGE_TYPES.frame(message)
+        )
 
-    def deliver(self, link, way, data):
+    def deliver(self, link, direction, data):
         if link.number not in self.links:
             return
-        name = link.server if way == 0 else link.subscriber
-        if name in self.stopped:
-            self.held_back.setdefault(name, []).append((self.deliver, link, way, data))
+        name = link.distributor if direction == 0 else link.subscriber
+        if name in self.suspended:
+            self.deferred_calls.setdefault(name, []).append((self.deliver, link, direction, data))
             return
-        for message, _ in link.frames[way].feed(data):
-            if way == 0:
-                self.put(self.servers[link.server], interfaces.MessageReceived(link.number, message))
+        for message, _ in link.decoders[direction].feed(data):
+            if direction == 0:
+                self.dispatch(
+                    self.distributors[link.distributor], interfaces.MessageReceived(link.number, message)
+                )
             else:
-                self.put(
+                self.dispatch(
                     self.subscribers[link.subscriber],
-                    interfaces.DistributorMessageReceived(link.server, message),
+                    interfaces.DistributorMessageReceived(link.distributor, message),
                 )
--- a/tests/test_distribution_role.py
+++ b/tests/test_distribution_role.py
@@ -1,4 +1,4 @@
-"""The order in which a distributor's machine hears of what the ledger did."""
+"""Tests of the distributor role: order of ledger events, descriptor limit and shutdown."""
 
 import socket
 
@@ -23,36 +23,42 @@
     assert not looped.failed
 
 
-def test_a_read_that_an_entry_completes_counts_after_that_entry(looped):
-    """An update made between the two would have another digest than its content (proofs/scale.py)."""
-    part, reads, heard = DistributionPart(), [], []
+def test_a_read_completed_by_an_entry_is_reported_after_that_entry(looped):
+    """An update composed between the two would have a digest that differs from its content.
+
+    proofs/scale.py found this with 6,500 subscribers.
+    """
+    part = DistributionPart()
+    reads = []
+    events = []
     state = ReplicatedStateMachine([part])
     log = Kept(looped.clock, "d1")
     role = DistributorRole(
-        looped.loop, log, "whk", "d1", 1, {"d1": free()}, part, reads.append, lambda name, word: True
+        looped.loop, log, "whk", "d1", 1, {"d1": free()}, part, reads.append, lambda name, message: True
     )
     step = role.listener.driver.step
-    role.listener.driver.step = lambda input: (heard.append(type(input)), step(input))
+    role.listener.driver.step = lambda event: (events.append(type(event)), step(event))
     role.confirm_read(looped.clock.now())
     body = msgspec.msgpack.encode(SetResources((ServiceResources("maps", (Resource("m1", b"serving"),)),)))
     entry = LogEntry(1, 1, "distribution.set", body, "n1", 1, 1)
     outcome = state.apply(entry)
     reads[0](1)
     role.applied(looped.clock.now(), entry, outcome)
-    looped.until(lambda: CaughtUp in heard)
+    looped.until(lambda: CaughtUp in events)
     role.close()
-    assert heard[:2] == [ResourcesChanged, CaughtUp]
+    assert events[:2] == [ResourcesChanged, CaughtUp]
 
 
-def test_the_soft_limit_on_descriptors_is_raised_as_far_as_it_goes(monkeypatch):
-    limits, given = (256, 1_024), []
-    monkeypatch.setattr(file_limits.resource, "getrlimit", lambda what: limits)
-    monkeypatch.setattr(file_limits.resource, "setrlimit", lambda what, told: given.append(told))
+def test_the_soft_limit_on_file_descriptors_is_raised_up_to_the_hard_limit(monkeypatch):
+    limits = (256, 1_024)
+    soft_limits_set = []
+    monkeypatch.setattr(file_limits.resource, "getrlimit", lambda resource: limits)
+    monkeypatch.setattr(file_limits.resource, "setrlimit", lambda resource, new: soft_limits_set.append(new))
     assert [file_limits.raise_file_limit(wanted) for wanted in (100, 512, 4_096)] == [256, 512, 1_024]
-    assert given == [(512, 1_024), (1_024, 1_024)]
+    assert soft_limits_set == [(512, 1_024), (1_024, 1_024)]
 
 
-def test_a_member_that_stops_serves_no_subscriber_and_its_port_is_free(looped):
+def test_a_closed_role_stops_listening_and_frees_its_port(looped):
     address = free()
     role = DistributorRole(
         looped.loop,
@@ -62,8 +68,8 @@
         1,
         {"d1": address},
         DistributionPart(),
-        lambda done: None,
-        lambda name, word: True,
+        lambda on_confirmed: None,
+        lambda name, message: True,
     )
     role.turn(looped.clock.now(), None)
     assert role.listener.is_listening
--- a/tests/test_distribution_found.py
+++ b/tests/test_distribution_subscribe_requests.py
@@ -1,4 +1,4 @@
-"""Faults that random inputs found in the decisions of a distributor, each forced."""
+"""Regression tests of how a distributor handles subscriptions; random inputs found these faults."""
 
 from indigohitch.fleet.distribution import interfaces
 from indigohitch.fleet.distribution.distributor import Distributor
@@ -29,7 +29,7 @@
     return [output.message for output in outputs if isinstance(getattr(output, "message", None), Update)]
 
 
-def test_who_subscribes_again_while_its_claim_is_in_doubt_is_served_once():
+def test_a_subscriber_that_subscribes_again_while_its_claim_is_pending_is_served_once():
     machine = distributor()
     machine.step(NOW, interfaces.MessageReceived(1, Subscribe(1, Version(1, 9), (HeldService("s", b"x"),))))
     assert updates(
@@ -40,7 +40,7 @@
     assert list(subscribers.subscriptions) == list(subscribers.names) == [1] and not subscribers.claims
 
 
-def test_requests_that_do_not_grow_leave_nothing_of_an_older_scope():
+def test_a_repeated_request_number_does_not_mix_two_scopes():
     machine = distributor()
     machine.step(
         NOW, interfaces.MessageReceived(1, Subscribe(0, NO_VERSION, (HeldService("s"), HeldService("t"))))
@@ -51,15 +51,15 @@
     assert subscription.pending_scope is not None and not subscription.full_resend
 
 
-def test_who_is_lost_at_once_may_act_under_the_lease_of_the_distributor_before():
+def test_a_subscriber_lost_at_once_may_still_hold_a_lease_of_its_previous_distributor():
     machine = distributor()
     machine.step(NOW, interfaces.MessageReceived(1, Subscribe(1, Version(1, 1), (HeldService("s", b"x"),))))
     machine.step(NOW, interfaces.SubscriberDisconnected(1))
-    lost = machine.report(NOW + SECOND).unreachable
-    assert [one.acting for one in lost] == [grantor_span(LIMITS.lease, LIMITS.drift) - SECOND]
+    unreachable = machine.report(NOW + SECOND).unreachable
+    assert [each.acting for each in unreachable] == [grantor_span(LIMITS.lease, LIMITS.drift) - SECOND]
 
 
-def test_a_full_distributor_takes_back_who_is_served_there_over_another_connection():
+def test_a_full_distributor_accepts_a_new_connection_of_a_subscriber_that_it_serves():
     machine = distributor(Limits(subscribers=1))
     claim = Subscribe(1, NO_VERSION, (HeldService("s"),))
     machine.step(NOW, interfaces.MessageReceived(1, claim))
