--- a/indigohitch/fleet/distribution/convergence.py
+++ b/indigohitch/fleet/distribution/convergence.py
@@ -173,7 +173,9 @@
         if report.distributor != self.name and is_newer:
             self.reports[report.distributor] = report, now
         for name in [
-            name for name, received in self.reports.items() if now - received[1] > self.limits.departed_retention
+            name
+            for name, received in self.reports.items()
+            if now - received[1] > self.limits.departed_retention
         ]:
             del self.reports[name]
 
--- a/indigohitch/fleet/distribution/messages.py
+++ b/indigohitch/fleet/distribution/messages.py
@@ -131,13 +131,12 @@
 class Refused(Row, frozen=True):
     """Refuses a subscription; the distributor closes the connection after this message.
 
-    `again`: how long to wait before returning, in tenths of a millisecond; other distributors may be tried at
-    once.
+    The subscriber may try other distributors at once.
     """
 
     reason: RefusalReason
     version: Version
-    again: int
+    again: int  # wait before returning to this distributor, in tenths of a millisecond
     why: str = ""
 
 
--- a/tests/distribution_model.py
+++ b/tests/distribution_model.py
@@ -86,8 +86,9 @@
         for name, machine in self.subscribers.items():
             if self.now < machine.lease_until(self.now) and name not in self.suspended | self.corrupted:
                 for service in machine.scope.services:
-                    bodies = machine.resources(service)
-                    assert bodies in self.bodies_since(service, self.last_version(service, oldest))
+                    assert machine.resources(service) in self.bodies_since(
+                        service, self.last_version(service, oldest)
+                    )
 
     def last_version(self, service, time):
         """Returns the last version of the service that was committed by then."""
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -86,7 +86,7 @@
 
 
 def test_a_subscriber_does_not_import_raft(tmp_path):
-    """Importing it would take 3 of the 32 MB that a subscriber may use."""
+    """Raft would take 3 MB of the process's 32 MB."""
     file = tmp_path / "conf"
     file.write_text("name c1\nfleet f\ndistributor d1 127.0.0.1:1\nsubscribe maps\n")
     program = (
