--- a/indigohitch/fleet/distribution/admission.py
+++ b/indigohitch/fleet/distribution/admission.py
@@ -20,7 +20,7 @@
         self.ready_connections: dict[int, None] = {}  # in sending order
         self.waiting_large: dict[
             int, int
-        ] = {}  # by connection: bytes of a large update that waits for capacity, in order
+        ] = {}  # bytes of large updates that wait for capacity, by connection
         self.pacing_heap: list[tuple[int, int]] = []  # (due time, connection)
         self.pacing: set[int] = set()  # connections in `pacing_heap`
         self.in_flight_bytes: dict[int, int] = {}  # bytes of unacknowledged large updates, by connection
