--- a/indigohitch/fleet/distribution/admission.py
+++ b/indigohitch/fleet/distribution/admission.py
@@ -18,9 +18,8 @@
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.ready_connections: dict[int, None] = {}  # in sending order
-        self.waiting_large: dict[
-            int, int
-        ] = {}  # bytes of large updates that wait for capacity, by connection
+        # Bytes of large updates that wait for capacity, by connection, in sending order.
+        self.waiting_large: dict[int, int] = {}
         self.pacing_heap: list[tuple[int, int]] = []  # (due time, connection)
         self.pacing: set[int] = set()  # connections in `pacing_heap`
         self.in_flight_bytes: dict[int, int] = {}  # bytes of unacknowledged large updates, by connection
--- a/tests/test_distribution_resource_store.py
+++ b/tests/test_distribution_resource_store.py
@@ -102,9 +102,8 @@
     part = DistributionPart()
     resources = (Resource("a", b"1"), Resource("b", b"1"))
     assert part.apply(context_at(1), "set", SetResources((ServiceResources("s", resources),))) == ("s",)
-    assert (
-        part.apply(context_at(2), "set", SetResources((ServiceResources("s", resources[:1]),))) == ()
-    )  # unchanged
+    # Setting a resource to the value that it has changes nothing.
+    assert part.apply(context_at(2), "set", SetResources((ServiceResources("s", resources[:1]),))) == ()
     assert part.store.version == Version(1, 1)
     assert part.apply(
         context_at(3), "replace", ReplaceResources((ServiceResources("s", (Resource("b", b"2"),)),))
