--- a/indigohitch/encoding/frames.py
+++ b/indigohitch/encoding/frames.py
@@ -66,7 +66,7 @@
             + body
         )
 
-    def head(self, data: bytes | bytearray, offset: int = 0) -> tuple[int, int, int, int, int]:
+    def decode_header(self, data: bytes | bytearray, offset: int = 0) -> tuple[int, int, int, int, int]:
         """Decodes the header at `offset` into protocol, type number, descriptors, length and checksum.
 
         Raises:
@@ -79,7 +79,7 @@
             raise BrokenFrameError(f"no such word: kind {number}, {length} bytes")
         return protocol, number, descriptors, length, checksum
 
-    def body(self, data: bytes, protocol: int, number: int, checksum: int) -> Row:
+    def decode_body(self, data: bytes, protocol: int, number: int, checksum: int) -> Row:
         """Decodes the body of a frame.
 
         Raises:
@@ -98,7 +98,7 @@
 
     def __init__(self, kinds: MessageTypes) -> None:
         self.kinds = kinds
-        self.rest = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[tuple[Row, int]]:
         """Yields each row that `data` completes, with the number of descriptors of its frame.
@@ -106,11 +106,11 @@
         Raises:
             BrokenFrameError: The input is invalid; the decoder must not be used again.
         """
-        self.rest += data
-        while len(self.rest) >= HEADER_BYTES:
-            protocol, number, descriptors, length, checksum = self.kinds.head(self.rest)
-            if len(self.rest) < HEADER_BYTES + length:
+        self.buffer += data
+        while len(self.buffer) >= HEADER_BYTES:
+            protocol, number, descriptors, length, checksum = self.kinds.decode_header(self.buffer)
+            if len(self.buffer) < HEADER_BYTES + length:
                 return
-            body = bytes(self.rest[HEADER_BYTES : HEADER_BYTES + length])
-            del self.rest[: HEADER_BYTES + length]
-            yield self.kinds.body(body, protocol, number, checksum), descriptors
+            body = bytes(self.buffer[HEADER_BYTES : HEADER_BYTES + length])
+            del self.buffer[: HEADER_BYTES + length]
+            yield self.kinds.decode_body(body, protocol, number, checksum), descriptors
--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -192,13 +192,15 @@
         data[at : at + HEADER_BYTES]
     ):  # zeros: space that was never written
         try:
-            protocol, number, descriptors, length, checksum = KINDS.head(data, at)
+            protocol, number, descriptors, length, checksum = KINDS.decode_header(data, at)
             if descriptors:  # the one field that the checksum doesn't hold
                 raise BrokenFrameError("a frame with descriptors")
             if at + HEADER_BYTES + length > len(data):
                 break
             found.append(
-                KINDS.body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
+                KINDS.decode_body(
+                    data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum
+                )
             )
         except BrokenFrameError as bad:
             return found, at, bad.problem
@@ -210,8 +212,10 @@
     """A whole frame lies somewhere after: what begins there is no torn tail."""
     while (at := data.find(KINDS.magic, at + 1)) >= 0 and at + HEADER_BYTES <= len(data):
         try:
-            protocol, number, _, length, checksum = KINDS.head(data, at)
-            KINDS.body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
+            protocol, number, _, length, checksum = KINDS.decode_header(data, at)
+            KINDS.decode_body(
+                data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum
+            )
             return True
         except BrokenFrameError:
             continue
--- a/indigohitch/fleet/storage/records.py
+++ b/indigohitch/fleet/storage/records.py
@@ -84,13 +84,13 @@
     """Returns the record at `offset`, and where it ends; raises BrokenFrameError."""
     if len(data) - offset < HEADER_BYTES:
         raise BrokenFrameError("its header is incomplete")
-    protocol, number, descriptors, length, checksum = RECORDS.head(data, offset)
+    protocol, number, descriptors, length, checksum = RECORDS.decode_header(data, offset)
     if descriptors:  # records have none, and the checksum does not cover this field
         raise BrokenFrameError("its header is damaged")
     end = offset + HEADER_BYTES + length
     if end > len(data):
         raise BrokenFrameError(f"its last {end - len(data)} bytes are missing")
-    return RECORDS.body(data[offset + HEADER_BYTES : end], protocol, number, checksum), end
+    return RECORDS.decode_body(data[offset + HEADER_BYTES : end], protocol, number, checksum), end
 
 
 def is_torn_write(data: bytes, offset: int) -> bool:
@@ -98,7 +98,7 @@
     if len(data) - offset < HEADER_BYTES:
         return True
     with contextlib.suppress(BrokenFrameError):  # its header is incomplete or damaged
-        length = RECORDS.head(data, offset)[3]
+        length = RECORDS.decode_header(data, offset)[3]
         if offset + HEADER_BYTES + length < len(data):
             return False
     next_magic = data.find(MAGIC, offset + 1)
--- a/indigohitch/fleet/transport/inbound.py
+++ b/indigohitch/fleet/transport/inbound.py
@@ -64,7 +64,7 @@
                 self._on_frame(message)
                 if not connection.open:
                     return
-            if not self.owner.kinds.magic.startswith(self.frames.rest[:MAGIC_BYTES]):
+            if not self.owner.kinds.magic.startswith(self.frames.buffer[:MAGIC_BYTES]):
                 # Less than a header has arrived, but its magic is wrong already: do not wait for the rest.
                 raise BrokenFrameError("another protocol")
         except BrokenFrameError as error:
--- a/indigohitch/versions/store_records.py
+++ b/indigohitch/versions/store_records.py
@@ -115,11 +115,11 @@
     """The one that begins there; raises Broken."""
     if len(data) - at < HEADER_BYTES:
         raise BrokenFrameError("it ends within its head")
-    protocol, kind, descriptors, length, checksum = RECORDS.head(data, at)
+    protocol, kind, descriptors, length, checksum = RECORDS.decode_header(data, at)
     end = at + HEADER_BYTES + length
     if end > len(data) or descriptors:
         raise BrokenFrameError("it ends early, or its head was changed")
-    return Record(RECORDS.body(data[at + HEADER_BYTES : end], protocol, kind, checksum), end)
+    return Record(RECORDS.decode_body(data[at + HEADER_BYTES : end], protocol, kind, checksum), end)
 
 
 def record_follows(data: bytes, at: int) -> bool:
