--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -52,7 +52,7 @@
         self.inherited_listeners: dict[str, socket.socket] = {}
         self.events_since_snapshot: list[face.Event] = []  # until the upgrade is complete, for `thaw`
         self.state: shots.CoordinatorState | None = None
-        self.taken = 0
+        self.snapshot_taken_at = 0
         self.pass_on: Callable[[PassedConnection], bool] = lambda connection: False
         self.is_passing_connections = False
 
@@ -187,13 +187,13 @@
             )
         self.start_empty(listeners)
         self.state = state.coordinator
-        self.taken = state.taken
+        self.snapshot_taken_at = state.taken
         restore_front(self.front, self.state)
 
     def snapshot_again(self) -> shots.Snapshot:
         """Return a snapshot of the restored front, to compare with the received one."""
         snapshot = self.snapshot()
-        snapshot.taken = self.taken
+        snapshot.taken = self.snapshot_taken_at
         snapshot.coordinator.watching = self.state.watching
         return snapshot
 
--- a/tests/test_golden_value_positions.py
+++ b/tests/test_golden_value_positions.py
@@ -83,7 +83,7 @@
     side.restore(snapshot.decode(recorded("coordinator.snapshot")), {})
     front = side.front
     try:
-        assert front.coordinator.now == row[0][1] and side.taken == TAKEN
+        assert front.coordinator.now == row[0][1] and side.snapshot_taken_at == TAKEN
         assert [event_codec.pack_entry(entry) for entry in front.entries.values()] == [
             tuple(e) for e in row[1]
         ]
