--- a/indigohitch/fleet/distribution/distributor_listener.py
+++ b/indigohitch/fleet/distribution/distributor_listener.py
@@ -109,7 +109,7 @@
         self.connections[self.last_connection_number] = link
         self.connection_numbers[link] = self.last_connection_number
         link.connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
-        link.connection.outgoing.allow(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
+        link.connection.outgoing.set_max_size(self.limits.update_bytes + SPARE_OUTPUT_BYTES)
         link.send(links.HandshakeAccepted(self.member, self.token))
         self.driver.step(SubscriberConnected(self.last_connection_number, handshake.who.name))
 
--- a/indigohitch/load/replay/drive.py
+++ b/indigohitch/load/replay/drive.py
@@ -130,10 +130,10 @@
 
     # ---- hearing
 
-    def ended(self, wire: RequestConnection) -> None:
+    def on_connection_closed(self, wire: RequestConnection) -> None:
         self.forget(wire, self.of.get(wire, 0))
 
-    def over(self, wire: RequestConnection, job: Job, status: int, why: str) -> None:
+    def on_request_ended(self, wire: RequestConnection, job: Job, status: int, why: str) -> None:
         due, number, request = job
         self.out.pop(number)[1].cancel()
         if why in ("ended", "reset") and wire.answers and not request.unsafe:
@@ -144,7 +144,7 @@
         self.figures.answered(request.rpc, due, took, str(status) if status else why)
         if request.unsafe and 0 < status < 500 and self.journal is not None:
             self.journal.done(number)
-        if wire.keeps and wire in self.of:
+        if wire.is_reusable and wire in self.of:
             self.idle[wire] = self.of[wire]
             self.rests.setdefault(self.of[wire], []).append(wire)
         while self.waiting and self.start(self.waiting.popleft()):
--- a/indigohitch/net/connection.py
+++ b/indigohitch/net/connection.py
@@ -51,7 +51,7 @@
     in order), "flooded" (the data queued for writing exceeded its bound).
     """
 
-    BOUND = 1 << 20  # bytes; neither side of the protocol sends or is due to receive more at once
+    MAX_BUFFERED = 1 << 20  # bytes; neither side of the protocol sends or is due to receive more at once
     MAX_READS_PER_TURN = 16  # so that one busy peer does not starve the others
 
     def __init__(
@@ -59,19 +59,19 @@
         loop: EventLoop,
         sock: socket.socket,
         reader: Reader,
-        max_unread: int = BOUND,
+        max_unread: int = MAX_BUFFERED,
         pool: BufferPool | None = None,
     ) -> None:
         self.loop = loop
         self.sock = sock
         self.reader = reader
         self.incoming = RingBuffer(max_unread, pool or loop.pool)
-        self.outgoing = RingBuffer(self.BOUND, pool or loop.pool)
+        self.outgoing = RingBuffer(self.MAX_BUFFERED, pool or loop.pool)
         self.connecting = False
         self.open = True
         self.received = 0  # bytes, in total
         self.reads_per_turn = self.MAX_READS_PER_TURN
-        self.read_size = self.BOUND
+        self.read_size = self.MAX_BUFFERED
         self._writing = False
         self._number = -1
 
@@ -106,11 +106,11 @@
             raise
         return connection
 
-    def pace(self, reads_per_turn: int, read_size: int, crowd: bool) -> None:
-        """Limits the reads per turn and the bytes per read; `crowd` gives it low priority in the loop."""
+    def limit_reads(self, reads_per_turn: int, read_size: int, low_priority: bool) -> None:
+        """Limits the reads per turn and the bytes per read; `low_priority` gives it low priority in the loop."""
         self.reads_per_turn = reads_per_turn
         self.read_size = read_size
-        self.loop.set_low_priority(self._number, crowd)
+        self.loop.set_low_priority(self._number, low_priority)
 
     def write(self, data: bytes) -> None:
         """Queues data; a failure closes the connection in a later turn, never within the reader's call."""
--- a/indigohitch/net/http_client.py
+++ b/indigohitch/net/http_client.py
@@ -11,7 +11,7 @@
 from .slot_table import SlotTable
 
 
-def form(method: str, target: str, host: str, body: bytes = b"", kind: str = "") -> bytes:
+def encode_request(method: str, target: str, host: str, body: bytes = b"", kind: str = "") -> bytes:
     """Encodes a request; `kind` is the content type of its body."""
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n"
     if body:
@@ -57,7 +57,9 @@
         `stream` gets the body of a 200 response in parts as they arrive; `span` then limits the time without
         data.
         """
-        exchange = HttpExchange(self, form(method, target, self.host, body, kind), span, done, stream)
+        exchange = HttpExchange(
+            self, encode_request(method, target, self.host, body, kind), span, done, stream
+        )
         exchange.start()
         return exchange
 
--- a/indigohitch/net/request_connection.py
+++ b/indigohitch/net/request_connection.py
@@ -16,10 +16,10 @@
     loop: EventLoop
     to: tuple[str, int]
 
-    def over(self, wire: RequestConnection, job: Any, status: int, why: str) -> None:  # noqa: ANN401 - the owner's
+    def on_request_ended(self, wire: RequestConnection, job: Any, status: int, why: str) -> None:  # noqa: ANN401 - the owner's
         """Called when a request ended, with its status or with 0 and the reason."""
 
-    def ended(self, wire: RequestConnection) -> None:
+    def on_connection_closed(self, wire: RequestConnection) -> None:
         """Called when the connection is closed, before the end of its request in flight is reported."""
 
 
@@ -30,7 +30,7 @@
         """Starts to connect; raises OSError if that fails immediately."""
         self.owner = owner
         self.job: Any = None
-        self.keeps = True  # another request may follow, unless a response has said otherwise
+        self.is_reusable = True  # another request may follow, unless a response has said otherwise
         self.status = 0
         self.answers = 0
         self.stream = Stream.dial(owner.loop, owner.to, self)
@@ -42,7 +42,7 @@
         self.head_only = head_only
         self.parser = httptools.HttpResponseParser(self)
         if len(data) > self.stream.outgoing.max_size:
-            self.stream.outgoing.allow(len(data))
+            self.stream.outgoing.set_max_size(len(data))
         self.stream.write(data)
 
     def on_headers_complete(self) -> None:
@@ -55,11 +55,11 @@
         status = self.parser.get_status_code()
         if status >= 200:  # the final response follows an interim one
             self.status = status
-            self.keeps = self.parser.should_keep_alive()
+            self.is_reusable = self.parser.should_keep_alive()
 
     def on_connected(self, stream: Stream) -> None:
         """Starts reading."""
-        stream.wake()
+        stream.resume_reading()
 
     def on_data(self, stream: Stream) -> None:
         """Parses received data and reports a complete response."""
@@ -76,19 +76,19 @@
             job = self.job
             self.job = None
             self.answers += 1
-            if not self.keeps:
+            if not self.is_reusable:
                 stream.close()
-                self.owner.ended(self)
-            self.owner.over(self, job, self.status, "")
+                self.owner.on_connection_closed(self)
+            self.owner.on_request_ended(self, job, self.status, "")
 
     def on_output_drained(self, stream: Stream) -> None:
         """Does nothing: the response comes next."""
 
     def on_closed(self, stream: Stream, why: str) -> None:
         """Reports the end of the connection and of the request in flight."""
-        self.keeps = False
+        self.is_reusable = False
         job = self.job
         self.job = None
-        self.owner.ended(self)
+        self.owner.on_connection_closed(self)
         if job is not None:
-            self.owner.over(self, job, 0, why)
+            self.owner.on_request_ended(self, job, 0, why)
--- a/indigohitch/net/ring_buffer.py
+++ b/indigohitch/net/ring_buffer.py
@@ -60,7 +60,7 @@
         """Returns the bytes counted by the pool: all beyond the first block, which is free for each ring."""
         return max(0, (len(self._block) if capacity is None else capacity) - self.FIRST_BLOCK)
 
-    def allow(self, max_size: int) -> None:
+    def set_max_size(self, max_size: int) -> None:
         """Changes the bound; `max_size` is no lower than the bytes in the ring."""
         self.max_size = max_size
 
@@ -149,7 +149,7 @@
         self._scanned = 0
         return data[:-1].removesuffix(b"\r")
 
-    def until(self, mark: bytes) -> int:
+    def find_end(self, mark: bytes) -> int:
         """Returns the number of bytes up to and including `mark`, 0 if the ring does not have it.
 
         Each byte is scanned once.
--- a/indigohitch/net/stream.py
+++ b/indigohitch/net/stream.py
@@ -33,14 +33,14 @@
 class Stream(Connection):
     """Reads a socket only while its ring has free space."""
 
-    BOUND = 64 << 10  # bytes; 1 GB passes through two rings per direction, and more only adds delay
+    MAX_BUFFERED = 64 << 10  # bytes; 1 GB passes through two rings per direction, and more only adds delay
 
     def __init__(
         self,
         loop: EventLoop,
         sock: socket.socket,
         reader: StreamReader,
-        max_unread: int = BOUND,
+        max_unread: int = MAX_BUFFERED,
         pool: BufferPool | None = None,
     ) -> None:
         super().__init__(loop, sock, reader, max_unread, pool)
@@ -98,7 +98,7 @@
             self._writing = True
             self._watch()
 
-    def wake(self) -> None:
+    def resume_reading(self) -> None:
         """Resumes reading if the ring has free space again."""
         if self.reading_paused and self.open and not self.incoming.full:
             self.reading_paused = False
--- a/indigohitch/platform_protocol/inbound_connection.py
+++ b/indigohitch/platform_protocol/inbound_connection.py
@@ -75,11 +75,11 @@
 
     def apply_limits(self, connection: Connection) -> None:
         """Set the bounds on reads and queued output for this kind of connection."""
-        connection.outgoing.allow(self.OUTPUT_BYTES if self.zone else self.UNIDENTIFIED_OUTPUT_BYTES)
+        connection.outgoing.set_max_size(self.OUTPUT_BYTES if self.zone else self.UNIDENTIFIED_OUTPUT_BYTES)
         if self.zone:
-            connection.pace(self.READS, self.READ_BYTES, crowd=False)
+            connection.limit_reads(self.READS, self.READ_BYTES, low_priority=False)
         else:
-            connection.pace(self.UNIDENTIFIED_READS, self.UNIDENTIFIED_READ_BYTES, crowd=True)
+            connection.limit_reads(self.UNIDENTIFIED_READS, self.UNIDENTIFIED_READ_BYTES, low_priority=True)
 
     def on_data(self, connection: Connection) -> bool:
         """Handle the complete lines; return whether one was a heartbeat, which ends this turn's reads."""
@@ -145,7 +145,7 @@
             raise InvalidLineError("site: no such zone")
         if not self.zone:
             self.zone = zone
-            connection.incoming.allow(self.MAX_LINE + self.MAX_UNIDENTIFIED_LINE)
+            connection.incoming.set_max_size(self.MAX_LINE + self.MAX_UNIDENTIFIED_LINE)
             self.apply_limits(connection)
             self.owner.on_identified(connection)
 
--- a/indigohitch/sidecar/clients.py
+++ b/indigohitch/sidecar/clients.py
@@ -21,7 +21,7 @@
 
     LINGER = 2 * SECOND  # to read the end of an answer before a reset could destroy it
     TARGET = 8192
-    WAITING = Stream.BOUND // 2  # of earlier answers: the next one's head has to fit in beside them
+    WAITING = Stream.MAX_BUFFERED // 2  # of earlier answers: the next one's head has to fit in beside them
 
     __slots__ = (
         "host",
@@ -80,7 +80,7 @@
         ring, host = self.stream.incoming, self.host
         if not len(ring) or host.holding or len(self.stream.outgoing) > self.WAITING:
             return False
-        end = ring.until(b"\r\n\r\n")
+        end = ring.find_end(b"\r\n\r\n")
         most = host.text.limits["head"]
         if not end and len(ring) <= most and not ring.full:
             while ring.peek(2) == b"\r\n":  # a blank line before a request is read over (RFC 9112, 2.2)
@@ -91,7 +91,7 @@
             return False
         data = ring.take(end)
         self.marked = 0
-        self.stream.wake()
+        self.stream.resume_reading()
         try:
             head = RequestHead(data.lstrip(b"\r\n"))
         except Refused as bad:
@@ -154,7 +154,7 @@
         except OSError:
             self.stream.close("reset")
             return
-        self.stream.wake()
+        self.stream.resume_reading()
 
     def part(self) -> None:
         """The process ends and nothing is out for this one.  Closed over bytes unread, or met by more while
--- a/indigohitch/sidecar/framing.py
+++ b/indigohitch/sidecar/framing.py
@@ -49,7 +49,7 @@
         return self.done
 
     def _line(self, ring: RingBuffer, most: int) -> bytes | None:
-        end = ring.until(b"\r\n")
+        end = ring.find_end(b"\r\n")
         if not end:
             if len(ring) > most:
                 raise Malformed("a line of the chunks is too long")
--- a/indigohitch/sidecar/host.py
+++ b/indigohitch/sidecar/host.py
@@ -79,7 +79,7 @@
         client = Client(self)
         self.serial += 1
         client.serial = self.serial
-        client.stream = Stream.accepted(self.loop, sock, client, Stream.BOUND, self.memory)
+        client.stream = Stream.accepted(self.loop, sock, client, Stream.MAX_BUFFERED, self.memory)
         client.number = self.clients.put(client)
         if rest:
             client.stream.incoming.push(rest)
--- a/indigohitch/sidecar/passing.py
+++ b/indigohitch/sidecar/passing.py
@@ -33,14 +33,14 @@
     if out:
         stream.write(out)
     if body.kind != Body.NONE:
-        client.stream.wake()
+        client.stream.resume_reading()
 
 
 def answer_head(rpc) -> AnswerHead | None:
     """The head of the final answer once it has come; interim ones go on."""
     stream, client = rpc.upstream.stream, rpc.client
     while rpc.answer is None:
-        end = stream.incoming.until(b"\r\n\r\n")
+        end = stream.incoming.find_end(b"\r\n\r\n")
         if not end:
             if len(stream.incoming) > rpc.pool.host.text.limits["head"]:
                 rpc.try_failed(request.SENT)
@@ -81,7 +81,7 @@
     if body.done:
         rpc.complete()
     elif rpc.upstream is not None:
-        stream.wake()
+        stream.resume_reading()
 
 
 def answer_ended(rpc) -> None:
@@ -96,7 +96,7 @@
         return
     out = (chunk(data) + LAST_CHUNK) if rpc.chunks else data
     if out and not to.outgoing.push(out):
-        to.outgoing.allow(to.outgoing.max_size + len(out))  # at most a ring more, and only now
+        to.outgoing.set_max_size(to.outgoing.max_size + len(out))  # at most a ring more, and only now
         to.outgoing.push(out)
     to.flush_soon()
     rpc.complete()
--- a/indigohitch/standins/fault_links.py
+++ b/indigohitch/standins/fault_links.py
@@ -88,7 +88,7 @@
         source, sink, lane = self.source, self.sink, self.lane
         while source is not None and source.open and len(source.incoming) and self.held < HELD:
             self.take(source.incoming.take(min(len(source.incoming), HELD)))
-            source.wake()
+            source.resume_reading()
         if lane.fault.cut or sink is None or sink.connecting or not sink.open:
             return
         now, allowed = self.loop.clock.now(), HELD
@@ -129,7 +129,7 @@
     def __init__(self, gate: Gate, sock: socket.socket) -> None:
         self.gate = gate
         self.forth, self.back = Half(gate.loop, gate.forth), Half(gate.loop, gate.back)
-        self.near = Stream.accepted(gate.loop, sock, self, Stream.BOUND, gate.loop.pool)
+        self.near = Stream.accepted(gate.loop, sock, self, Stream.MAX_BUFFERED, gate.loop.pool)
         self.far: Stream | None = None
         self.forth.source = self.back.sink = self.near
         gate.passages.add(self)
--- a/indigohitch/standins/load.py
+++ b/indigohitch/standins/load.py
@@ -78,18 +78,18 @@
             wire.stream.close()
             self.kept_open -= 1
 
-    def ended(self, wire: RequestConnection) -> None:
+    def on_connection_closed(self, wire: RequestConnection) -> None:
         self.spare.pop(wire, None)
         if wire in self.once:
             self.once.discard(wire)
         else:
             self.kept_open -= 1
 
-    def over(self, wire: RequestConnection, job: tuple, status: int, why: str) -> None:
+    def on_request_ended(self, wire: RequestConnection, job: tuple, status: int, why: str) -> None:
         if wire in self.once:
             self.once.discard(wire)
             wire.stream.close()
-        elif wire.keeps:
+        elif wire.is_reusable:
             self.free(wire)
         self.out -= 1
         self.results.append((job[0], self.loop.clock.now() - job[0], status, job[1], why))
--- a/indigohitch/standins/peer.py
+++ b/indigohitch/standins/peer.py
@@ -41,7 +41,7 @@
 class Peer:
     def __init__(self, server: Answering, sock: socket.socket) -> None:
         self.server = server
-        self.stream = Stream.accepted(server.loop, sock, self, Stream.BOUND, server.memory)
+        self.stream = Stream.accepted(server.loop, sock, self, Stream.MAX_BUFFERED, server.memory)
         self.queue: list[tuple] = []  # requests whose bodies have come, in order
         self.busy = False
         self.writing = self.more = b""
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -11,7 +11,7 @@
 from inbound_harness import InboundHarness
 from indigohitch.log import Log
 from indigohitch.net.clock import SECOND
-from indigohitch.net.http_client import form as http_form
+from indigohitch.net.http_client import encode_request as http_form
 from indigohitch.net.http_exchange import HttpResponse
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol import call_queue, call_resolution, discovery, probes, relay_watch
--- a/tests/test_transport_links.py
+++ b/tests/test_transport_links.py
@@ -207,7 +207,7 @@
         message = AppendEntries(1, 0, 0, 0, (LogEntry(1, 1, "notes.add", bytes(40_000)),))
         sent = sum(a.send(MemberId("c", 1), message) for _ in range(200))
         assert sent < 60 and a.peers["c"].dropped == 200 - sent
-        assert len(a.peers["c"].connection.outgoing) <= a.peers["c"].connection.BOUND
+        assert len(a.peers["c"].connection.outgoing) <= a.peers["c"].connection.MAX_BUFFERED
         assert a.send(MemberId("b", 1), message)
         harness.until(lambda: harness.received["b"])
         harness.until(lambda: a.log.said("member_silent"))
