--- a/indigohitch/logic/call_scheduling.py
+++ b/indigohitch/logic/call_scheduling.py
@@ -28,7 +28,7 @@
 class StoredRoutes(Protocol):
     """Weights of the routes of a table in the store, by backend."""
 
-    lines: Mapping[str, float]
+    routes: Mapping[str, float]
 
 
 def retry_delay(attempts: int) -> int:
@@ -57,7 +57,7 @@
                 tables.add(table)
     for table in tables - urgent:
         closed = table in state.slices and state.slices[table].closed_methods is not None
-        if closed or table in stored and needs_urgent_change(state, stored[table].lines):
+        if closed or table in stored and needs_urgent_change(state, stored[table].routes):
             urgent.add(table)
     return urgent
 
--- a/indigohitch/platform_protocol/call_queue.py
+++ b/indigohitch/platform_protocol/call_queue.py
@@ -108,7 +108,7 @@
             self._start_next_call()  # the outcome of an unresolved call is queried at the new address
         return True
 
-    def order(self, orders: list[face.Order], joins: bool = False) -> None:
+    def enqueue(self, orders: list[face.Order], joins: bool = False) -> None:
         """Queue orders; `joins`: they are not a module reply and may share a call with other such orders."""
         self.outbox.add(orders, joins)
         # Also checked after a merge: a single module reply may be more calls than the queue holds.
--- a/indigohitch/platform_protocol/call_resolution.py
+++ b/indigohitch/platform_protocol/call_resolution.py
@@ -81,11 +81,11 @@
     ) -> None:
         """Compare `tables` with the effect of `orders`; `unresolved_orders` may have been applied earlier."""
         changed = {
-            number: stored_tables.StoredTable(dict(tables[number].lines))
+            number: stored_tables.StoredTable(dict(tables[number].routes))
             for number in stored_tables.changed_tables(orders)
             if number in tables
         }
-        earlier = {number: set(table.lines.items()) for number, table in changed.items()}
+        earlier = {number: set(table.routes.items()) for number, table in changed.items()}
         for order in unresolved_orders:
             if isinstance(order, face.SetRoute) and order.weight and order.table in earlier:
                 earlier[order.table].add((order.backend, order.weight))
@@ -98,7 +98,7 @@
         changes = []
         for number, end in ends.items():
             before = frozenset(earlier.get(number, ()))
-            after = frozenset(changed[number].lines.items() if number in changed else ())
+            after = frozenset(changed[number].routes.items() if number in changed else ())
             if before - after and after - before:
                 changes.append(_TableChange(number, before - after, after - before, end))
         changes.sort(key=lambda change: change.end)
--- a/indigohitch/platform_protocol/channel_limits.py
+++ b/indigohitch/platform_protocol/channel_limits.py
@@ -27,7 +27,7 @@
         if not is_unresolved:
             self.outbox.split_to_capacity()
         size = self.backlog.size(self.outbox.calls[0])
-        if not is_unresolved and self.backlog.fits_at(now, size) > now and self.outbox.any_urgent_waits():
+        if not is_unresolved and self.backlog.fits_at(now, size) > now and self.outbox.has_urgent_orders():
             size = self._split_urgent_part()
         rate_free_at = self.message_rate.free_at(now, self.outbox.is_first_urgent())
         fits_at = self.backlog.fits_at(now, size)
--- a/indigohitch/platform_protocol/drain_monitor.py
+++ b/indigohitch/platform_protocol/drain_monitor.py
@@ -105,7 +105,9 @@
 
     def _add_unlisted(self, states: dict[str, str]) -> None:
         """Add backends that a full list omits as gone while a route to them remains."""
-        routed_backends = {backend for table in self.read_stored_tables().values() for backend in table.lines}
+        routed_backends = {
+            backend for table in self.read_stored_tables().values() for backend in table.routes
+        }
         for backend in routed_backends - states.keys():
             states[backend] = "gone"
 
@@ -155,7 +157,7 @@
         now = self.loop.clock.now()
         slices_by_backend: dict[str, list[int]] = {}
         for number, table in self.read_stored_tables().items():
-            for backend in table.lines:
+            for backend in table.routes:
                 if backend in self.draining and backend not in self.ejected:
                     slices_by_backend.setdefault(backend, []).append(number)
         for backend, departure in list(self.draining.items()):
--- a/indigohitch/platform_protocol/front.py
+++ b/indigohitch/platform_protocol/front.py
@@ -115,7 +115,7 @@
         self.relay.invariants.is_grace_over = self.drain_monitor.is_grace_over
         self.relay_watch = RelayWatch(loop, log, parsed.store_address, self.store_mirror)
         self.relay.in_flight_call.read_stored_tables = lambda: self.store_mirror.tables
-        self.relay.outbox.urgent = lambda orders: urgent_tables(
+        self.relay.outbox.urgent_tables = lambda orders: urgent_tables(
             self.coordinator, orders, self.store_mirror.tables
         )
         self.relay.on_unresolved_drop = self.relay_watch.restart
@@ -206,7 +206,7 @@
 
     def _order_repairs(self, orders: list[face.Order]) -> None:
         """Queue repairs of the store, which arrive one slice at a time, as one call."""
-        self.relay.order(orders, joins=True)
+        self.relay.enqueue(orders, joins=True)
 
     def _on_orders_applied(self, orders: list[face.Order]) -> None:
         self.store_mirror.apply(orders)
--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -30,7 +30,7 @@
         [
             shots.StoredTableRow(
                 number,
-                [(backend, float(weight)) for backend, weight in table.lines.items()],
+                [(backend, float(weight)) for backend, weight in table.routes.items()],
                 None if table.level is None else list(event_codec.pack(table.level)),
             )
             for number, table in store_mirror.tables.items()
--- a/indigohitch/platform_protocol/handover.py
+++ b/indigohitch/platform_protocol/handover.py
@@ -74,7 +74,7 @@
 
     def has_urgent_work(self) -> bool:
         """Return whether orders for a drain, or an unprocessed list that reports one, are waiting."""
-        return self.front.relay.outbox.any_urgent_waits() or any(
+        return self.front.relay.outbox.has_urgent_orders() or any(
             isinstance(event, face.BackendList)
             and any(entry.state in DEPARTING_STATES for entry in event.entries)
             for event in self.front.event_batch.events
--- a/indigohitch/platform_protocol/order_execution.py
+++ b/indigohitch/platform_protocol/order_execution.py
@@ -64,6 +64,6 @@
                     )
         if call:
             self.log.count("orders", len(call))
-            self.relay.order(call)
+            self.relay.enqueue(call)
         else:
             self.relay.reconsider()
--- a/indigohitch/platform_protocol/outbox.py
+++ b/indigohitch/platform_protocol/outbox.py
@@ -25,7 +25,7 @@
         self.backlog = backlog
         self.calls: deque[list[face.Order]] = deque()
         # Returns the tables among the orders that have a deadline at present.
-        self.urgent: Callable[[Sequence[face.Order]], Collection[int]] = lambda orders: ()
+        self.urgent_tables: Callable[[Sequence[face.Order]], Collection[int]] = lambda orders: ()
 
     def pending(self) -> list[face.Order]:
         """Return all orders not known to be applied, in order."""
@@ -46,12 +46,12 @@
     def merge_calls(self) -> None:
         """Merge all orders into as few calls as possible, with the urgent ones first."""
         orders = merge_orders(self.pending())
-        orders = urgent_orders_first(orders, self.urgent(orders))
+        orders = urgent_orders_first(orders, self.urgent_tables(orders))
         if len(self.calls) > 1:
             self.log.count("calls_batched", len(self.calls))
         self.calls = deque(split_by_size(orders, self.methods))
 
-    def any_urgent_waits(self) -> bool:
+    def has_urgent_orders(self) -> bool:
         """Return whether any call has urgent orders."""
         return any(map(self._has_urgent_orders, self.calls))
 
@@ -60,17 +60,17 @@
         return self._has_urgent_orders(self.calls[0])
 
     def _has_urgent_orders(self, call: Sequence[face.Order]) -> bool:
-        return any(isinstance(order, face.EjectBackend) for order in call) or bool(self.urgent(call))
+        return any(isinstance(order, face.EjectBackend) for order in call) or bool(self.urgent_tables(call))
 
     def urgent_count(self, call: Sequence[face.Order]) -> int:
         """Return the number of urgent orders in a call."""
-        tables = self.urgent(call)
+        tables = self.urgent_tables(call)
         return sum(is_urgent(order, tables) for order in call)
 
     def leading_urgent_count(self) -> int:
         """Return the number of urgent orders that the first call begins with."""
         call = self.calls[0]
-        tables = self.urgent(call)
+        tables = self.urgent_tables(call)
         return next((index for index, order in enumerate(call) if not is_urgent(order, tables)), len(call))
 
     def split_to_capacity(self) -> None:
--- a/indigohitch/platform_protocol/store_mirror.py
+++ b/indigohitch/platform_protocol/store_mirror.py
@@ -116,8 +116,8 @@
             return
         if number not in self.unsettled_tables:  # a late route extends the known table
             known = self.tables[number]
-            self.unsettled_tables[number] = stored_tables.StoredTable(dict(known.lines), known.level)
-        self.unsettled_tables[number].lines[backend] = weight
+            self.unsettled_tables[number] = stored_tables.StoredTable(dict(known.routes), known.level)
+        self.unsettled_tables[number].routes[backend] = weight
         self._schedule_settle()
 
     def on_keepalive(self) -> None:
@@ -164,7 +164,7 @@
             self._reconcile(unsettled, self.initial_snapshot.applied_orders)
             self.initial_snapshot.slices |= set(unsettled)
         after = self.projected_tables()
-        changed = [n for n in unsettled if n not in before or before[n].lines != after[n].lines]
+        changed = [n for n in unsettled if n not in before or before[n].routes != after[n].routes]
         if self.initial_snapshot is None:
             self._report_slices(list(unsettled))
             return
@@ -179,7 +179,7 @@
         """
         received = stored_tables.copy_tables(unsettled)
         stored_tables.apply_orders(unsettled, applied)
-        differing = {number for number in unsettled if unsettled[number].lines != received[number].lines}
+        differing = {number for number in unsettled if unsettled[number].routes != received[number].routes}
         if resent := stored_tables.orders_for_routes([*applied, *self.pending_orders()], differing):
             self.log.event("orders_resent", slices=sorted(differing)[:20], orders=len(resent))
             self.enqueue_orders(resent)
--- a/indigohitch/platform_protocol/stored_tables.py
+++ b/indigohitch/platform_protocol/stored_tables.py
@@ -12,7 +12,7 @@
 class StoredTable:
     """Routes and admission level of one table."""
 
-    lines: dict[str, float] = field(default_factory=dict)  # routes: weight by backend
+    routes: dict[str, float] = field(default_factory=dict)  # routes: weight by backend
     level: face.SetAdmission | None = None  # None: the table has no level of its own
 
 
@@ -26,11 +26,11 @@
         if table is None:
             continue
         if isinstance(order, face.SetRoute):
-            table.lines.pop(order.backend, None)
+            table.routes.pop(order.backend, None)
             if order.weight:
-                table.lines[order.backend] = order.weight
+                table.routes[order.backend] = order.weight
         elif isinstance(order, face.ClearTable):
-            table.lines = {}
+            table.routes = {}
             table.level = None
         elif isinstance(order, face.SetAdmission):
             table.level = order
@@ -38,7 +38,7 @@
 
 def copy_tables(tables: StoredTables) -> StoredTables:
     """Return a copy whose tables can be changed independently."""
-    return {number: StoredTable(dict(table.lines), table.level) for number, table in tables.items()}
+    return {number: StoredTable(dict(table.routes), table.level) for number, table in tables.items()}
 
 
 def changed_tables(orders: Iterable[face.Order]) -> set[int]:
@@ -63,7 +63,7 @@
     """Return the events that report an owned slice and its routes to the module."""
     return [
         face.SliceOwnership(number, True),
-        *(face.StoredRoute(number, backend, weight) for backend, weight in table.lines.items()),
+        *(face.StoredRoute(number, backend, weight) for backend, weight in table.routes.items()),
     ]
 
 
--- a/tests/golden_log.py
+++ b/tests/golden_log.py
@@ -112,9 +112,9 @@
     with MonkeyPatch.context() as patch:
         room = Room(patch)
         room.relay.log = log
-        room.stood[1] = stored_tables.StoredTable({"b0": 1.0})
+        room.known_tables[1] = stored_tables.StoredTable({"b0": 1.0})
         room.store[1] = stored_tables.StoredTable(lines_after)
-        room.relay.order([face.SetRoute(1, "b0", 0.0), face.SetRoute(1, "b1", 2.0)])
+        room.relay.enqueue([face.SetRoute(1, "b0", 0.0), face.SetRoute(1, "b1", 2.0)])
         calls_before = log.counts["relay_calls"]
         room.answer("reset")
         room.until(lambda: log.counts["relay_calls"] > calls_before or not room.relay.pending_calls)
--- a/tests/golden_platform.py
+++ b/tests/golden_platform.py
@@ -193,7 +193,7 @@
         room = Room(patch)
         patch.setattr(call_queue, "HttpClient", RecordingClient)
         room.relay.client = RecordingClient(room.loop, ADDRESS)
-        room.order(1.0, 2.5)
+        room.enqueue(1.0, 2.5)
         room.loop.close()
         return RecordingClient.recorded
 
--- a/tests/relay_room.py
+++ b/tests/relay_room.py
@@ -39,7 +39,7 @@
 
     def request(self, method, target, timeout, on_end, stream):
         entry = "event: entry\ndata: range={}&target={}&rps={}\n\n"
-        stored = [entry.format(n, b, w) for n, t in self.room.store.items() for b, w in t.lines.items()]
+        stored = [entry.format(n, b, w) for n, t in self.room.store.items() for b, w in t.routes.items()]
         if not self.room.is_store_silent:
             self.room.loop.call_after(0, lambda: stream("".join(stored).encode()))
         return SimpleNamespace(drop=lambda: None)
@@ -54,7 +54,7 @@
         monkeypatch.setattr(call_queue, "HttpClient", FakeClient)
         monkeypatch.setattr(call_resolution, "HttpClient", lambda *arguments: FakeStreamClient(self))
         self.store = {}
-        self.stood = {}
+        self.known_tables = {}
         self.is_store_silent = False  # event streams send nothing
         self.clock = Shifted()
         self.loop = EventLoop(self.clock, self.fail)
@@ -78,17 +78,17 @@
         self.dropped = []
         self.relay.on_applied = self.record_applied
         self.relay.on_dropped = self.dropped.extend
-        self.relay.in_flight_call.read_stored_tables = lambda: self.stood
+        self.relay.in_flight_call.read_stored_tables = lambda: self.known_tables
 
     def record_applied(self, orders):
         self.applied += orders
-        stored_tables.apply_orders(self.stood, orders)
+        stored_tables.apply_orders(self.known_tables, orders)
 
     def fail(self, error):
         raise error
 
-    def order(self, *weights, table=1):
-        self.relay.order([face.SetRoute(table, "b1", float(w)) for w in weights])
+    def enqueue(self, *weights, table=1):
+        self.relay.enqueue([face.SetRoute(table, "b1", float(w)) for w in weights])
 
     def sent_call(self):
         """Return the encoded orders of the call in flight and the callback for its response."""
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_gate.py
@@ -51,10 +51,10 @@
     relay.is_allowed = lambda orders: may and orders.startswith("put,3,b1")
     first, second = face.SetRoute(3, "b1", 1.0), face.SetRoute(4, "b2", 1.0)
     relay.set_paused(True)
-    relay.order([first])
-    relay.order([second])
+    relay.enqueue([first])
+    relay.enqueue([second])
     relay.set_paused(False)
     assert void == [first, second] and relay.idle and not relay.pending_calls and not went
     may = True
-    relay.order([first])
+    relay.enqueue([first])
     assert len(went) == 1 and b"put%2C3%2Cb1" in went[0] and relay.pending_calls
--- a/tests/test_call_resolution.py
+++ b/tests/test_call_resolution.py
@@ -50,18 +50,18 @@
     show when the lines of a call have left."""
     room, channel = limited_room(monkeypatch)
     channel.drain_rate /= 5
-    for tables in (room.store, room.stood):
+    for tables in (room.store, room.known_tables):
         tables.update({number: StoredTable({"old": 1.0}) for number in range(30)})
     orders = [order for number in range(30) for order in move_route(number, 1)[:2]] + [
         face.UpdateMarker(1, False)
     ]
-    room.relay.order(orders)
+    room.relay.enqueue(orders)
     started_at = room.clock.now()
     if is_applied:
         channel.apply_call()
     room.answer("reset")
     run_until_idle(room, channel)
-    assert channel.peak_lines <= 1000 and room.applied == orders and room.store == room.stood
+    assert channel.peak_lines <= 1000 and room.applied == orders and room.store == room.known_tables
     assert room.clock.now() - started_at < SECOND // 2  # the routes of a drain have two seconds
 
 
--- a/tests/test_channel_backlog.py
+++ b/tests/test_channel_backlog.py
@@ -130,14 +130,14 @@
 def test_a_later_call_waits_for_one_that_is_in_the_channel_twice(monkeypatch, ordered, share, acknowledges):
     """The module counts the call once, and no longer once its first copy is acknowledged."""
     room, channel = limited_room(monkeypatch, share, acknowledges)
-    room.relay.order(make_call(60, 1))
+    room.relay.enqueue(make_call(60, 1))
     channel.apply_call()
     room.answer("reset")
     if ordered == "while the first waits":
-        room.relay.order(make_call(15, 2))
+        room.relay.enqueue(make_call(15, 2))
     run_until_idle(room, channel)
     if ordered == "after it is applied":
-        room.relay.order(make_call(80, 2))
+        room.relay.enqueue(make_call(80, 2))
         run_until_idle(room, channel)
     assert channel.peak_lines <= 1000
     assert room.applied == make_call(60, 1) + make_call(80 if ordered == "after it is applied" else 15, 2)
@@ -149,7 +149,7 @@
     must not wait longer than the channel needs either, where markers are acknowledged."""
     room, channel = limited_room(monkeypatch, share, acknowledges)
     for marker in range(1, 6):
-        room.relay.order(make_call(40, marker))
+        room.relay.enqueue(make_call(40, marker))
         for _ in range(20):
             if room.relay.awaiting_response:
                 room.answer(code="Throttling")
@@ -163,7 +163,7 @@
 def test_a_retry_leaves_capacity_for_a_joining_proxy_and_the_transit_time(monkeypatch):
     """The relay applies a call up to 50 ms after it was sent, for all proxies that have joined by then."""
     room, channel = limited_room(monkeypatch)
-    room.relay.order(make_call(60, 1))
+    room.relay.enqueue(make_call(60, 1))
     room.advance(SECOND // 20)
     channel.apply_call()
     room.answer("reset")
@@ -189,7 +189,7 @@
     joined since."""
     room, channel = limited_room(monkeypatch)
     for number in range(200):
-        room.relay.order(move_route(number, number))
+        room.relay.enqueue(move_route(number, number))
     assert room.relay.log.counts["calls_merged"]
     room.proxies = 30
     room.answer(*((outcome,) if outcome == "reset" else ("answered", 0, outcome)))
--- a/tests/test_channel_backlog_days.py
+++ b/tests/test_channel_backlog_days.py
@@ -69,7 +69,7 @@
             store_mirror.on_relay_event(face.ProxyJoined(proxy, "east", 5.0, False))
         for number, table in self.store.items():
             store_mirror.on_relay_event(face.SliceOwnership(number, True))
-            store_mirror.on_relay_event(face.StoredRoute(number, *next(iter(table.lines.items()))))
+            store_mirror.on_relay_event(face.StoredRoute(number, *next(iter(table.routes.items()))))
         store_mirror.on_keepalive()
 
     def fail(self, error):
@@ -130,7 +130,7 @@
         self.front.add_events(face.BackendList("changes", 2, entries))
         draining = {f"b{n}" for n in numbers}
         started_at = self.clock.now()
-        while any(draining & set(table.lines) for table in self.store.values()):
+        while any(draining & set(table.routes) for table in self.store.values()):
             assert self.clock.now() - started_at < 60 * SECOND, "routes to draining backends remain"
             self.step()
 
--- a/tests/test_coordinator_isolation.py
+++ b/tests/test_coordinator_isolation.py
@@ -161,7 +161,7 @@
     )
     created.recorded = []
     methods = created.relay.methods
-    created.relay.order = lambda orders: created.recorded.extend(
+    created.relay.enqueue = lambda orders: created.recorded.extend(
         encode_order(order, methods) for order in orders
     )
     created.probes.send = lambda backend, due_at: created.recorded.append(
--- a/tests/test_golden_value_positions.py
+++ b/tests/test_golden_value_positions.py
@@ -96,7 +96,9 @@
         assert (list(front.relay.sent_at), front.relay.in_flight_call.failures) == (row[7], row[8])
         assert list(front.store_mirror.proxies) == [joined[1] for joined in row[9]]
         expected_tables = {number: dict(lines) for number, lines, _ in row[10]}
-        assert {number: table.lines for number, table in front.store_mirror.tables.items()} == expected_tables
+        assert {
+            number: table.routes for number, table in front.store_mirror.tables.items()
+        } == expected_tables
         assert (front.store_mirror.has_started, sorted(front.store_mirror.dropped_tables)) == (
             row[11],
             row[12],
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -26,7 +26,7 @@
 
 
 def apply_call(room, weight):
-    room.order(weight)
+    room.enqueue(weight)
     room.answer()
 
 
@@ -35,7 +35,7 @@
     room.relay.channel_limits.message_rate = NoRateLimit(3, SECOND)
     for weight in range(1, 4):
         apply_call(room, weight)
-    room.order(4)
+    room.enqueue(4)
     assert not room.relay.awaiting_response and violation_counts(room) == {"invariant_message_limit": 1}
     room.until(lambda: room.relay.awaiting_response, 2 * SECOND)
     room.answer()
@@ -45,7 +45,7 @@
 def test_throttled_calls_are_not_counted_as_messages(monkeypatch):
     room = Room(monkeypatch, max_messages=2, window=SECOND)
     room.relay.channel_limits.message_rate = NoRateLimit(2, SECOND)
-    room.order(1)
+    room.enqueue(1)
     for _ in range(5):
         room.answer(code="Throttling")
         room.until_call_sent()
@@ -56,7 +56,7 @@
 
 def test_a_retry_waits_until_the_previous_attempt_has_settled(monkeypatch):
     room = Room(monkeypatch)
-    room.order(1)
+    room.enqueue(1)
     room.answer("reset")
     room.relay._retry_unresolved()
     assert not room.relay.awaiting_response and violation_counts(room) == {"invariant_repeat_too_soon": 1}
@@ -68,10 +68,10 @@
     room = Room(monkeypatch, max_lines=100, drain_rate=0.001, proxies=10)
     room.relay.backlog.fits_at = lambda now, lines: now
     for number in range(8):
-        room.relay.order([face.SetRoute(number, "b1", 1.0)])
+        room.relay.enqueue([face.SetRoute(number, "b1", 1.0)])
         room.answer()
     assert not violation_counts(room)
-    room.relay.order([face.SetRoute(9, "b1", 1.0), face.SetRoute(10, "b1", 1.0)])
+    room.relay.enqueue([face.SetRoute(9, "b1", 1.0), face.SetRoute(10, "b1", 1.0)])
     assert violation_counts(room) == {"invariant_channel_full": 1}
 
 
@@ -79,9 +79,9 @@
     room = Room(monkeypatch)
     known_tables = []
     room.relay.invariants.has_stored_state = lambda: bool(known_tables)
-    room.relay.order([face.SetAdmission(face.ALL_TABLES, (), 1.0, 1)])
+    room.relay.enqueue([face.SetAdmission(face.ALL_TABLES, (), 1.0, 1)])
     room.answer()
-    room.order(1)
+    room.enqueue(1)
     assert not room.relay.awaiting_response and violation_counts(room) == {"invariant_call_before_start": 1}
     known_tables.append(True)
     room.until_call_sent()
@@ -96,10 +96,10 @@
     room.relay.invariants.is_grace_over = ended_grace.__contains__
     orders = [face.SetRoute(1, "b1", 1.0), face.SetRoute(1, "b2", 0.0)]
     room.relay.set_paused(first == "unsent")
-    room.relay.order(orders)
+    room.relay.enqueue(orders)
     if first == "unresolved":
         room.answer("timeout")
-    room.relay.order([face.SetRoute(1, "b3", 1.0), face.SetRoute(1, "b1", 0.0)])
+    room.relay.enqueue([face.SetRoute(1, "b3", 1.0), face.SetRoute(1, "b1", 0.0)])
     ended_grace.add("b1")
     room.relay.set_paused(False)
     room.until_call_sent()
@@ -110,22 +110,24 @@
 def test_a_route_to_a_backend_whose_grace_period_is_over_is_dropped(monkeypatch):
     room = Room(monkeypatch)
     room.relay.invariants.is_grace_over = lambda backend: backend == "b1"
-    room.order(1)
+    room.enqueue(1)
     assert room.relay.idle and [order.backend for order in room.dropped] == ["b1"]
-    room.relay.order([face.SetRoute(1, "b1", 1.0), face.SetRoute(2, "b2", 1.0), face.SetRoute(3, "b1", 0.0)])
+    room.relay.enqueue(
+        [face.SetRoute(1, "b1", 1.0), face.SetRoute(2, "b2", 1.0), face.SetRoute(3, "b1", 0.0)]
+    )
     assert room.sent_call()[0] == "put,2,b2,1.0;put,3,b1,0.0"
     assert violation_counts(room) == {"invariant_line_at_leaving": 2}
 
 
 def test_pending_orders_are_logged_at_exit(monkeypatch):
     room = Room(monkeypatch)
-    room.relay.outbox.urgent = lambda orders: {1}
+    room.relay.outbox.urgent_tables = lambda orders: {1}
     events = []
     room.log.event = lambda name, **fields: events.append((name, fields))
     room.relay.client.close = lambda: None
     room.relay.set_paused(True)
-    room.order(1, 2)
-    room.relay.order([face.SetRoute(2, "b1", 1.0)])
+    room.enqueue(1, 2)
+    room.relay.enqueue([face.SetRoute(2, "b1", 1.0)])
     room.relay.close()
     assert events == [("exited_with_pending_orders", {"urgent": 2, "orders": 3})]
 
@@ -142,7 +144,7 @@
 def test_an_unsent_attempt_does_not_delay_the_next_retry(monkeypatch):
     """In a soak test the next attempt was reported as a retry that came too soon."""
     room = Room(monkeypatch)
-    room.order(1)
+    room.enqueue(1)
     room.answer("timeout")
     room.until_call_sent()
     room.answer("connect_failed")
--- a/tests/test_logic_call_scheduling.py
+++ b/tests/test_logic_call_scheduling.py
@@ -24,7 +24,7 @@
 
 def table(**lines):
     """Returns a stored table with these weights by backend."""
-    return SimpleNamespace(lines=lines)
+    return SimpleNamespace(routes=lines)
 
 
 @pytest.mark.parametrize("max_messages", [1, 2, 3, 5, 12, 40])
--- a/tests/test_relay_outcomes.py
+++ b/tests/test_relay_outcomes.py
@@ -40,7 +40,7 @@
 )
 def test_calls_that_may_have_been_applied_count_as_messages(monkeypatch, outcome, code, counted):
     room = Room(monkeypatch, max_messages=9, window=SECOND)
-    room.order(1)
+    room.enqueue(1)
     room.answer("reset")
     room.until_call_sent()
     before = list(room.relay.sent_at)
@@ -55,7 +55,7 @@
 
 def test_retries_never_exceed_the_message_limit(monkeypatch):
     room = Room(monkeypatch, max_messages=3, window=SECOND)
-    room.order(1)
+    room.enqueue(1)
     sent = []
     outcomes = ["reset", "Throttling", "timeout", "connect_failed", "unreadable"] * 6
     while outcomes:
@@ -75,10 +75,10 @@
 
 
 def test_an_unresolved_call_is_retried_unchanged_before_merged_calls(room):
-    room.order(1)
+    room.enqueue(1)
     room.answer("timeout")
     for weight in range(2, 30):
-        room.order(weight)
+        room.enqueue(weight)
     assert room.log.counts["calls_merged"]
     room.until_call_sent()
     assert room.sent_call()[0] == "put,1,b1,1.0"
@@ -90,7 +90,7 @@
 
 def test_a_reply_of_more_calls_than_may_wait_is_sent_at_once(room):
     orders = [face.SetRoute(n, f"backend-{n:06}", 1.0) for n in range(30_000)]
-    room.relay.order(orders)
+    room.relay.enqueue(orders)
     while not room.relay.idle:
         room.answer(taken=len(room.relay.pending_calls[0]))
     assert room.applied == orders
@@ -100,10 +100,10 @@
 def test_an_address_change_while_a_call_is_in_flight(room, outcome):
     """The call ends at the old address. Unless it was applied, it is retried unchanged at the new address,
     before the next call."""
-    room.order(1)
+    room.enqueue(1)
     old = room.relay.client
     assert room.relay.move(("127.0.0.1", 2)) and old.is_retired
-    room.order(2)
+    room.enqueue(2)
     assert not room.relay.client.requests
     old.requests[0][1](
         HttpResponse(outcome, 200, b"<R><results><item><ok_count>1</ok_count></item></results></R>")
@@ -114,11 +114,11 @@
 
 
 def test_a_pause_while_an_unresolved_call_waits(room):
-    room.order(1)
+    room.enqueue(1)
     room.relay.set_paused(True)
     room.answer("timeout")
     room.advance(10)
-    room.order(2)
+    room.enqueue(2)
     assert not room.relay.awaiting_response  # no call is started, and none is lost
     room.relay.set_paused(False)
     room.until_call_sent()
@@ -133,8 +133,8 @@
     """The call may have been applied, so the state known before it must not be reported to the module."""
     requested = []
     room.relay.on_unresolved_drop = lambda: requested.append(1)
-    room.order(1)
-    room.order(2)
+    room.enqueue(1)
+    room.enqueue(2)
     room.relay.is_allowed = lambda orders: False
     room.answer(outcome)
     if moved:
@@ -144,9 +144,9 @@
 
 
 def test_a_later_order_for_the_route_of_an_unresolved_call_wins(room):
-    room.order(5)
+    room.enqueue(5)
     room.answer("unreadable")
-    room.order(0)
+    room.enqueue(0)
     room.until_call_sent()
     room.answer()
     room.answer()
@@ -188,11 +188,11 @@
     front.start()
     until(lambda: front.store_mirror.has_started and front.relay.idle and platform.agrees())
     platform.relay_faults.append("silent done")
-    front.relay.order([face.SetRoute(3, "b1", 1.0)])
+    front.relay.enqueue([face.SetRoute(3, "b1", 1.0)])
     until(lambda: "b1" in platform.tables[3])
     front.relay.is_allowed = lambda orders: False
     until(lambda: log.counts["orders_blocked"])
-    assert "b1" not in front.store_mirror.tables[3].lines
-    until(lambda: "b1" in front.store_mirror.tables[3].lines)
+    assert "b1" not in front.store_mirror.tables[3].routes
+    until(lambda: "b1" in front.store_mirror.tables[3].routes)
     front.close()
     loop.close()
--- a/tests/test_store_mirror_handovers.py
+++ b/tests/test_store_mirror_handovers.py
@@ -41,7 +41,7 @@
         for event in events:
             self.store_mirror.on_relay_event(event)
 
-    def order(self, *orders):
+    def enqueue(self, *orders):
         """Queue a call of the module, which assumes its effect."""
         self.calls.append(list(orders))
         for order in orders:
@@ -100,7 +100,7 @@
         range(len(changes) + 1), range(7), range(7), ("acknowledge", "settle")
     ):
         relay, events = FakeRelay(), []
-        relay.order(*OUR_ORDERS)
+        relay.enqueue(*OUR_ORDERS)
         for n, change in enumerate([*changes, None]):
             if n == applied_at:
                 relay.apply_call()
@@ -127,7 +127,7 @@
 def test_module_and_store_agree_if_the_stream_is_reopened_while_a_call_is_in_flight(applied, acknowledged):
     """The call is acknowledged before the new stream opens, in its snapshot or around its first keepalive."""
     relay = FakeRelay()
-    relay.order(*OUR_ORDERS)
+    relay.enqueue(*OUR_ORDERS)
     relay.store_mirror.on_watch_lost()
     relay.store_mirror.on_watch_requested()
     if applied == "before the snapshot":
@@ -150,7 +150,7 @@
 
 def test_an_acknowledgement_between_a_late_route_and_its_report():
     relay = FakeRelay()
-    relay.order(face.SetRoute(SLICE, "b0", 0.0))
+    relay.enqueue(face.SetRoute(SLICE, "b0", 0.0))
     relay.store["b1"] = 1.0
     relay.send(face.StoredRoute(SLICE, "b1", 1.0))
     relay.apply_call()
@@ -188,7 +188,7 @@
 def test_a_slice_revoked_and_assigned_again_during_the_initial_snapshot():
     """Acknowledgements from an earlier ownership prove nothing about the table of the next one."""
     relay = FakeRelay()
-    relay.order(*OUR_ORDERS)
+    relay.enqueue(*OUR_ORDERS)
     relay.store_mirror.on_watch_requested()
     relay.apply_call()
     relay.acknowledge()
@@ -218,7 +218,7 @@
 @pytest.mark.parametrize("acknowledged", ["before the assignment", "before its report", "after"])
 def test_a_level_in_flight_when_the_slice_is_assigned_is_reset(acknowledged):
     relay = FakeRelay()
-    relay.order(face.SetRoute(SLICE, "b0", 1.0))
+    relay.enqueue(face.SetRoute(SLICE, "b0", 1.0))
     relay.calls[0].append(face.SetAdmission(SLICE, (), 0.6, 1))
     relay.apply_call()
     relay.send(*relay.change_owner(False))
