--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -80,23 +80,23 @@
 
     def turn(self) -> None:
         """Lets the module handle the gathered events, if they are due at the end of this turn of the loop."""
-        if self.side.front is not None:
-            event_batch = self.side.front.event_batch
+        if self.participant.front is not None:
+            event_batch = self.participant.front.event_batch
             event_batch.flush_if_due()
             self.all_events_handled = self.phase is ProcessPhase.ENDING and (
                 self.all_events_handled or not event_batch.events
             )
 
-    def without_state(self) -> None:
+    def discard_state(self) -> None:
         """Discards a partly restored state."""
-        if self.side.front is not None:
-            self.side.front.close()
-        self.side = self.make_participant()
-        self.predecessor_driver.side = self.side
+        if self.participant.front is not None:
+            self.participant.front.close()
+        self.participant = self.make_participant()
+        self.predecessor_driver.side = self.participant
 
     def extra_status(self) -> dict:
         """Returns the keys that a coordinator adds to the status."""
-        front = self.side.front
+        front = self.participant.front
         return {
             "proxies": len(front.store_mirror.proxies),
             "slices": len(front.store_mirror.tables),
@@ -110,7 +110,7 @@
 
     def reload(self) -> None:
         """Applies the configuration and the operator's file once more; one with a mistake changes nothing."""
-        reload_front(self, self.environ, lambda: self.side.front, self.drop_discovery_override)
+        reload_front(self, self.environ, lambda: self.participant.front, self.drop_discovery_override)
         if self.companion is not None:
             try:
                 self.companion.reread(self.read_operator_file().fleet)
@@ -123,12 +123,12 @@
 
     def is_done(self) -> bool:
         """Returns whether all events are handled and no call is in flight."""
-        return self.all_events_handled and self.side.front.relay.idle
+        return self.all_events_handled and self.participant.front.relay.idle
 
     def close(self) -> None:
         """Closes the front."""
-        if self.side.front is not None:
-            self.side.front.close()
+        if self.participant.front is not None:
+            self.participant.front.close()
 
 
 def run_headless(text: Text) -> int:
--- a/indigohitch/fleet/node/companion.py
+++ b/indigohitch/fleet/node/companion.py
@@ -200,7 +200,7 @@
 
     def on_ended(why: str) -> None:
         if is_headless:
-            process.code = 1
+            process.exit_code = 1
             process.loop.call_after(0, process.end)
 
     if process.companion is None:
--- a/indigohitch/log.py
+++ b/indigohitch/log.py
@@ -16,7 +16,7 @@
 
     MAX_LINE_BYTES = 4096  # a pipe writes up to PIPE_BUF bytes atomically
     MAX_FIELD_CHARACTERS = 1000  # in a line that would be too long: received data may be a MiB
-    RATE = 20  # lines per second of one kind of warning: shows an overload, adds little to it
+    MAX_WARNING_RATE = 20  # lines per second of one kind of warning: shows an overload, adds little to it
 
     def __init__(self, clock: Clock, name: str = "", output_fd: int = 1) -> None:
         """`output_fd` is the file descriptor to write to."""
@@ -58,7 +58,7 @@
             self._second = second
             self._logged.clear()
         self._logged[event_name] += 1
-        if self._logged[event_name] > self.RATE:
+        if self._logged[event_name] > self.MAX_WARNING_RATE:
             self._suppressed[event_name] += 1
             return
         suppressed = self._suppressed.pop(event_name, 0)
--- a/indigohitch/process_commands.py
+++ b/indigohitch/process_commands.py
@@ -21,7 +21,7 @@
 
     log: Log
     phase: ProcessPhase
-    side: HandoverParticipant
+    participant: HandoverParticipant
     state: StateFile
     companion: Companion | None
     predecessor_driver: PredecessorDriver
@@ -49,7 +49,7 @@
         elif name == "upgrade":
             self.upgrade(reply)
         elif name == "snapshot":
-            reply(process.state.save(process.side))
+            reply(process.state.save(process.participant))
         elif process.companion is None or not process.companion.on_command(name, command, reply):
             reply({"error": f"no such word: {name[:40]}"})
 
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -46,10 +46,10 @@
     def extra_status(self) -> dict:
         return self.host.figures()
 
-    def without_state(self) -> None:
+    def discard_state(self) -> None:
         self.host.close()
         self.text = self.read_operator_file()
-        self.side = self.predecessor_driver.side = self.make_participant()
+        self.participant = self.predecessor_driver.side = self.make_participant()
 
     def read_operator_file(self) -> Text:
         return sidecar_file.load(self.source)
@@ -74,7 +74,7 @@
         for name, pool in self.host.pools.items():
             self.log.event("reloaded", pool=name, **pool.relist(text.pools[name].servers))
 
-    def begin_to_end(self) -> None:
+    def start_shutdown(self) -> None:
         self.host.accept_last()
         self.host.stop_listening()
 
--- a/indigohitch/upgradable_process.py
+++ b/indigohitch/upgradable_process.py
@@ -37,17 +37,17 @@
         super().__init__(ProcessPhase.STARTING, name)
         self.settings = settings
         self.timeouts = timeouts
-        self.code = 0
+        self.exit_code = 0
         self.control: ControlSocket | None = None
         self.companion: Companion | None = None
         self.state = StateFile(settings["state"], self.clock, self.log)
         self.pidfile = PidFile(settings["pidfile"], self.log)
-        self.side: HandoverParticipant = self.make_participant()
+        self.participant: HandoverParticipant = self.make_participant()
         self.commands = ProcessCommands(self)
         self.predecessor_driver = PredecessorDriver(
             self.loop,
             self.log,
-            self.side,
+            self.participant,
             settings["program"],
             timeouts,
             self.on_upgrade_finished,
@@ -86,7 +86,7 @@
     def reload(self) -> None:
         """Applies the operator's file as it is now."""
 
-    def begin_to_end(self) -> None:
+    def start_shutdown(self) -> None:
         """Stops accepting connections."""
 
     def is_done(self) -> bool:
@@ -96,7 +96,7 @@
     def close(self) -> None:
         """Closes the program's sockets and files."""
 
-    def without_state(self) -> None:
+    def discard_state(self) -> None:
         """Discards a partly restored state."""
 
     # ---- phases ------------------------------------------------------------------------------------
@@ -110,7 +110,7 @@
         if channel is not None:
             self.become(ProcessPhase.TAKING_OVER)
             self.successor_driver = SuccessorDriver(
-                self.loop, self.log, self.side, *channel, self.on_serving, self.exit_with
+                self.loop, self.log, self.participant, *channel, self.on_serving, self.exit_with
             )
             self.successor_driver.start()
         elif not self.start():
@@ -119,15 +119,15 @@
             self.loop.turn()
             self.loop.guarded(self.turn)
         self.log.counters()
-        return self.code
+        return self.exit_code
 
     def start(self) -> bool:
         """Starts without a predecessor; where that fails, logs the reason and returns False."""
         try:
             restored = self.restore()
             if not restored:
-                self.side.start_empty({})
-            self.side.start_serving(restored)
+                self.participant.start_empty({})
+            self.participant.start_serving(restored)
             self.open_control()
         except (DirectorError, OSError, ValueError, KeyError, TypeError, AttributeError) as error:
             self.log.event(
@@ -140,9 +140,9 @@
 
     def restore(self) -> bool:
         """Restores the state file; returns whether a state was restored."""
-        restored = self.state.restore(self.side)
+        restored = self.state.restore(self.participant)
         if restored is None:
-            self.without_state()
+            self.discard_state()
         return bool(restored)
 
     def open_control(self) -> None:
@@ -175,7 +175,7 @@
 
     def exit_with(self, code: int) -> None:
         """Ends the process with this exit code, without saving or closing anything."""
-        self.code = code
+        self.exit_code = code
         self.become(ProcessPhase.ENDED)
 
     def on_signal(self, number: int) -> None:
@@ -212,8 +212,8 @@
             self.end()
             return
         self.become(ProcessPhase.ENDING)
-        self.begin_to_end()
-        self.state.save(self.side)  # and again at the end, unless the process is killed before
+        self.start_shutdown()
+        self.state.save(self.participant)  # and again at the end, unless the process is killed before
         self.loop.call_after(self.timeouts["drain"], self.end)
         self.end_when_drained()
 
@@ -234,7 +234,7 @@
         """Saves the state, unless it was handed over, and closes everything."""
         if self.phase is not ProcessPhase.ENDED:
             if self.phase is ProcessPhase.ENDING:  # with what was sent and counted since the first save
-                self.state.save(self.side)
+                self.state.save(self.participant)
             if self.companion is not None:
                 self.companion.close()
             self.close()
--- a/tests/golden_files_running.py
+++ b/tests/golden_files_running.py
@@ -64,7 +64,7 @@
         process = CoordinatorProcess(
             {"BALANCER_CONFIG": str(file)}, operator_file.read("control /x\n"), False
         )
-        process.side.start_empty({})
+        process.participant.start_empty({})
         try:
             return as_json({"status": status_keys(process)})
         finally:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -120,7 +120,7 @@
     hours.time += 10_000
     log.warning("line_unreadable")
     lines = [orjson.loads(line) for line in os.read(read, 1 << 16).splitlines()]
-    assert len(lines) == Log.RATE + 1 and lines[-1]["left_out"] == 100 - Log.RATE
+    assert len(lines) == Log.MAX_WARNING_RATE + 1 and lines[-1]["left_out"] == 100 - Log.MAX_WARNING_RATE
     assert log.counts["line_unreadable"] == 101 and lines[0]["coordinator"] == "n0"
     for _ in range(2000):  # the pipe is not read
         log.event("phase", now="serving")
