--- a/benchmarks/capacitykit/entries_cell.py
+++ b/benchmarks/capacitykit/entries_cell.py
@@ -62,7 +62,9 @@
         for number in range(first, min(first + TOGETHER, entries + 1)):
             proposal = Proposal("proposer", 1, number, "notes.add", BODY)
             applied.carry_out(leader.step(Propose(proposal)))
-        answer = KINDS.frame(AppendEntriesResponse(leader.machine.term, True, leader.machine.state.log.last))
+        answer = KINDS.frame(
+            AppendEntriesResponse(leader.machine.term, True, leader.machine.state.log.last_index)
+        )
         applied.carry_out(leader.hear([answer] * (VOTERS - 1)))
 
     def all_of_them() -> None:
--- a/benchmarks/capacitykit/ledger_cell.py
+++ b/benchmarks/capacitykit/ledger_cell.py
@@ -74,7 +74,7 @@
             self.step(MessageReceived(who, RequestVoteResponse(self.machine.term, True)))
         if not self.machine.leadership:
             raise RuntimeError("the machine measured was not elected")
-        self.hear(self.answers(self.machine.state.log.last))
+        self.hear(self.answers(self.machine.state.log.last_index))
         self.beat()
 
     def answers(self, match: int) -> list[bytes]:
@@ -117,7 +117,7 @@
     """A beat to all, and the answers of all."""
     machine_ms, outputs = processor_ms(leader.beat)
     encode_ms, frames = processor_ms(lambda: frames_of(outputs))
-    answers = leader.answers(leader.machine.state.log.last)
+    answers = leader.answers(leader.machine.state.log.last_index)
     answers_ms, more = processor_ms(lambda: leader.hear(answers))
     frames += frames_of(more)
     return {
@@ -132,7 +132,7 @@
     """One entry proposed, sent to all, acknowledged by all."""
     propose_ms, outputs = processor_ms(lambda: leader.step(Propose(proposal(number))))
     encode_ms, frames = processor_ms(lambda: frames_of(outputs))
-    answers = leader.answers(leader.machine.state.log.last)
+    answers = leader.answers(leader.machine.state.log.last_index)
     answers_ms, more = processor_ms(lambda: leader.hear(answers))
     encode_more_ms, more_frames = processor_ms(lambda: frames_of(more))
     return {
--- a/indigohitch/fleet/node/driver.py
+++ b/indigohitch/fleet/node/driver.py
@@ -17,7 +17,7 @@
 from ..raft.interfaces import (
     ApplyEntries,
     Input,
-    LogNote,
+    LogEvent,
     Members,
     Output,
     ProposalRejected,
@@ -159,7 +159,7 @@
                 self.on_read_result(number, index, ok)
             case RoleChanged():
                 self._change_role(output)
-            case LogNote(event, fields):
+            case LogEvent(event, fields):
                 self.log.event(event, **fields)
 
     def _restore(self, snapshot: Snapshot) -> None:
--- a/indigohitch/fleet/node/join.py
+++ b/indigohitch/fleet/node/join.py
@@ -109,7 +109,7 @@
         if not is_configured(member, configured.votes, raft.members):
             node.driver.step(ChangeMembers(member, as_voter=configured.votes))
         committed = raft.state.configuration.index <= raft.commit_index
-        if not request.number and committed and member in raft.state.configuration.everyone:
+        if not request.number and committed and member in raft.state.configuration.all_members:
             node.links.send_to(name, JoinResponse(member, request.token, node.disk.identity.founders))
 
     def remove_member(self, name: str) -> str:
--- a/indigohitch/fleet/raft/configuration.py
+++ b/indigohitch/fleet/raft/configuration.py
@@ -33,16 +33,16 @@
 
     def replace(self, index: int, members: Members) -> None:
         """Sets the members to those of a snapshot at `index`."""
-        self.steps: list[tuple[int, Members]] = [(index, members)]
+        self.history: list[tuple[int, Members]] = [(index, members)]
         self._set_latest()
 
     def _set_latest(self) -> None:
-        self.index, self.members = self.steps[-1]  # the last change applies whether or not it is committed
+        self.index, self.members = self.history[-1]  # the last change applies whether or not it is committed
         self.voters = frozenset(self.members.voters)
-        self.everyone = self.members.voters + self.members.followers
+        self.all_members = self.members.voters + self.members.followers
         self.majority = len(self.voters) // 2 + 1
         self.highest_numbers: dict[str, int] = {}
-        for member in self.everyone:
+        for member in self.all_members:
             self.highest_numbers[member.name] = max(member.number, self.highest_numbers.get(member.name, 0))
 
     def is_outdated(self, member: MemberId) -> bool:
@@ -53,23 +53,23 @@
         """Adds the configuration changes among entries that were appended to the log."""
         changes = [entry for entry in entries if entry.kind == CONFIGURATION_KIND]
         if changes:
-            self.steps += [(entry.index, _decode(entry.body)) for entry in changes]
+            self.history += [(entry.index, _decode(entry.body)) for entry in changes]
             self._set_latest()
 
     def truncate(self, index: int) -> None:
         """Removes the changes by entries from `index` on, which were truncated."""
-        if self.steps[-1][0] >= index:
-            self.steps = [step for step in self.steps if step[0] < index]
+        if self.history[-1][0] >= index:
+            self.history = [step for step in self.history if step[0] < index]
             self._set_latest()
 
     def members_at(self, index: int) -> Members:
         """Returns the members in force after entry `index`."""
-        return next(members for changed_at, members in reversed(self.steps) if changed_at <= index)
+        return next(members for changed_at, members in reversed(self.history) if changed_at <= index)
 
     def discard_before(self, index: int) -> None:
         """Discards the changes before the one in force at `index`."""
-        while len(self.steps) > 1 and self.steps[1][0] <= index:
-            del self.steps[0]
+        while len(self.history) > 1 and self.history[1][0] <= index:
+            del self.history[0]
 
 
 def remove_member(members: Members, member: MemberId) -> Members:
--- a/indigohitch/fleet/raft/election.py
+++ b/indigohitch/fleet/raft/election.py
@@ -78,7 +78,7 @@
     def _request_votes(self, term: int, is_pre_vote: bool) -> None:
         log = self.state.log
         is_transfer = self.is_leadership_transfer and not is_pre_vote
-        request = RequestVote(term, log.last, log.last_term, is_pre_vote, is_transfer)
+        request = RequestVote(term, log.last_index, log.last_term, is_pre_vote, is_transfer)
         for voter in self.state.configuration.members.voters:
             if voter != self.state.member_id:
                 self.state.send(voter, request)
@@ -125,7 +125,7 @@
         state = self.state
         if state.durable.failed:
             return
-        own_log = (state.log.last_term, state.log.last)
+        own_log = (state.log.last_term, state.log.last_index)
         is_up_to_date = (request.last_log_term, request.last_log_index) >= own_log
         if request.is_pre_vote:
             is_granted = is_up_to_date and request.term > state.term and not state.has_live_leader
--- a/indigohitch/fleet/raft/follower.py
+++ b/indigohitch/fleet/raft/follower.py
@@ -112,9 +112,9 @@
         self.read_round = max(self.read_round, message.read_round)
         index = message.prev_log_index
         entries = message.entries
-        if index < log.base:  # entries up to the base are committed, hence equal to the leader's
-            entries = entries[log.base - index :]
-            index = min(index + len(message.entries), log.base)
+        if index < log.base_index:  # entries up to the base are committed, hence equal to the leader's
+            entries = entries[log.base_index - index :]
+            index = min(index + len(message.entries), log.base_index)
         elif log.term(index) != message.prev_log_term:
             self._reject_entries(sender, message)
             return
@@ -148,7 +148,7 @@
         new_entries = entries[known_count:]
         if new_entries:
             first = new_entries[0].index
-            self.state.append_entries(first if first <= log.last else 0, new_entries)
+            self.state.append_entries(first if first <= log.last_index else 0, new_entries)
         return new_entries
 
     def _acknowledge(self) -> None:
--- a/indigohitch/fleet/raft/interfaces.py
+++ b/indigohitch/fleet/raft/interfaces.py
@@ -224,7 +224,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LogNote:
+class LogEvent:
     """Writes an event to the operational log."""
 
     event: str
@@ -240,5 +240,5 @@
     | ProposalRejected
     | ReadConfirmed
     | RoleChanged
-    | LogNote
+    | LogEvent
 )
--- a/indigohitch/fleet/raft/leader.py
+++ b/indigohitch/fleet/raft/leader.py
@@ -21,16 +21,16 @@
 
     def __init__(self, state: RaftState) -> None:
         self.state = state
-        self.reads = ReadIndexQueue(state, state.log.last + 1)
+        self.reads = ReadIndexQueue(state, state.log.last_index + 1)
         self.progress: dict[MemberId, Progress] = {}
         self.pending_changes: dict[MemberId, ChangeMembers] = {}
-        uncommitted = state.log.entries_between(state.commit_index + 1, state.log.last)
+        uncommitted = state.log.entries_between(state.commit_index + 1, state.log.last_index)
         self.uncommitted_bytes = sum(map(entry_size, uncommitted))
         self.heartbeat_due_at = state.now + state.settings["beat"]
         self.transfer = LeadershipTransfer(state, self.progress)
         state.change_role(Role.LEADER, state.member_id)
         self._add_progress()
-        self._append(LogEntry(state.log.last + 1, state.term, "", b""))
+        self._append(LogEntry(state.log.last_index + 1, state.term, "", b""))
         self._send_heartbeats()
 
     # ---- entries -----------------------------------------------------------------------------------
@@ -43,7 +43,7 @@
 
     def _add_progress(self) -> None:
         """Starts replication to new members; a removed one is kept until it has learned of its removal."""
-        for member in self.state.configuration.everyone:
+        for member in self.state.configuration.all_members:
             if member != self.state.member_id and member not in self.progress:
                 self.progress[member] = Progress(self.state, member)
 
@@ -56,7 +56,7 @@
         state = self.state
         settings = state.settings
         max_bytes = settings["append_most"] * settings["inflight"]
-        backlog = state.log.last - state.commit_index
+        backlog = state.log.last_index - state.commit_index
         if len(proposal.body) > max_bytes:
             # An entry is sent in one message: a larger one would never arrive, and block all later ones.
             state.log_event(
@@ -77,7 +77,7 @@
 
     def _append_proposal(self, proposal: Proposal) -> None:
         entry = LogEntry(
-            self.state.log.last + 1,
+            self.state.log.last_index + 1,
             self.state.term,
             proposal.kind,
             proposal.body,
@@ -178,7 +178,7 @@
         state = self.state
         last_change = state.configuration.index
         for member, progress in list(self.progress.items()):
-            is_member = member in state.configuration.everyone
+            is_member = member in state.configuration.all_members
             knows_removal = progress.match_index >= last_change <= state.commit_index
             if not is_member and (progress.is_silent or knows_removal):
                 del self.progress[member]
@@ -208,7 +208,7 @@
     @property
     def can_change_members(self) -> bool:
         """Returns whether the last membership change and an entry of this term are committed."""
-        return self.state.commit_index >= max(self.state.configuration.index, self.reads.first)
+        return self.state.commit_index >= max(self.state.configuration.index, self.reads.first_index)
 
     def _continue_change(self, change: ChangeMembers) -> None:
         """Appends the next step of a membership change, unless another step is in progress."""
@@ -227,7 +227,7 @@
             state.log_event("change_refused", who=member.name, number=member.number, why=str(error))
             return
         if members is not None:
-            self._append(configuration_entry(members, state.log.last + 1, state.term))
+            self._append(configuration_entry(members, state.log.last_index + 1, state.term))
             self._send_entries()
         elif change.remove or not change.as_voter or member in state.configuration.voters:
             del self.pending_changes[member]
--- a/indigohitch/fleet/raft/leadership_transfer.py
+++ b/indigohitch/fleet/raft/leadership_transfer.py
@@ -46,7 +46,7 @@
         if self.transferee is None:
             return
         progress = self.progress.get(self.transferee)
-        if progress is not None and progress.match_index >= self.state.log.last:
+        if progress is not None and progress.match_index >= self.state.log.last_index:
             self.state.send(self.transferee, TimeoutNow(self.state.term))
 
     def abort_if_overdue(self) -> None:
--- a/indigohitch/fleet/raft/node.py
+++ b/indigohitch/fleet/raft/node.py
@@ -104,7 +104,7 @@
         Its state machine then includes everything that was committed before its election.  Until then it may
         be far behind, and no decision may be based on it.
         """
-        return self.leadership is not None and self.state.commit_index >= self.leadership.reads.first
+        return self.leadership is not None and self.state.commit_index >= self.leadership.reads.first_index
 
     @property
     def leader(self) -> MemberId | None:
--- a/indigohitch/fleet/raft/progress.py
+++ b/indigohitch/fleet/raft/progress.py
@@ -31,9 +31,9 @@
         self.state = state
         self.member = member
         self.match_index = 0
-        self.next = state.log.last + 1
+        self.next_index = state.log.last_index + 1
         self.mode = ProgressState.PROBE
-        self.probed = False
+        self.is_probe_sent = False
         self.in_flight: deque[int] = deque()  # index of the last entry of each message in flight
         # As if the member had just responded, so a new leader has an election timeout to reach a majority.
         self.last_response_at = state.now
@@ -43,7 +43,7 @@
         self.is_chunk_resent = False  # if so, the next response is valid whatever its offset
         self.digest = b""
         # Catch-up round (dissertation, 4.2.1): where the log ended when the round began, and when it began.
-        self.round_target = state.log.last
+        self.round_target = state.log.last_index
         self.round_started_at = state.now
         self.has_caught_up = False
 
@@ -58,19 +58,19 @@
         """Sends entries that the member lacks, up to the limit of messages in flight."""
         state = self.state
         log = state.log
-        if self.mode is ProgressState.SNAPSHOT or (self.mode is ProgressState.PROBE and self.probed):
+        if self.mode is ProgressState.SNAPSHOT or (self.mode is ProgressState.PROBE and self.is_probe_sent):
             return
-        while self.next <= log.last and len(self.in_flight) < state.settings["inflight"]:
-            if self.next <= log.base:
+        while self.next_index <= log.last_index and len(self.in_flight) < state.settings["inflight"]:
+            if self.next_index <= log.base_index:
                 self._start_snapshot()
                 return
-            entries = log.entries_up_to_size(self.next, state.settings["append_most"])
+            entries = log.entries_up_to_size(self.next_index, state.settings["append_most"])
             self._send_append(entries, read_round)
             if self.mode is ProgressState.PROBE:
-                self.probed = True
+                self.is_probe_sent = True
                 return
-            self.next += len(entries)
-            self.in_flight.append(self.next - 1)
+            self.next_index += len(entries)
+            self.in_flight.append(self.next_index - 1)
 
     def send_heartbeat(self, read_round: int) -> None:
         """Sends a heartbeat; the response reveals whether the member has lost messages."""
@@ -80,10 +80,10 @@
                 self.member, AppendEntries(self.state.term, 0, 0, 0, (), read_round, self.state.now)
             )
             return
-        if self.next <= self.state.log.base:
+        if self.next_index <= self.state.log.base_index:
             self._start_snapshot()
             return
-        self.probed = self.is_silent and self.mode is ProgressState.PROBE
+        self.is_probe_sent = self.is_silent and self.mode is ProgressState.PROBE
         sent_before = len(self.state.outputs)
         if self.mode is ProgressState.PROBE:
             self.send_entries(read_round)
@@ -103,7 +103,7 @@
 
     def _send_append(self, entries: tuple[LogEntry, ...], read_round: int) -> None:
         state = self.state
-        prev_log_index = self.next - 1
+        prev_log_index = self.next_index - 1
         prev_log_term = state.log.term(prev_log_index)
         message = AppendEntries(
             state.term, prev_log_index, prev_log_term, state.commit_index, entries, read_round, state.now
@@ -126,17 +126,19 @@
         if self.mode is ProgressState.SNAPSHOT:
             if self.match_index >= self.snapshot.index:
                 self._replicate()
-        elif self.mode is ProgressState.PROBE and (has_advanced or response.match_index >= self.next - 1):
+        elif self.mode is ProgressState.PROBE and (
+            has_advanced or response.match_index >= self.next_index - 1
+        ):
             self._replicate()
-        self.next = max(self.next, self.match_index + 1)
+        self.next_index = max(self.next_index, self.match_index + 1)
         self._update_catch_up()
         return has_advanced
 
     def _replicate(self) -> None:
         self.mode = ProgressState.REPLICATE
-        self.probed = False
+        self.is_probe_sent = False
         self.snapshot = None
-        self.next = max(self.next, self.match_index + 1)
+        self.next_index = max(self.next_index, self.match_index + 1)
         self.in_flight.clear()
 
     def _step_back(self, response: AppendEntriesResponse) -> None:
@@ -146,13 +148,13 @@
         """
         if self.mode is ProgressState.SNAPSHOT or response.prev_log_index <= self.match_index:
             return
-        if self.mode is ProgressState.PROBE and response.prev_log_index != self.next - 1:
+        if self.mode is ProgressState.PROBE and response.prev_log_index != self.next_index - 1:
             return  # the response to an earlier message
         limit = min(response.match_index, response.prev_log_index - 1)
         last_possible, _ = self.state.log.conflict_hint(limit, response.conflict_term)
-        self.next = max(self.match_index, last_possible) + 1
+        self.next_index = max(self.match_index, last_possible) + 1
         self.mode = ProgressState.PROBE
-        self.probed = False
+        self.is_probe_sent = False
         self.in_flight.clear()
 
     def _update_catch_up(self) -> None:
@@ -160,7 +162,7 @@
         state = self.state
         if not self.has_caught_up and self.match_index >= self.round_target:
             self.has_caught_up = state.now - self.round_started_at < state.settings["election"]
-            self.round_target = state.log.last
+            self.round_target = state.log.last_index
             self.round_started_at = state.now
 
     # ---- snapshots ---------------------------------------------------------------------------------
@@ -171,10 +173,10 @@
         A member that keeps responding completes this one, even if a later one is taken meanwhile.
         """
         self.mode = ProgressState.SNAPSHOT
-        self.probed = False
+        self.is_probe_sent = False
         self.offset = 0
         self.in_flight.clear()
-        self.next = self.match_index + 1
+        self.next_index = self.match_index + 1
         if self.snapshot is not self.state.log.snapshot:
             self.snapshot = self.state.log.snapshot
             self.digest = digest(self.snapshot.state)
--- a/indigohitch/fleet/raft/read_index.py
+++ b/indigohitch/fleet/raft/read_index.py
@@ -18,9 +18,9 @@
 
     def __init__(self, state: RaftState, first: int) -> None:
         self.state = state
-        self.first = first
+        self.first_index = first
         self.read_round = 0
-        self.echoed: dict[MemberId, int] = {}
+        self.echoed_rounds: dict[MemberId, int] = {}
         self.waiting: deque[tuple[int, int, int]] = deque()  # number, round, index
 
     @property
@@ -37,7 +37,7 @@
             self.state.outputs.append(ReadConfirmed(number, 0, False))
             return False
         starts_round = not self.is_round_open
-        self.waiting.append((number, self.read_round + 1, max(self.state.commit_index, self.first)))
+        self.waiting.append((number, self.read_round + 1, max(self.state.commit_index, self.first_index)))
         return starts_round
 
     def start_round(self) -> int:
@@ -47,8 +47,8 @@
 
     def on_echo(self, member: MemberId, read_round: int) -> None:
         """Records the read round that a member's response echoes."""
-        if read_round > self.echoed.get(member, 0):
-            self.echoed[member] = read_round
+        if read_round > self.echoed_rounds.get(member, 0):
+            self.echoed_rounds[member] = read_round
 
     def confirmed_round(self) -> int:
         """Returns the last round that a majority has echoed."""
@@ -56,7 +56,7 @@
         own_id = self.state.member_id
         rounds = sorted(
             (
-                self.read_round if voter == own_id else self.echoed.get(voter, 0)
+                self.read_round if voter == own_id else self.echoed_rounds.get(voter, 0)
                 for voter in configuration.voters
             ),
             reverse=True,
--- a/indigohitch/fleet/raft/state.py
+++ b/indigohitch/fleet/raft/state.py
@@ -12,7 +12,7 @@
 from .interfaces import (
     ApplyEntries,
     HardState,
-    LogNote,
+    LogEvent,
     Output,
     RecoveredState,
     RestoreSnapshot,
@@ -60,7 +60,7 @@
         # The hard state is written before the entries of its term.  If it is nevertheless behind the log,
         # the write of the newer one was never acknowledged, so no vote of that term has left this member.
         self.hard_state = max(recovered.hard_state, HardState(self.log.last_term), key=lambda each: each.term)
-        self.durable = DurabilityTracker(self.log.last)
+        self.durable = DurabilityTracker(self.log.last_index)
         self.commit_index = recovered.snapshot.index
         self.role = Role.FOLLOWER
         self.leader: MemberId | None = None
@@ -105,14 +105,14 @@
         durable = self.durable
         if durable.failed:
             return
-        if durable.done >= durable.number:
+        if durable.completed_write >= durable.last_write:
             self.send(to, message)
         else:
-            durable.promises.append((durable.number, SendMessage(to, message)))
+            durable.deferred_messages.append((durable.last_write, SendMessage(to, message)))
 
     def log_event(self, event: str, **fields: object) -> None:
         """Puts out an event for the operational log."""
-        self.outputs.append(LogNote(event, fields))
+        self.outputs.append(LogEvent(event, fields))
 
     def change_role(self, role: Role, leader: MemberId | None) -> None:
         """Sets the role and the known leader; puts out `RoleChanged` if these or the term have changed."""
@@ -125,7 +125,7 @@
     def save_hard_state(self, term: int, vote: MemberId | None) -> None:
         """Sets the term and the vote, and writes them."""
         self.hard_state = HardState(term, vote)
-        self.outputs += self.durable.write(self.hard_state, 0, (), self.log.last)
+        self.outputs += self.durable.write(self.hard_state, 0, (), self.log.last_index)
 
     def append_entries(self, truncate_from: int, entries: tuple[LogEntry, ...]) -> None:
         """Truncates the log from that index on (0: not at all), appends entries and writes the change.
@@ -139,7 +139,7 @@
             self.configuration.truncate(truncate_from)
         self.log.append(entries)
         self.configuration.append(entries)
-        self.outputs += self.durable.write(None, truncate_from, entries, self.log.last)
+        self.outputs += self.durable.write(None, truncate_from, entries, self.log.last_index)
 
     def advance_commit_index(self, index: int) -> None:
         """Commits the entries up to `index`."""
@@ -179,7 +179,7 @@
         if snapshot.index > self.log.snapshot.index:
             self.is_snapshot_pending = False
             self.log.compact(snapshot, self.settings["log_most"] // 2)
-            self.configuration.discard_before(self.log.base)
+            self.configuration.discard_before(self.log.base_index)
             self.compact()
 
     def on_storage_recovered(self) -> None:
@@ -190,8 +190,8 @@
         self.is_snapshot_pending = False
         if self.durable.installing:
             self.outputs.append(RestoreSnapshot(self.log.snapshot))
-        first = max(self.durable.stable, self.log.snapshot.index if self.durable.installing else 0) + 1
-        last = self.log.last
+        first = max(self.durable.stable_index, self.log.snapshot.index if self.durable.installing else 0) + 1
+        last = self.log.last_index
         self.outputs += self.durable.write(
             self.hard_state, first, self.log.entries_between(first, last), last
         )
--- a/proofs/ledger_checks.py
+++ b/proofs/ledger_checks.py
@@ -38,7 +38,7 @@
 
     def proposed(self, station, write) -> None:
         """A leader changes the members one at a time."""
-        steps, machine = station.machine.state.configuration.steps, station.machine
+        steps, machine = station.machine.state.configuration.history, station.machine
         if machine.leadership is not None and write.entries and steps[-1][0] == write.entries[-1].index:
             if len(steps) > 1 and steps[-2][0] > machine.commit_index:
                 raise Breach(
@@ -97,7 +97,7 @@
         if self.leaders.setdefault(became.term, station.me) != station.me:
             raise Breach(f"two leaders in term {became.term}")
         log = station.machine.state.log
-        for entry in self.committed[log.base :]:
+        for entry in self.committed[log.base_index :]:
             # One that was stopped may come to lead an old term, while a later one has gone on.
             if self.committed_in[entry.index - 1] < became.term and log.term(entry.index) != entry.term:
                 raise Breach(f"{station.me.name} leads term {became.term} without entry {entry.index}")
--- a/proofs/ledger_guards.py
+++ b/proofs/ledger_guards.py
@@ -23,7 +23,7 @@
     def early(self, ballot, cut, entries, last):
         out = write(self, ballot, cut, entries, last)
         if not self.failed:
-            self.done, self.stable = self.number, last
+            self.completed_write, self.stable_index = self.last_write, last
         return out
 
     return DurabilityTracker, "write", early
--- a/proofs/ledger_members.py
+++ b/proofs/ledger_members.py
@@ -51,18 +51,18 @@
     if leading is not None:
         reads = leading.reads
         led = (
-            reads.first,
+            reads.first_index,
             reads.read_round,
-            tuple(sorted(reads.echoed.items())),
+            tuple(sorted(reads.echoed_rounds.items())),
             tuple(reads.waiting),
             leading.heartbeat_due_at - now,
             tuple(
                 (
                     who,
                     peer.match_index,
-                    peer.next,
+                    peer.next_index,
                     peer.mode,
-                    peer.probed,
+                    peer.is_probe_sent,
                     tuple(peer.in_flight),
                     min(now - peer.last_response_at, BOOTSTRAP["election"]),
                 )
@@ -76,11 +76,11 @@
         state.leader,
         state.commit_index,
         tuple((entry.term, entry.kind, entry.number) for entry in state.log.entries),
-        durable.stable,
-        durable.number - durable.done,
-        durable.hard_state_write > durable.done,
-        tuple((number - durable.done, last) for number, last in durable.pending),
-        tuple((number - durable.done, send) for number, send in durable.promises),
+        durable.stable_index,
+        durable.last_write - durable.completed_write,
+        durable.hard_state_write > durable.completed_write,
+        tuple((number - durable.completed_write, last) for number, last in durable.pending),
+        tuple((number - durable.completed_write, send) for number, send in durable.deferred_messages),
         min(now - state.leader_seen_at, BOOTSTRAP["election"]),
         state.election_due_at - now,
         frozenset(machine.election.votes_received),
@@ -171,7 +171,7 @@
         if what == "write":
             for write in queue:
                 disk = written(disk, write)
-            queue, what = (), WriteCompleted(machine.state.durable.number)
+            queue, what = (), WriteCompleted(machine.state.durable.last_write)
         elif type(what) is int:
             sender, _, word = self.words[what]
             what = MessageReceived(self.voters[sender], word)
--- a/tests/raft_cluster.py
+++ b/tests/raft_cluster.py
@@ -49,7 +49,7 @@
     """Makes the node a candidate whose own vote is on the disk; returns the outputs, with its requests."""
     node.step(node.due_at, Tick())
     node.step(node.due_at, MessageReceived(B, RequestVoteResponse(node.term + 1, True, True)))
-    return node.step(node.state.now, WriteCompleted(node.state.durable.number))
+    return node.step(node.state.now, WriteCompleted(node.state.durable.last_write))
 
 
 def elect(node):
--- a/tests/test_raft_elections.py
+++ b/tests/test_raft_elections.py
@@ -53,7 +53,7 @@
     # A vote that comes before that is ignored, as none was requested.
     outputs = node.step(node.due_at, MessageReceived(B, RequestVoteResponse(1, True)))
     assert not outputs_of(RoleChanged, outputs)
-    outputs = node.step(node.state.now, WriteCompleted(node.state.durable.number))
+    outputs = node.step(node.state.now, WriteCompleted(node.state.durable.last_write))
     assert [to for to, _ in messages_of(RequestVote, outputs)] == [B, C]
 
 
@@ -61,7 +61,7 @@
     node = make_node(C)
     outputs = node.step(10, MessageReceived(A, RequestVote(1, 0, 0)))
     assert not messages_of(RequestVoteResponse, outputs)
-    assert messages_of(RequestVoteResponse, node.step(20, WriteCompleted(node.state.durable.number))) == [
+    assert messages_of(RequestVoteResponse, node.step(20, WriteCompleted(node.state.durable.last_write))) == [
         (A, RequestVoteResponse(1, True))
     ]
     assert messages_of(RequestVoteResponse, node.step(30, MessageReceived(B, RequestVote(1, 0, 0)))) == [
@@ -85,7 +85,7 @@
     outputs = node.step(9, MessageReceived(A, RequestVote(4, last_index, last_term, True)))
     assert messages_of(RequestVoteResponse, outputs)[0][1].vote_granted is is_granted
     outputs = node.step(10, MessageReceived(A, RequestVote(4, last_index, last_term)))
-    outputs += node.step(20, WriteCompleted(node.state.durable.number))
+    outputs += node.step(20, WriteCompleted(node.state.durable.last_write))
     assert messages_of(RequestVoteResponse, outputs)[0][1].vote_granted is is_granted
     assert node.term == 4
 
@@ -161,15 +161,15 @@
     assert not messages_of(AppendEntriesResponse, outputs)
     assert not messages_of(RequestVote, node.step(node.due_at, Tick()))
     node.step(node.state.now, StorageRecovered())
-    outputs = node.step(node.state.now, WriteCompleted(node.state.durable.number))
+    outputs = node.step(node.state.now, WriteCompleted(node.state.durable.last_write))
     assert messages_of(RequestVote, node.step(node.due_at, Tick()))
-    assert node.state.durable.stable == 1 and not messages_of(RequestVoteResponse, outputs)
+    assert node.state.durable.stable_index == 1 and not messages_of(RequestVoteResponse, outputs)
 
 
 def test_vote_whose_write_fails_is_never_sent():
     node = make_node(C)
     node.step(10, MessageReceived(A, RequestVote(1, 0, 0)))
-    number = node.state.durable.number
+    number = node.state.durable.last_write
     node.step(11, StorageFailed("full"))
     assert node.step(12, WriteCompleted(number)) == []
 
--- a/tests/test_raft_membership_and_snapshots.py
+++ b/tests/test_raft_membership_and_snapshots.py
@@ -82,7 +82,7 @@
     elect(node)
     now = node.state.now
     assert node.step(now, ChangeMembers(B, remove=True)) == []
-    node.step(now, WriteCompleted(node.state.durable.number))
+    node.step(now, WriteCompleted(node.state.durable.last_write))
     node.step(now, MessageReceived(C, AppendEntriesResponse(1, True, 1)))
     assert outputs_of(WriteEntries, node.step(now, ChangeMembers(B, remove=True)))
     assert not outputs_of(WriteEntries, node.step(now, ChangeMembers(C, remove=True)))
@@ -151,7 +151,7 @@
     cluster.disconnected.add(C)
     cluster.propose(A, *range(1, 201))
     log = cluster.nodes[A].state.log
-    assert log.base > 100 and log.bytes_since_snapshot <= 2000 and len(log.entries) < 60
+    assert log.base_index > 100 and log.bytes_since_snapshot <= 2000 and len(log.entries) < 60
     cluster.disconnected.clear()
     cluster.advance(2 * SETTINGS["election"])
     installed = [output for output in cluster.applied[C] if type(output) is RestoreSnapshot]
@@ -193,7 +193,7 @@
     assert not messages_of(AppendEntriesResponse, outputs) and node.commit_index == 7
     # The hard state is not written yet.
     assert messages_of(AppendEntriesResponse, node.step(7, SnapshotCompleted(SNAPSHOT))) == []
-    outputs = node.step(8, WriteCompleted(node.state.durable.number))
+    outputs = node.step(8, WriteCompleted(node.state.durable.last_write))
     assert messages_of(AppendEntriesResponse, outputs)[0][1].match_index == 7
 
 
@@ -208,7 +208,9 @@
 def test_snapshot_of_entries_in_the_log_only_advances_the_commit_index():
     node = make_node(B, hard_state=HardState(2), log=entries(1, 1, 1, 1, 2, 2, 2, 2))
     outputs = node.step(1, snapshot_chunk(0, 0))
-    assert not outputs_of(RestoreSnapshot, outputs) and node.commit_index == 7 and node.state.log.last == 8
+    assert (
+        not outputs_of(RestoreSnapshot, outputs) and node.commit_index == 7 and node.state.log.last_index == 8
+    )
 
 
 def test_snapshot_is_written_again_after_a_disk_failure():
@@ -220,13 +222,13 @@
     assert outputs_of(RestoreSnapshot, outputs)[0].snapshot == SNAPSHOT
     assert outputs_of(WriteEntries, outputs)[0].truncate_from == 8
     node.step(4, SnapshotCompleted(SNAPSHOT))
-    outputs = node.step(5, WriteCompleted(node.state.durable.number))
+    outputs = node.step(5, WriteCompleted(node.state.durable.last_write))
     assert messages_of(AppendEntriesResponse, outputs)[0][1].match_index == 7
 
 
 def test_node_that_starts_from_a_snapshot_continues_after_it():
     node = make_node(B, (), HardState(3), SNAPSHOT, [LogEntry(8, 3, "x.y", b"")])
-    assert (node.commit_index, node.state.log.last, node.members) == (7, 8, SNAPSHOT.members)
+    assert (node.commit_index, node.state.log.last_index, node.members) == (7, 8, SNAPSHOT.members)
     sent = tuple(LogEntry(index, 3, "x.y", b"") for index in range(4, 10))
     outputs = node.step(1, MessageReceived(A, AppendEntries(3, 3, 1, 8, sent)))
     assert [entry.index for entry in outputs_of(WriteEntries, outputs)[0].entries] == [9]
--- a/tests/test_raft_reads.py
+++ b/tests/test_raft_reads.py
@@ -44,7 +44,7 @@
     node.step(now, ReadRequest(1))
     outputs = node.step(now, MessageReceived(B, AppendEntriesResponse(1, True, 0, read_round=1)))
     assert not outputs_of(ReadConfirmed, outputs)
-    node.step(now, WriteCompleted(node.state.durable.number))
+    node.step(now, WriteCompleted(node.state.durable.last_write))
     outputs = node.step(now, MessageReceived(B, AppendEntriesResponse(1, True, 1, read_round=1)))
     assert outputs_of(ReadConfirmed, outputs) == [ReadConfirmed(1, 1)]
 
--- a/tests/test_raft_replication.py
+++ b/tests/test_raft_replication.py
@@ -71,7 +71,7 @@
     cluster.disconnected.add(C)
     cluster.slow_disks.add(A)
     cluster.propose(A, 1)
-    assert cluster.applied_numbers(A) == [] and cluster.nodes[B].state.log.last == 2
+    assert cluster.applied_numbers(A) == [] and cluster.nodes[B].state.log.last_index == 2
     cluster.step(A, WriteCompleted(cluster.pending_writes[A][-1].number))
     assert cluster.applied_numbers(A) == [1]
 
@@ -81,7 +81,7 @@
     node = make_node(A, hard_state=HardState(3), log=entries(1, 2))
     elect(node)
     now = node.state.now
-    node.step(now, WriteCompleted(node.state.durable.number))
+    node.step(now, WriteCompleted(node.state.durable.last_write))
     assert not outputs_of(ApplyEntries, node.step(now, MessageReceived(B, AppendEntriesResponse(4, True, 2))))
     outputs = node.step(now, MessageReceived(B, AppendEntriesResponse(4, True, 3)))
     committed = outputs_of(ApplyEntries, outputs)
@@ -91,10 +91,10 @@
 def test_conflicting_tail_is_truncated_but_never_a_committed_entry():
     node = make_node(B, hard_state=HardState(2), log=entries(1, 2, 2))
     rejected = node.step(1, MessageReceived(A, AppendEntries(3, 3, 3, 0)))
-    node.step(2, WriteCompleted(node.state.durable.number))
+    node.step(2, WriteCompleted(node.state.durable.last_write))
     assert messages_of(AppendEntriesResponse, rejected)[0][1] == AppendEntriesResponse(3, False, 3, 3, 2)
     outputs = node.step(3, MessageReceived(A, AppendEntries(3, 1, 1, 1, (LogEntry(2, 3, "x.y", b""),))))
-    assert outputs_of(WriteEntries, outputs)[0].truncate_from == 2 and node.state.log.last == 2
+    assert outputs_of(WriteEntries, outputs)[0].truncate_from == 2 and node.state.log.last_index == 2
     assert outputs_of(ApplyEntries, outputs)[0].entries == tuple(entries(1))
     with pytest.raises(ValueError, match="committed"):
         node.step(4, MessageReceived(A, AppendEntries(3, 0, 0, 0, (LogEntry(1, 3, "x.y", b""),))))
@@ -103,7 +103,7 @@
 def test_acknowledgement_excludes_entries_that_the_leader_may_not_have():
     node = make_node(B, hard_state=HardState(1), log=entries(1, 1, 1))
     node.step(1, MessageReceived(A, AppendEntries(2, 1, 1, 0)))
-    outputs = node.step(2, WriteCompleted(node.state.durable.number))
+    outputs = node.step(2, WriteCompleted(node.state.durable.last_write))
     assert messages_of(AppendEntriesResponse, outputs)[0][1].match_index == 1
 
 
@@ -126,7 +126,7 @@
     cluster.disconnected.update((B, C))
     cluster.propose(A, *range(1, 40))
     rejections = [output for output in cluster.other_outputs[A] if type(output) is ProposalRejected]
-    assert cluster.nodes[A].state.log.last <= SETTINGS["proposals_most"] + 1
+    assert cluster.nodes[A].state.log.last_index <= SETTINGS["proposals_most"] + 1
     assert len(rejections) == 39 - SETTINGS["proposals_most"]
     assert {rejection.retry_after_ticks for rejection in rejections} == {SETTINGS["beat"]}
     for body in range(3):
@@ -139,7 +139,7 @@
     cluster.step(A, Propose(proposal(1, bytes(SETTINGS["append_most"] * SETTINGS["inflight"] + 1))))
     event, rejection = cluster.other_outputs[A][-2:]
     assert event.event == "proposal_too_large" and rejection.retry_after_ticks == SETTINGS["election"]
-    assert cluster.nodes[A].state.log.last == 1
+    assert cluster.nodes[A].state.log.last_index == 1
 
 
 def test_slow_member_delays_no_other_and_has_few_messages_in_flight():
@@ -183,7 +183,7 @@
     cluster.step(A, StorageRecovered())
     cluster.advance(2 * SETTINGS["beat"])
     assert cluster.applied_numbers(A) == cluster.applied_numbers(leader)
-    assert cluster.nodes[A].state.durable.stable == cluster.nodes[leader].state.durable.stable
+    assert cluster.nodes[A].state.durable.stable_index == cluster.nodes[leader].state.durable.stable_index
 
 
 def test_unconfirmed_writes_are_repeated_after_a_disk_failure():
