--- a/benchmarks/capacitykit/leases_cell.py
+++ b/benchmarks/capacitykit/leases_cell.py
@@ -10,7 +10,7 @@
 from indigohitch.fleet.fleet_clock import FleetClock
 from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.fleet.membership.entries import Join, MemberState
-from indigohitch.fleet.membership.leases import Answer, ReadFirst
+from indigohitch.fleet.membership.leases import SendReply, StartRead
 from indigohitch.fleet.membership.member_work import Membership
 from indigohitch.fleet.membership.messages import RenewLease
 from indigohitch.fleet.membership.roster import Roster
@@ -34,7 +34,7 @@
         name = f"coordinator{number}"
         roster.apply(EntryContext(number + 1, 1, 0, name, 1), "join", Join(name, number))
     for member in roster.members.values():
-        member.life = MemberState.VALID
+        member.state = MemberState.VALID
     state_machine.index = members
     return state_machine
 
@@ -64,8 +64,8 @@
                 out += self.membership.on_message(self.now, name, word)
         answers = []
         while out:
-            reads = [one.number for one in out if isinstance(one, ReadFirst)]
-            answers += [KINDS.frame(one.word) for one in out if isinstance(one, Answer)]
+            reads = [one.number for one in out if isinstance(one, StartRead)]
+            answers += [KINDS.frame(one.message) for one in out if isinstance(one, SendReply)]
             out = [
                 more for number in reads for more in self.membership.on_read_confirmed(self.now, number, True)
             ]
--- a/indigohitch/fleet/membership/entries.py
+++ b/indigohitch/fleet/membership/entries.py
@@ -98,7 +98,7 @@
     incarnation: int
     votes: bool
     joined: int  # index of its `join` entry
-    life: MemberState = MemberState.BEING_COMPARED
+    state: MemberState = MemberState.BEING_COMPARED
     since: int = 0  # index of the entry that put it into this state
     why: str = ""
 
--- a/indigohitch/fleet/membership/failure_detector.py
+++ b/indigohitch/fleet/membership/failure_detector.py
@@ -69,8 +69,8 @@
 
     def standing(self, now: int, member: Member) -> MemberStanding:
         """Returns the standing of a member, from the applied entries and its renewals."""
-        if member.life is not MemberState.VALID:
-            return _STANDING_BY_STATE[member.life]
+        if member.state is not MemberState.VALID:
+            return _STANDING_BY_STATE[member.state]
         observation = self._observation(now, member)
         deadline = min(self._deadlines(now, member, observation), default=None)
         if deadline is None:
@@ -132,7 +132,7 @@
             proposals += self._proposals_about(now, member)
         proposals += self._convergence(now)
         live = [
-            member for member in members if member.life in (MemberState.VALID, MemberState.BEING_COMPARED)
+            member for member in members if member.state in (MemberState.VALID, MemberState.BEING_COMPARED)
         ]
         return proposals + self.comparison.proposals(now, live)
 
@@ -144,7 +144,7 @@
             del self.known_since[change]
 
     def _proposals_about(self, now: int, member: Member) -> list[Row]:
-        match member.life:
+        match member.state:
             case MemberState.EVICTED:
                 if self.has_expired(now, member.name, member.incarnation):
                     return [LeaseExpired(member.name, member.incarnation, self.fleet_time(now))]
@@ -180,7 +180,7 @@
         acting = [(member, self._observation(now, member)) for member in self.roster.possibly_acting()]
         for change in reversed(self.roster.changes):
             if all(
-                member.life is MemberState.VALID and self.has_applied(member, observation, change.index)
+                member.state is MemberState.VALID and self.has_applied(member, observation, change.index)
                 for member, observation in acting
             ):
                 taken = tuple(
--- a/indigohitch/fleet/membership/incarnations.py
+++ b/indigohitch/fleet/membership/incarnations.py
@@ -35,9 +35,9 @@
     def find(self, name: str, incarnation: int, *states: MemberState) -> Member:
         """Returns an incarnation of a member; raises InvalidRequestError if it is in none of the states."""
         member = self.members.get((name, incarnation))
-        if member is None or member.life not in states:
+        if member is None or member.state not in states:
             raise InvalidRequestError(
-                f"{name} {incarnation} is {member.life.value if member else 'not known'}"
+                f"{name} {incarnation} is {member.state.value if member else 'not known'}"
             )
         return member
 
@@ -66,24 +66,24 @@
     def _evict_earlier(self, parts: Parts, at: EntryContext, name: str) -> None:
         for member in [member for member in self.members.values() if member.name == name]:
             self.evict(parts, at, member, REPLACED_REASON)
-            if member.life is MemberState.LEASE_EXPIRED:
+            if member.state is MemberState.LEASE_EXPIRED:
                 self.members.pop((member.name, member.incarnation), None)
 
     def evict(self, parts: Parts, at: EntryContext, member: Member, why: str) -> None:
         """Evicts a member; one that was never valid holds nothing, so its lease counts as expired at once."""
-        if member.life is MemberState.VALID:
-            member.life = MemberState.EVICTED
+        if member.state is MemberState.VALID:
+            member.state = MemberState.EVICTED
             member.since = at.index
             member.why = why
             for part in listeners(parts, MemberEvictedListener):
                 part.on_member_evicted(at, member.name, member.incarnation)
-        elif member.life is MemberState.BEING_COMPARED:
+        elif member.state is MemberState.BEING_COMPARED:
             member.why = why
             self.expire(parts, at, member)
 
     def expire(self, parts: Parts, at: EntryContext, member: Member, when: int = 0) -> None:
         """Notifies the other parts that the lease of a member ended at the fleet time `when`."""
-        member.life = MemberState.LEASE_EXPIRED
+        member.state = MemberState.LEASE_EXPIRED
         member.since = at.index
         for part in listeners(parts, LeaseEndedListener):
             part.on_member_lease_ended(at, member.name, member.incarnation, when)
--- a/indigohitch/fleet/membership/leases.py
+++ b/indigohitch/fleet/membership/leases.py
@@ -97,7 +97,7 @@
         return Lease(self.incarnation, self.valid_until) if now < self.valid_until else None
 
 
-class ReadFirst(Row, frozen=True):
+class StartRead(Row, frozen=True):
     """Tells the caller to start a linearizable read, which confirms that this leader still leads.
 
     The caller calls `on_read_confirmed` once the read is confirmed and the state machine has applied the log
@@ -107,11 +107,11 @@
     number: int
 
 
-class Answer(Row, frozen=True):
+class SendReply(Row, frozen=True):
     """Tells the caller to send a reply to a member."""
 
     to: str
-    word: LeaseRenewed | LeaseNotRenewed
+    message: LeaseRenewed | LeaseNotRenewed
 
 
 @dataclass(slots=True)
@@ -155,25 +155,25 @@
         self.waiting.clear()
         self.granted_until.clear()
 
-    def on_renewal(self, now: int, name: str, message: RenewLease) -> list[ReadFirst | Answer]:
+    def on_renewal(self, now: int, name: str, message: RenewLease) -> list[StartRead | SendReply]:
         """Queues a request and returns what the caller has to do."""
         if not self.term:
-            return [Answer(name, LeaseNotRenewed(message.number, message.incarnation, "does not lead"))]
+            return [SendReply(name, LeaseNotRenewed(message.number, message.incarnation, "does not lead"))]
         self.waiting[name] = message
         # A read without a result for a quarter of a lease is abandoned: its requests were sent again by then.
         if self.round is not None and now < self.round.started_at + self.span // RENEWALS_PER_LEASE:
             return []
         return self._start_round(now)
 
-    def _start_round(self, now: int) -> list[ReadFirst | Answer]:
+    def _start_round(self, now: int) -> list[StartRead | SendReply]:
         if not self.waiting:
             return []
         self.reads += 1
         self.round = Round(self.reads, now, self.waiting)
         self.waiting = {}
-        return [ReadFirst(self.reads)]
+        return [StartRead(self.reads)]
 
-    def on_read_confirmed(self, now: int, number: int, confirmed: bool = True) -> list[ReadFirst | Answer]:
+    def on_read_confirmed(self, now: int, number: int, confirmed: bool = True) -> list[StartRead | SendReply]:
         """Returns the replies to the requests of the round, and the next read, if requests are waiting.
 
         `now` must be read after the confirmation arrived, and the replies sent at once or not at all.
@@ -183,8 +183,8 @@
         requests = self.round.requests
         self.round = None
         self.granted_until = {member: until for member, until in self.granted_until.items() if now < until}
-        replies: list[ReadFirst | Answer] = [
-            Answer(name, self._reply(now, name, message, confirmed)) for name, message in requests.items()
+        replies: list[StartRead | SendReply] = [
+            SendReply(name, self._reply(now, name, message, confirmed)) for name, message in requests.items()
         ]
         return replies + self._start_round(now)
 
--- a/indigohitch/fleet/membership/member_work.py
+++ b/indigohitch/fleet/membership/member_work.py
@@ -18,7 +18,7 @@
 from .entries import Join, Leave, Member, MemberState
 from .failure_detector import FailureDetector, entry_kind
 from .incarnations import REPLACED_REASON
-from .leases import Answer, LeaseGrantor, LeaseHolder, ReadFirst
+from .leases import LeaseGrantor, LeaseHolder, SendReply, StartRead
 from .messages import LeaseNotRenewed, LeaseRenewed, RenewLease
 from .phases import Phase
 from .roster import Roster
@@ -84,7 +84,7 @@
 
         Members that are being compared send it too, because it carries their digest to the leader.
         """
-        if self.phase not in (Phase.COMPARED, Phase.VALID):
+        if self.phase not in (Phase.BEING_COMPARED, Phase.VALID):
             return None
         number = self.holder.next_renewal(now)
         if number is None:
@@ -96,7 +96,7 @@
             number, self.incarnation, applied, compared if digest else 0, digest, wall, acts, reports
         )
 
-    def on_message(self, now: int, sender: str, message: Row) -> list[ReadFirst | Answer]:
+    def on_message(self, now: int, sender: str, message: Row) -> list[StartRead | SendReply]:
         """Handles a message and returns what the caller has to do; `now` is read after its arrival."""
         match message:
             case LeaseRenewed():
@@ -120,7 +120,7 @@
             self.grantor.on_elected(now, term)
             self.detector.start(now)
 
-    def on_read_confirmed(self, now: int, number: int, confirmed: bool) -> list[ReadFirst | Answer]:
+    def on_read_confirmed(self, now: int, number: int, confirmed: bool) -> list[StartRead | SendReply]:
         """Handles the result of a read; the state machine has applied the log up to its index."""
         return self.grantor.on_read_confirmed(now, number, confirmed)
 
@@ -149,7 +149,7 @@
     def _follow_roster(self) -> list[ProposalRequest]:
         """Updates the phase from the state of this incarnation, and proposes to join if it has none."""
         self._check_digest()
-        if self.phase in (Phase.COMPARED, Phase.VALID):
+        if self.phase in (Phase.BEING_COMPARED, Phase.VALID):
             self._check_eligibility()
         if self.phase is Phase.JOINING and "join" not in self.pending_tags:
             self.pending_tags.add("join")
@@ -175,7 +175,7 @@
         if member is None or member.why == REPLACED_REASON:
             self.phase = Phase.REPLACED
             self.holder.drop()
-        elif member.life in (MemberState.EVICTED, MemberState.LEASE_EXPIRED):
+        elif member.state in (MemberState.EVICTED, MemberState.LEASE_EXPIRED):
             self.refusal = f"{why}: {member.why}"
             self.rejoin()
 
@@ -191,14 +191,14 @@
         self.pending_tags.discard(tag)
         if tag != "join" or self.phase is not Phase.JOINING or outcome is None or outcome.rejection:
             return []
-        self.phase = Phase.COMPARED
+        self.phase = Phase.BEING_COMPARED
         self.incarnation = msgspec.msgpack.decode(outcome.result, type=int)
         self.holder.start(self.incarnation)
         return self._follow_roster()
 
     def leave(self) -> list[ProposalRequest]:
         """Proposes to leave after the last action; the entry frees what this member holds."""
-        if self.phase not in (Phase.COMPARED, Phase.VALID):
+        if self.phase not in (Phase.BEING_COMPARED, Phase.VALID):
             return []
         self.holder.drop()
         self.phase = Phase.LEFT
@@ -238,7 +238,7 @@
             "name": member.name,
             "incarnation": member.incarnation,
             "votes": member.votes,
-            "life": member.life.value,
+            "life": member.state.value,
             "since": member.since,
             "why": member.why,
         }
--- a/indigohitch/fleet/membership/phases.py
+++ b/indigohitch/fleet/membership/phases.py
@@ -9,7 +9,7 @@
     """Phase of the membership, from the point of view of the process itself."""
 
     JOINING = "joining"  # has no incarnation
-    COMPARED = "being compared"
+    BEING_COMPARED = "being compared"
     VALID = "valid"  # may act while its lease lasts
     DIFFERS = "differs"  # its state differs from that of the majority: it stops acting and keeps the evidence
     REPLACED = "replaced"  # another process of this name has joined since
--- a/indigohitch/fleet/membership/roster.py
+++ b/indigohitch/fleet/membership/roster.py
@@ -75,7 +75,7 @@
     def ineligibility(self, name: str, incarnation: int) -> str:
         """Returns why an incarnation may not act; "" if the state allows it (it needs a lease too)."""
         if (member := self.members.get((name, incarnation))) is not None:
-            return "" if member.life is MemberState.VALID else member.life.value
+            return "" if member.state is MemberState.VALID else member.state.value
         return REPLACED_REASON if incarnation < self.incarnations.highest.get(name, 0) else "not joined"
 
     @property
@@ -85,14 +85,14 @@
 
     def valid(self) -> list[Member]:
         """Returns the members that may act with a lease."""
-        return [member for member in self.members.values() if member.life is MemberState.VALID]
+        return [member for member in self.members.values() if member.state is MemberState.VALID]
 
     def possibly_acting(self) -> list[Member]:
         """Returns the members that may still act: the valid, and the evicted whose lease may still run."""
         return [
             member
             for member in self.members.values()
-            if member.life in (MemberState.VALID, MemberState.EVICTED)
+            if member.state in (MemberState.VALID, MemberState.EVICTED)
         ]
 
     def add_change(self, at: EntryContext, what: str, hard: bool = False, allowed: int = 0) -> None:
@@ -189,7 +189,7 @@
         member = self.incarnations.find(readmitted.name, readmitted.incarnation, MemberState.BEING_COMPARED)
         if readmitted.index < member.joined:
             raise InvalidRequestError(f"compared at {readmitted.index}, joined at {member.joined}")
-        member.life = MemberState.VALID
+        member.state = MemberState.VALID
         member.since = at.index
 
     def on_change(self, at: EntryContext, change: Announce) -> int:
--- a/indigohitch/fleet/membership/state_comparison.py
+++ b/indigohitch/fleet/membership/state_comparison.py
@@ -55,7 +55,7 @@
     def _equals_majority(self, member: Member, observation: MemberObservation) -> bool:
         agreed = self.roster.agreed
         return (
-            member.life is MemberState.BEING_COMPARED
+            member.state is MemberState.BEING_COMPARED
             and observation.digest_at == agreed.index > member.joined
             and observation.digest == agreed.digest
         )
@@ -75,7 +75,7 @@
         """Returns whether a member to be compared has missed the last one, by a later join or a snapshot."""
         has_waited = now >= self.started_at + self.span
         has_missed = has_waited and observation.digest_at < self.roster.compared
-        return member.life is MemberState.BEING_COMPARED and (
+        return member.state is MemberState.BEING_COMPARED and (
             member.joined > self.roster.compared or has_missed
         )
 
--- a/indigohitch/fleet/node/membership.py
+++ b/indigohitch/fleet/node/membership.py
@@ -8,7 +8,7 @@
 from ...errors import UnavailableError
 from ...log import Log
 from ...net.clock import Clock
-from ..membership.leases import Answer, ReadFirst
+from ..membership.leases import SendReply, StartRead
 from ..membership.member_work import Membership, Phase
 from ..raft.interfaces import RoleChanged
 from ..types import Lease, MemberId
@@ -55,7 +55,7 @@
     @property
     def may_propose(self) -> bool:
         """Whether works other than the membership may propose: the roster has accepted this incarnation."""
-        return self.membership.phase in (Phase.COMPARED, Phase.VALID)
+        return self.membership.phase in (Phase.BEING_COMPARED, Phase.VALID)
 
     @property
     def is_leaving(self) -> bool:
@@ -111,12 +111,12 @@
         """Handles a change of this member's role in Raft."""
         self.membership.on_role_changed(self.clock.now(), change.role, change.term)
 
-    def _carry_out(self, actions: list[ReadFirst | Answer]) -> None:
+    def _carry_out(self, actions: list[StartRead | SendReply]) -> None:
         for action in actions:
             match action:
-                case ReadFirst(number):
+                case StartRead(number):
                     self._start_read(number)
-                case Answer(to, message):
+                case SendReply(to, message):
                     self.send_to(to, message)
 
     def _start_read(self, number: int) -> None:
--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from fleet_member import SPAN, AcquireResource, ChangeContract, SimulatedMember
-from indigohitch.fleet.membership.leases import Answer, ReadFirst
+from indigohitch.fleet.membership.leases import SendReply, StartRead
 from indigohitch.fleet.types import LogEntry
 from indigohitch.net.clock import SECOND
 
@@ -162,9 +162,9 @@
     def carry_out(self, member, orders):
         for order in orders:
             match order:
-                case Answer(to, message):
+                case SendReply(to, message):
                     self.send(member, self.members[to], message)
-                case ReadFirst(number) if member is self.leader and self.has_majority(member):
+                case StartRead(number) if member is self.leader and self.has_majority(member):
                     if member.state_machine.index == len(self.log):
                         self.carry_out(
                             member, member.membership.on_read_confirmed(member.now(self.time), number, True)
--- a/tests/test_lease_safety.py
+++ b/tests/test_lease_safety.py
@@ -6,7 +6,7 @@
 import pytest
 
 from indigohitch.fleet.membership import leases
-from indigohitch.fleet.membership.leases import Answer, LeaseGrantor, LeaseHolder, ReadFirst
+from indigohitch.fleet.membership.leases import LeaseGrantor, LeaseHolder, SendReply, StartRead
 from indigohitch.fleet.membership.messages import LeaseRenewed, RenewLease
 
 SPAN = 8  # of a lease, in ticks
@@ -97,9 +97,9 @@
     def carry_out(self, orders):
         for order in orders:
             match order:
-                case ReadFirst(number):
+                case StartRead(number):
                     self.pending_read, self.confirmed_read = number, 0
-                case Answer(_, LeaseRenewed() as message):
+                case SendReply(_, LeaseRenewed() as message):
                     self.replies = self.replies + [message]
 
     def is_unsafe(self):
@@ -150,7 +150,7 @@
 
 
 def reply_without_read(self, now, name, message):
-    return [Answer(name, self._reply(now, name, message, True))]
+    return [SendReply(name, self._reply(now, name, message, True))]
 
 
 @pytest.mark.parametrize("guard", ["request_time", "holder_drift", "grantor_drift", "election", "read"])
@@ -207,9 +207,9 @@
     replies = []
     while grantor.round is not None:
         replies += [
-            order for order in grantor.on_read_confirmed(30, grantor.reads) if isinstance(order, Answer)
+            order for order in grantor.on_read_confirmed(30, grantor.reads) if isinstance(order, SendReply)
         ]
-    assert len(replies) == 300 and all(isinstance(reply.word, LeaseRenewed) for reply in replies)
+    assert len(replies) == 300 and all(isinstance(reply.message, LeaseRenewed) for reply in replies)
     assert leases.iterations == 1
     assert grantor.granted_until == {(name, 1): 30 + grantor.duration for name in members}
     assert grantor.has_expired(30, "ended", 1) and not grantor.has_expired(30, "m0", 1)
