--- a/benchmarks/capacitykit/entries_cell.py
+++ b/benchmarks/capacitykit/entries_cell.py
@@ -9,7 +9,7 @@
 from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.node.messages import KINDS
 from indigohitch.fleet.node.notes import Add, Notes
-from indigohitch.fleet.node.wiring import BOUNDS
+from indigohitch.fleet.node.wiring import RAFT_LIMITS
 from indigohitch.fleet.raft.interfaces import ApplyEntries, MessageReceived, Propose, WriteEntries
 from indigohitch.fleet.raft.messages import AppendEntries, AppendEntriesResponse
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
@@ -81,7 +81,7 @@
     """By a voter that hears them in messages of `append_most` bytes or less."""
     members = group(0)
     memory, voter, applied = Memory(), Member(members.voters[1], members), Applied()
-    each = BOUNDS["append_most"] // (len(BODY) + 60)
+    each = RAFT_LIMITS["append_most"] // (len(BODY) + 60)
     frames = []
     for first in range(1, entries + 1, each):
         some = tuple(
--- a/benchmarks/capacitykit/ledger_cell.py
+++ b/benchmarks/capacitykit/ledger_cell.py
@@ -9,7 +9,7 @@
 
 from indigohitch.encoding.frames import FrameDecoder
 from indigohitch.fleet.node.messages import KINDS
-from indigohitch.fleet.node.wiring import BOUNDS
+from indigohitch.fleet.node.wiring import RAFT_LIMITS
 from indigohitch.fleet.raft.configuration import encode_members
 from indigohitch.fleet.raft.interfaces import (
     HardState,
@@ -29,7 +29,7 @@
 
 from .measuring import Memory, processor_ms
 
-BOOTSTRAP = {"election": 3000, "beat": 500, "log_most": 16 << 20, **BOUNDS}
+BOOTSTRAP = {"election": 3000, "beat": 500, "log_most": 16 << 20, **RAFT_LIMITS}
 VOTERS = 5
 BEATS = 5
 ENTRIES = 5
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -42,17 +42,17 @@
             return participant
         if self.fleet.services:
             return self.subscriber_participant(participant)
-        from .fleet.node.companion import node_companion
+        from .fleet.node.companion import add_node_companion
 
-        return node_companion(self, participant, self.fleet, False, self.follows)
+        return add_node_companion(self, participant, self.fleet, False, self.follows)
 
     def subscriber_participant(self, participant: HandoverParticipant) -> HandoverParticipant:
         """Wraps the participant, so that the subscription is handed over too."""
-        from .fleet.node.subscriber_process import SubscriberSide, Subscription
+        from .fleet.node.subscriber_process import SubscriberHandover, Subscription
 
         if self.companion is None:
             self.companion = Subscription(self.loop, self.log, self.fleet)
-        return SubscriberSide(participant, self.companion)
+        return SubscriberHandover(participant, self.companion)
 
     def subscribed_backends(self, on_list: ListCallback) -> BackendSource:
         """Returns a source that lists the backends which the subscription reports."""
--- a/indigohitch/fleet/node/companion.py
+++ b/indigohitch/fleet/node/companion.py
@@ -187,7 +187,7 @@
         self.companion.open()
 
 
-def node_companion(
+def add_node_companion(
     process: UpgradableProcess,
     participant: HandoverParticipant,
     text: FleetText | None,
--- a/indigohitch/fleet/node/headless_member.py
+++ b/indigohitch/fleet/node/headless_member.py
@@ -7,7 +7,7 @@
 from ...config.texts import Text
 from ...upgrade import process_launch
 from ...upgrade.handover_participant import HandoverParticipant
-from .companion import node_companion
+from .companion import add_node_companion
 from .headless import HeadlessProcess
 from .headless_handover import HeadlessHandover
 
@@ -23,7 +23,7 @@
     def make_participant(self) -> HandoverParticipant:
         """Returns the participant of handovers, which includes the node."""
         participant = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
-        return node_companion(self, participant, self.text.fleet, True, self.follows)
+        return add_node_companion(self, participant, self.text.fleet, True, self.follows)
 
 
 def main(text: Text) -> int:
--- a/indigohitch/fleet/node/ports.py
+++ b/indigohitch/fleet/node/interfaces.py
@@ -10,10 +10,10 @@
 from ..raft.interfaces import RecoveredState
 from ..storage.store import Storage
 from ..transport.links import Transport
+from .assembly import Assembly
 from .driver import Driver
 from .membership import MembershipDriver
 from .phases import Phase
-from .standard import Assembly
 from .work_loop import WorkLoop
 
 
--- a/indigohitch/fleet/node/join.py
+++ b/indigohitch/fleet/node/join.py
@@ -6,9 +6,9 @@
 from ..raft.interfaces import ChangeMembers, Members
 from ..types import MemberId
 from .cluster_bootstrap import Admission, BootstrapMode, bootstrap_mode, initial_members, is_configured
+from .interfaces import NodeContext
 from .messages import JoinRequest, JoinResponse
 from .phases import Phase
-from .ports import NodeContext
 
 REQUEST_INTERVAL = SECOND // 2  # several heartbeats: a membership change takes two commits
 LOG_INTERVAL = 10 * SECOND  # between log lines while it waits
--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -4,8 +4,8 @@
 
 from ..membership.member_work import Phase as MemberPhase
 from ..raft.interfaces import TransferLeadership
+from .interfaces import NodeContext
 from .phases import Phase
-from .ports import NodeContext
 
 
 class LeaveProcedure:
--- a/indigohitch/fleet/node/node.py
+++ b/indigohitch/fleet/node/node.py
@@ -15,15 +15,15 @@
 from ..storage.store import Storage
 from ..transport.links import Transport
 from ..types import Lease, LogEntry, MemberId, Outcome
+from .assembly import WorkContext, assemble
 from .driver import Driver
-from .introductions import HandshakeReplies
+from .handshake_replies import HandshakeReplies
 from .join import JoinProcedure
 from .leaving import LeaveProcedure
 from .membership import MembershipDriver
 from .messages import KINDS
+from .messaging import Messaging
 from .phases import Phase
-from .standard import WorkContext, assemble
-from .traffic import Messaging
 from .wiring import connect_handlers, connect_raft, connect_transport, raft_settings
 from .work_loop import WorkLoop
 
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -117,7 +117,7 @@
             self.log_timer.cancel()
 
 
-class SubscriberSide:
+class SubscriberHandover:
     """Extends the HandoverParticipant of a process by its subscription.
 
     The old process closes its subscription before the new one subscribes and starts without resources.
@@ -153,7 +153,7 @@
         if self.companion is None:
             self.companion = Subscription(self.loop, self.log, self.text.fleet)
         participant = HeadlessHandover(self.clock, self.control_listener, self.take_over_control, self.reload)
-        return SubscriberSide(participant, self.companion)
+        return SubscriberHandover(participant, self.companion)
 
 
 def main(text: Text) -> int:
--- a/indigohitch/fleet/node/wiring.py
+++ b/indigohitch/fleet/node/wiring.py
@@ -6,24 +6,24 @@
 from ..distribution.messages import Report
 from ..membership.messages import LeaseNotRenewed, LeaseRenewed, RenewLease
 from ..transport.links import Transport
+from .assembly import Assembly
 from .driver import Driver
-from .introductions import HandshakeReplies
+from .handshake_replies import HandshakeReplies
 from .join import JoinProcedure
 from .membership import MembershipDriver
 from .messages import JoinRequest, JoinResponse
-from .standard import Assembly
-from .traffic import Messaging
+from .messaging import Messaging
 from .work_loop import WorkLoop
 
 # Messages of entries are small enough not to delay a heartbeat behind them on a slow link, and enough of them
 # are in flight to reach 50 MB/s at a round trip of 10 ms.
-BOUNDS = {"append_most": 64 << 10, "piece": 64 << 10, "inflight": 8, "proposals_most": 1024}
+RAFT_LIMITS = {"append_most": 64 << 10, "piece": 64 << 10, "inflight": 8, "proposals_most": 1024}
 
 
 def raft_settings(text: FleetText) -> dict[str, int]:
     """Returns the settings of the Raft node from the operator's file."""
     waits: dict[str, int] = text.waits
-    return BOUNDS | {"election": waits["election"], "beat": waits["beat"], "log_most": text.limit}
+    return RAFT_LIMITS | {"election": waits["election"], "beat": waits["beat"], "log_most": text.limit}
 
 
 def connect_raft(driver: Driver, messaging: Messaging, work_loop: WorkLoop) -> None:
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -25,9 +25,9 @@
         side = SidecarHandover(self.host, self.control_listener, self.take_over_control, self.reload)
         if self.text.fleet is None:
             return side
-        from ..fleet.node.companion import node_companion
+        from ..fleet.node.companion import add_node_companion
 
-        side = node_companion(self, side, self.text.fleet, False, self.follows)
+        side = add_node_companion(self, side, self.text.fleet, False, self.follows)
         self.host.felt = self.companion.on_rpc_completed
         if self.text.seats:
             from .seating import Seating
--- a/tests/golden/fleet/write_rows.py
+++ b/tests/golden/fleet/write_rows.py
@@ -30,7 +30,7 @@
 from indigohitch.fleet.membership import entries as wishes
 from indigohitch.fleet.membership.member_work import Membership
 from indigohitch.fleet.membership.roster import Roster
-from indigohitch.fleet.node.standard import parts
+from indigohitch.fleet.node.assembly import parts
 from indigohitch.fleet.seats import contract, nodeclock
 from indigohitch.fleet.seats.allocator import SeatSettings
 from indigohitch.fleet.seats.part import Seats
--- a/tests/golden/fleet/write_story.py
+++ b/tests/golden/fleet/write_story.py
@@ -21,8 +21,8 @@
 from indigohitch.fleet.distribution.types import Resource
 from indigohitch.fleet.fleet_clock import ClockTick
 from indigohitch.fleet.membership import entries as members
+from indigohitch.fleet.node.assembly import parts
 from indigohitch.fleet.node.notes import Add
-from indigohitch.fleet.node.standard import parts
 from indigohitch.fleet.raft.interfaces import HardState, Members, Snapshot
 from indigohitch.fleet.seats import contract as seats
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
--- a/tests/test_golden_fleet.py
+++ b/tests/test_golden_fleet.py
@@ -12,7 +12,7 @@
 import pytest
 
 from disks import Bench, held
-from indigohitch.fleet.node.standard import parts
+from indigohitch.fleet.node.assembly import parts
 from indigohitch.fleet.raft.interfaces import HardState, Snapshot
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.storage import identity, snapshots
--- a/tests/test_golden_fleet_rows.py
+++ b/tests/test_golden_fleet_rows.py
@@ -10,7 +10,7 @@
 from indigohitch.fleet.audit.chain import root
 from indigohitch.fleet.audit.files import KINDS, chains, frames, read
 from indigohitch.fleet.batches.sending import mark
-from indigohitch.fleet.node.standard import parts
+from indigohitch.fleet.node.assembly import parts
 from indigohitch.fleet.types import Stamp
 
 GOLDEN = Path(__file__).parent / "golden" / "fleet"
