--- a/indigohitch/platform_protocol/front_state.py
+++ b/indigohitch/platform_protocol/front_state.py
@@ -56,25 +56,30 @@
     front.start_times.starts_by_backend = {
         backend: BackendStart(reported_at, started_at) for backend, reported_at, started_at in state.starts
     }
-    front.start_times.last_list_at = state.list_heard
+    front.start_times.last_list_at = state.last_list_at
     front.known_backend_ids.clear()
-    front.known_backend_ids.update(dict.fromkeys(state.heard_of))  # in place: the message parser shares it
+    front.known_backend_ids.update(
+        dict.fromkeys(state.known_backend_ids)
+    )  # in place: the message parser shares it
     front.discovery.restore(state.version)
     relay = front.relay
     store_mirror = front.store_mirror
     relay.is_paused = True
     pending_calls = [[event_codec.unpack(order) for order in call] for call in state.waiting]
     relay.restore(
-        pending_calls, state.written, state.failures, [event_codec.unpack(order) for order in state.maybe]
+        pending_calls,
+        state.written,
+        state.failures,
+        [event_codec.unpack(order) for order in state.unresolved_orders],
     )
     _restore_backlog(front)
     store_mirror.proxies = {joined.proxy: joined for joined in map(event_codec.unpack, state.proxies)}
     store_mirror.tables = {
         row.number: stored_tables.StoredTable(dict(row.lines), row.level and event_codec.unpack(row.level))
-        for row in state.stood
+        for row in state.tables
     }
-    store_mirror.has_started = state.begun
-    store_mirror.dropped_tables = set(state.lost)
+    store_mirror.has_started = state.has_started
+    store_mirror.dropped_tables = set(state.dropped_tables)
 
 
 def _restore_backlog(front: Front) -> None:
--- a/indigohitch/process_commands.py
+++ b/indigohitch/process_commands.py
@@ -71,7 +71,7 @@
         process = self.process
         successor = process.successor_driver
         driver = process.predecessor_driver
-        follows = successor is not None and not successor.over
+        follows = successor is not None and not successor.is_over
         reason = upgrade_refusal(process.phase, driver.under_way, follows)
         if reason:
             process.log.count("upgrades_not_now")
--- a/indigohitch/upgradable_process.py
+++ b/indigohitch/upgradable_process.py
@@ -53,7 +53,7 @@
             self.on_upgrade_finished,
             self.commands.on_upgrade_result,
         )
-        self.predecessor_driver.taken_back = self.pidfile.write
+        self.predecessor_driver.on_taken_back = self.pidfile.write
         self.successor_driver: SuccessorDriver | None = None
 
     # ---- overridden by programs --------------------------------------------------------------------
--- a/indigohitch/upgrade/predecessor_driver.py
+++ b/indigohitch/upgrade/predecessor_driver.py
@@ -55,7 +55,7 @@
         self.channel = OptionalChannel()
         self.connections = ConnectionTransfer(self.channel.send)
         self.reload = False  # SIGHUP has arrived during the upgrade
-        self.taken_back: Callable[[], None] = lambda: None  # called when this process serves again
+        self.on_taken_back: Callable[[], None] = lambda: None  # called when this process serves again
         self.transfer = StateTransfer()
         self.report = UpgradeReport(loop.clock.now())
 
@@ -210,7 +210,7 @@
         for connection in passed:
             self.side.adopt(*connection)
         self.channel.close()
-        self.taken_back()
+        self.on_taken_back()
 
     def do_thaw(self) -> None:
         """Resumes the decision module."""
--- a/indigohitch/upgrade/snapshot.py
+++ b/indigohitch/upgrade/snapshot.py
@@ -87,22 +87,22 @@
     module: ModuleRow
     listed: list[list]
     addresses: dict[str, str]
-    heard_of: list[str]
+    known_backend_ids: list[str]
     version: int
     watching: bool
     waiting: list[list[list]]  # unconfirmed calls to the relay, each a list of orders
     written: list[int]  # send times of calls that count as messages to the proxies
     failures: int
     proxies: list[list]  # ProxyJoined events
-    stood: list[StoredTableRow]
-    begun: bool
-    lost: list[int]  # dropped tables, which are sent again
+    tables: list[StoredTableRow]
+    has_started: bool
+    dropped_tables: list[int]  # dropped tables, which are sent again
     probing: list[str]
-    maybe: list[list] = []  # orders of earlier calls with unknown outcome; `waiting` repeats them
+    unresolved_orders: list[list] = []  # orders of earlier calls with unknown outcome; `waiting` repeats them
     starts: list[
         tuple[str, int, int]
     ] = []  # backend, its start time by the wall clock, and by the clock of the process
-    list_heard: int = 0  # when the last list from discovery was received
+    last_list_at: int = 0  # when the last list from discovery was received
 
 
 class Snapshot(Row):
--- a/indigohitch/upgrade/successor_driver.py
+++ b/indigohitch/upgrade/successor_driver.py
@@ -58,7 +58,7 @@
             loop.call_after(0, self.on_predecessor_death)
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether the upgrade has ended: the old process is dead or has sent its last message."""
         return self.machine.phase in (Phase.SERVING, Phase.ENDED)
 
