--- a/indigohitch/fleet/distribution/messages.py
+++ b/indigohitch/fleet/distribution/messages.py
@@ -136,7 +136,7 @@
 
     reason: RefusalReason
     version: Version
-    again: int  # wait before returning to this distributor, in tenths of a millisecond
+    retry_after: int  # wait before returning to this distributor, in tenths of a millisecond
     why: str = ""
 
 
--- a/indigohitch/fleet/distribution/subscriber.py
+++ b/indigohitch/fleet/distribution/subscriber.py
@@ -224,7 +224,7 @@
             "why": message.why,
         }
         self.outputs.append(Note("subscription_refused", fields))
-        self.leave_distributor(message.why, retry_after=max(message.again, 1))
+        self.leave_distributor(message.why, retry_after=max(message.retry_after, 1))
 
     def renew_now(self) -> None:
         """Sends a renewal ahead of schedule."""
--- a/indigohitch/fleet/distribution/subscriber_connection.py
+++ b/indigohitch/fleet/distribution/subscriber_connection.py
@@ -76,7 +76,7 @@
         """Starts connecting."""
         self.driver.timer.arm()
 
-    def rescope(self, services: Collection[ServiceName]) -> None:
+    def change_scope(self, services: Collection[ServiceName]) -> None:
         """Changes the scope."""
         self.driver.step(ScopeChanged(frozenset(services)))
 
--- a/indigohitch/fleet/node/subscriber_process.py
+++ b/indigohitch/fleet/node/subscriber_process.py
@@ -89,7 +89,7 @@
             )
         self.text = text
         if self.connection is not None:
-            self.connection.rescope(text.services)
+            self.connection.change_scope(text.services)
 
     def status(self) -> dict[str, object]:
         """Returns the keys that the subscription adds to the `status` of the process."""
--- a/tests/golden/fleet/write_frames.py
+++ b/tests/golden/fleet/write_frames.py
@@ -157,9 +157,11 @@
     ),
     distribution.Current(number=6, version=NEW, age=None),
     distribution.Current(number=6, version=NEW, age=400),
-    distribution.Refused(reason=distribution.RefusalReason(1), version=NEW, again=500),
+    distribution.Refused(reason=distribution.RefusalReason(1), version=NEW, retry_after=500),
     *(
-        distribution.Refused(reason=distribution.RefusalReason(n), version=NEW, again=500, why=f"reason {n}")
+        distribution.Refused(
+            reason=distribution.RefusalReason(n), version=NEW, retry_after=500, why=f"reason {n}"
+        )
         for n in (2, 3, 4, 5)
     ),
     distribution.Report(
