--- a/indigohitch/net/connection.py
+++ b/indigohitch/net/connection.py
@@ -107,7 +107,7 @@
         return connection
 
     def limit_reads(self, reads_per_turn: int, read_size: int, low_priority: bool) -> None:
-        """Limits the reads per turn and the bytes per read; `low_priority` gives it low priority in the loop."""
+        """Limits the reads per turn and the bytes per read; `low_priority` sockets come last in a turn."""
         self.reads_per_turn = reads_per_turn
         self.read_size = read_size
         self.loop.set_low_priority(self._number, low_priority)
--- a/tests/test_golden_row_field_order.py
+++ b/tests/test_golden_row_field_order.py
@@ -35,8 +35,8 @@
     snapshot.SidecarState: "pools",
     snapshot.StoredTableRow: "number lines level",
     snapshot.CoordinatorState: (
-        "module listed addresses known_backend_ids version watching waiting written failures proxies tables has_started "
-        "dropped_tables probing unresolved_orders starts last_list_at"
+        "module listed addresses known_backend_ids version watching waiting written failures proxies tables "
+        "has_started dropped_tables probing unresolved_orders starts last_list_at"
     ),
     snapshot.Snapshot: "kind taken sidecar coordinator",
     messages.Hello: "protocol schema pid version",
