--- a/indigohitch/fleet/distribution/distributor_listener.py
+++ b/indigohitch/fleet/distribution/distributor_listener.py
@@ -83,7 +83,7 @@
         self.acceptor.tick(now)
         for number, link in list(self.connections.items()):
             if now - link.last_received_at > SUBSCRIBER_TIMEOUT:
-                self.drop(number, "no message in time", "check whether it runs; it reconnects by itself")
+                self.drop(number, "silent", "check whether it runs; it reconnects by itself")
             else:
                 link.connection.outgoing.trim()
 
--- a/indigohitch/upgrade/channel.py
+++ b/indigohitch/upgrade/channel.py
@@ -126,7 +126,7 @@
                 self.end("descriptors ran out", True)
                 return
             if not data:
-                self.end("closed inside a message" if self.decoder.rest else "", bool(self.decoder.rest))
+                self.end("closed inside a message" if self.decoder.buffer else "", bool(self.decoder.buffer))
                 return
             try:
                 self._deliver(data)
