--- a/indigohitch/fleet/seats/__init__.py
+++ b/indigohitch/fleet/seats/__init__.py
@@ -1,1 +1,1 @@
-"""Seats of licensed software: never more in use in the whole fleet than contracted.  No I/O."""
+"""Allocates licence seats, never more in use in the whole fleet than the contract allows.  No I/O."""
--- a/indigohitch/fleet/seats/allocation.py
+++ b/indigohitch/fleet/seats/allocation.py
@@ -1,4 +1,4 @@
-"""What a member knows of an allocated or refused seat; data types only."""
+"""Results, settings and counters of a member's seat allocator; data types only."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 class SeatSettings:
     """Settings of seat allocation; times are tenths of a millisecond."""
 
-    place_kept: int  # how long a refused tenant's place is kept
-    come_back: int  # when to ask again
-    drift: float  # by how much clocks run apart, as a share
+    place_kept: int  # how long a refused tenant keeps its place in the queue
+    come_back: int  # after which time a refused caller is to retry
+    drift: float  # the largest relative drift between two clocks
 
 
 @dataclass(slots=True, eq=False)
 class Allocation:
-    """A seat for one job, until `until` of the holder's clock at the latest."""
+    """A seat that one job may use, at the latest until `until` by the clock of the holder."""
 
     assignment: Assignment
     until: int
     stamp: Stamp
-    over: bool = False
+    released: bool = False
 
     @property
     def given(self) -> Given:
@@ -35,19 +35,19 @@
 
 
 @dataclass(slots=True)
-class NoSeat:
+class SeatRefusal:
     """A refused request for a seat."""
 
-    why: str
-    retry_after: int  # tenths of a ms until it may be of use to ask again
+    reason: str
+    retry_after: int  # tenths of a millisecond before a retry can succeed
 
 
 class Expiry(NamedTuple):
-    """The end of a job or of an assignment that applies unless it ends before."""
+    """The end of a job or of a lingering assignment, applied at `at` unless the subject has ended before."""
 
     at: int
-    order: int  # among those of one instant
-    what: Allocation | Assignment
+    sequence: int  # orders the expiries of one instant
+    subject: Allocation | Assignment
 
 
 @dataclass(slots=True)
@@ -57,4 +57,4 @@
     given: int = 0
     refused: int = 0
     no_lease: int = 0
-    unheard: int = 0
+    unheard: int = 0  # jobs whose seat was freed by the expiry, as no response had reported their end
--- a/indigohitch/fleet/seats/configured.py
+++ b/indigohitch/fleet/seats/configured.py
@@ -1,4 +1,4 @@
-"""The contracts of the operator's file, and the member's work on seats."""
+"""Reads the contracts of the operator's file and builds the member's work on seats."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 from .part import Seats
 from .work import SeatsWork
 
-# A refused tenant's place is kept so long, and two and a half times as long as it is told to stay away.
+# A refused tenant keeps its place in the queue for two and a half times the delay after which it is told to
+# retry.
 COME_BACK = SECOND
 PLACE_KEPT = 5 * SECOND // 2
 
@@ -41,13 +42,19 @@
 
 
 def work_of(
-    text: FleetText, part: Seats, acts: ActionRecorder, fleet_time: Callable[[int], int]
+    text: FleetText, part: Seats, action_recorder: ActionRecorder, fleet_time: Callable[[int], int]
 ) -> SeatsWork:
     """Returns the member's work on seats.
 
-    `text` is read again when its edition has changed: a reload may change it in place.
+    The contracts of `text` are read anew at each turn, as a reload may change `text` in place.
     """
     settings = SeatSettings(PLACE_KEPT, COME_BACK, text.drift)
     return SeatsWork(
-        text.me, part, acts, fleet_time, lambda: contract_of(text), not text.members[text.me].votes, settings
+        text.me,
+        part,
+        action_recorder,
+        fleet_time,
+        lambda: contract_of(text),
+        not text.members[text.me].votes,
+        settings,
     )
--- a/indigohitch/fleet/seats/contract.py
+++ b/indigohitch/fleet/seats/contract.py
@@ -1,6 +1,6 @@
-"""Contracts, entries and stamps of seats; data types only.
+"""Rows of licence contracts, log entries, snapshots and reports of seats; data types only.
 
-Durations are tenths of a millisecond, instants fleet time (Unix time as agreed by the ledger).
+Durations are tenths of a millisecond; instants are fleet time (Unix time as agreed on in the log).
 """
 
 from __future__ import annotations
@@ -8,29 +8,29 @@
 from ...encoding.rows import Row
 from ..types import Stamp
 
-COMMON = ""  # the pool of a feature that any tenant may have seats of
+COMMON = ""  # name of a feature's pool from which every tenant may be allocated seats
 
 
 class Terms(Row, frozen=True):
-    """One feature's contract; `kind`: a seat for each "job", "node", or "user" of a tenant."""
+    """The contract of one feature; `kind`: one seat for each "job", "node", or "user" of a tenant."""
 
     feature: str
     seats: int
     kind: str = "job"
-    since: int = 0  # 0: it has no beginning; `until` 0: no end
-    until: int = 0
-    linger: int = 0  # a node's or user's seat stays its own so long after its last job
-    drain: int = 300_000  # of what a cut made too much: its users may go on so long
-    keep: tuple[tuple[str, int], ...] = ()  # tenant, seats that are its own
+    since: int = 0  # 0: the contract has no start date
+    until: int = 0  # 0: it has no end date
+    linger: int = 0  # how long a node or user keeps its seat after its last job
+    drain: int = 300_000  # how long jobs may still start on seats that have to be returned
+    keep: tuple[tuple[str, int], ...] = ()  # (tenant, number of seats reserved for it)
 
     def pools(self) -> dict[str, int]:
         """Returns seats by pool: one for each tenant with reserved seats, and the common one."""
         return {COMMON: self.seats - sum(count for _, count in self.keep), **dict(self.keep)}
 
     def valid(self, time: int) -> bool:
-        """Returns whether the contract runs at that fleet time.
+        """Returns whether the contract is in force at that fleet time.
 
-        While no time is agreed on (0), a contract with dates does not.
+        A contract with dates is not in force before a fleet time was agreed on (0).
         """
         if not self.since and not self.until:
             return True
@@ -41,7 +41,7 @@
 
 
 class Contract(Row, frozen=True):
-    """All contracts of one edition of the file; a feature not listed has no seats any more."""
+    """All contracts of one edition of the file; a feature that is not listed has no seats any more."""
 
     edition: int
     terms: tuple[Terms, ...]
@@ -58,7 +58,10 @@
 
 
 class Recall(Row, frozen=True):
-    """Recalls seats of a member, idle ones first; only the member knows which."""
+    """Recalls a number of seats from a member, which returns idle seats first.
+
+    The member chooses the seats, as only it knows which are idle.
+    """
 
     feature: str
     pool: str
@@ -68,29 +71,29 @@
 
 
 class Return(Row, frozen=True):
-    """Returns seats, by their holder: (number, counter) of each."""
+    """Returns seats of the proposing member: (number, counter) of each."""
 
     feature: str
     pool: str
     seats: tuple[tuple[int, int], ...]
 
 
-# ---- what the state holds ----------------------------------------------------------------------------
+# ---- the replicated state and its snapshot -----------------------------------------------------------
 
 
 class Share(Row):
-    """The seats of a pool that one incarnation of a member holds, under its lease."""
+    """The seats of a pool that one incarnation of a member holds under its lease."""
 
     pool: str
     name: str
     incarnation: int
-    seats: list[int]  # numbers, ascending
-    debt: int = 0  # of these, to be returned
-    due: int = 0  # fleet time from which users of what is owed get no further job
+    seats: list[int]  # seat numbers, ascending
+    debt: int = 0  # how many of these seats the member has to return
+    drain_ends_at: int = 0  # fleet time from which no further job starts on a seat that is owed
 
     @property
     def net(self) -> int:
-        """Seats held and not owed."""
+        """The number of seats held and not owed."""
         return len(self.seats) - self.debt
 
 
@@ -98,7 +101,7 @@
     """One feature in a snapshot."""
 
     terms: Terms
-    counters: list[int]  # by number: how often a seat was granted or freed
+    counters: list[int]  # by seat number: how often the seat was granted or freed
     shares: list[Share]
 
 
@@ -107,17 +110,17 @@
 
     edition: int
     features: list[FeatureRow]
-    gone: list[tuple[str, int]]
+    ended_incarnations: list[tuple[str, int]]  # (member, its last incarnation that holds nothing any more)
 
 
-# ---- what goes out ----------------------------------------------------------------------------------
+# ---- actions, reports and passes ---------------------------------------------------------------------
 
 
 class Given(Row, frozen=True):
     """The identity of one use of a seat.
 
-    (`counter`, `use`) only grows for a number: `counter` by the state, `use` by the holder.  `shared`:
-    further jobs of the same node or user may use it.
+    (`counter`, `use`) only increases for a seat number: the replicated state increases `counter`, the holder
+    increases `use`.  `shared`: further jobs of the same node or user may run under this use.
     """
 
     feature: str
@@ -128,24 +131,27 @@
 
 
 class Wanting(Row, frozen=True):
-    """What a member would use of one pool."""
+    """A member's demand for seats of one pool."""
 
     feature: str
     pool: str
-    used: int  # seats in use on average lately
-    missed: int  # asks refused lately for want of a seat
+    used: int  # seats in use on average in the last window
+    missed: int  # requests refused in that time because no seat was free
 
 
 class Report(Row, frozen=True):
-    """What a member reports to the leader with each renewal, by feature and pool."""
+    """The demand that a member reports to the leader with each renewal of its lease, by feature and pool."""
 
     incarnation: int
-    wanting: tuple[Wanting, ...]
-    stocks: bool = True  # it takes a part of what nobody wants, so as to give at once
+    demands: tuple[Wanting, ...]
+    holds_spares: bool = True  # it holds a part of the seats that nobody needs, to allocate them at once
 
 
 class Pass(Row, frozen=True):
-    """What a server is shown: the use of a seat, the server's boot, and the end by the server's clock."""
+    """What a server is shown with a job: the use of a seat, the server's boot id, and the end of the job.
+
+    `until` is the end by the server's clock.
+    """
 
     given: Given
     boot: str
--- a/indigohitch/fleet/seats/nodeclock.py
+++ b/indigohitch/fleet/seats/nodeclock.py
@@ -1,8 +1,9 @@
-"""A job's end by the clock of the server that runs it, and the server's own check.  No I/O.
+"""Converts the end of a job to the clock of its server, which checks and enforces it.  No I/O.
 
-A server sends its boot id and its monotonic clock with every response.  From such a reading a holder knows
-the least that the clock has reached: clocks with a bound on drift differ by that share of the time since.  So
-a job that must end by an instant of the holder gets a server time that surely comes before it.
+A server sends its boot id and its monotonic clock with every response.  From such a reading the holder of a
+seat computes a lower bound of the server's clock at a later time, as the drift between the two clocks is
+bounded.  So a job that must end by some time of the holder gets a server time that is certainly reached
+before.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
     """A reading of a server's clock."""
 
     boot: str
-    clock: int  # the server's, read before it answered
-    at: int  # the holder's, when the answer had come
+    clock: int  # the server's clock, read before it sent the response
+    at: int  # the holder's clock when it had received the response
 
 
 class Nodes:
-    """The last reading of each server, at one holder.
+    """The last clock reading of each server, at one holder of seats.
 
-    `drift`: the largest difference of two clocks, as a share.
+    `drift`: the largest relative drift between two clocks.
     """
 
     def __init__(self, drift: float) -> None:
@@ -33,15 +34,15 @@
         self.readings: dict[str, Reading] = {}
 
     def heard(self, server: str, boot: str, clock: int, now: int) -> None:
-        """Keeps a reading if it is newer."""
+        """Records a reading if it is newer than the known one."""
         known = self.readings.get(server)
-        if known is None or known.boot != boot or clock > known.clock:  # answers may cross
+        if known is None or known.boot != boot or clock > known.clock:  # responses may arrive out of order
             self.readings[server] = Reading(boot, clock, now)
 
     def end(self, server: str, until: int) -> tuple[str, int]:
-        """Returns the boot id and the server time that comes before the holder's `until`.
+        """Returns the server's boot id and a time of its clock that it reaches before the holder's `until`.
 
-        ("", 0) for a server without a reading: it refuses this, and its response has a reading.
+        Returns ("", 0) for a server without a reading: it refuses such a job, and its response has a reading.
         """
         known = self.readings.get(server)
         if known is None:
@@ -50,96 +51,105 @@
 
 
 class Verdict(enum.Enum):
-    """The server's decision; LATE and UNREAD tell the holder that nothing runs there."""
+    """The server's decision on a job; LATE and UNREAD tell the holder that nothing of it runs there."""
 
     TAKEN = "taken"
-    UNREAD = "unread"  # from one that has not heard this server's clock yet
-    LATE = "late"  # its end has passed, or it is of another boot
-    OLD = "old"  # the seat has been given again since
-    TWICE = "twice"  # this very giving has been here
+    UNREAD = "unread"  # the holder has no reading of this server's clock yet
+    LATE = "late"  # the end of the job has passed, or the pass is for another boot of the server
+    OLD = "old"  # a later use of the same seat has been seen
+    TWICE = "twice"  # this allocation has been used here before
 
     @property
     def unrun(self) -> bool:
-        """Whether nothing of this use of the seat runs on the server."""
+        """Returns whether it is certain that no job runs on the server under this pass."""
         return self in (Verdict.UNREAD, Verdict.LATE)
 
 
 class Meter:
-    """At a server: which seats its jobs use.
+    """Tracks at a server which seats its jobs use.
 
-    A late job is refused, and a job ends at its end.  What it has seen is forgotten with its boot id, so
-    nothing from before is accepted afterwards.
+    A job that arrives after its end is refused, and a running job is ended at its end.  The records are lost
+    when the server restarts; its boot id then differs, so that no pass from before the restart is accepted.
     """
 
-    SWEPT = 1024  # stamps kept before those whose end has passed are looked for
+    MIN_STAMPS_TO_SWEEP = 1024  # stamps kept before those whose end has passed are dropped
 
     def __init__(self, boot: str) -> None:
         self.boot = boot
-        self.sweep_at = self.SWEPT
-        self.last: dict[tuple[str, int], tuple[int, int]] = {}  # by seat: the greatest (counter, use)
-        self.seen: dict[tuple[str, int, int], int] = {}  # by stamp: its end, after which it is late
+        self.sweep_at = self.MIN_STAMPS_TO_SWEEP
+        self.last_uses: dict[tuple[str, int], tuple[int, int]] = {}  # by seat: the highest (counter, use)
+        self.seen_stamps: dict[tuple[str, int, int], int] = {}  # by stamp: the end of the job
         self.jobs: dict[int, Pass] = {}
-        self.serial = 0
+        self.last_job = 0
         self.refused = dict.fromkeys(Verdict, 0)
 
-    def takes(self, now: int, shown: Pass) -> tuple[Verdict, int]:
-        """Returns the verdict and, if it is TAKEN, the job's number.
+    def takes(self, now: int, seat_pass: Pass) -> tuple[Verdict, int]:
+        """Returns the verdict and, if it is TAKEN, the number of the job, else 0.
 
-        `now` is the server's monotonic clock.
+        `now`: the server's monotonic clock.
         """
-        verdict = self.verdict(now, shown)
+        verdict = self.verdict(now, seat_pass)
         self.refused[verdict] += verdict is not Verdict.TAKEN
         if verdict is not Verdict.TAKEN:
             return verdict, 0
-        given = shown.given
-        self.last[given.feature, given.number] = (given.counter, given.use)
-        self.seen[self.name_of(shown)] = shown.until
-        self.serial += 1
-        self.jobs[self.serial] = shown
-        return verdict, self.serial
-
-    def verdict(self, now: int, shown: Pass) -> Verdict:
-        """Returns whether the job may run."""
-        given = shown.given
-        last = self.last.get((shown.given.feature, shown.given.number))
-        if not shown.boot:
+        given = seat_pass.given
+        self.last_uses[given.feature, given.number] = (given.counter, given.use)
+        self.seen_stamps[self.stamp_key(seat_pass)] = seat_pass.until
+        self.last_job += 1
+        self.jobs[self.last_job] = seat_pass
+        return verdict, self.last_job
+
+    def verdict(self, now: int, seat_pass: Pass) -> Verdict:
+        """Returns whether the job may run, or why not."""
+        given = seat_pass.given
+        last = self.last_uses.get((seat_pass.given.feature, seat_pass.given.number))
+        if not seat_pass.boot:
             return Verdict.UNREAD
-        if shown.boot != self.boot or now >= shown.until:
+        if seat_pass.boot != self.boot or now >= seat_pass.until:
             return Verdict.LATE
         if last is not None and (given.counter, given.use) < last:
             return Verdict.OLD
-        if self.name_of(shown) in self.seen or last == (given.counter, given.use) and not given.shared:
+        if (
+            self.stamp_key(seat_pass) in self.seen_stamps
+            or last == (given.counter, given.use)
+            and not given.shared
+        ):
             return Verdict.TWICE
         return Verdict.TAKEN
 
     @staticmethod
-    def name_of(shown: Pass) -> tuple[str, int, int]:
-        """Returns the identity of a stamp."""
-        return shown.stamp.member, shown.stamp.incarnation, shown.stamp.number
+    def stamp_key(seat_pass: Pass) -> tuple[str, int, int]:
+        """Returns the identity of the pass's stamp."""
+        return seat_pass.stamp.member, seat_pass.stamp.incarnation, seat_pass.stamp.number
 
     def ended(self, job: int) -> bool:
-        """Returns whether the job was running; it is not after this."""
+        """Removes a job that has ended; returns False if it was not running any more."""
         return self.jobs.pop(job, None) is not None
 
     def overdue(self, now: int) -> list[int]:
-        """Returns jobs whose end has come; they have to be ended now."""
-        over = [job for job, shown in self.jobs.items() if now >= shown.until]
-        for job in over:
+        """Removes and returns the jobs whose end has come; the caller has to end them now."""
+        ended = [job for job, seat_pass in self.jobs.items() if now >= seat_pass.until]
+        for job in ended:
             del self.jobs[job]
-        if len(self.seen) > self.sweep_at:
-            self.seen = {name: until for name, until in self.seen.items() if until > now}
-            self.sweep_at = max(self.SWEPT, 2 * len(self.seen))
-        return over
+        if len(self.seen_stamps) > self.sweep_at:
+            self.seen_stamps = {stamp: until for stamp, until in self.seen_stamps.items() if until > now}
+            self.sweep_at = max(self.MIN_STAMPS_TO_SWEEP, 2 * len(self.seen_stamps))
+        return ended
 
     def in_use(self, feature: str) -> set[int]:
-        """Returns the numbers of seats of a feature that jobs use."""
-        return {shown.given.number for shown in self.jobs.values() if shown.given.feature == feature}
+        """Returns the numbers of the feature's seats that jobs use here."""
+        return {
+            seat_pass.given.number for seat_pass in self.jobs.values() if seat_pass.given.feature == feature
+        }
 
 
-def header(shown: Pass) -> str:
-    """Returns `feature number counter use shared boot until member incarnation term version number`."""
-    given = shown.given
-    stamp = shown.stamp
+def header(seat_pass: Pass) -> str:
+    """Encodes a pass as the value of a header, fields separated by spaces.
+
+    The fields: `feature number counter use shared boot until member incarnation term version number`.
+    """
+    given = seat_pass.given
+    stamp = seat_pass.stamp
     return " ".join(
         map(
             str,
@@ -149,8 +159,8 @@
                 given.counter,
                 given.use,
                 int(given.shared),
-                shown.boot or "-",
-                shown.until,
+                seat_pass.boot or "-",
+                seat_pass.until,
                 stamp.member,
                 stamp.incarnation,
                 stamp.term,
@@ -162,7 +172,7 @@
 
 
 def read(text: str) -> Pass | None:
-    """Parses a header; None if it is invalid."""
+    """Parses a pass in the form that `header` returns; returns None if it is invalid."""
     from ..types import Stamp
 
     fields = text.split()
--- a/indigohitch/fleet/seats/pool.py
+++ b/indigohitch/fleet/seats/pool.py
@@ -1,10 +1,10 @@
-"""The seats of one pool that a member holds, and to whom they are assigned now.  No I/O.
+"""The seats of one pool that a member holds, and their assignments.  No I/O.
 
-Turns of tenants. A tenant refused keeps a place for some time; a seat that falls idle is left to the one
-that waits longest among those with less than their fair part (an equal part of the seats held, at least
-one). So who comes again within that time and has less than its part gets one of the next seats that fall
-idle: at the latest when the jobs that are out now are over, all of which end with the lease
-(docs/seats.md).
+Fairness between tenants: a refused tenant keeps a place in a queue for some time.  A seat that becomes idle
+is reserved for the tenant that has waited longest among those that use less than their fair share (an equal
+part of the seats held, at least one).  So a tenant below its fair share that retries in time gets one of
+the next seats that become idle, at the latest when all jobs running now have ended; they all end with the
+lease (docs/seats.md).
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from .contract import Given, Share
 
-MAX_WAITING_TENANTS = 256  # tenants whose places are kept: names come from outside, memory is bounded
+MAX_WAITING_TENANTS = 256  # clients choose the names of tenants, so the memory for waiting ones is bounded
 
 
 @dataclass(slots=True, eq=False)
@@ -26,7 +26,7 @@
     tenant: str
     given: Given
     jobs: int = 0
-    free_at: int = 0  # nothing is out: it lingers until then
+    lingers_until: int = 0  # while no job runs, the node or user keeps the seat until then
 
 
 @dataclass(slots=True, eq=False)
@@ -35,13 +35,13 @@
 
     number: int
     counter: int
-    uses: int = 0
+    use_count: int = 0
     assignment: Assignment | None = None
 
 
 @dataclass(slots=True)
-class Waiting:
-    """The place of a refused tenant in the queue."""
+class QueuePlace:
+    """The place of a refused tenant in the queue for idle seats."""
 
     since: int
     until: int
@@ -52,40 +52,40 @@
     """The demand that a member reports for a pool."""
 
     used: int  # seats in use on average in the last window, rounded up
-    missed: int  # asks that found none
+    missed: int  # requests refused because no seat was free
 
 
 class SeatPool:
-    """The seats of one pool, with assignments and waiting tenants."""
+    """The seats of one pool at one member, with assignments and waiting tenants."""
 
     def __init__(self, feature: str, place_kept: int) -> None:
         self.feature = feature
         self.place_kept = place_kept
         self.seats: dict[int, Seat] = {}
         self.idle: list[Seat] = []
-        self.returning: dict[int, Seat] = {}  # proposed to be returned: assigned to nobody any more
+        self.returning: dict[int, Seat] = {}  # seats whose return is proposed; they are not assigned any more
         self.assignments: dict[Assignment, None] = {}  # in the order in which they were made
         self.by_key: dict[str, Assignment] = {}
-        self.uses: dict[str, int] = {}  # assigned seats by tenant
-        self.waiting: dict[str, Waiting] = {}  # by refused tenant
+        self.assigned_by_tenant: dict[str, int] = {}  # number of assigned seats
+        self.waiting: dict[str, QueuePlace] = {}  # by refused tenant
         self.debt = 0
-        self.due = 0
-        self.mean = 0  # seats assigned on average in the last window, rounded up
-        self.area = 0  # seats x tenths of a ms so far in this window
+        self.drain_ends_at = 0
+        self.mean_assigned = 0  # seats assigned on average in the last window, rounded up
+        self.seat_ticks = 0  # assigned seats times tenths of a millisecond so far in this window
         self.window_started_at = 0
-        self.counted_until = 0
-        self.missed = 0
-        self.missed_before = 0  # asks refused for want of a seat
+        self.measured_until = 0
+        self.refusals = 0  # requests refused in this window because no seat was free
+        self.previous_refusals = 0  # of the window before
 
     @property
     def usable(self) -> int:
-        """Seats that are not owed."""
+        """Returns the number of seats held that are not owed."""
         return max(0, len(self.seats) + len(self.returning) - self.debt)
 
     def sync(self, share: Share | None, counters: list[int]) -> None:
-        """Takes over the share as the replicated state has it now."""
+        """Updates the pool to the member's share in the replicated state; None: it holds none."""
         counters_by_number = {n: counters[n] for n in share.seats} if share is not None else {}
-        self.debt, self.due = (share.debt, share.due) if share is not None else (0, 0)
+        self.debt, self.drain_ends_at = (share.debt, share.drain_ends_at) if share is not None else (0, 0)
         for group in (self.seats, self.returning):
             for number in [n for n, seat in group.items() if counters_by_number.get(n) != seat.counter]:
                 seat = group.pop(number)
@@ -95,105 +95,114 @@
             seat = Seat(number, counters_by_number[number])
             self.seats[number] = seat
             self.idle.append(seat)
-            self.missed = 0
-            self.missed_before = 0  # of when it had fewer
+            self.refusals = 0  # counted while the member held fewer seats
+            self.previous_refusals = 0
 
-    # ---- assigning ---------------------------------------------------------------------------------
+    # ---- assignments -------------------------------------------------------------------------------
 
-    def shared(self, key: str, owing: bool) -> Assignment | None:
-        """The seat that this node or user has; `owing`: what is to be returned gets no further job."""
-        found = self.by_key.get(key) if key else None
-        if found is not None and owing and list(self.assignments).index(found) >= self.usable:
+    def existing_assignment(self, key: str, drained: bool) -> Assignment | None:
+        """Returns the assignment of this node or user if it may take a further job, else None.
+
+        `drained`: the time to drain owed seats is over, so that those assignments get no further jobs.
+        """
+        assignment = self.by_key.get(key) if key else None
+        if assignment is not None and drained and list(self.assignments).index(assignment) >= self.usable:
             return None
-        return found
+        return assignment
 
-    def fair_part(self) -> int:
-        """Of a tenant, in whole seats."""
-        return max(1, self.usable // max(1, len(self.uses.keys() | self.waiting.keys())))
+    def fair_share(self) -> int:
+        """Returns the fair share of each tenant that uses seats or waits for one, in whole seats."""
+        return max(1, self.usable // max(1, len(self.assigned_by_tenant.keys() | self.waiting.keys())))
 
     def may_assign(self, now: int, tenant: str, fair: bool) -> bool:
-        """May this tenant have a seat that nobody has?"""
+        """Returns whether this tenant may get an idle seat; `fair`: waiting tenants may take precedence."""
         spare = min(len(self.idle), self.usable - len(self.assignments))
         if spare <= 0 or not fair or not self.waiting:
             return spare > 0
         for name in [name for name, place in self.waiting.items() if now > place.until]:
             del self.waiting[name]
-        return spare > self.ahead_of(now, tenant)
+        return spare > self.tenants_ahead(now, tenant)
 
-    def ahead_of(self, now: int, tenant: str) -> int:
-        """Waiting tenants below their part whose turn comes before this one's."""
-        part = self.fair_part()
-        mine = self.uses.get(tenant, 0)
+    def tenants_ahead(self, now: int, tenant: str) -> int:
+        """Returns how many waiting tenants below their fair share take precedence over this one."""
+        fair_share = self.fair_share()
+        assigned = self.assigned_by_tenant.get(tenant, 0)
         since = self.waiting[tenant].since if tenant in self.waiting else now
         return sum(
             1
             for name, place in self.waiting.items()
-            if name != tenant and self.uses.get(name, 0) < part and (mine >= part or place.since < since)
+            if name != tenant
+            and self.assigned_by_tenant.get(name, 0) < fair_share
+            and (assigned >= fair_share or place.since < since)
         )
 
-    def record_refusal(self, now: int, tenant: str, back: int) -> None:
-        """`back`: when it is told to come again."""
-        self.missed += 1
-        until = now + max(self.place_kept, 5 * back // 2)
+    def record_refusal(self, now: int, tenant: str, retry_after: int) -> None:
+        """Counts a refusal and queues the tenant; `retry_after`: the delay after which it is to retry."""
+        self.refusals += 1
+        until = now + max(self.place_kept, 5 * retry_after // 2)
         if tenant in self.waiting:
             self.waiting[tenant].until = until
         elif len(self.waiting) < MAX_WAITING_TENANTS:
-            self.waiting[tenant] = Waiting(now, until)
+            self.waiting[tenant] = QueuePlace(now, until)
 
     def assign(self, now: int, key: str, tenant: str) -> Assignment:
-        """Assigns an idle seat."""
-        self.count(now)
+        """Assigns an idle seat to a job, or to a node or user (`key`)."""
+        self.measure(now)
         seat = self.idle.pop()
-        seat.uses += 1
-        given = Given(self.feature, seat.number, seat.counter, seat.uses, bool(key))
+        seat.use_count += 1
+        given = Given(self.feature, seat.number, seat.counter, seat.use_count, bool(key))
         assignment = Assignment(self, seat, key, tenant, given)
         seat.assignment = assignment
         self.assignments[assignment] = None
         if key:
             self.by_key[key] = assignment
-        self.uses[tenant] = self.uses.get(tenant, 0) + 1
+        self.assigned_by_tenant[tenant] = self.assigned_by_tenant.get(tenant, 0) + 1
         self.waiting.pop(tenant, None)
         return assignment
 
     def unassign(self, now: int, assignment: Assignment) -> None:
-        """Frees an assigned seat."""
+        """Ends an assignment; its seat becomes idle if the member still holds it and does not return it."""
         if assignment not in self.assignments:
             return
-        self.count(now)
+        self.measure(now)
         del self.assignments[assignment]
         assignment.seat.assignment = None
         if self.by_key.get(assignment.key) is assignment:
             del self.by_key[assignment.key]
-        self.uses[assignment.tenant] -= 1
-        if not self.uses[assignment.tenant]:
-            del self.uses[assignment.tenant]
+        self.assigned_by_tenant[assignment.tenant] -= 1
+        if not self.assigned_by_tenant[assignment.tenant]:
+            del self.assigned_by_tenant[assignment.tenant]
         if self.seats.get(assignment.seat.number) is assignment.seat:
             self.idle.append(assignment.seat)
 
-    # ---- returning ---------------------------------------------------------------------------------
+    # ---- returns -----------------------------------------------------------------------------------
 
     def set_aside_owed(self) -> None:
-        """Idle seats become such that are returned: from here on they are assigned to nobody."""
+        """Sets idle seats aside for return, up to the debt; they are not assigned any more."""
         for _ in range(min(len(self.idle), self.debt - len(self.returning))):
             seat = self.idle.pop(0)
             self.returning[seat.number] = self.seats.pop(seat.number)
 
-    # ---- what the leader hears ---------------------------------------------------------------------
+    # ---- demand reported to the leader -------------------------------------------------------------
+
+    def measure(self, now: int) -> None:
+        """Adds the use of seats up to `now`.
 
-    def count(self, now: int) -> None:
-        """Up to now; clocks of one process don't go back, but a due end may be counted late."""
-        self.area += len(self.assignments) * max(0, now - self.counted_until)
-        self.counted_until = max(self.counted_until, now)
+        `now` may be earlier than at the call before: an expiry can be applied late, though the clock of a
+        process never goes back.
+        """
+        self.seat_ticks += len(self.assignments) * max(0, now - self.measured_until)
+        self.measured_until = max(self.measured_until, now)
 
     def close_window(self, now: int) -> None:
-        """Closes the window of measurement."""
-        self.count(now)
-        self.mean = -(-self.area // max(1, now - self.window_started_at))
-        self.area = 0
+        """Ends the current demand window and starts the next one."""
+        self.measure(now)
+        self.mean_assigned = -(-self.seat_ticks // max(1, now - self.window_started_at))
+        self.seat_ticks = 0
         self.window_started_at = now
-        self.missed_before = self.missed
-        self.missed = 0
+        self.previous_refusals = self.refusals
+        self.refusals = 0
 
     def demand(self) -> Demand:
-        """Returns the demand of the last window."""
-        return Demand(self.mean, max(self.missed, self.missed_before))
+        """Returns the mean use in the last window, and the refusals in it or in the current one if more."""
+        return Demand(self.mean_assigned, max(self.refusals, self.previous_refusals))
--- a/indigohitch/fleet/seats/rebalancing.py
+++ b/indigohitch/fleet/seats/rebalancing.py
@@ -1,8 +1,8 @@
-"""How the leader rebalances the seats of one pool over the members.  Pure.
+"""Computes how the leader rebalances the seats of one pool over the members.  No I/O.
 
-Whole seats move from the member with most idle to the one with the largest deficit, only for a positive gain,
-beyond a dead band, with a budget for each round.  The target is max-min fairness: a member that needs less
-than an equal part gets what it needs, the others share the rest.
+Whole seats move from the member with most idle seats to the one that lacks most, only where this reduces what
+members lack.  Members keep a dead band of idle seats, and each round recalls a limited number.  The target is
+max-min fairness: a member that needs less than an equal share gets what it needs, the others share the rest.
 """
 
 from __future__ import annotations
@@ -11,48 +11,54 @@
 from dataclasses import dataclass
 from heapq import heapify, heappop, heapreplace
 
-# A member keeps one seat more than it wants, lest one seat goes to and fro with each job; not where another
-# one that wants some has none at all.
-BAND = 1
-# Of a pool in a round (half a second): a pool is spread anew in about two seconds, and a burst at one member
-# moves a quarter of it at the most before the others' reports are in.
-BUDGET = 4
-# Where there are fewer seats than members that want some, those go round by so many tenths of a ms.
-TURN = 50_000
+# A member keeps one seat more than it needs, or else one seat would move back and forth with each job.  It
+# does not keep it while another member that needs seats has none at all.
+DEAD_BAND_SEATS = 1
+# A round (half a second) recalls at most this fraction of a pool: 1 / 4.  So a whole pool is redistributed in
+# about two seconds, and a burst of requests at one member moves at most a quarter of the pool before the
+# reports of the other members arrive.
+RECALL_BUDGET_DIVISOR = 4
+# Where there are fewer seats than members that need some, the seats rotate over the members after 5 s, in
+# tenths of a millisecond.
+ROTATION_TICKS = 50_000
 
 
 @dataclass(slots=True, frozen=True)
 class MemberDemand:
-    """`net`: seats held and not owed; `used`: in use on average lately; `missed`: asks that found none."""
+    """A member's seats of a pool, and its demand for them.
+
+    `net`: seats held and not owed; `used`: seats in use on average in the last window; `missed`: requests
+    refused because no seat was free.
+    """
 
     name: str
     incarnation: int
     net: int
     used: int
     missed: int
-    stocks: bool = True  # takes a part of what nobody wants
+    holds_spares: bool = True  # it holds a part of the seats that nobody needs
 
     @property
-    def wanted(self) -> int:
-        """The seats that the member needs.
+    def needed(self) -> int:
+        """Returns the number of seats that the member needs.
 
-        A retrying client is counted each time: a member is taken to need half as much again at most, and its
-        next report shows whether it used that.
+        Each retry of a client counts as a refused request, so the refused requests count at most as half of
+        the use, plus 2.  The member's next report shows whether it used the additional seats.
         """
         return self.used + min(self.missed, 2 + self.used // 2)
 
 
 @dataclass(slots=True, frozen=True)
-class FairParts:
-    """Seats by member, and those that nobody needs."""
+class FairShares:
+    """The fair number of seats of each member, and the number of seats that nobody needs."""
 
-    parts: list[int]  # in the order of what was wanted
-    unwanted: int
+    counts: list[int]  # in the order of the needs passed in
+    unneeded: int
 
 
 @dataclass(slots=True, frozen=True)
 class Move:
-    """Seats to grant to, or to recall from, a member."""
+    """A number of seats to grant to a member, or to recall from it."""
 
     member: MemberDemand
     count: int
@@ -60,50 +66,52 @@
 
 @dataclass(slots=True, frozen=True)
 class Moves:
-    """Of one round."""
+    """The grants and recalls of one round."""
 
     grants: list[Move]
     recalls: list[Move]
 
 
-def fair_parts(size: int, wanted: Sequence[int], turn: int = 0) -> FairParts:
-    """Divides whole seats by max-min fairness; the remainder rotates with `turn`."""
+def fair_shares(size: int, needs: Sequence[int], rotation: int = 0) -> FairShares:
+    """Divides whole seats by max-min fairness; the remainder rotates with `rotation`."""
     remaining = size
     level = 0
-    rest = sorted(wanted)
-    for place, count in enumerate(rest):  # who wants less than an equal part gets what it wants
-        level = remaining // (len(rest) - place)
+    ascending = sorted(needs)
+    for place, count in enumerate(ascending):  # who needs less than an equal share gets what it needs
+        level = remaining // (len(ascending) - place)
         if count > level:
             break
         remaining = remaining - count
         level = count
-    found = [min(count, level) for count in wanted]
-    remaining = size - sum(found)
-    order = sorted(range(len(wanted)), key=lambda index: (index + turn) % len(wanted))
-    for index in [index for index in order if wanted[index] > level][:remaining]:
-        found[index] += 1
-    return FairParts(found, size - sum(found))
+    counts = [min(count, level) for count in needs]
+    remaining = size - sum(counts)
+    order = sorted(range(len(needs)), key=lambda index: (index + rotation) % len(needs))
+    for index in [index for index in order if needs[index] > level][:remaining]:
+        counts[index] += 1
+    return FairShares(counts, size - sum(counts))
 
 
-def rebalance(size: int, free: int, coming: int, members: Sequence[MemberDemand], turn: int = 0) -> Moves:
-    """Returns what to grant and what to recall in this round, of a pool of `size`.
+def rebalance(
+    size: int, free: int, returning: int, members: Sequence[MemberDemand], rotation: int = 0
+) -> Moves:
+    """Returns the grants and recalls of this round for a pool of `size` seats.
 
-    `free`: seats that nobody holds; `coming`: seats that are owed and on their way back.
+    `free`: seats that nobody holds; `returning`: seats that members owe and have not returned yet.
     """
     if not members:
         return Moves([], [])
     members = sorted(members, key=lambda member: member.name)
-    fair = fair_parts(size, [member.wanted for member in members], turn)
-    stock = fair.unwanted // max(1, sum(member.stocks for member in members))
-    have = [member.net for member in members]
+    fair = fair_shares(size, [member.needed for member in members], rotation)
+    spares = fair.unneeded // max(1, sum(member.holds_spares for member in members))
+    net = [member.net for member in members]
     granted = [0] * len(members)
-    for extra in (0, stock):  # first what is wanted, then an equal part of what is not
-        for index in sorted(range(len(members)), key=lambda index: have[index] - fair.parts[index]):
-            count = min(free, max(0, fair.parts[index] + extra * members[index].stocks - have[index]))
+    for extra in (0, spares):  # first the seats that are needed, then an equal part of those that are not
+        for index in sorted(range(len(members)), key=lambda index: net[index] - fair.counts[index]):
+            count = min(free, max(0, fair.counts[index] + extra * members[index].holds_spares - net[index]))
             granted[index] += count
-            have[index] += count
+            net[index] += count
             free -= count
-    return Moves(moves(members, granted), recalls(size, coming, members, fair.parts, have))
+    return Moves(moves(members, granted), recalls(size, returning, members, fair.counts, net))
 
 
 def moves(members: Sequence[MemberDemand], counts: Sequence[int]) -> list[Move]:
@@ -112,24 +120,31 @@
 
 
 def recalls(
-    size: int, coming: int, members: Sequence[MemberDemand], due: list[int], have: list[int]
+    size: int, returning: int, members: Sequence[MemberDemand], fair: list[int], net: list[int]
 ) -> list[Move]:
-    """Returns the recalls of a round: from members with most beyond their dead band."""
-    lacking = [d - h for d, h in zip(due, have, strict=True) if d > h]
-    max_moves = min(sum(lacking) - coming, max(1, size // BUDGET))
-    starved = any(h == 0 < d for d, h in zip(due, have, strict=True))
-    taken = [0] * len(members)
-    bands = [BAND if member.stocks and not starved else 0 for member in members]
-    # Who has most beyond its band comes first, of equals the first by name.
-    idle = [(d - h + band, index) for index, (d, h, band) in enumerate(zip(due, have, bands)) if h - d > band]
+    """Returns the recalls of a round: from the members with most seats beyond their dead band.
+
+    `fair`: the fair number of seats of each member; `net`: the seats that it holds and does not owe.
+    """
+    deficits = [target - held for target, held in zip(fair, net, strict=True) if target > held]
+    max_moves = min(sum(deficits) - returning, max(1, size // RECALL_BUDGET_DIVISOR))
+    starved = any(held == 0 < target for target, held in zip(fair, net, strict=True))
+    recalled = [0] * len(members)
+    bands = [DEAD_BAND_SEATS if member.holds_spares and not starved else 0 for member in members]
+    # The member with most seats beyond its dead band comes first, among equals the first by name.
+    idle = [
+        (target - held + band, index)
+        for index, (target, held, band) in enumerate(zip(fair, net, bands))
+        if held - target > band
+    ]
     heapify(idle)
     for _ in range(max(0, max_moves)):
         if not idle:
             break
-        short, index = idle[0]
-        taken[index] += 1
-        if short + 1 < 0:
-            heapreplace(idle, (short + 1, index))
+        negative_excess, index = idle[0]  # the heap has the smallest first
+        recalled[index] += 1
+        if negative_excess + 1 < 0:
+            heapreplace(idle, (negative_excess + 1, index))
         else:
             heappop(idle)
-    return moves(members, taken)
+    return moves(members, recalled)
--- a/tests/test_seats_part.py
+++ b/tests/test_seats_part.py
@@ -1,4 +1,4 @@
-"""The state machine's part `seats` and the allocator, in plain cases; moves of shares, drawn."""
+"""Tests the replicated state of seats, the allocator, the check at servers, and rebalancing."""
 
 import random
 
@@ -10,7 +10,7 @@
 from indigohitch.fleet.seats.contract import Contract, Grant, Recall, Return, Terms
 from indigohitch.fleet.seats.nodeclock import Meter, Nodes, Verdict, header, read
 from indigohitch.fleet.seats.part import Seats
-from indigohitch.fleet.seats.rebalancing import MemberDemand, fair_parts, rebalance
+from indigohitch.fleet.seats.rebalancing import MemberDemand, fair_shares, rebalance
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.types import Lease, Stamp
 
@@ -18,191 +18,214 @@
 SETTINGS = SeatSettings(place_kept=2 * SECOND, come_back=SECOND, drift=0.01)
 
 
-class Acts:
-    may, number = True, 0
+class ActionRecorder:
+    allowed = True
+    number = 0
 
     def stamp(self, now, kind, about):
         self.number += 1
-        return Stamp("a", 1, 1, 1, self.number) if self.may else None
+        return Stamp("a", 1, 1, 1, self.number) if self.allowed else None
 
 
-class One:
-    """A part, and an allocator of member `a` over it."""
+class Harness:
+    """The replicated state of seats, and the allocator of member `a` over it."""
 
     def __init__(self, *terms):
-        self.part, self.time, self.index, self.edition = Seats(), 10**9, 0, 0
+        self.part = Seats()
+        self.fleet_time = 10**9
+        self.index = 0
+        self.edition = 0
         ReplicatedStateMachine([self.part])
-        self.acts = Acts()
-        self.allocator = SeatAllocator("a", self.part, self.acts, lambda now: self.time + now, SETTINGS)
+        self.action_recorder = ActionRecorder()
+        self.allocator = SeatAllocator(
+            "a", self.part, self.action_recorder, lambda now: self.fleet_time + now, SETTINGS
+        )
         self.allocator.turn(0, Lease(1, 10 * SECOND))
         self.contract(*terms)
 
-    def does(self, word, row, who="a", incarnation=1):
+    def apply(self, kind, row, proposer="a", incarnation=1):
         self.index += 1
-        told = self.part.apply(EntryContext(self.index, 1, self.time, who, incarnation), word, row)
+        result = self.part.apply(
+            EntryContext(self.index, 1, self.fleet_time, proposer, incarnation), kind, row
+        )
         self.allocator.sync()
-        return told
+        return result
 
     def contract(self, *terms):
         self.edition += 1
-        self.does("contract", Contract(self.edition, terms))
+        self.apply("contract", Contract(self.edition, terms))
 
-    def grant(self, count, who="a", pool="", incarnation=1):
-        return self.does("grant", Grant("geo", pool, who, incarnation, count), "lead")
+    def grant(self, count, member="a", pool="", incarnation=1):
+        return self.apply("grant", Grant("geo", pool, member, incarnation, count), "lead")
 
-    def ask(self, now=0, tenant="", key="", longest=SECOND):
-        found = self.allocator.allocate(now, "geo", tenant, key, longest)
-        return found if isinstance(found, Allocation) else None
+    def allocate(self, now=0, tenant="", key="", max_duration=SECOND):
+        allocation = self.allocator.allocate(now, "geo", tenant, key, max_duration)
+        return allocation if isinstance(allocation, Allocation) else None
 
 
-def test_nothing_is_granted_beyond_the_contract_or_to_one_that_is_gone():
-    one = One(Terms("geo", 3, keep=(("ta", 1),)))
+def test_no_grant_exceeds_the_contract_or_goes_to_an_ended_incarnation():
+    harness = Harness(Terms("geo", 3, keep=(("ta", 1),)))
     for pool, count in (("", 3), ("ta", 2), ("tb", 1)):
         with pytest.raises(InvalidRequestError):
-            one.grant(count, pool=pool)
-    one.grant(2)
-    one.part.on_member_lease_expired(EntryContext(9, 1, 0, "lead", 1), "a", 1)
-    assert not one.part.features["geo"].held()
+            harness.grant(count, pool=pool)
+    harness.grant(2)
+    harness.part.on_member_lease_expired(EntryContext(9, 1, 0, "lead", 1), "a", 1)
+    assert not harness.part.features["geo"].held()
     with pytest.raises(InvalidRequestError, match="gone"):
-        one.grant(1)
-    one.grant(2, incarnation=2)
+        harness.grant(1)
+    harness.grant(2, incarnation=2)
 
 
-def test_a_return_that_comes_again_later_frees_nothing():
-    one = One(Terms("geo", 1))
-    (seat,) = one.grant(1)
-    assert one.does("return", Return("geo", "", (seat,))) == 1
-    (again,) = one.grant(1)
+def test_a_repeated_return_frees_nothing_after_a_new_grant():
+    harness = Harness(Terms("geo", 1))
+    (seat,) = harness.grant(1)
+    assert harness.apply("return", Return("geo", "", (seat,))) == 1
+    (again,) = harness.grant(1)
     assert again[0] == seat[0] and again[1] > seat[1]
-    assert one.does("return", Return("geo", "", (seat,))) == 0
-    assert one.does("return", Return("geo", "", (again,)), "b") == 0, "by another one"
-
-
-def test_a_cut_levels_shares_and_is_in_force_once_all_is_returned():
-    one = One(Terms("geo", 12, drain=5 * SECOND))
-    held = {who: one.grant(count, who) for who, count in (("a", 7), ("b", 3), ("c", 2))}
-    one.contract(Terms("geo", 4, drain=5 * SECOND))
-    found = one.part.features["geo"]
-    assert {k[1]: s.net for k, s in found.shares.items()} == {"a": 1, "b": 1, "c": 2} and found.over() == 8
+    assert harness.apply("return", Return("geo", "", (seat,))) == 0
+    assert harness.apply("return", Return("geo", "", (again,)), "b") == 0, "returned by another member"
+
+
+def test_a_cut_contract_levels_shares_and_takes_effect_once_the_excess_is_returned():
+    harness = Harness(Terms("geo", 12, drain=5 * SECOND))
+    held = {member: harness.grant(count, member) for member, count in (("a", 7), ("b", 3), ("c", 2))}
+    harness.contract(Terms("geo", 4, drain=5 * SECOND))
+    feature_seats = harness.part.features["geo"]
+    assert {name: share.net for (_, name, _), share in feature_seats.shares.items()} == {
+        "a": 1,
+        "b": 1,
+        "c": 2,
+    }
+    assert feature_seats.excess() == 8
     with pytest.raises(InvalidRequestError):
-        one.grant(1, "c")
-    out = [one.ask() for _ in range(2)]  # a keeps one: the other six are owed
-    assert out[0] and not out[1]
-    (row,) = one.allocator.returns()
-    assert len(row.seats) == 6 and one.does("return", row) == 6
-    one.does("return", Return("geo", "", tuple(held["b"][:2])), "b")
-    assert not found.over() and not one.allocator.returns() and one.allocator.pools["geo", ""].debt == 0
-
-
-def test_of_an_edition_there_is_one_and_none_goes_back():
-    one = One(Terms("geo", 2))
-    one.does("contract", Contract(1, (Terms("geo", 2),)))
+        harness.grant(1, "c")
+    allocations = [harness.allocate() for _ in range(2)]  # member a keeps one seat and owes the other six
+    assert allocations[0] and not allocations[1]
+    (row,) = harness.allocator.pending_returns()
+    assert len(row.seats) == 6 and harness.apply("return", row) == 6
+    harness.apply("return", Return("geo", "", tuple(held["b"][:2])), "b")
+    assert (
+        not feature_seats.excess()
+        and not harness.allocator.pending_returns()
+        and harness.allocator.pools["geo", ""].debt == 0
+    )
+
+
+def test_an_edition_of_the_contracts_never_changes_and_none_is_older_than_the_last():
+    harness = Harness(Terms("geo", 2))
+    harness.apply("contract", Contract(1, (Terms("geo", 2),)))
     for edition, seats in ((1, 3), (0, 2), (2, 0)):
         with pytest.raises(InvalidRequestError):
-            one.does("contract", Contract(edition, (Terms("geo", seats),)))
-    one.grant(1)
-    one.does("contract", Contract(2, ()))
-    assert one.part.features["geo"].over() == 1 and not one.ask()
-
-
-def test_giving_ends_with_lease_contract_and_right_to_act():
-    one = One(Terms("geo", 4, since=10**9 - 1, until=10**9 + 8 * SECOND))
-    one.grant(4)
-    assert one.ask(longest=100 * SECOND).until == 8 * SECOND * 99 // 100
-    assert one.ask(now=7 * SECOND, longest=100 * SECOND) and not one.ask(now=8 * SECOND)
-    one.contract(Terms("geo", 4))
-    assert one.ask(now=8 * SECOND, longest=100 * SECOND).until == 10 * SECOND
-    one.acts.may = False
-    assert not one.ask(now=9 * SECOND) and len(one.allocator.pools["geo", ""].assignments) == 1
-    one.acts.may = True
-    assert not one.ask(now=10 * SECOND)
-
-
-def test_a_node_has_one_seat_that_lingers_and_a_tenant_its_own():
-    one = One(Terms("geo", 3, "node", linger=SECOND, keep=(("ta", 1),)))
-    one.grant(2)
-    one.grant(1, pool="ta")
-    first, second = one.ask(key="n1"), one.ask(key="n1")
-    assert first.given == second.given and one.ask(key="n2") and not one.ask(key="n3")
-    assert one.ask(tenant="ta", key="n3")
-    one.allocator.release(0, first)
-    one.allocator.release(10, second)
-    assert not one.ask(now=SECOND, key="n4"), "it lingers"
-    assert one.ask(now=SECOND + 10, key="n4").given.number == first.given.number
-
-
-def test_one_that_asks_for_everything_leaves_the_next_seat_to_who_waits():
-    one = One(Terms("geo", 4))
-    one.grant(4)
-    greedy = [one.ask(tenant="all") for _ in range(4)]
-    assert all(greedy) and not one.ask(tenant="tb")
-    one.allocator.release(10, greedy[0])
-    assert not one.ask(now=20, tenant="all") and one.ask(now=20, tenant="tb")
-    one.allocator.release(30, greedy[1])
-    assert one.ask(now=40, tenant="all"), "nobody waits any more"
-    assert not one.ask(now=50, tenant="tc")
-    one.allocator.release(60, greedy[2])
-    assert one.ask(now=70 + 2 * SECOND, tenant="all"), "it did not come back"
+            harness.apply("contract", Contract(edition, (Terms("geo", seats),)))
+    harness.grant(1)
+    harness.apply("contract", Contract(2, ()))
+    assert harness.part.features["geo"].excess() == 1 and not harness.allocate()
+
+
+def test_no_seat_is_allocated_beyond_lease_and_contract_or_without_permission_to_act():
+    harness = Harness(Terms("geo", 4, since=10**9 - 1, until=10**9 + 8 * SECOND))
+    harness.grant(4)
+    assert harness.allocate(max_duration=100 * SECOND).until == 8 * SECOND * 99 // 100
+    assert harness.allocate(now=7 * SECOND, max_duration=100 * SECOND) and not harness.allocate(
+        now=8 * SECOND
+    )
+    harness.contract(Terms("geo", 4))
+    assert harness.allocate(now=8 * SECOND, max_duration=100 * SECOND).until == 10 * SECOND
+    harness.action_recorder.allowed = False
+    assert not harness.allocate(now=9 * SECOND) and len(harness.allocator.pools["geo", ""].assignments) == 1
+    harness.action_recorder.allowed = True
+    assert not harness.allocate(now=10 * SECOND)
+
+
+def test_a_node_keeps_one_lingering_seat_and_a_tenant_has_reserved_seats():
+    harness = Harness(Terms("geo", 3, "node", linger=SECOND, keep=(("ta", 1),)))
+    harness.grant(2)
+    harness.grant(1, pool="ta")
+    first, second = harness.allocate(key="n1"), harness.allocate(key="n1")
+    assert first.given == second.given and harness.allocate(key="n2") and not harness.allocate(key="n3")
+    assert harness.allocate(tenant="ta", key="n3")
+    harness.allocator.release(0, first)
+    harness.allocator.release(10, second)
+    assert not harness.allocate(now=SECOND, key="n4"), "the seat of n1 lingers"
+    assert harness.allocate(now=SECOND + 10, key="n4").given.number == first.given.number
+
+
+def test_a_greedy_tenant_leaves_the_next_idle_seat_to_a_waiting_tenant():
+    harness = Harness(Terms("geo", 4))
+    harness.grant(4)
+    greedy = [harness.allocate(tenant="all") for _ in range(4)]
+    assert all(greedy) and not harness.allocate(tenant="tb")
+    harness.allocator.release(10, greedy[0])
+    assert not harness.allocate(now=20, tenant="all") and harness.allocate(now=20, tenant="tb")
+    harness.allocator.release(30, greedy[1])
+    assert harness.allocate(now=40, tenant="all"), "no tenant waits any more"
+    assert not harness.allocate(now=50, tenant="tc")
+    harness.allocator.release(60, greedy[2])
+    assert harness.allocate(now=70 + 2 * SECOND, tenant="all"), (
+        "the place of tc, which did not retry, has expired"
+    )
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_the_longest_wait_of_a_tenant_within_its_part(seed):
-    """Ten greedy clients of one tenant against one that wants a single seat: it waits for one job at most."""
-    rng, one = random.Random(seed), One(Terms("geo", 4))
-    one.grant(4)
-    one.allocator.lease = Lease(1, 10**9)
-    out, since, longest = [], 0, 0
+def test_a_tenant_below_its_fair_share_waits_for_one_job_at_most(seed):
+    """Ten greedy clients of one tenant compete with a tenant that needs a single seat."""
+    rng, harness = random.Random(seed), Harness(Terms("geo", 4))
+    harness.grant(4)
+    harness.allocator.lease = Lease(1, 10**9)
+    running, waiting_since, longest_wait = [], 0, 0  # running: (end, allocation, tenant)
     for now in range(0, 60 * SECOND, 50):
-        for ticket in [t for t in out if t[0] <= now]:
-            out.remove(ticket)
-            one.allocator.release(now, ticket[1])
+        for job in [job for job in running if job[0] <= now]:
+            running.remove(job)
+            harness.allocator.release(now, job[1])
         for tenant in ["all"] * 10 + ["tb"]:
-            if tenant == "tb" and any(t[2] == "tb" for t in out):
-                since = now
+            if tenant == "tb" and any(job[2] == "tb" for job in running):
+                waiting_since = now
                 continue
-            if (ticket := one.ask(now, tenant)) is not None:
-                longest = max(longest, now - since) if tenant == "tb" else longest
-                out.append((now + rng.randint(1, SECOND), ticket, tenant))
-    assert longest <= SECOND + 100
+            if (allocation := harness.allocate(now, tenant)) is not None:
+                longest_wait = max(longest_wait, now - waiting_since) if tenant == "tb" else longest_wait
+                running.append((now + rng.randint(1, SECOND), allocation, tenant))
+    assert longest_wait <= SECOND + 100
 
 
-def test_a_server_refuses_what_is_late_old_twice_or_of_another_boot():
+def test_a_server_refuses_passes_that_are_late_old_duplicate_or_for_another_boot():
     nodes, meter, stamps = Nodes(SETTINGS.drift), Meter("b1"), iter(range(1, 99))
-    one = One(Terms("geo", 1))
-    one.grant(1)
+    harness = Harness(Terms("geo", 1))
+    harness.grant(1)
     assert nodes.end("s", 5000) == ("", 0)
     nodes.heard("s", "b1", 700, 1000)
     assert nodes.end("s", 11_000) == ("b1", 700 + 9900)
 
-    def shown(uses, boot="b1", until=5000):
-        given = one.ask().given
-        one.allocator.pools["geo", ""].unassign(0, next(iter(one.allocator.pools["geo", ""].assignments)))
-        text = f"geo {given.number} {given.counter} {uses} 0 {boot} {until} a 1 1 1 {next(stamps)}"
+    def make_pass(use, boot="b1", until=5000):
+        given = harness.allocate().given
+        harness.allocator.pools["geo", ""].unassign(
+            0, next(iter(harness.allocator.pools["geo", ""].assignments))
+        )
+        text = f"geo {given.number} {given.counter} {use} 0 {boot} {until} a 1 1 1 {next(stamps)}"
         assert header(read(text)) == text
         return read(text)
 
-    for now, row, verdict in (
-        (10, shown(2), Verdict.TAKEN),
-        (10, shown(2), Verdict.TWICE),
-        (10, shown(1), Verdict.OLD),
-        (10, shown(3, "b0"), Verdict.LATE),
-        (5000, shown(3), Verdict.LATE),
-        (10, shown(3), Verdict.TAKEN),
+    for now, seat_pass, verdict in (
+        (10, make_pass(2), Verdict.TAKEN),
+        (10, make_pass(2), Verdict.TWICE),
+        (10, make_pass(1), Verdict.OLD),
+        (10, make_pass(3, "b0"), Verdict.LATE),
+        (5000, make_pass(3), Verdict.LATE),
+        (10, make_pass(3), Verdict.TAKEN),
     ):
-        assert meter.takes(now, row)[0] is verdict
+        assert meter.takes(now, seat_pass)[0] is verdict
     assert len(meter.overdue(5000)) == 2 and not meter.in_use("geo")
     assert read("geo 1 x") is None and read("") is None
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_moves_end_and_leave_nobody_wanting_beside_idle_seats(seed):
+def test_rebalancing_converges_and_leaves_no_idle_seats_beside_unmet_demand(seed):
     rng = random.Random(seed)
     size, demands = rng.randint(1, 40), [rng.choice((0, 1, 3, 30)) for _ in range(rng.randint(1, 9))]
     net, rounds = [0] * len(demands), 0
     while True:
         members = [
-            MemberDemand(f"m{i}", 1, n, min(n, d), max(0, d - n))
-            for i, (n, d) in enumerate(zip(net, demands))
+            MemberDemand(f"m{i}", 1, held, min(held, demand), max(0, demand - held))
+            for i, (held, demand) in enumerate(zip(net, demands))
         ]
         moves = rebalance(size, size - sum(net), 0, members)
         if not moves.grants and not moves.recalls:
@@ -212,34 +235,34 @@
         for move in moves.recalls:
             net[int(move.member.name[1:])] -= move.count
         assert min(net) >= 0 and sum(net) <= size
-        if rounds == 0:  # the wanting turns round once
+        if rounds == 0:  # the demands change once
             demands.reverse()
         rounds += 1
-        assert rounds < 80, "they go to and fro"
-    due = fair_parts(size, demands).parts
-    assert sum(max(0, d - n) for d, n in zip(due, net)) <= len(net), (demands, net)
-    assert all(n for n, d in zip(net, due) if d) or size < len(demands)
+        assert rounds < 80, "seats move back and forth"
+    fair = fair_shares(size, demands).counts
+    assert sum(max(0, target - held) for target, held in zip(fair, net)) <= len(net), (demands, net)
+    assert all(held for held, target in zip(net, fair) if target) or size < len(demands)
 
 
-def test_fewer_seats_than_members_that_want_some_go_round():
-    net, had = [0] * 5, [0] * 5
+def test_seats_rotate_where_more_members_need_some_than_there_are():
+    net, rounds_with_seats = [0] * 5, [0] * 5
     for step in range(60):
-        members = [MemberDemand(f"m{i}", 1, n, n, 1) for i, n in enumerate(net)]
+        members = [MemberDemand(f"m{i}", 1, held, held, 1) for i, held in enumerate(net)]
         moves = rebalance(2, 2 - sum(net), 0, members, step // 6)
-        for sign, rows in ((1, moves.grants), (-1, moves.recalls)):
-            for move in rows:
+        for sign, sign_moves in ((1, moves.grants), (-1, moves.recalls)):
+            for move in sign_moves:
                 net[int(move.member.name[1:])] += sign * move.count
-        had = [h + bool(n) for h, n in zip(had, net)]
-    assert min(had) >= 10 and sum(net) <= 2
-
-
-def test_the_state_machine_goes_through_a_snapshot():
-    one = One(Terms("geo", 5, keep=(("ta", 2),)))
-    one.grant(2)
-    one.grant(1, "b", "ta")
-    one.does("recall", Recall("geo", "", "a", 1, 1))
-    one.part.on_member_lease_expired(EntryContext(9, 1, 0, "lead", 1), "c", 4)
-    state_machine, other = one.part.state_machine, ReplicatedStateMachine([Seats()])
-    other.restore(state_machine.snapshot())
-    assert other.digest() == state_machine.digest()
-    assert other.parts["seats"].features["geo"].free == one.part.features["geo"].free
+        rounds_with_seats = [rounds + bool(held) for rounds, held in zip(rounds_with_seats, net)]
+    assert min(rounds_with_seats) >= 10 and sum(net) <= 2
+
+
+def test_a_restored_snapshot_gives_an_equal_state():
+    harness = Harness(Terms("geo", 5, keep=(("ta", 2),)))
+    harness.grant(2)
+    harness.grant(1, "b", "ta")
+    harness.apply("recall", Recall("geo", "", "a", 1, 1))
+    harness.part.on_member_lease_expired(EntryContext(9, 1, 0, "lead", 1), "c", 4)
+    state_machine, restored = harness.part.state_machine, ReplicatedStateMachine([Seats()])
+    restored.restore(state_machine.snapshot())
+    assert restored.digest() == state_machine.digest()
+    assert restored.parts["seats"].features["geo"].free == harness.part.features["geo"].free
--- a/tests/test_seats_rebalancing.py
+++ b/tests/test_seats_rebalancing.py
@@ -1,43 +1,49 @@
-"""Which seats are called back, against the plain definition: one after the other from whoever has most."""
+"""Compares the recalls of a round with a direct definition: one seat at a time from the member with most."""
 
 import random
 
-from indigohitch.fleet.seats.rebalancing import BAND, BUDGET, MemberDemand, fair_parts, rebalance
+from indigohitch.fleet.seats.rebalancing import (
+    DEAD_BAND_SEATS,
+    RECALL_BUDGET_DIVISOR,
+    MemberDemand,
+    fair_shares,
+    rebalance,
+)
 
 
-def plainly_recalled(size, coming, members, due, have):
-    lacking = [d - h for d, h in zip(due, have) if d > h]
-    starved = any(h == 0 < d for d, h in zip(due, have))
-    rest, taken = list(have), [0] * len(members)
+def recalls_one_by_one(size, returning, members, fair, net):
+    deficits = [target - held for target, held in zip(fair, net) if target > held]
+    starved = any(held == 0 < target for target, held in zip(fair, net))
+    remaining, recalled = list(net), [0] * len(members)
 
     def idle(i):
-        return rest[i] - due[i] - (BAND if members[i].stocks and not starved else 0)
+        return remaining[i] - fair[i] - (DEAD_BAND_SEATS if members[i].holds_spares and not starved else 0)
 
-    for _ in range(max(0, min(sum(lacking) - coming, max(1, size // BUDGET)))):
+    for _ in range(max(0, min(sum(deficits) - returning, max(1, size // RECALL_BUDGET_DIVISOR)))):
         i = max(range(len(members)), key=idle)
         if idle(i) > 0:
-            rest[i] -= 1
-            taken[i] += 1
-    return {member.name: count for member, count in zip(members, taken) if count}
+            remaining[i] -= 1
+            recalled[i] += 1
+    return {member.name: count for member, count in zip(members, recalled) if count}
 
 
-def drawn(chance):
+def random_members(rng):
     return [
-        MemberDemand(
-            f"m{number:02}", 1, chance.randrange(9), chance.randrange(9), chance.randrange(4), stocks
-        )
-        for number, stocks in enumerate(chance.choices([True, True, False], k=chance.randrange(1, 12)))
+        MemberDemand(f"m{number:02}", 1, rng.randrange(9), rng.randrange(9), rng.randrange(4), holds_spares)
+        for number, holds_spares in enumerate(rng.choices([True, True, False], k=rng.randrange(1, 12)))
     ]
 
 
-def test_recalls_are_those_of_the_plain_definition():
-    chance, some = random.Random(3), 0
+def test_recalls_equal_those_taken_one_by_one_from_the_member_with_most():
+    rng, rounds_with_recalls = random.Random(3), 0
     for _ in range(3_000):
-        members, size, coming = drawn(chance), chance.randrange(60), chance.randrange(4)
-        due = fair_parts(size, [member.wanted for member in members]).parts
-        have = [member.net for member in members]
-        found = rebalance(size, 0, coming, members).recalls  # none is free: nothing is granted before
-        recalled = {move.member.name: move.count for move in found}
-        assert recalled == plainly_recalled(size, coming, members, due, have)
-        some += bool(recalled)
-    assert some > 500
+        members, size, returning = random_members(rng), rng.randrange(60), rng.randrange(4)
+        fair = fair_shares(size, [member.needed for member in members]).counts
+        net = [member.net for member in members]
+        moves = rebalance(
+            size, 0, returning, members
+        ).recalls  # no seat is free, so nothing is granted before
+        recalled = {move.member.name: move.count for move in moves}
+        assert recalled == recalls_one_by_one(size, returning, members, fair, net)
+        rounds_with_recalls += bool(recalled)
+    assert rounds_with_recalls > 500
--- a/tests/test_seats_schedules.py
+++ b/tests/test_seats_schedules.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of the pure parts by a true meter; and each guard, taken away, is missed."""
+"""Runs seeded random schedules of simulated members; without any one of the safety guards, some must fail."""
 
 import random
 
@@ -7,12 +7,12 @@
 from indigohitch.fleet.seats import allocator, nodeclock, part, pool
 from indigohitch.fleet.seats.contract import Terms
 from indigohitch.fleet.types import Lease
-from seatdays import schedule
+from seats_random_schedule import run_random_schedule
 
 SECOND = 10_000
 
 
-def terms(rng):
+def random_terms(rng):
     return [
         Terms(
             "geo",
@@ -26,95 +26,100 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_never_more_than_contracted_and_none_lost(seed):
+def test_use_never_exceeds_the_contract_and_no_seat_leaks(seed):
     rng = random.Random(seed)
-    world = schedule(rng, terms(rng), seconds=25)
-    assert world.counts["given"] > 30
+    fleet = run_random_schedule(rng, random_terms(rng), seconds=25)
+    assert fleet.counts["given"] > 30
 
 
-def frees_what_is_unheard(monkeypatch):
-    """As if a deadline that has passed told that the job is over."""
-    was = allocator.SeatAllocator.allocate
+def free_seats_of_unreported_jobs(monkeypatch):
+    """Frees a seat 0.2 s after its allocation, although the end of its job was not reported."""
+    original = allocator.SeatAllocator.allocate
 
-    def ask(self, now, feature, tenant, key, longest):
-        found = was(self, now, feature, tenant, key, longest)
-        if isinstance(found, allocator.Allocation):
-            self.expire_at(now + SECOND // 5, found)
-        return found
+    def allocate(self, now, feature, tenant, key, max_duration):
+        allocation = original(self, now, feature, tenant, key, max_duration)
+        if isinstance(allocation, allocator.Allocation):
+            self.expire_at(now + SECOND // 5, allocation)
+        return allocation
 
-    monkeypatch.setattr(allocator.SeatAllocator, "allocate", ask)
+    monkeypatch.setattr(allocator.SeatAllocator, "allocate", allocate)
 
 
-def lease_taken_as_longer(monkeypatch):
-    was = allocator.SeatAllocator.turn
+def extend_lease(monkeypatch):
+    original = allocator.SeatAllocator.turn
 
     def turn(self, now, lease):
-        was(self, now, lease and Lease(lease.incarnation, lease.until + SECOND))
+        original(self, now, lease and Lease(lease.incarnation, lease.until + SECOND))
 
     monkeypatch.setattr(allocator.SeatAllocator, "turn", turn)
 
 
-def server_ends_nothing(monkeypatch):
+def end_no_jobs_at_servers(monkeypatch):
     monkeypatch.setattr(nodeclock.Meter, "overdue", lambda self, now: [])
 
 
-def server_takes(verdict, of_this_boot=True):
-    def guard(monkeypatch):
-        was = nodeclock.Meter.verdict
+def accept_at_servers(verdict, same_boot=True):
+    """Returns a patch with which servers accept jobs that they would refuse with this verdict.
 
-        def judged(self, now, shown):
-            found = was(self, now, shown)
-            wanted = found is verdict and (shown.boot == self.boot) is of_this_boot
-            return nodeclock.Verdict.TAKEN if wanted else found
+    `same_boot`: whether those are jobs with the server's current boot id, or with another one.
+    """
 
-        monkeypatch.setattr(nodeclock.Meter, "verdict", judged)
+    def patch(monkeypatch):
+        original = nodeclock.Meter.verdict
 
-    return guard
+        def patched_verdict(self, now, seat_pass):
+            decided = original(self, now, seat_pass)
+            accepted = decided is verdict and (seat_pass.boot == self.boot) is same_boot
+            return nodeclock.Verdict.TAKEN if accepted else decided
 
+        monkeypatch.setattr(nodeclock.Meter, "verdict", patched_verdict)
 
-def drift_not_counted(monkeypatch):
-    was = nodeclock.Nodes.__init__
+    return patch
 
-    def without(self, drift):
-        was(self, drift)
+
+def ignore_drift(monkeypatch):
+    original = nodeclock.Nodes.__init__
+
+    def patched_init(self, drift):
+        original(self, drift)
         self.drift = 0.0
 
-    monkeypatch.setattr(nodeclock.Nodes, "__init__", without)
+    monkeypatch.setattr(nodeclock.Nodes, "__init__", patched_init)
 
 
-def given_while_returning(monkeypatch):
-    was = pool.SeatPool.set_aside_owed
+def assign_seats_being_returned(monkeypatch):
+    original = pool.SeatPool.set_aside_owed
 
-    def owe(self):
+    def set_aside_owed(self):
         idle = list(self.idle)
-        was(self)
+        original(self)
         self.idle, self.seats = idle, {**self.seats, **self.returning}
 
-    monkeypatch.setattr(pool.SeatPool, "set_aside_owed", owe)
+    monkeypatch.setattr(pool.SeatPool, "set_aside_owed", set_aside_owed)
     monkeypatch.setattr(pool.SeatPool, "usable", property(lambda self: len(self.seats)))
 
 
-def granted_over_the_contract(monkeypatch):
-    monkeypatch.setattr(part.Feature, "room", lambda self, pool: len(self.free))
+def grant_more_than_contracted(monkeypatch):
+    monkeypatch.setattr(part.Feature, "grantable", lambda self, pool: len(self.free))
 
 
-GUARDS = {
-    "unheard": frees_what_is_unheard,
-    "lease": lease_taken_as_longer,
-    "end": server_ends_nothing,
-    "late": server_takes(nodeclock.Verdict.LATE),
-    "boot": server_takes(nodeclock.Verdict.LATE, False),
-    "twice": server_takes(nodeclock.Verdict.TWICE),
-    "drift": drift_not_counted,
-    "returning": given_while_returning,
-    "room": granted_over_the_contract,
+PATCHES_WITHOUT_GUARD = {
+    "unheard": free_seats_of_unreported_jobs,
+    "lease": extend_lease,
+    "end": end_no_jobs_at_servers,
+    "late": accept_at_servers(nodeclock.Verdict.LATE),
+    "boot": accept_at_servers(nodeclock.Verdict.LATE, False),
+    "twice": accept_at_servers(nodeclock.Verdict.TWICE),
+    "drift": ignore_drift,
+    "returning": assign_seats_being_returned,
+    "room": grant_more_than_contracted,
 }
 
 
-@pytest.mark.parametrize("name", GUARDS)
-def test_a_guard_that_is_taken_away_is_missed(name, monkeypatch):
-    GUARDS[name](monkeypatch)
+@pytest.mark.parametrize("guard", PATCHES_WITHOUT_GUARD)
+def test_schedules_fail_without_a_guard(guard, monkeypatch):
+    PATCHES_WITHOUT_GUARD[guard](monkeypatch)
     with pytest.raises(AssertionError):
         for seed in range(60):
             rng = random.Random(seed)
-            schedule(rng, terms(rng), seconds=25)
+            run_random_schedule(rng, random_terms(rng), seconds=25)
