--- a/indigohitch/fleet/seats/nodeclock.py
+++ b/indigohitch/fleet/seats/nodeclock.py
@@ -51,7 +51,7 @@
 
 
 class Verdict(enum.Enum):
-    """The server's decision on a job; LATE and UNREAD tell the holder that nothing of it runs there."""
+    """The server's decision on a job; some refusals tell the holder that nothing of the job runs there."""
 
     TAKEN = "taken"
     UNREAD = "unread"  # the holder has no reading of this server's clock yet
@@ -84,7 +84,7 @@
         self.refused = dict.fromkeys(Verdict, 0)
 
     def takes(self, now: int, seat_pass: Pass) -> tuple[Verdict, int]:
-        """Returns the verdict and, if it is TAKEN, the number of the job, else 0.
+        """Returns the verdict and the number of the job, 0 if the job is refused.
 
         `now`: the server's monotonic clock.
         """
@@ -172,7 +172,7 @@
 
 
 def read(text: str) -> Pass | None:
-    """Parses a pass in the form that `header` returns; returns None if it is invalid."""
+    """Parses a pass from the value of a header; returns None if it is invalid."""
     from ..types import Stamp
 
     fields = text.split()
--- a/indigohitch/fleet/seats/pool.py
+++ b/indigohitch/fleet/seats/pool.py
@@ -58,9 +58,9 @@
 class SeatPool:
     """The seats of one pool at one member, with assignments and waiting tenants."""
 
-    def __init__(self, feature: str, place_kept: int) -> None:
+    def __init__(self, feature: str, queue_place_lifetime: int) -> None:
         self.feature = feature
-        self.place_kept = place_kept
+        self.queue_place_lifetime = queue_place_lifetime
         self.seats: dict[int, Seat] = {}
         self.idle: list[Seat] = []
         self.returning: dict[int, Seat] = {}  # seats whose return is proposed; they are not assigned any more
@@ -139,7 +139,7 @@
     def record_refusal(self, now: int, tenant: str, retry_after: int) -> None:
         """Counts a refusal and queues the tenant; `retry_after`: the delay after which it is to retry."""
         self.refusals += 1
-        until = now + max(self.place_kept, 5 * retry_after // 2)
+        until = now + max(self.queue_place_lifetime, 5 * retry_after // 2)
         if tenant in self.waiting:
             self.waiting[tenant].until = until
         elif len(self.waiting) < MAX_WAITING_TENANTS:
--- a/tests/seats_random_schedule.py
+++ b/tests/seats_random_schedule.py
@@ -5,15 +5,15 @@
 from seats_simulated_fleet import EPOCH, LEASE_TICKS, SECOND, SimulatedFleet
 
 
-def run_random_schedule(rng, terms, seconds=60, member_count=4):
+def run_random_schedule(rng, terms, seconds=60, member_count=4, after=None):
     """Runs one seeded schedule and a quiet period; raises AssertionError if an invariant is violated."""
     fleet = SimulatedFleet(rng, [f"m{n}" for n in range(member_count)], terms)
     request_intervals = [rng.choice((50, 300, 2000)) for _ in range(member_count)]
 
-    def send_requests(n):
+    def send_requests(index):
         if not fleet.quiet:
-            fleet.members[f"m{n}"].send_rpc(rng.choice(("ta", "ta", "tb", "")), f"u{rng.randrange(4)}")
-            fleet.after(int(rng.expovariate(1 / request_intervals[n])) + 1, lambda: send_requests(n))
+            fleet.members[f"m{index}"].send_rpc(rng.choice(("ta", "ta", "tb", "")), f"u{rng.randrange(4)}")
+            fleet.after(int(rng.expovariate(1 / request_intervals[index])) + 1, lambda: send_requests(index))
 
     def inject_fault():
         if fleet.quiet:
@@ -48,8 +48,8 @@
             )
         fleet.after(int(rng.expovariate(1 / (2 * SECOND))), inject_fault)
 
-    for n in range(member_count):
-        send_requests(n)
+    for index in range(member_count):
+        send_requests(index)
     fleet.after(LEASE_TICKS, inject_fault)
     fleet.run(seconds * SECOND)
     fleet.quiet = True
--- a/tests/test_seats_part.py
+++ b/tests/test_seats_part.py
@@ -19,35 +19,27 @@
 
 
 class ActionRecorder:
-    allowed = True
-    number = 0
+    allowed, number = True, 0
 
     def stamp(self, now, kind, about):
         self.number += 1
         return Stamp("a", 1, 1, 1, self.number) if self.allowed else None
 
 
-class Harness:
+class SeatsHarness:
     """The replicated state of seats, and the allocator of member `a` over it."""
 
     def __init__(self, *terms):
-        self.part = Seats()
-        self.fleet_time = 10**9
-        self.index = 0
-        self.edition = 0
+        self.part, self.time, self.index, self.edition = Seats(), 10**9, 0, 0
         ReplicatedStateMachine([self.part])
-        self.action_recorder = ActionRecorder()
-        self.allocator = SeatAllocator(
-            "a", self.part, self.action_recorder, lambda now: self.fleet_time + now, SETTINGS
-        )
+        self.recorder = ActionRecorder()
+        self.allocator = SeatAllocator("a", self.part, self.recorder, lambda now: self.time + now, SETTINGS)
         self.allocator.turn(0, Lease(1, 10 * SECOND))
         self.contract(*terms)
 
     def apply(self, kind, row, proposer="a", incarnation=1):
         self.index += 1
-        result = self.part.apply(
-            EntryContext(self.index, 1, self.fleet_time, proposer, incarnation), kind, row
-        )
+        result = self.part.apply(EntryContext(self.index, 1, self.time, proposer, incarnation), kind, row)
         self.allocator.sync()
         return result
 
@@ -64,124 +56,113 @@
 
 
 def test_no_grant_exceeds_the_contract_or_goes_to_an_ended_incarnation():
-    harness = Harness(Terms("geo", 3, keep=(("ta", 1),)))
+    seats = SeatsHarness(Terms("geo", 3, keep=(("ta", 1),)))
     for pool, count in (("", 3), ("ta", 2), ("tb", 1)):
         with pytest.raises(InvalidRequestError):
-            harness.grant(count, pool=pool)
-    harness.grant(2)
-    harness.part.on_member_lease_expired(EntryContext(9, 1, 0, "lead", 1), "a", 1)
-    assert not harness.part.features["geo"].held()
+            seats.grant(count, pool=pool)
+    seats.grant(2)
+    seats.part.on_member_lease_expired(EntryContext(9, 1, 0, "lead", 1), "a", 1)
+    assert not seats.part.features["geo"].held()
     with pytest.raises(InvalidRequestError, match="gone"):
-        harness.grant(1)
-    harness.grant(2, incarnation=2)
+        seats.grant(1)
+    seats.grant(2, incarnation=2)
 
 
 def test_a_repeated_return_frees_nothing_after_a_new_grant():
-    harness = Harness(Terms("geo", 1))
-    (seat,) = harness.grant(1)
-    assert harness.apply("return", Return("geo", "", (seat,))) == 1
-    (again,) = harness.grant(1)
+    seats = SeatsHarness(Terms("geo", 1))
+    (seat,) = seats.grant(1)
+    assert seats.apply("return", Return("geo", "", (seat,))) == 1
+    (again,) = seats.grant(1)
     assert again[0] == seat[0] and again[1] > seat[1]
-    assert harness.apply("return", Return("geo", "", (seat,))) == 0
-    assert harness.apply("return", Return("geo", "", (again,)), "b") == 0, "returned by another member"
+    assert seats.apply("return", Return("geo", "", (seat,))) == 0
+    assert seats.apply("return", Return("geo", "", (again,)), "b") == 0, "returned by another member"
 
 
 def test_a_cut_contract_levels_shares_and_takes_effect_once_the_excess_is_returned():
-    harness = Harness(Terms("geo", 12, drain=5 * SECOND))
-    held = {member: harness.grant(count, member) for member, count in (("a", 7), ("b", 3), ("c", 2))}
-    harness.contract(Terms("geo", 4, drain=5 * SECOND))
-    feature_seats = harness.part.features["geo"]
-    assert {name: share.net for (_, name, _), share in feature_seats.shares.items()} == {
-        "a": 1,
-        "b": 1,
-        "c": 2,
-    }
-    assert feature_seats.excess() == 8
+    seats = SeatsHarness(Terms("geo", 12, drain=5 * SECOND))
+    held = {member: seats.grant(count, member) for member, count in (("a", 7), ("b", 3), ("c", 2))}
+    seats.contract(Terms("geo", 4, drain=5 * SECOND))
+    feature = seats.part.features["geo"]
+    net = {name: share.net for (_, name, _), share in feature.shares.items()}
+    assert net == {"a": 1, "b": 1, "c": 2} and feature.excess() == 8
     with pytest.raises(InvalidRequestError):
-        harness.grant(1, "c")
-    allocations = [harness.allocate() for _ in range(2)]  # member a keeps one seat and owes the other six
+        seats.grant(1, "c")
+    allocations = [seats.allocate() for _ in range(2)]  # member a keeps one seat and owes the other six
     assert allocations[0] and not allocations[1]
-    (row,) = harness.allocator.pending_returns()
-    assert len(row.seats) == 6 and harness.apply("return", row) == 6
-    harness.apply("return", Return("geo", "", tuple(held["b"][:2])), "b")
-    assert (
-        not feature_seats.excess()
-        and not harness.allocator.pending_returns()
-        and harness.allocator.pools["geo", ""].debt == 0
-    )
+    (row,) = seats.allocator.pending_returns()
+    assert len(row.seats) == 6 and seats.apply("return", row) == 6
+    seats.apply("return", Return("geo", "", tuple(held["b"][:2])), "b")
+    assert not feature.excess() and not seats.allocator.pending_returns()
+    assert seats.allocator.pools["geo", ""].debt == 0
 
 
 def test_an_edition_of_the_contracts_never_changes_and_none_is_older_than_the_last():
-    harness = Harness(Terms("geo", 2))
-    harness.apply("contract", Contract(1, (Terms("geo", 2),)))
-    for edition, seats in ((1, 3), (0, 2), (2, 0)):
+    seats = SeatsHarness(Terms("geo", 2))
+    seats.apply("contract", Contract(1, (Terms("geo", 2),)))
+    for edition, count in ((1, 3), (0, 2), (2, 0)):
         with pytest.raises(InvalidRequestError):
-            harness.apply("contract", Contract(edition, (Terms("geo", seats),)))
-    harness.grant(1)
-    harness.apply("contract", Contract(2, ()))
-    assert harness.part.features["geo"].excess() == 1 and not harness.allocate()
+            seats.apply("contract", Contract(edition, (Terms("geo", count),)))
+    seats.grant(1)
+    seats.apply("contract", Contract(2, ()))
+    assert seats.part.features["geo"].excess() == 1 and not seats.allocate()
 
 
 def test_no_seat_is_allocated_beyond_lease_and_contract_or_without_permission_to_act():
-    harness = Harness(Terms("geo", 4, since=10**9 - 1, until=10**9 + 8 * SECOND))
-    harness.grant(4)
-    assert harness.allocate(max_duration=100 * SECOND).until == 8 * SECOND * 99 // 100
-    assert harness.allocate(now=7 * SECOND, max_duration=100 * SECOND) and not harness.allocate(
-        now=8 * SECOND
-    )
-    harness.contract(Terms("geo", 4))
-    assert harness.allocate(now=8 * SECOND, max_duration=100 * SECOND).until == 10 * SECOND
-    harness.action_recorder.allowed = False
-    assert not harness.allocate(now=9 * SECOND) and len(harness.allocator.pools["geo", ""].assignments) == 1
-    harness.action_recorder.allowed = True
-    assert not harness.allocate(now=10 * SECOND)
+    seats = SeatsHarness(Terms("geo", 4, since=10**9 - 1, until=10**9 + 8 * SECOND))
+    seats.grant(4)
+    assert seats.allocate(max_duration=100 * SECOND).until == 8 * SECOND * 99 // 100
+    assert seats.allocate(now=7 * SECOND, max_duration=100 * SECOND) and not seats.allocate(now=8 * SECOND)
+    seats.contract(Terms("geo", 4))
+    assert seats.allocate(now=8 * SECOND, max_duration=100 * SECOND).until == 10 * SECOND
+    seats.recorder.allowed = False
+    assert not seats.allocate(now=9 * SECOND) and len(seats.allocator.pools["geo", ""].assignments) == 1
+    seats.recorder.allowed = True
+    assert not seats.allocate(now=10 * SECOND)
 
 
 def test_a_node_keeps_one_lingering_seat_and_a_tenant_has_reserved_seats():
-    harness = Harness(Terms("geo", 3, "node", linger=SECOND, keep=(("ta", 1),)))
-    harness.grant(2)
-    harness.grant(1, pool="ta")
-    first, second = harness.allocate(key="n1"), harness.allocate(key="n1")
-    assert first.given == second.given and harness.allocate(key="n2") and not harness.allocate(key="n3")
-    assert harness.allocate(tenant="ta", key="n3")
-    harness.allocator.release(0, first)
-    harness.allocator.release(10, second)
-    assert not harness.allocate(now=SECOND, key="n4"), "the seat of n1 lingers"
-    assert harness.allocate(now=SECOND + 10, key="n4").given.number == first.given.number
+    seats = SeatsHarness(Terms("geo", 3, "node", linger=SECOND, keep=(("ta", 1),)))
+    seats.grant(2)
+    seats.grant(1, pool="ta")
+    first, second = seats.allocate(key="n1"), seats.allocate(key="n1")
+    assert first.given == second.given and seats.allocate(key="n2") and not seats.allocate(key="n3")
+    assert seats.allocate(tenant="ta", key="n3")
+    seats.allocator.release(0, first)
+    seats.allocator.release(10, second)
+    assert not seats.allocate(now=SECOND, key="n4"), "the seat of n1 lingers"
+    assert seats.allocate(now=SECOND + 10, key="n4").given.number == first.given.number
 
 
 def test_a_greedy_tenant_leaves_the_next_idle_seat_to_a_waiting_tenant():
-    harness = Harness(Terms("geo", 4))
-    harness.grant(4)
-    greedy = [harness.allocate(tenant="all") for _ in range(4)]
-    assert all(greedy) and not harness.allocate(tenant="tb")
-    harness.allocator.release(10, greedy[0])
-    assert not harness.allocate(now=20, tenant="all") and harness.allocate(now=20, tenant="tb")
-    harness.allocator.release(30, greedy[1])
-    assert harness.allocate(now=40, tenant="all"), "no tenant waits any more"
-    assert not harness.allocate(now=50, tenant="tc")
-    harness.allocator.release(60, greedy[2])
-    assert harness.allocate(now=70 + 2 * SECOND, tenant="all"), (
-        "the place of tc, which did not retry, has expired"
-    )
+    seats = SeatsHarness(Terms("geo", 4))
+    seats.grant(4)
+    greedy = [seats.allocate(tenant="all") for _ in range(4)]
+    assert all(greedy) and not seats.allocate(tenant="tb")
+    seats.allocator.release(10, greedy[0])
+    assert not seats.allocate(now=20, tenant="all") and seats.allocate(now=20, tenant="tb")
+    seats.allocator.release(30, greedy[1])
+    assert seats.allocate(now=40, tenant="all"), "no tenant waits any more"
+    assert not seats.allocate(now=50, tenant="tc")
+    seats.allocator.release(60, greedy[2])
+    assert seats.allocate(now=70 + 2 * SECOND, tenant="all"), "tc did not retry in time"
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_tenant_below_its_fair_share_waits_for_one_job_at_most(seed):
     """Ten greedy clients of one tenant compete with a tenant that needs a single seat."""
-    rng, harness = random.Random(seed), Harness(Terms("geo", 4))
-    harness.grant(4)
-    harness.allocator.lease = Lease(1, 10**9)
+    rng, seats = random.Random(seed), SeatsHarness(Terms("geo", 4))
+    seats.grant(4)
+    seats.allocator.lease = Lease(1, 10**9)
     running, waiting_since, longest_wait = [], 0, 0  # running: (end, allocation, tenant)
     for now in range(0, 60 * SECOND, 50):
         for job in [job for job in running if job[0] <= now]:
             running.remove(job)
-            harness.allocator.release(now, job[1])
+            seats.allocator.release(now, job[1])
         for tenant in ["all"] * 10 + ["tb"]:
             if tenant == "tb" and any(job[2] == "tb" for job in running):
                 waiting_since = now
                 continue
-            if (allocation := harness.allocate(now, tenant)) is not None:
+            if (allocation := seats.allocate(now, tenant)) is not None:
                 longest_wait = max(longest_wait, now - waiting_since) if tenant == "tb" else longest_wait
                 running.append((now + rng.randint(1, SECOND), allocation, tenant))
     assert longest_wait <= SECOND + 100
@@ -189,17 +170,15 @@
 
 def test_a_server_refuses_passes_that_are_late_old_duplicate_or_for_another_boot():
     nodes, meter, stamps = Nodes(SETTINGS.drift), Meter("b1"), iter(range(1, 99))
-    harness = Harness(Terms("geo", 1))
-    harness.grant(1)
+    seats = SeatsHarness(Terms("geo", 1))
+    seats.grant(1)
     assert nodes.end("s", 5000) == ("", 0)
     nodes.heard("s", "b1", 700, 1000)
     assert nodes.end("s", 11_000) == ("b1", 700 + 9900)
 
     def make_pass(use, boot="b1", until=5000):
-        given = harness.allocate().given
-        harness.allocator.pools["geo", ""].unassign(
-            0, next(iter(harness.allocator.pools["geo", ""].assignments))
-        )
+        given = seats.allocate().given
+        seats.allocator.pools["geo", ""].unassign(0, next(iter(seats.allocator.pools["geo", ""].assignments)))
         text = f"geo {given.number} {given.counter} {use} 0 {boot} {until} a 1 1 1 {next(stamps)}"
         assert header(read(text)) == text
         return read(text)
@@ -257,12 +236,12 @@
 
 
 def test_a_restored_snapshot_gives_an_equal_state():
-    harness = Harness(Terms("geo", 5, keep=(("ta", 2),)))
-    harness.grant(2)
-    harness.grant(1, "b", "ta")
-    harness.apply("recall", Recall("geo", "", "a", 1, 1))
-    harness.part.on_member_lease_expired(EntryContext(9, 1, 0, "lead", 1), "c", 4)
-    state_machine, restored = harness.part.state_machine, ReplicatedStateMachine([Seats()])
+    seats = SeatsHarness(Terms("geo", 5, keep=(("ta", 2),)))
+    seats.grant(2)
+    seats.grant(1, "b", "ta")
+    seats.apply("recall", Recall("geo", "", "a", 1, 1))
+    seats.part.on_member_lease_expired(EntryContext(9, 1, 0, "lead", 1), "c", 4)
+    state_machine, restored = seats.part.state_machine, ReplicatedStateMachine([Seats()])
     restored.restore(state_machine.snapshot())
     assert restored.digest() == state_machine.digest()
-    assert restored.parts["seats"].features["geo"].free == harness.part.features["geo"].free
+    assert restored.parts["seats"].features["geo"].free == seats.part.features["geo"].free
--- a/tests/test_seats_rebalancing.py
+++ b/tests/test_seats_rebalancing.py
@@ -16,14 +16,18 @@
     starved = any(held == 0 < target for target, held in zip(fair, net))
     remaining, recalled = list(net), [0] * len(members)
 
-    def idle(i):
-        return remaining[i] - fair[i] - (DEAD_BAND_SEATS if members[i].holds_spares and not starved else 0)
+    def idle(index):
+        return (
+            remaining[index]
+            - fair[index]
+            - (DEAD_BAND_SEATS if members[index].holds_spares and not starved else 0)
+        )
 
     for _ in range(max(0, min(sum(deficits) - returning, max(1, size // RECALL_BUDGET_DIVISOR)))):
-        i = max(range(len(members)), key=idle)
-        if idle(i) > 0:
-            remaining[i] -= 1
-            recalled[i] += 1
+        index = max(range(len(members)), key=idle)
+        if idle(index) > 0:
+            remaining[index] -= 1
+            recalled[index] += 1
     return {member.name: count for member, count in zip(members, recalled) if count}
 
 
