--- a/indigohitch/fleet/batches/__init__.py
+++ b/indigohitch/fleet/batches/__init__.py
@@ -1,1 +1,1 @@
-"""Batches in cheap hours: what electricity costs, the plan, who runs which piece (docs/batches.md)."""
+"""Batch work in hours of cheap electricity: prices, the plan, and the pieces that members run."""
--- a/indigohitch/fleet/batches/admin_requests.py
+++ b/indigohitch/fleet/batches/admin_requests.py
@@ -1,5 +1,4 @@
-"""What people say of batches, in the state's terms: the contract of a file, a batch over the control socket.
-No I/O."""
+"""Converts an operator's file and requests on the control socket to rows of the state machine.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +7,7 @@
 from ...config.batches import BatchesText
 from ...config.words import name, span
 from ...errors import InvalidRequestError
-from .prices import moment
+from .prices import parse_time
 from .rows import Band, Batch, BatchClass, Contract, Cut, Site, Word
 
 FORM = (
@@ -18,7 +17,7 @@
 
 
 def contract_of(text: BatchesText, edition: int) -> Contract | None:
-    """None where the file contracts nothing."""
+    """Returns the contract of an operator's file, None if the file names no site."""
     if not text.sites:
         return None
     sites = tuple(
@@ -35,60 +34,73 @@
     )
     classes = tuple(
         BatchClass(
-            one.name,
-            one.idempotent,
-            one.path,
-            dict(sorted(one.power.items())),
-            one.pause,
-            dict(sorted(one.seats.items())),
-            one.sites,
+            batch_class.name,
+            batch_class.idempotent,
+            batch_class.path,
+            dict(sorted(batch_class.power.items())),
+            batch_class.pause,
+            dict(sorted(batch_class.seats.items())),
+            batch_class.sites,
         )
-        for _, one in sorted(text.classes.items())
+        for _, batch_class in sorted(text.classes.items())
     )
     return Contract(edition, text.slot, sites, classes)
 
 
-def batch_of(told: object) -> Batch:
-    """Raises Unfit; `FORM` shows the shape."""
+def batch_of(request: object) -> Batch:
+    """Returns the batch of a request; `FORM` shows its form.
+
+    Raises:
+        InvalidRequestError: the request does not have this form.
+    """
     try:
-        pieces = told["pieces"]
+        pieces = request["pieces"]
         if not isinstance(pieces, list):
-            raise ValueError("pieces: a list is wanted")
+            raise ValueError("pieces: must be a list")
         return Batch(
-            name(told["id"]),
-            name(told["tenant"]),
-            name(told["class"]),
+            name(request["id"]),
+            name(request["tenant"]),
+            name(request["class"]),
             tuple(cut_of(number, piece) for number, piece in enumerate(pieces)),
         )
     except InvalidRequestError:
         raise
-    except (KeyError, TypeError, ValueError) as bad:
-        what = f"{bad.args[0]} is missing" if isinstance(bad, KeyError) else str(bad)
-        raise InvalidRequestError(f"no batch: {what}", remedy=f"a batch looks like {FORM}") from None
+    except (KeyError, TypeError, ValueError) as error:
+        problem = f"{error.args[0]} is missing" if isinstance(error, KeyError) else str(error)
+        raise InvalidRequestError(f"no batch: {problem}", remedy=f"a batch looks like {FORM}") from None
+
 
+def cut_of(index: int, piece: Mapping) -> Cut:
+    """Returns the piece of a request; `index` is its position there.
 
-def cut_of(number: int, piece: Mapping) -> Cut:
+    Raises:
+        InvalidRequestError: the piece does not have the form that `FORM` shows.
+    """
     try:
         steps = piece["steps"]
         if not isinstance(steps, int) or isinstance(steps, bool):
-            raise ValueError("steps: a whole number is wanted")
-        return Cut(moment(piece["earliest"]), moment(piece["latest"]), span(piece["work"]), steps)
-    except (InvalidRequestError, KeyError, TypeError, ValueError) as bad:
-        what = (
-            f"{bad.args[0]} is missing"
-            if isinstance(bad, KeyError)
-            else (bad.problem if isinstance(bad, InvalidRequestError) else str(bad))
+            raise ValueError("steps: must be a whole number")
+        return Cut(parse_time(piece["earliest"]), parse_time(piece["latest"]), span(piece["work"]), steps)
+    except (InvalidRequestError, KeyError, TypeError, ValueError) as error:
+        problem = (
+            f"{error.args[0]} is missing"
+            if isinstance(error, KeyError)
+            else (error.problem if isinstance(error, InvalidRequestError) else str(error))
         )
-        raise InvalidRequestError(f"piece {number}: {what}", remedy=f"a batch looks like {FORM}") from None
+        raise InvalidRequestError(f"piece {index}: {problem}", remedy=f"a batch looks like {FORM}") from None
 
 
 def word_of(text: str) -> Word:
-    """`dunning-7.12 from 80`, `dunning-7.12 done` or `dunning-7.12 drop`.  Raises Unfit."""
+    """Returns the decision that `dunning-7.12 from 80`, `dunning-7.12 done` or `dunning-7.12 drop` means.
+
+    Raises:
+        InvalidRequestError: the text has none of these forms.
+    """
     parts = text.split()
     if len(parts) == 3 and parts[1] == "from" and parts[2].isdecimal():
         return Word(parts[0], "from", int(parts[2]))
     if len(parts) == 2 and parts[1] in ("done", "drop"):
         return Word(*parts)
     raise InvalidRequestError(
-        f"{text!r} is no word on a piece", remedy="PIECE from STEP, PIECE done or PIECE drop"
+        f"{text!r} is not a decision on a piece", remedy="say PIECE from STEP, PIECE done or PIECE drop"
     )
--- a/indigohitch/fleet/batches/contract.py
+++ b/indigohitch/fleet/batches/contract.py
@@ -1,7 +1,8 @@
-"""What electricity costs at a site at a time: local time, kind of day, dated prices.  No I/O.
+"""Prices of electricity by site and time, from price bands, kinds of day and dated prices.  No I/O.
 
-All arithmetic goes from fleet time to the site's local clock, never back: a night on which clocks change has
-23 or 25 hours by itself, and the hour that comes twice costs what it costs twice."""
+Times are converted only from fleet time to the site's local clock, never back.  So a day on which clocks
+change has 23 or 25 hours without a special case, and both passes of a repeated hour have their price.
+"""
 
 from __future__ import annotations
 
@@ -21,78 +22,95 @@
 
 @lru_cache(64)
 def zone(name: str) -> ZoneInfo:
-    """Raises Unfit."""
+    """Loads a time zone of the IANA database.
+
+    Raises:
+        InvalidRequestError: the zone is unknown.
+    """
     try:
         return ZoneInfo(name)
     except (KeyError, ValueError, OSError):
         raise InvalidRequestError(
             f"no time zone {name!r}",
-            remedy="a name such as Europe/Berlin; without a system's list "
-            "of zones the package tzdata is wanted",
+            remedy="give a name such as Europe/Berlin; on a system without "
+            "a time zone database install the package tzdata",
         ) from None
 
 
 @lru_cache(64)
 def _holidays(place: str, year: int) -> frozenset[date]:
-    """Public holidays of a year; `place` as DE or DE-BE.  Raises Unfit."""
+    """Returns the public holidays of a year at `place`: a country or subdivision such as DE or DE-BE.
+
+    Raises:
+        InvalidRequestError: the place is unknown, or the library `holidays` is not installed.
+    """
     try:
-        import holidays  # only here, and only where a site names a country
+        import holidays  # optional: needed only where a site names a country
     except ImportError:
         raise InvalidRequestError(
-            f"holidays of {place}: the library `holidays` is missing",
-            remedy="install the extra `fleet`, or take `holidays` from the site's line",
+            f"holidays of {place} need the library `holidays`, which is not installed",
+            remedy="install the extra `fleet`, or remove `holidays` from the site's line",
         ) from None
-    country, _, part = place.partition("-")
+    country, _, subdivision = place.partition("-")
     try:
-        return frozenset(holidays.country_holidays(country, subdiv=part or None, years=year))
+        return frozenset(holidays.country_holidays(country, subdiv=subdivision or None, years=year))
     except NotImplementedError:
         raise InvalidRequestError(
             f"no holidays are known for {place!r}",
-            remedy="a country such as DE, or with its part such as DE-BE",
+            remedy="give a country such as DE, or one with a subdivision such as DE-BE",
         ) from None
 
 
-def local(site: Site, time: int) -> datetime:
+def local_time(site: Site, time: int) -> datetime:
+    """Converts fleet time (tenths of a ms since the Unix epoch) to the local time of the site."""
     return (_EPOCH + timedelta(microseconds=time * 100)).astimezone(zone(site.zone))
 
 
 def kind_of_day(site: Site, day: date) -> str:
+    """Returns `holiday`, `sunday`, `saturday` or `workday`; a public holiday wins over the weekday."""
     if site.holidays and day in _holidays(site.holidays, day.year):
         return "holiday"
     return DAYS[max(0, day.weekday() - 4)]
 
 
 def hour_of_day(site: Site, time: int) -> int:
-    return local(site, time).hour
+    """Returns the hour of the local day, 0 to 23, at a fleet time."""
+    return local_time(site, time).hour
 
 
 def day_bounds(site: Site, day: date) -> tuple[int, int]:
-    """Fleet times at which a local day begins and ends: 23, 24 or 25 hours apart."""
+    """Returns the fleet times at which a local day begins and ends: 23, 24 or 25 hours apart."""
 
     def midnight(of: date) -> int:
-        at = datetime(of.year, of.month, of.day, tzinfo=zone(site.zone))
-        return (at.astimezone(UTC) - _EPOCH) // timedelta(microseconds=100)
+        begin = datetime(of.year, of.month, of.day, tzinfo=zone(site.zone))
+        return (begin.astimezone(UTC) - _EPOCH) // timedelta(microseconds=100)
 
     return midnight(day), midnight(day + timedelta(days=1))
 
 
 def band_at(site: Site, time: int) -> Band | None:
-    at = local(site, time)
-    kind = kind_of_day(site, at.date())
-    on_clock = ((at.hour * 60 + at.minute) * 60 + at.second) * SECOND + at.microsecond // 100
+    """Returns the first price band that covers the local time and kind of day, None if there is none."""
+    local_at = local_time(site, time)
+    kind = kind_of_day(site, local_at.date())
+    since_midnight = (
+        (local_at.hour * 60 + local_at.minute) * 60 + local_at.second
+    ) * SECOND + local_at.microsecond // 100
     return next(
         (
             band
             for band in site.bands
-            if (not band.days or kind in band.days) and band.begin <= on_clock < band.end
+            if (not band.days or kind in band.days) and band.begin <= since_midnight < band.end
         ),
         None,
     )
 
 
 def price_at(site: Site, time: int, dated: Mapping[int, int], each: int) -> int | None:
-    """A kWh drawn then, thousandths of a cent; None where nothing tells.  A dated price goes before bands;
-    its `each` divides the hour, so that the one that holds is the one at the grid's last point."""
+    """Returns the price of a kWh at `time` in thousandths of a cent, None where it is not known.
+
+    A dated price takes precedence over the bands.  `dated` maps starts to prices, each valid for `each` (0:
+    there are none); `each` divides the hour, so the price at the last multiple of it is the one in force.
+    """
     if each and (price := dated.get(time - time % each)) is not None:
         return price
     band = band_at(site, time)
@@ -100,34 +118,42 @@
 
 
 def mistakes(text: BatchesText) -> list[tuple[int, str]]:
-    """Lines whose zone or country nobody knows: their form alone does not show it."""
+    """Returns (line, message) of each site whose time zone or holiday country is unknown.
+
+    The parser of the operator's file checks only their form.
+    """
     found = []
     for site in text.sites.values():
-        for known, name in ((zone, site.zone), (lambda place: _holidays(place, 2026), site.holidays)):
+        for look_up, name in ((zone, site.zone), (lambda place: _holidays(place, 2026), site.holidays)):
             try:
                 if name:
-                    known(name)
-            except InvalidRequestError as bad:
-                found.append((site.line, f"site {site.name}: {bad}"))
+                    look_up(name)
+            except InvalidRequestError as error:
+                found.append((site.line, f"site {site.name}: {error}"))
     return found
 
 
 def check(contract: Contract) -> None:
-    """What directives can't see by themselves.  Raises Unfit."""
+    """Checks what the parser of the operator's file can't see within one directive.
+
+    Raises:
+        InvalidRequestError: a zone or place is unknown, a band does not fit the slots, or no site has nodes
+            of the kinds that a class names.
+    """
     for site in contract.sites:
         zone(site.zone)
         if site.holidays:
-            _holidays(site.holidays, 2026)  # any year: is the name known?
+            _holidays(site.holidays, 2026)  # the year is arbitrary: only the place name is checked
         for band in site.bands:
             if band.begin % contract.slot or band.end % contract.slot:
                 raise InvalidRequestError(
-                    f"site {site.name}: a band does not begin and end with a slot",
-                    remedy="a batch-slot that divides all bands, such as 15m",
+                    f"site {site.name}: a band does not begin and end on a slot boundary",
+                    remedy="choose a batch-slot that divides the bounds of all bands, such as 15m",
                 )
     kinds = {kind for site in contract.sites for kind in site.lanes}
-    for one in contract.classes:
-        if not kinds & set(one.power):
+    for batch_class in contract.classes:
+        if not kinds & set(batch_class.power):
             raise InvalidRequestError(
-                f"batch-class {one.name}: no site has nodes of its kinds",
-                remedy="`power` names kinds that stand in a `lanes`",
+                f"batch-class {batch_class.name}: no site has nodes of its kinds",
+                remedy="name in `power` a kind that occurs in a `lanes` line",
             )
--- a/indigohitch/fleet/batches/overload.py
+++ b/indigohitch/fleet/batches/overload.py
@@ -1,69 +1,82 @@
-"""Strain of the interactive RPCs, as one member feels it: its latency against its own calm.  No I/O.
+"""Detects on one member that batches slow down its interactive RPCs.  No I/O.
 
-No one is asked: some slow RPCs, one soon after the other, pause the batches here at once.  A cumulative sum
-(Page 1954) tells them from the odd slow one: it grows with each RPC over the line, else it shrinks."""
+The member compares their latency with its own baseline and asks nobody: a few slow RPCs, one soon after the
+other, pause its batches at once.  A cumulative sum (CUSUM, Page 1954) tells them from a single slow RPC: it
+grows with each slow RPC and shrinks with each fast one.
+"""
 
 from __future__ import annotations
 
 from ...net.clock import SECOND
 
-FIRST = 32  # RPCs from which the first calm level is taken
-OVER, GRAIN = 1.15, 10  # the line: so much above the calm level, and a ms against the clocks' noise
-# In calm one in ten is over the level, fewer over the line: the sum falls by 0.2 an RPC, and six in a row or
-# half of twenty raise it to the mark.  Capped, so that it is gone after 36 good ones.
-GOOD, MARK, MOST = 1 / 3, 6.0, 12.0
-SILENT = SECOND  # without interactive RPCs for so long nobody is there to be hurt
-# The level follows its tenth by 1 in so many of itself an RPC: a burst of seconds hardly moves it.
-SLOW = 512
-MEAN = 5 * SECOND  # what is told of the load is a mean over this
+BASELINE_RPCS = 32  # RPCs from which the first baseline is taken
+# An RPC counts as slow above this multiple of the baseline, plus 1 ms as a margin for clock noise.
+SLOW_RATIO, CLOCK_NOISE = 1.15, 10
+# Without overload one RPC in ten exceeds the baseline and fewer count as slow, so the sum falls by 0.2 per
+# RPC on average. Six slow RPCs in a row, or ten of twenty, raise it to the threshold. The cap lets 36 fast
+# RPCs clear it.
+FAST_DECREMENT, THRESHOLD, SUM_CAP = 1 / 3, 6.0, 12.0
+# After this long without an interactive RPC there is no interactive traffic that batches could slow down.
+IDLE = SECOND
+# An RPC moves the baseline by at most 1 part in this many, so that a burst of some seconds hardly changes it.
+ADAPTATION = 512
+MEAN_SPAN = 5 * SECOND  # the reported concurrency is a mean over this span
 
 
 class OverloadDetector:
-    """`calm`: the latency that one in ten RPCs exceeds while no batch runs here; 0 before it is known."""
+    """Tells from the latency of interactive RPCs whether this member is overloaded.
+
+    `baseline`: the latency in tenths of a ms that one RPC in ten exceeds while no batch runs here; 0 until it
+    is known.  `batches_running`: set by the owner while batches run here, as they may be the reason of a high
+    latency. `overload_count`: how often an overload began.
+    """
 
     def __init__(self) -> None:
-        self.calm, self.sum = 0.0, 0.0
-        self.strained = self.busy = False  # busy: batches run here, what is felt may be their doing
-        self.pauses = 0
-        self._first: list[int] = []
-        self._felt = 0
-        self._took, self._since, self._mean = 0, 0, 0
+        self.baseline, self.excess = 0.0, 0.0
+        self.overloaded = self.batches_running = False
+        self.overload_count = 0
+        self._first_latencies: list[int] = []
+        self._last_rpc_at = 0
+        self._latency_sum, self._mean_since, self._mean_concurrency = 0, 0, 0
 
-    def felt(self, now: int, latency: int) -> None:
-        """One interactive RPC was answered, `latency` after it came."""
-        self._felt = now
-        self._took += latency
-        if not self.calm:
-            self._first.append(latency)
-            if len(self._first) >= FIRST:
-                self.calm = float(sorted(self._first)[FIRST * 9 // 10])
+    def record_latency(self, now: int, latency: int) -> None:
+        """Records that an interactive RPC was answered `latency` after it arrived (tenths of a ms)."""
+        self._last_rpc_at = now
+        self._latency_sum += latency
+        if not self.baseline:
+            self._first_latencies.append(latency)
+            if len(self._first_latencies) >= BASELINE_RPCS:
+                self.baseline = float(sorted(self._first_latencies)[BASELINE_RPCS * 9 // 10])
             return
-        if latency > self.calm * OVER + GRAIN:
-            self.sum = min(MOST, self.sum + 1)
+        if latency > self.baseline * SLOW_RATIO + CLOCK_NOISE:
+            self.excess = min(SUM_CAP, self.excess + 1)
         else:
-            self.sum = max(0.0, self.sum - GOOD)
-        if latency <= self.calm:
-            self.calm -= self.calm / SLOW / 10
-        elif not self.busy:  # or batches would raise it step by step
-            self.calm += self.calm / SLOW * 9 / 10
-        self.judge()
+            self.excess = max(0.0, self.excess - FAST_DECREMENT)
+        if latency <= self.baseline:
+            self.baseline -= self.baseline / ADAPTATION / 10
+        elif not self.batches_running:  # otherwise batches would raise the baseline little by little
+            self.baseline += self.baseline / ADAPTATION * 9 / 10
+        self.update_state()
 
-    def judge(self) -> None:
-        if not self.strained and self.sum >= MARK:
-            self.strained, self.pauses = True, self.pauses + 1
-        elif self.strained and self.sum <= 0:
-            self.strained = False
+    def update_state(self) -> None:
+        """Sets `overloaded` when the sum reaches its threshold, and clears it when the sum is 0."""
+        if not self.overloaded and self.excess >= THRESHOLD:
+            self.overloaded, self.overload_count = True, self.overload_count + 1
+        elif self.overloaded and self.excess <= 0:
+            self.overloaded = False
 
-    def turn(self, now: int) -> bool:
-        """Is there strain?"""
-        if now - self._felt >= SILENT:
-            self.sum = 0.0
-            self.judge()
-        return self.strained
+    def is_overloaded(self, now: int) -> bool:
+        """Returns whether this member is overloaded; a second without interactive RPCs ends it."""
+        if now - self._last_rpc_at >= IDLE:
+            self.excess = 0.0
+            self.update_state()
+        return self.overloaded
 
-    def at_once(self, now: int) -> int:
-        """Hundredths of interactive RPCs under way at a time, over the last `MEAN` (Little's law)."""
-        if now - self._since >= MEAN:
-            self._mean = 100 * self._took // (now - self._since) if self._since else 0
-            self._took, self._since = 0, now
-        return self._mean
+    def concurrency(self, now: int) -> int:
+        """Returns the mean number of interactive RPCs in progress, in hundredths (Little's law)."""
+        if now - self._mean_since >= MEAN_SPAN:
+            self._mean_concurrency = (
+                100 * self._latency_sum // (now - self._mean_since) if self._mean_since else 0
+            )
+            self._latency_sum, self._mean_since = 0, now
+        return self._mean_concurrency
--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -1,4 +1,4 @@
-"""The part `batches` of the state machine: contract, prices, batches, the plan; `tasks` has each piece."""
+"""The part `batches` of the state machine: contract, prices, batches, plan; `tasks` has the single pieces."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ...net.clock import SECOND
 from ..interfaces import EntryContext
 from ..membership.roster import announce_change
-from . import prices
+from . import prices, rows
 from .rows import (
     Batch,
     Contract,
@@ -27,34 +27,38 @@
 )
 from .tasks import Pieces
 
-MOST = 20_000  # pieces not over: some MB of a snapshot
-KEPT = 24 * 3600 * SECOND  # what is over is told that long
-TENANT = 2  # one tenant may hold one in so many of these places
+MAX_PIECES = 20_000  # pieces that have not ended; they take some MB of a snapshot
+KEPT = 24 * 3600 * SECOND  # how long batches that have ended, and past prices, are kept
+TENANT_SHARE = 2  # a tenant may have one part in this many of `MAX_PIECES`
 REPLANNED = (State.WAITING, State.GIVEN, State.RUNNING)
-AGAIN = "return when pieces of yours are done"
+TRY_LATER = "return when pieces of yours are done"
 
 
-class Known(Row):
-    """A batch: what it was, and how many of its pieces are not over."""
+class SubmittedBatch(Row):
+    """A submitted batch: its tenant, the digest of its body, how many pieces have not ended, and its end."""
 
     tenant: str
     digest: bytes
     left: int
-    over: int = 0
+    ended_at: int = 0
 
 
 class BatchesRow(Row):
+    """The part as it is encoded into a snapshot."""
+
     contract: Contract | None
     prices: Prices | None
     list_digest: bytes
     loads: dict[str, dict[int, int]]
-    batches: dict[str, Known]
+    batches: dict[str, SubmittedBatch]
     pieces: dict[str, Piece]
     version: int
     ended: dict[str, int] = {}
 
 
 class Batches:
+    """The part of the state machine that holds all of batches; it changes only by `apply` and `restore`."""
+
     name = "batches"
     kinds = {
         "contract": Contract,
@@ -74,12 +78,14 @@
         self.set(BatchesRow(None, None, b"", {}, {}, {}, 0))
 
     def set(self, row: BatchesRow) -> None:
+        """Replaces the whole state."""
         self.contract, self.prices, self.list_digest = row.contract, row.prices, row.list_digest
         self.loads, self.batches = row.loads, row.batches
-        self.version = row.version  # entry of the plan that stands
+        self.version = row.version  # index of the last entry that changed the plan
         self.pieces = Pieces(row.pieces, row.ended)
 
     def row(self) -> BatchesRow:
+        """Returns the whole state, for a snapshot."""
         return BatchesRow(
             self.contract,
             self.prices,
@@ -92,63 +98,59 @@
         )
 
     def restore(self, row: bytes) -> None:
+        """Replaces the whole state by that of an encoded snapshot."""
         self.set(msgspec.msgpack.decode(row, type=BatchesRow))
 
-    # ---- looked up ---------------------------------------------------------------------------------
-
-    def rpc(self, name: str):
-        """The class of that name, None if the contract has none."""
-        known = self.contract.classes if self.contract is not None else ()
-        return next((one for one in known if one.name == name), None)
+    def rpc(self, name: str) -> rows.BatchClass | None:
+        """Returns the batch class of that name, None if the contract has none."""
+        classes = self.contract.classes if self.contract is not None else ()
+        return next((batch_class for batch_class in classes if batch_class.name == name), None)
 
-    # ---- entries -----------------------------------------------------------------------------------
-
-    def apply(self, at: EntryContext, word: str, body: Row) -> object:
-        """Raises Unfit, before anything has changed."""
-        match word:
+    def apply(self, at: EntryContext, kind: str, body: Row) -> object:
+        """Applies an entry; raises InvalidRequestError, with the state unchanged, if it is rejected."""
+        match kind:
             case "contract":
-                return self.on_contract(at, body)
+                return self._apply_contract(at, body)
             case "prices":
-                return self.on_prices(at, body)
+                return self._apply_prices(at, body)
             case "load":
-                return self.on_load(at, body)
+                return self._apply_load(at, body)
             case "submit":
-                return self.on_submit(at, body)
+                return self._apply_submit(at, body)
             case "plan":
-                return self.on_plan(at, body)
-        told = self.of_piece(at, word, body)
-        self.settle(at)
-        return told
-
-    def of_piece(self, at: EntryContext, word: str, body: Row) -> object:
-        """Entries of one piece, in pieces.py."""
-        match word:
+                return self._apply_plan(at, body)
+        result = self._apply_to_piece(at, kind, body)
+        self._count_ended_pieces(at)
+        return result
+
+    def _apply_to_piece(self, at: EntryContext, kind: str, body: Row) -> object:
+        match kind:
             case "give":
-                return self.pieces.give(at, body)
+                return self.pieces.assign(at, body)
             case "start":
                 return self.pieces.start(at, body)
             case "step":
                 return self.pieces.step(at, body)
             case "late":
-                return self.pieces.late(at, body)
+                return self.pieces.expire(at, body)
             case "word":
-                return self.pieces.word(at, body)
-        raise ValueError(f"no word of this part: {word}")
+                return self.pieces.decide(at, body)
+        raise ValueError(f"no word of this part: {kind}")
 
     def on_member_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
+        """Takes the pieces of a member whose lease is over away from it."""
         self.pieces.gone(at, name, incarnation)
 
-    def settle(self, at: EntryContext) -> None:
-        """Batches whose last piece has come to its end are told for a while."""
-        for id in self.pieces.over:
+    def _count_ended_pieces(self, at: EntryContext) -> None:
+        for id in self.pieces.newly_ended:
             batch = self.batches[self.pieces.all[id].batch]
             batch.left -= 1
-            batch.over = at.time
-        self.pieces.over = {}
+            batch.ended_at = at.time
+        self.pieces.newly_ended = {}
 
-    def on_contract(self, at: EntryContext, body: Contract) -> int:
+    def _apply_contract(self, at: EntryContext, body: Contract) -> int:
         if body == self.contract:
-            return body.edition  # told by two leaders, one after the other
+            return body.edition  # two successive leaders may propose the same contract
         if self.contract is not None and body.edition <= self.contract.edition:
             raise InvalidRequestError(
                 f"edition {body.edition} of the contract; {self.contract.edition} stands",
@@ -158,25 +160,25 @@
         announce_change(self.state_machine, at, "electricity")
         return body.edition
 
-    def on_prices(self, at: EntryContext, body: Prices) -> int:
+    def _apply_prices(self, at: EntryContext, body: Prices) -> int:
         prices.check(body, self.prices, self.list_digest, at.time)
-        self.prices = prices.merged(body, self.prices, at.time - KEPT)
+        self.prices = prices.merge(body, self.prices, at.time - KEPT)
         self.list_digest = prices.fingerprint(body)
         announce_change(self.state_machine, at, "prices")
         return body.edition
 
-    def on_load(self, at: EntryContext, body: Load) -> int:
+    def _apply_load(self, at: EntryContext, body: Load) -> int:
         if not 0 <= body.hour < 24 or not 0 <= body.share <= 100:
             raise InvalidRequestError(f"hour {body.hour}, {body.share} per cent")
         hours = self.loads.setdefault(body.site, {})
         hours[body.hour] = body.share
         return body.share
 
-    def on_submit(self, at: EntryContext, body: Batch) -> int:
-        known, stamp = self.batches.get(body.id), digest(msgspec.msgpack.encode(body))
-        if known is not None:
-            if known.digest == stamp:
-                return known.left  # asked twice: once is enough
+    def _apply_submit(self, at: EntryContext, body: Batch) -> int:
+        submitted, body_digest = self.batches.get(body.id), digest(msgspec.msgpack.encode(body))
+        if submitted is not None:
+            if submitted.digest == body_digest:
+                return submitted.left  # a repeated submission has no further effect
             raise InvalidRequestError(
                 f"batch {body.id} is another one", remedy="give each batch an id of its own"
             )
@@ -186,64 +188,63 @@
                 f"no batch-class {body.rpc}", remedy="name one of the contract's classes"
             )
         for number, cut in enumerate(body.cuts):
-            wide = min(cut.latest - cut.earliest, cut.latest - at.time)
-            if cut.work <= 0 or cut.steps <= 0 or wide < cut.work:
+            window = min(cut.latest - cut.earliest, cut.latest - at.time)
+            if cut.work <= 0 or cut.steps <= 0 or window < cut.work:
                 raise InvalidRequestError(
                     f"piece {number} of {body.id} can't be done between its times",
                     remedy="more time between earliest and latest, or less work a piece",
                 )
-        mine = sum(batch.left for batch in self.batches.values() if batch.tenant == body.tenant)
-        if not body.cuts or mine + len(body.cuts) > MOST // TENANT:
+        pieces_of_tenant = sum(batch.left for batch in self.batches.values() if batch.tenant == body.tenant)
+        if not body.cuts or pieces_of_tenant + len(body.cuts) > MAX_PIECES // TENANT_SHARE:
             raise InvalidRequestError(
-                f"{len(body.cuts)} pieces: {body.tenant} would hold over {MOST // TENANT}", remedy=AGAIN
+                f"{len(body.cuts)} pieces: {body.tenant} would hold over {MAX_PIECES // TENANT_SHARE}",
+                remedy=TRY_LATER,
             )
-        if len(self.pieces.open) + len(body.cuts) > MOST:
-            raise InvalidRequestError(f"{len(self.pieces.open)} pieces are held already", remedy=AGAIN)
-        self.forget(at.time)
-        self.batches[body.id] = Known(body.tenant, stamp, len(body.cuts))
+        if len(self.pieces.open) + len(body.cuts) > MAX_PIECES:
+            raise InvalidRequestError(f"{len(self.pieces.open)} pieces are held already", remedy=TRY_LATER)
+        self._remove_old_batches(at.time)
+        self.batches[body.id] = SubmittedBatch(body.tenant, body_digest, len(body.cuts))
         for number, cut in enumerate(body.cuts):
             id = f"{body.id}.{number}"
             self.pieces.add(id, Piece(body.id, body.rpc, rpc.idempotent, cut))
         return len(body.cuts)
 
-    def on_plan(self, at: EntryContext, body: Plan) -> int:
-        """Only on the plan that stands; a change that has become impossible is left out, the others stand."""
+    def _apply_plan(self, at: EntryContext, body: Plan) -> int:
         if body.base != self.version:
             raise InvalidRequestError(f"a change of plan {body.base}; {self.version} stands")
-        taken = 0
+        accepted = 0
         for id, placing in sorted(body.changes.items()):
             piece = self.pieces.all.get(id)
-            if piece is None or piece.state not in REPLANNED or not self.allowed(at, piece, placing):
-                continue
+            if piece is None or piece.state not in REPLANNED or not self._is_allowed(at, piece, placing):
+                continue  # impossible by now; the other changes still apply
             piece.placing, piece.version = placing, at.index
-            taken += 1
-        if taken:
+            accepted += 1
+        if accepted:
             self.version = at.index
-        return taken
+        return accepted
 
-    def allowed(self, at: EntryContext, piece: Piece, placing: Placing | None) -> bool:
-        """Within its times, and where its class may run; one that is held stays where it is."""
+    def _is_allowed(self, at: EntryContext, piece: Piece, placing: Placing | None) -> bool:
         if placing is None:
             return piece.state is State.WAITING
-        rpc, before = self.rpc(piece.rpc), 0
+        rpc, last_end = self.rpc(piece.rpc), 0
         for begin, end in placing.runs:
-            if begin >= end or begin < before:
+            if begin >= end or begin < last_end:
                 return False
-            before = end
-        if not placing.runs or placing.runs[0][0] < piece.cut.earliest or before > piece.cut.latest:
+            last_end = end
+        if not placing.runs or placing.runs[0][0] < piece.cut.earliest or last_end > piece.cut.latest:
             return False
         if rpc is None or placing.kind not in rpc.power or rpc.sites and placing.site not in rpc.sites:
             return False
-        return piece.state is State.WAITING or (placing.site, placing.kind) == (
+        return piece.state is State.WAITING or (placing.site, placing.kind) == (  # a held piece stays there
             piece.placing.site,
             piece.placing.kind,
         )
 
-    def forget(self, time: int) -> None:
-        old = [id for id, batch in self.batches.items() if not batch.left and batch.over < time - KEPT]
+    def _remove_old_batches(self, time: int) -> None:
+        old = [id for id, batch in self.batches.items() if not batch.left and batch.ended_at < time - KEPT]
         if old:
-            gone = set(old)
-            for id in [id for id, piece in self.pieces.all.items() if piece.batch in gone]:
+            old_ids = set(old)
+            for id in [id for id, piece in self.pieces.all.items() if piece.batch in old_ids]:
                 del self.pieces.all[id]
             for id in old:
                 del self.batches[id]
--- a/indigohitch/fleet/batches/placing.py
+++ b/indigohitch/fleet/batches/placing.py
@@ -1,6 +1,7 @@
-"""Slots and what is left in them: where a piece fits, what that costs, where it fits best.  No I/O.
+"""Slots and their free capacity: where a piece fits, what that costs, and where it costs least.  No I/O.
 
-Costs are whole numbers: thousandths of a cent for a kWh, times watts, times slots."""
+Costs are integers: thousandths of a cent per kWh, times watts, times slots.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 
 
 class Spot(NamedTuple):
-    """Where and in which slots a piece stands; slots are counted from the field's first."""
+    """A place and the slots in which a piece is planned; slots are counted from the first of the field."""
 
     place: Place
     slots: tuple[int, ...]
@@ -21,8 +22,12 @@
 
 @dataclass(slots=True)
 class Task:
-    """A piece as the plan sees it.  It needs `need` slots from `first` to before `last`; `power` names the
-    places where it may run, with its watts there."""
+    """A piece as the plan sees it.
+
+    It needs `need` slots from `first` to before `last`.  `power` maps the places where it may run to its
+    watts there; `pause` is the cost of each gap between its slots, `seats` the seats that it uses, by
+    feature.
+    """
 
     id: str
     first: int
@@ -31,62 +36,73 @@
     power: dict[Place, int]
     pause: int = 0
     seats: dict[str, int] = field(default_factory=dict)
-    fresh: bool = True  # no plan has stood for it yet: nothing is turned over
-    fixed: bool = False  # it runs: it stays where it is
+    is_new: bool = True  # it has no spot in the committed plan, so a move revokes nothing
+    fixed: bool = False  # it runs and must not be moved
 
 
 def choose(
-    costs: Sequence[int | None], need: int, pause: int, most: float = math.inf
+    costs: Sequence[int | None], need: int, pause: int, limit: float = math.inf
 ) -> tuple[int, tuple[int, ...]] | None:
-    """The cheapest `need` of these, None being of no use, where each gap costs `pause`; the earliest of
-    equals.  None if there are too few, or all cost `most` and more.  Where the cheapest slots lie apart: a
-    dynamic programme over (slot, chosen so far, is the last one in)."""
+    """Returns the least cost of `need` slots and these slots; each gap between them costs `pause`.
+
+    Slots of cost None can't be chosen; of equal choices the earliest slots win.  Returns None if there are
+    too few slots or the least cost is not below `limit`.  If the cheapest slots have gaps, it is found by
+    dynamic programming over (slot, number chosen so far, whether the last slot is chosen).
+    """
     usable = sorted((cost, at) for at, cost in enumerate(costs) if cost is not None)[:need]
     least = sum(cost for cost, _ in usable)
-    if len(usable) < need or least >= most:
+    if len(usable) < need or least >= limit:
         return None
     slots = tuple(sorted(at for _, at in usable))
     if not pause or not gaps(slots):
         return least, slots
     never = 1 << 62
+    # Least cost of each number of slots chosen so far: `inside` if the last slot is among them, else
+    # `outside`.
     inside, outside = [never] * (need + 1), [0] + [never] * need
-    went_on, left = [], []
+    # By slot and number chosen, for the way back: a run continues, or ended with the slot before.
+    continued, ended = [], []
     for at, cost in enumerate(costs):
-        on, off = bytearray(need + 1), bytearray(need + 1)
+        continued_here, ended_here = bytearray(need + 1), bytearray(need + 1)
         new_inside, new_outside = [never] * (need + 1), outside[:]
-        for k in range(max(0, need - len(costs) + at), min(need, at) + 1):
-            if inside[k] < outside[k]:
-                new_outside[k], off[k] = inside[k], 1
+        for number in range(max(0, need - len(costs) + at), min(need, at) + 1):
+            if inside[number] < outside[number]:
+                new_outside[number], ended_here[number] = inside[number], 1
         if cost is not None:
-            for k in range(max(1, need - len(costs) + at + 1), min(need, at + 1) + 1):
-                anew = outside[k - 1] + (pause if k > 1 else 0)
-                if inside[k - 1] <= anew:
-                    anew, on[k] = inside[k - 1], 1
-                if anew < never:
-                    new_inside[k] = anew + cost
+            for number in range(max(1, need - len(costs) + at + 1), min(need, at + 1) + 1):
+                started = outside[number - 1] + (pause if number > 1 else 0)
+                if inside[number - 1] <= started:
+                    started, continued_here[number] = inside[number - 1], 1
+                if started < never:
+                    new_inside[number] = started + cost
         inside, outside = new_inside, new_outside
-        went_on.append(on)
-        left.append(off)
+        continued.append(continued_here)
+        ended.append(ended_here)
     total = min(inside[need], outside[need])
-    if total >= most:
+    if total >= limit:
         return None
-    chosen, k, is_in = [], need, inside[need] < outside[need]
+    chosen = []
+    number, is_in = need, inside[need] < outside[need]
     for at in range(len(costs) - 1, -1, -1):
         if is_in:
             chosen.append(at)
-            is_in, k = bool(went_on[at][k]), k - 1
+            is_in, number = bool(continued[at][number]), number - 1
         else:
-            is_in = bool(left[at][k])
+            is_in = bool(ended[at][number])
     return total, tuple(reversed(chosen))
 
 
 def gaps(slots: Sequence[int]) -> int:
+    """Returns the number of gaps between the slots, which have to be in order."""
     return sum(b != a + 1 for a, b in zip(slots, slots[1:]))
 
 
 class Field:
-    """What each slot of each place has left.  `prices` and `lanes` by place, `peaks` by site (watts left for
-    batches, surcharge), `seats` by feature: each a list by slot, or one value for all."""
+    """The capacity of each slot of each place that is still free.
+
+    `prices` and `lanes` are lists by slot for each place; `peaks` has for each site the watts that batches
+    may draw and the surcharge above them; `seats` has the seats of each feature that are free in each slot.
+    """
 
     def __init__(
         self,
@@ -96,31 +112,35 @@
         peaks: dict[str, tuple[int, int]] | None = None,
         seats: dict[str, int] | None = None,
     ) -> None:
-        self.count, self.prices = count, prices
+        self.count = count
+        self.prices = prices
         self.room = {place: list(lanes[place]) for place in sorted(lanes)}
         self.peaks = peaks or {}
         self.drawn = {site: [0] * count for site, _ in self.room}
-        self.seats = {feature: [much] * count for feature, much in (seats or {}).items()}
+        self.seats = {feature: [number] * count for feature, number in (seats or {}).items()}
 
-    # ---- in and out --------------------------------------------------------------------------------
+    # ---- reserving -----------------------------------------------------------------------------------
 
-    def put(self, task: Task, spot: Spot, sign: int = 1) -> None:
+    def reserve(self, task: Task, spot: Spot, sign: int = 1) -> None:
+        """Takes the capacity for a task at a spot; `sign` -1 gives it back."""
         room, drawn = self.room[spot.place], self.drawn[spot.place[0]]
         watts = sign * task.power[spot.place]
         for at in spot.slots:
             room[at] -= sign
             drawn[at] += watts
-        for feature, much in task.seats.items():
+        for feature, number in task.seats.items():
             if (free := self.seats.get(feature)) is not None:
                 for at in spot.slots:
-                    free[at] -= sign * much
+                    free[at] -= sign * number
 
-    def take(self, task: Task, spot: Spot) -> None:
-        self.put(task, spot, -1)
+    def release(self, task: Task, spot: Spot) -> None:
+        """Gives back the capacity that `reserve` took."""
+        self.reserve(task, spot, -1)
 
-    # ---- asked while the task is out ----------------------------------------------------------------
+    # ---- queries about a task that has no reservation ------------------------------------------------
 
-    def cost_at(self, task: Task, place: Place, at: int) -> int:
+    def slot_cost(self, task: Task, place: Place, at: int) -> int:
+        """Returns what the task would cost in one slot, with the peak surcharge that it would cause."""
         watts = task.power[place]
         cost = self.prices[place][at] * watts
         if (peak := self.peaks.get(place[0])) is not None:
@@ -128,47 +148,58 @@
         return cost
 
     def cost(self, task: Task, spot: Spot) -> int:
-        return sum(self.cost_at(task, spot.place, at) for at in spot.slots) + task.pause * gaps(spot.slots)
+        """Returns what the task would cost at this spot, with surcharge and pauses."""
+        return sum(self.slot_cost(task, spot.place, at) for at in spot.slots) + task.pause * gaps(spot.slots)
 
     def fits(self, task: Task, place: Place, at: int) -> bool:
+        """Returns whether a lane and the seats of the task are free in one slot."""
         return self.room[place][at] > 0 and all(
-            self.seats[feature][at] >= much for feature, much in task.seats.items() if feature in self.seats
+            self.seats[feature][at] >= number
+            for feature, number in task.seats.items()
+            if feature in self.seats
         )
 
-    def holds(self, task: Task, spot: Spot) -> bool:
-        """Is there room for all of it?"""
+    def fits_whole(self, task: Task, spot: Spot) -> bool:
+        """Returns whether the task fits in all slots of the spot."""
         return all(self.fits(task, spot.place, at) for at in spot.slots)
 
-    def costs(self, task: Task, place: Place, alone: bool) -> list[int | None]:
-        """Of each slot between its times, None where it does not fit."""
-        watts, first, last, site = task.power[place], task.first, task.last, place[0]
-        found = [price * watts for price in self.prices[place][first:last]]
+    def slot_costs(self, task: Task, place: Place, alone: bool) -> list[int | None]:
+        """Returns the cost of each slot from `first` to before `last`, None where the task does not fit.
+
+        `alone`: as if no other piece were planned; lanes, seats and the peak don't count then.
+        """
+        watts = task.power[place]
+        first, last = task.first, task.last
+        site = place[0]
+        costs = [price * watts for price in self.prices[place][first:last]]
         if alone:
-            return found
+            return costs
         if site in self.peaks:
             peak, surcharge = self.peaks[site]
             for at, drawn in enumerate(self.drawn[site][first:last]):
                 if drawn + watts > peak:
-                    found[at] += min(watts, drawn + watts - peak) * surcharge
-        seats = [(self.seats[feature], much) for feature, much in task.seats.items() if feature in self.seats]
+                    costs[at] += min(watts, drawn + watts - peak) * surcharge
+        seats = [
+            (self.seats[feature], number) for feature, number in task.seats.items() if feature in self.seats
+        ]
         for at, room in enumerate(self.room[place][first:last]):
-            if room <= 0 or seats and any(free[at + first] < much for free, much in seats):
-                found[at] = None
-        return found
+            if room <= 0 or seats and any(free[at + first] < number for free, number in seats):
+                costs[at] = None
+        return costs
 
-    def best(self, task: Task, alone: bool = False, most: float = math.inf) -> tuple[int, Spot] | None:
-        """The cheapest spot, if it costs less than `most`; `alone`: as if no other piece were there."""
+    def best(self, task: Task, alone: bool = False, limit: float = math.inf) -> tuple[int, Spot] | None:
+        """Returns the cheapest spot and its cost if below `limit`; `alone`: as if the field were empty."""
         found = None
         for place in task.power:
             if place in self.room:
-                chosen = choose(self.costs(task, place, alone), task.need, task.pause, most)
+                chosen = choose(self.slot_costs(task, place, alone), task.need, task.pause, limit)
                 if chosen is not None:
-                    most = chosen[0]
-                    found = most, Spot(place, tuple(at + task.first for at in chosen[1]))
+                    limit = chosen[0]
+                    found = limit, Spot(place, tuple(at + task.first for at in chosen[1]))
         return found
 
-    def soonest(self, task: Task) -> Spot | None:
-        """Where it is over first: at once, or as lanes come free."""
+    def earliest_finish(self, task: Task) -> Spot | None:
+        """Returns the spot with the earliest last slot, taking free slots as they come; None if none fits."""
         found = None
         for place in task.power:
             if place not in self.room:
--- a/indigohitch/fleet/batches/plan.py
+++ b/indigohitch/fleet/batches/plan.py
@@ -1,7 +1,8 @@
-"""The plan: pieces at once, then moved from dear slots to cheaper ones.  No I/O, no chance.
+"""The plan: places pieces at their earliest slots, then moves them to cheaper ones.  No I/O.
 
-A move is made only for a gain above the dead band, one piece or one pair of pieces at a time; nothing is ever
-placed past its latest time.  What can't be placed at all stands in `unplanned`."""
+It uses no randomness.  A move is made only for a gain above the dead band, one piece or one small group of
+pieces at a time; no piece is placed past its latest time.  Pieces that fit nowhere are listed in `unplanned`.
+"""
 
 from __future__ import annotations
 
@@ -10,52 +11,54 @@
 from .placing import Field, Spot, Task
 from .spare_capacity import least_slack
 
-# A piece that is planned moves only for this share of its cost: a list of prices corrected by a cent or two
-# in fifty leaves the plan as it is, and no piece costs more than this above its best place.
-DEAD = 0.04
-# Blockers tried for one piece, and how many pieces are placed anew together: 25 pieces end 1.064 of the best
-# (mean), with 3 and 2 it is 1.098, with 8 and 10 1.060 at half as much time again.
-PAIRS, GROUP = 8, 6
-WAY = 64  # of many in the way the first ones: all in a small plan
-LITTLE = 0.002  # of its cost, for a piece that no plan stands for yet
-# Rounds over all pieces: the first ones move each alone, which is ten times as fast and most of the gain;
-# then together with who is in the way, until nothing moves or the plan counts as settled.
-ALONE, PASSES = 2, 6
-# New ones that are placed both ways: small cases end at 1.02 instead of 1.07.  Only in a plan of so many at
-# most, as that is one step.
-ANEW, ALL = 64, 512
-RANKED = 128  # ranked in a step: a ms
+# A planned piece moves only if that saves more than this share of its cost. So a correction of prices by one
+# or two cents in fifty leaves the plan as it is, and no piece costs more than this above its best place.
+DEAD_BAND = 0.04
+# Blockers tried for a piece, and pieces planned again together. Plans of 25 pieces cost 1.064 of the optimum
+# (mean); with 3 and 2 it is 1.098, with 8 and 10 it is 1.060 in 1.5 times the time.
+MAX_PAIRS, MAX_GROUP = 8, 6
+ENOUGH_BLOCKERS = 64  # no more are collected after this many; a small plan has fewer
+NEW_PIECE_DEAD_BAND = 0.002  # the same for pieces that are not in the committed plan yet
+# Passes over all pieces. The first ones move each piece alone, which is ten times as fast and brings most of
+# the gain; the others also move blockers, until nothing moves or the last pass is done.
+SINGLE_PASSES, MAX_PASSES = 2, 6
+# At most this many new pieces are planned a second time from nothing, in a plan of at most this many pieces,
+# as it is done in one step. It brings small cases from 1.07 to 1.02 times the optimum.
+MAX_REPLANNED, MAX_PLAN_REPLANNED = 64, 512
+RANKED_PER_STEP = 128  # ranking this many pieces takes 1 ms
 
 
 class Plan:
-    def __init__(self, field: Field, dead: float = DEAD) -> None:
-        self.field, self.dead = field, dead
+    """The spots of tasks in a field; `moves` counts the moves to cheaper slots."""
+
+    def __init__(self, field: Field, dead_band: float = DEAD_BAND) -> None:
+        self.field, self.dead_band = field, dead_band
         self.tasks: dict[str, Task] = {}
         self.spots: dict[str, Spot] = {}
-        self.there: dict[tuple, dict[str, None]] = {}  # by place and slot: who stands in it
+        self.occupants: dict[tuple, dict[str, None]] = {}  # by place and slot: ids of the pieces in it
         self.unplanned: dict[str, None] = {}
-        self.wishes: dict[str, tuple[int, Spot] | None] = {}  # where each would stand if it were alone
-        self.tried: dict[tuple[str, ...], list[Spot]] = {}
+        self.ideal_spots: dict[str, tuple[int, Spot] | None] = {}  # by id, if alone
+        self.tried_groups: dict[tuple[str, ...], list[Spot]] = {}
         self.moves = 0
 
-    # ---- what stands -------------------------------------------------------------------------------
-
-    def put(self, task: Task, spot: Spot) -> None:
-        self.field.put(task, spot)
+    def assign(self, task: Task, spot: Spot) -> None:
+        """Plans a task at a spot and takes the capacity for it."""
+        self.field.reserve(task, spot)
         self.tasks[task.id], self.spots[task.id] = task, spot
         for at in spot.slots:
-            self.there.setdefault((spot.place, at), {})[task.id] = None
+            self.occupants.setdefault((spot.place, at), {})[task.id] = None
         self.unplanned.pop(task.id, None)
 
-    def take(self, task: Task) -> Spot:
+    def unassign(self, task: Task) -> Spot:
+        """Takes a task out of the plan and returns the spot that it had."""
         spot = self.spots.pop(task.id)
-        self.field.take(task, spot)
+        self.field.release(task, spot)
         for at in spot.slots:
-            del self.there[spot.place, at][task.id]
+            del self.occupants[spot.place, at][task.id]
         return spot
 
     def cost(self) -> int:
-        """Of all that stands: each piece's, and what the peak adds, once."""
+        """Returns the cost of the plan: power and pauses of all pieces, and each peak surcharge once."""
         field, total = self.field, 0
         for id, spot in self.spots.items():
             task = self.tasks[id]
@@ -68,7 +71,7 @@
         )
 
     def peak_over(self) -> int:
-        """Watts over the contracted peak in the worst slot."""
+        """Returns the watts above the contracted peak in the worst slot of any site."""
         return max(
             (
                 max(0, watts - peak)
@@ -78,120 +81,121 @@
             default=0,
         )
 
-    # ---- at once -----------------------------------------------------------------------------------
+    # ---- placing at the earliest slots ---------------------------------------------------------------
 
-    def add(self, task: Task) -> bool:
-        """At once, as the lanes come free; False: it does not fit as things stand."""
+    def place_earliest(self, task: Task) -> bool:
+        """Places a task where it ends first; returns False and lists it as unplanned if it fits nowhere."""
         self.tasks[task.id] = task
-        spot = self.field.soonest(task)
+        spot = self.field.earliest_finish(task)
         if spot is None:
             self.unplanned[task.id] = None
             return False
-        self.put(task, spot)
+        self.assign(task, spot)
         return True
 
     def at_once(self, tasks: Iterable[Task]) -> None:
-        """All of them, those that must end first before the others; if that leaves one out, slot by slot."""
+        """Places tasks in turn, the earliest to have to start first; if one fails, all by `least_slack`."""
         ordered = sorted(tasks, key=lambda task: (task.last - task.need, task.first, task.id))
-        if not all([self.add(task) for task in ordered]):
-            self.squeeze(ordered)
+        if not all([self.place_earliest(task) for task in ordered]):
+            self.place_by_slack(ordered)
 
-    def squeeze(self, tasks: list[Task]) -> None:
-        """Slot by slot, who has least time to spare runs.  Kept if it leaves fewer out."""
-        before = {task.id: self.take(task) for task in tasks if task.id in self.spots}
+    def place_by_slack(self, tasks: list[Task]) -> None:
+        """Schedules the tasks slot by slot, least slack first; kept only if fewer of them are left out."""
+        before = {task.id: self.unassign(task) for task in tasks if task.id in self.spots}
         found = least_slack(self.field, tasks)
         if len(found) <= len(before):
             found = before
         for task in tasks:
             if task.id in found:
-                self.put(task, found[task.id])
+                self.assign(task, found[task.id])
             else:
                 self.tasks[task.id], self.unplanned[task.id] = task, None
 
-    # ---- cheaper -----------------------------------------------------------------------------------
+    # ---- moving to cheaper slots ---------------------------------------------------------------------
 
-    def band(self, group: list[Task], cost: int) -> float:
-        """What a move must gain: a little where nothing stood before, so that an end is found."""
-        return (LITTLE if all(task.fresh for task in group) else self.dead) * abs(cost)
+    def required_gain(self, group: list[Task], cost: int) -> float:
+        """Returns what a move must gain; it is small for new tasks, but not 0, so that the search ends."""
+        return (NEW_PIECE_DEAD_BAND if all(task.is_new for task in group) else self.dead_band) * abs(cost)
 
-    def look(self, task: Task, deep: bool) -> bool:
-        """Move it where it costs least, if the gain is above the dead band; `deep`: with who is in its
-        way."""
-        old = self.take(task)
+    def improve(self, task: Task, with_blockers: bool) -> bool:
+        """Moves a task to its cheapest spot, or else with its blockers, if the gain is high enough."""
+        old = self.unassign(task)
         cost = self.field.cost(task, old)
-        best = self.field.best(task, most=cost - self.band([task], cost))
+        best = self.field.best(task, limit=cost - self.required_gain([task], cost))
         if best is not None:
-            self.put(task, best[1])
+            self.assign(task, best[1])
             self.moves += 1
             return True
-        self.put(task, old)
-        return deep and self.exchange(task, cost)
-
-    def exchange(self, task: Task, cost: int) -> bool:
-        """Its best place is taken: do both gain if who stands there goes elsewhere?"""
-        if (wish := self.wishes.get(task.id)) is None:
-            wish = self.wishes[task.id] = self.field.best(task, alone=True)
-        if wish is None or cost - wish[0] <= self.band([task], cost):
+        self.assign(task, old)
+        return with_blockers and self.improve_with_blockers(task, cost)
+
+    def improve_with_blockers(self, task: Task, cost: int) -> bool:
+        """Tries to save costs by moving the task to its ideal spot and its blockers elsewhere."""
+        if (ideal := self.ideal_spots.get(task.id)) is None:
+            ideal = self.ideal_spots[task.id] = self.field.best(task, alone=True)
+        if ideal is None or cost - ideal[0] <= self.required_gain([task], cost):
             return False
-        there = sorted(
-            self.in_the_way(task, wish[1]), key=lambda id: (self.tasks[id].power[self.spots[id].place], id)
+        blockers = sorted(
+            self.blockers(task, ideal[1]), key=lambda id: (self.tasks[id].power[self.spots[id].place], id)
         )
-        others = [self.tasks[id] for id in there if not self.tasks[id].fixed]
-        return any(self.regroup([task, other]) for other in others[:PAIRS]) or (
-            1 < len(others) and self.regroup([task, *reversed(others[: GROUP - 1])])
+        movable = [self.tasks[id] for id in blockers if not self.tasks[id].fixed]
+        return any(self.replan_group([task, other]) for other in movable[:MAX_PAIRS]) or (
+            len(movable) > 1 and self.replan_group([task, *reversed(movable[: MAX_GROUP - 1])])
         )
 
-    def seen(self, group: list[Task]) -> bool:
-        """These were tried as they stand: what changed around them hardly makes a gain of it."""
+    def already_tried(self, group: list[Task]) -> bool:
+        """Returns whether these spots were tried; changes elsewhere hardly make a gain of them."""
         ids, spots = tuple(task.id for task in group), [self.spots[task.id] for task in group]
-        if self.tried.get(ids) == spots:
+        if self.tried_groups.get(ids) == spots:
             return True
-        self.tried[ids] = spots
+        self.tried_groups[ids] = spots
         return False
 
-    def in_the_way(self, task: Task, wish: Spot) -> dict[str, None]:
-        """Who holds there what it lacks: lanes, seats, or power under the peak."""
-        field, site, tried = self.field, wish.place[0], {}
+    def blockers(self, task: Task, ideal: Spot) -> dict[str, None]:
+        """Returns ids of tasks that use what this one lacks at a spot: lanes, seats, power below the peak."""
+        field, site, found = self.field, ideal.place[0], {}
         peak = field.peaks.get(site, (1 << 60, 0))[0]
-        for at in wish.slots:
-            full = field.room[wish.place][at] <= 0
-            seated = all(field.seats[f][at] >= much for f, much in task.seats.items() if f in field.seats)
-            wide = not seated or field.drawn[site][at] + task.power[wish.place] > peak
-            for place in field.room if wide else [wish.place] if full else ():
-                if len(tried) < WAY and (place[0] == site or task.seats):
-                    tried.update(self.there.get((place, at), {}))
-        tried.pop(task.id, None)
-        return tried
-
-    def regroup(self, group: list[Task]) -> bool:
-        """All of them out, and in again one after the other, each where it costs least then."""
-        if self.seen(group):
+        for at in ideal.slots:
+            lanes_full = field.room[ideal.place][at] <= 0
+            seats_free = all(
+                field.seats[name][at] >= seats for name, seats in task.seats.items() if name in field.seats
+            )
+            whole_site = not seats_free or field.drawn[site][at] + task.power[ideal.place] > peak
+            for place in field.room if whole_site else [ideal.place] if lanes_full else ():
+                if len(found) < ENOUGH_BLOCKERS and (place[0] == site or task.seats):
+                    found.update(self.occupants.get((place, at), {}))
+        found.pop(task.id, None)
+        return found
+
+    def replan_group(self, group: list[Task]) -> bool:
+        """Moves each task in turn to its cheapest spot; undone if the gain is not high enough."""
+        if self.already_tried(group):
             return False
-        field, old = self.field, {task.id: self.take(task) for task in group}
+        field, old = self.field, {task.id: self.unassign(task) for task in group}
         before = 0
         for task in group:
             before += field.cost(task, old[task.id])
-            field.put(task, old[task.id])
+            field.reserve(task, old[task.id])
         for task in group:
-            field.take(task, old[task.id])
-        new, total, limit = {}, 0, before - self.band(group, before)
+            field.release(task, old[task.id])
+        new, total, limit = {}, 0, before - self.required_gain(group, before)
         for task in group:
-            best = field.best(task, most=limit - total)
+            best = field.best(task, limit=limit - total)
             if best is None:
                 break
             total, new[task.id] = total + best[0], best[1]
-            field.put(task, best[1])
+            field.reserve(task, best[1])
         for task in group:
             if task.id in new:
-                field.take(task, new[task.id])
-        gains = len(new) == len(group)
-        self.moves += gains
+                field.release(task, new[task.id])
+        improved = len(new) == len(group)
+        self.moves += improved
         for task in group:
-            self.put(task, (new if gains else old)[task.id])
-        return gains
+            self.assign(task, (new if improved else old)[task.id])
+        return improved
 
-    def dear(self, task: Task) -> int:
-        """What its dearest slot costs, the peak's surcharge with it."""
+    def dearest_slot_cost(self, task: Task) -> int:
+        """Returns the cost of the task's most expensive slot, including the peak surcharge."""
         field, ((site, kind), slots) = self.field, self.spots[task.id]
         peak, surcharge = field.peaks.get(site, (0, 0))
         return task.power[site, kind] * max(
@@ -199,47 +203,47 @@
         )
 
     def looks(self) -> Iterator[bool]:
-        """One look a step, until nothing moves any more: who drives this has the budget."""
-        for number in range(PASSES):
-            moved, deep, ranked = False, number >= ALONE, []
+        """Improves the plan until nothing moves; yields after each attempt, as the caller budgets time."""
+        for number in range(MAX_PASSES):
+            moved, with_blockers, ranked = False, number >= SINGLE_PASSES, []
             for count, (id, task) in enumerate(list(self.tasks.items()), 1):
                 if id in self.spots and not task.fixed:
-                    ranked.append((-self.dear(task), id, task))
-                if count % RANKED == 0:
+                    ranked.append((-self.dearest_slot_cost(task), id, task))
+                if count % RANKED_PER_STEP == 0:
                     yield moved
-            for _, _, task in sorted(ranked, key=lambda one: one[:2]):
+            for _, _, task in sorted(ranked, key=lambda entry: entry[:2]):
                 if task.id in self.spots:
-                    moved |= self.look(task, deep)
+                    moved |= self.improve(task, with_blockers)
                     yield moved
             for id in list(self.unplanned):
-                moved |= self.add(self.tasks[id])
+                moved |= self.place_earliest(self.tasks[id])
                 yield moved
-            if not moved and deep:
+            if not moved and with_blockers:
                 return
 
-    def both_ways(self) -> Iterator[bool]:
-        """As `looks`; then, where few are new, these once more from nothing: who draws most chooses first.
-        The cheaper of the two stands."""
+    def improve_and_replan(self) -> Iterator[bool]:
+        """Does `looks`, then places few new tasks anew, highest power first; keeps the cheaper plan."""
         yield from self.looks()
-        new = [task for id, task in self.tasks.items() if task.fresh and id in self.spots and not task.fixed]
-        if not 1 < len(new) <= ANEW or len(self.spots) > ALL:
+        new = [task for id, task in self.tasks.items() if task.is_new and id in self.spots and not task.fixed]
+        if not 1 < len(new) <= MAX_REPLANNED or len(self.spots) > MAX_PLAN_REPLANNED:
             return
         before, cost = dict(self.spots), self.cost()
         for task in new:
-            self.take(task)
+            self.unassign(task)
         for task in sorted(new, key=lambda t: (-max(t.power.values()), t.last - t.first, t.id)):
             if (best := self.field.best(task)) is not None:
-                self.put(task, best[1])
+                self.assign(task, best[1])
         try:
             if all(task.id in self.spots for task in new):
                 yield from self.looks()
         finally:
             if self.cost() >= cost or len(self.spots) < len(before):
                 for id in list(self.spots):
-                    self.take(self.tasks[id])
+                    self.unassign(self.tasks[id])
                 for id, spot in before.items():
-                    self.put(self.tasks[id], spot)
+                    self.assign(self.tasks[id], spot)
 
     def settle(self) -> None:
-        for _ in self.both_ways():
+        """Improves the plan until no step is left."""
+        for _ in self.improve_and_replan():
             pass
--- a/indigohitch/fleet/batches/rows.py
+++ b/indigohitch/fleet/batches/rows.py
@@ -1,7 +1,9 @@
-"""What the state machine holds of batches, and the bodies of their entries.  Shapes only.
+"""Rows of batches: the part of the state machine and the bodies of its log entries.
 
-Times are fleet time, Unix time in tenths of a ms; spans in tenths of a ms.  Prices are whole thousandths of a
-cent for a kWh, power is in watts.  A piece's id is its batch's and its place in it: `dunning-7.12`."""
+Times are fleet time, Unix time in tenths of a ms; spans are in tenths of a ms.  Prices are integers in
+thousandths of a cent per kWh, power is in watts.  A piece's id is its batch's id and its index there:
+`dunning-7.12`.
+"""
 
 from __future__ import annotations
 
@@ -10,69 +12,78 @@
 from ...encoding.rows import Row
 from ..types import Stamp
 
-# ---- the contract: a version of it is an entry ------------------------------------------------------
+# ---- contract and prices: each edition is an entry ---------------------------------------------------
 
 
 class Band(Row, frozen=True):
-    """On days of these kinds, from `begin` to before `end` of the local day (spans since midnight on its
-    clock): that price.  The first band that fits counts."""
+    """The price on days of these kinds, from `begin` to before `end` of the local day.
 
-    days: tuple[str, ...]  # of contract.DAYS; empty: any
+    Both are spans since midnight by the local clock.  The first band that matches counts.
+    """
+
+    days: tuple[str, ...]  # kinds of day, of tariffs.DAYS; empty: any
     begin: int
     end: int
     price: int
 
 
 class Site(Row, frozen=True):
+    """A place with nodes that run batches: its local time, capacity and prices."""
+
     name: str
-    zone: str  # as zoneinfo knows it
-    holidays: str  # country, or country-subdivision, as the library knows it; "": none
-    lanes: dict[str, int]  # by kind of node: RPCs at a time that its nodes carry, interactive ones first
+    zone: str  # time zone name of the IANA database
+    holidays: str  # country or country-subdivision of the library `holidays`; "": none
+    lanes: dict[str, int]  # by kind of node: concurrent RPCs; interactive ones take precedence
     bands: tuple[Band, ...]
-    peak: int = 0  # contracted, watts of batches; 0: none
-    surcharge: int = 0  # for a kWh over it
+    peak: int = 0  # contracted power for batches, watts; 0: no limit
+    surcharge: int = 0  # per kWh above the peak
 
 
 class BatchClass(Row, frozen=True):
-    """Of a low-worth RPC class: how its pieces run."""
+    """How the pieces of a low-priority RPC class run; `name` is the name of that class."""
 
     name: str
     idempotent: bool
-    path: str  # of its RPCs; `{piece}` and `{step}` are filled in
-    power: dict[str, int]  # by kind of node; it runs on no other
-    pause: int = 0  # what a pause costs, thousandths of a cent
-    seats: dict[str, int] = {}  # by feature
+    path: str  # of its RPCs; `{piece}` and `{step}` are replaced by id and number
+    power: dict[str, int]  # watts by kind of node; it runs on no other kind
+    pause: int = 0  # cost of a pause, thousandths of a cent
+    seats: dict[str, int] = {}  # seats in use while a piece runs, by feature
     sites: tuple[str, ...] = ()  # empty: any
 
 
 class Contract(Row, frozen=True):
+    """The electricity contract of the fleet: its sites and classes of batches."""
+
     edition: int
-    slot: int  # the plan's grain
+    slot: int  # unit of time of the plan
     sites: tuple[Site, ...]
     classes: tuple[BatchClass, ...]
 
 
 class Prices(Row, frozen=True):
-    """Dated prices: they go before the bands for the slots that they name."""
+    """Dated prices, which take precedence over the bands in the time that they cover."""
 
     edition: int
-    each: int  # how long one holds
-    sites: dict[str, dict[int, int]]  # by site: start, price
+    each: int  # how long a price is valid
+    sites: dict[str, dict[int, int]]  # by site: price by start
 
 
 class Load(Row, frozen=True):
-    """What the interactive RPCs take of a site's lanes, in per cent, by hour of the local day."""
+    """The share of a site's lanes that interactive RPCs use, in per cent, in an hour of the local day."""
 
     site: str
     hour: int
     share: int
 
 
-# ---- batches ---------------------------------------------------------------------------------------
+# ---- batches -----------------------------------------------------------------------------------------
 
 
 class Cut(Row, frozen=True):
-    """A piece as its tenant wants it: `work` is how long its `steps` RPCs take at their pace."""
+    """A piece as its tenant submits it.
+
+    It may run from `earliest` to `latest`; its `steps` RPCs, sent at an even pace, take `work` altogether.
+    """
 
     earliest: int
     latest: int
@@ -81,27 +92,31 @@
 
 
 class Batch(Row, frozen=True):
+    """A batch as its tenant submits it."""
+
     id: str
     tenant: str
-    rpc: str  # a `BatchClass`
+    rpc: str  # name of a `BatchClass`
     cuts: tuple[Cut, ...]
 
 
 class State(enum.Enum):
+    """State of a piece."""
+
     WAITING = "waiting"
-    GIVEN = "given"  # to a member that has not started it
+    GIVEN = "given"  # assigned to a member that has not started it
     RUNNING = "running"
     DONE = "done"
-    UNCLEAR = "unclear"  # may have run: an operator's word decides
-    MISSED = "missed"  # its latest time came first
-    DROPPED = "dropped"  # by an operator
+    UNCLEAR = "unclear"  # a step may have run: an operator decides
+    MISSED = "missed"  # its latest time passed before it was done
+    DROPPED = "dropped"  # cancelled by an operator
 
 
-OVER = (State.DONE, State.MISSED, State.DROPPED)
+ENDED_STATES = (State.DONE, State.MISSED, State.DROPPED)
 
 
 class Placing(Row, frozen=True):
-    """Where and when a piece is planned to run: `runs` are (from, to), in order, apart."""
+    """Where and when a piece is planned to run: `runs` are (begin, end), in order and disjoint."""
 
     site: str
     kind: str
@@ -109,7 +124,11 @@
 
 
 class Piece(Row):
-    """In the state.  `step`: as many of its steps are surely done; `attempt`: how often it was started."""
+    """A piece in the state machine.
+
+    `step` is the number of its steps that are surely done, `attempt` how often it was started, `why` the
+    reason for which it is unclear.
+    """
 
     batch: str
     rpc: str
@@ -118,41 +137,48 @@
     state: State = State.WAITING
     step: int = 0
     placing: Placing | None = None
-    version: int = 0  # entry that planned it so
+    version: int = 0  # index of the entry that planned it
     member: str = ""
     incarnation: int = 0
     attempt: int = 0
     stamp: Stamp | None = None  # of the last start
-    over: int = 0  # when it came to its end
+    ended_at: int = 0  # when it was done, missed or dropped
     why: str = ""
-    since: int = 0  # when `step` was told, or it was started
+    progress_at: int = 0  # when it was started or `step` was reported last
 
 
-# ---- entries of a piece ----------------------------------------------------------------------------
+# ---- plan, and entries of single pieces --------------------------------------------------------------
 
 
 class Plan(Row, frozen=True):
-    """Changes of the plan that stands at entry `base`: None takes a piece out of it."""
+    """Changes of the plan that entry `base` has made; None removes a piece from the plan."""
 
     base: int
     changes: dict[str, Placing | None]
 
 
 class Give(Row, frozen=True):
+    """Assigns a piece to a member."""
+
     piece: str
     member: str
     incarnation: int
 
 
 class Start(Row, frozen=True):
+    """The member starts the piece that it was assigned."""
+
     piece: str
     attempt: int
     stamp: Stamp
 
 
 class Step(Row, frozen=True):
-    """A checkpoint: so many steps are surely done; `end`: "" goes on, "rests" gives the piece back, "done",
-    "unclear": of step `step` it is not known whether it ran, `why`."""
+    """A checkpoint of a running piece: this number of steps are surely done.
+
+    `end` is "" if it goes on, "rests" if the member gives the piece back, "done", or "unclear" if it is not
+    known whether step `step` ran, because of `why`.
+    """
 
     piece: str
     attempt: int
@@ -162,14 +188,17 @@
 
 
 class Late(Row, frozen=True):
-    """The latest times of these have come."""
+    """Ends pieces that have not started by their latest time."""
 
     pieces: tuple[str, ...]
 
 
 class Word(Row, frozen=True):
-    """An operator's word on a piece that is unclear: "from" goes on with step `step` (all before it did run,
-    it did not), "done", or "drop".  "drop" is heard of one that waits, too."""
+    """An operator's decision about an unclear piece.
+
+    "from" continues with step `step`, as all before it ran and it did not; "done" and "drop" end the piece.
+    "drop" is also accepted for a piece that waits.
+    """
 
     piece: str
     word: str
--- a/indigohitch/fleet/batches/runner.py
+++ b/indigohitch/fleet/batches/runner.py
@@ -1,8 +1,9 @@
-"""One member's own part: the pieces that it holds, their RPCs at their pace, pauses, checkpoints.  No I/O.
+"""Runs the pieces that a member holds: their RPCs at an even pace, pauses, checkpoints.  No I/O.
 
-What it holds stands in the state; nothing leaves before the state machine has the start under this member's
-stamp. It asks nobody before it pauses, and stops by itself without a lease, at the end of a run, at a latest
-time."""
+Which pieces it holds is in the state machine; no RPC is sent before the state machine has the start under
+this member's stamp.  A member pauses its pieces without asking anybody, and stops without a lease, at the end
+of a run, and at the latest time.
+"""
 
 from __future__ import annotations
 
@@ -16,81 +17,101 @@
 from .part import Batches
 from .rows import Piece, Start, State, Step
 
-# A checkpoint each sixteenth of the work, and not more often than this: a lost member costs a sixteenth, and
-# a member with eight pieces four entries a second at most.
-CHECK, PARTS = 2 * SECOND, 16
-BACK = SECOND // 4  # after a try that surely did not run; doubled each time up to
-BACK_MOST = 10 * SECOND
+# A checkpoint is due after each sixteenth of the work, but not more often than the minimum interval. So a
+# lost member costs a sixteenth of the work, and a member with eight pieces proposes at most four entries a
+# second.
+MIN_CHECKPOINT_INTERVAL, CHECKPOINTS_PER_PIECE = 2 * SECOND, 16
+# Delay after an RPC that failed; doubled with each further failure, up to the maximum.
+RETRY_DELAY = SECOND // 4
+MAX_RETRY_DELAY = 10 * SECOND
 
 
 class Phase(enum.Enum):
-    HELD = "held"  # nothing of it runs
-    STARTING = "starting"  # the start is on its way into the ledger
-    BETWEEN = "between"  # two steps
-    OUT = "out"  # a step's RPC is out
-    ENDING = "ending"  # its end is on its way into the ledger
+    """Phase of a piece on the member that holds it."""
+
+    HELD = "held"  # assigned here, not started by this process
+    STARTING = "starting"  # the start is proposed
+    BETWEEN = "between"  # started, no RPC is out
+    OUT = "out"  # the RPC of a step has no answer yet
+    ENDING = "ending"  # the end is proposed
 
 
 class Port(Protocol):
-    """Where a step's RPC goes; its outcome comes back to `Runner.outcome`: "ok", "not run", "unknown" or
-    "refused"."""
+    """Sends the RPCs of steps.
+
+    The outcome comes back to `Runner.outcome`: "ok", "not run", "unknown" or "refused".
+    """
 
-    def send(self, piece: str, step: int, stamp: Stamp) -> None: ...
+    def send(self, piece: str, step: int, stamp: Stamp) -> None:
+        """Sends the RPC of a step under the stamp of the piece's start."""
 
 
 @dataclass(slots=True)
 class Run:
+    """What this process knows of a piece that it holds."""
+
     phase: Phase = Phase.HELD
-    attempt: int = 0  # that this process began; 0: none
-    step: int = 0  # surely done
-    due: int = 0  # when the next step may go, own monotonic clock
-    back: int = BACK
-    told_at: int = 0  # the last checkpoint
-    why: str = ""  # it can't go on: "unclear"
+    attempt: int = 0  # the attempt that this process started; 0: none
+    step: int = 0  # number of steps that are surely done
+    due: int = 0  # when the next step may be sent, by the monotonic clock of this process
+    retry_delay: int = RETRY_DELAY  # delay before the next retry
+    checkpoint_at: int = 0  # when the last checkpoint was proposed
+    why: str = ""  # why it can't go on and has to end as unclear
 
 
 class Runner:
+    """Runs the pieces that are assigned to this member."""
+
     def __init__(self, part: Batches, acts: ActionRecorder, port: Port) -> None:
-        self.part, self.acts, self.port = part, acts, port
+        self.part = part
+        self.acts = acts
+        self.port = port
         self.runs: dict[str, Run] = {}
-        self.steps = self.paused = 0  # sent; times that strain held a step back
-        self.lease: Lease | None = None  # as of the last turn, as is `strained`
-        self.strained = False
+        self.steps = self.paused = 0  # steps sent; times that overload delayed a step
+        self.lease: Lease | None = None  # as of the last turn, like `overloaded`
+        self.overloaded = False
 
     def turn(
-        self, now: int, time: int, lease: Lease | None, strained: bool, me: str, lanes: int
+        self, now: int, time: int, lease: Lease | None, overloaded: bool, me: str, lanes: int
     ) -> list[ProposalRequest]:
-        """`time`: fleet time; `lanes`: how many pieces this member runs at a time."""
-        self.lease, self.strained = lease, strained
+        """Does one beat and returns the proposals of it; nothing is sent without a valid lease.
+
+        `time`: fleet time.  `lanes`: how many pieces this member runs at a time.
+        """
+        self.lease, self.overloaded = lease, overloaded
         if lease is None or lease.remaining(now) <= 0 or not time:
-            return []  # what is out ends by itself; nothing else goes
+            return []  # RPCs in progress end by themselves; nothing else is sent
         held = self.part.pieces.held.get((me, lease.incarnation), {})
         for id in [id for id in self.runs if id not in held]:
             del self.runs[id]
-        wanted = []
+        requests = []
         for id in list(held):
-            run, piece = self.runs.setdefault(id, Run()), self.part.pieces.all[id]
-            wanted += self.one(now, time, id, run, piece, lanes)
-        return wanted
+            run = self.runs.setdefault(id, Run())
+            piece = self.part.pieces.all[id]
+            requests += self.run_piece(now, time, id, run, piece, lanes)
+        return requests
 
-    def one(self, now: int, time: int, id: str, run: Run, piece: Piece, lanes: int) -> list[ProposalRequest]:
+    def run_piece(
+        self, now: int, time: int, id: str, run: Run, piece: Piece, lanes: int
+    ) -> list[ProposalRequest]:
+        """Takes a piece as far as it can go in this beat; returns the proposals that it needs."""
         if run.phase in (Phase.OUT, Phase.ENDING):
             return []
         pace = piece.cut.work // piece.cut.steps
-        may_run = any(begin <= time < end for begin, end in piece.placing.runs)
-        over = time + pace > piece.cut.latest or not may_run and time >= piece.placing.runs[-1][1]
+        in_run = any(begin <= time < end for begin, end in piece.placing.runs)
+        out_of_time = time + pace > piece.cut.latest or not in_run and time >= piece.placing.runs[-1][1]
         if piece.state is State.GIVEN:
             if run.phase is Phase.STARTING:
                 return []
-            if over:
+            if out_of_time:
                 return self.end(id, run, piece, "rests")
-            if self.strained or not may_run or self.running() >= lanes:
+            if self.overloaded or not in_run or self.active_runs() >= lanes:
                 return []
             return self.start(now, id, run, piece)
         if piece.state is not State.RUNNING:
             return []
         if run.attempt != piece.attempt:
-            # Guards against a memory that was lost while a step may have been out.
+            # Guards against a restart of this process while the RPC of a step may have been in progress.
             if not piece.idempotent:
                 run.why = "its member knows nothing of it"
                 return self.end(id, run, piece, "unclear")
@@ -98,34 +119,36 @@
             run.step = piece.step
         if run.phase in (Phase.STARTING, Phase.HELD):
             run.phase, run.step, run.due = Phase.BETWEEN, piece.step, now
-            run.told_at = now
+            run.checkpoint_at = now
         if run.why:
             return self.end(id, run, piece, "unclear")
         if run.step == piece.cut.steps:
             return self.end(id, run, piece, "done")
-        if over or not may_run:
+        if out_of_time or not in_run:
             return self.end(id, run, piece, "rests")
-        self.go_on(now, id, run, piece)
-        if now - run.told_at >= max(CHECK, piece.cut.work // PARTS):
-            run.told_at = now  # also where nothing went on: the plan has to know
+        self.send_next_step(now, id, run, piece)
+        if now - run.checkpoint_at >= max(MIN_CHECKPOINT_INTERVAL, piece.cut.work // CHECKPOINTS_PER_PIECE):
+            run.checkpoint_at = now  # also without progress, as the plan depends on it
             return [ProposalRequest("batches.step", Step(id, run.attempt, run.step), f"step {id}")]
         return []
 
-    def running(self) -> int:
+    def active_runs(self) -> int:
+        """Returns how many pieces are started, or being started or ended."""
         return sum(run.phase is not Phase.HELD for run in self.runs.values())
 
     def start(self, now: int, id: str, run: Run, piece: Piece) -> list[ProposalRequest]:
+        """Proposes the start of a piece under a new stamp; without a lease there is none."""
         stamp = self.acts.stamp(now, "batches.start", id.encode())
         if stamp is None:
             return []
         run.phase, run.attempt = Phase.STARTING, piece.attempt + 1
         return [ProposalRequest("batches.start", Start(id, run.attempt, stamp), f"start {id}")]
 
-    def go_on(self, now: int, id: str, run: Run, piece: Piece) -> None:
-        """The next step, if its time has come.  After a pause one step may come early, not all."""
+    def send_next_step(self, now: int, id: str, run: Run, piece: Piece) -> None:
+        """Sends the next step if it is due.  After a pause one step may be early, not all."""
         if now < run.due or run.step >= piece.cut.steps:
             return
-        if self.strained:
+        if self.overloaded:
             self.paused += 1
             return
         pace = piece.cut.work // piece.cut.steps
@@ -133,20 +156,25 @@
         self.steps += 1
         self.port.send(id, run.step, piece.stamp)
 
-    def end(self, id: str, run: Run, piece: Piece, how: str) -> list[ProposalRequest]:
+    def end(self, id: str, run: Run, piece: Piece, end_kind: str) -> list[ProposalRequest]:
+        """Proposes the end of the run."""
         run.phase = Phase.ENDING
         step = run.step if run.attempt == piece.attempt and run.attempt else piece.step
         return [
             ProposalRequest(
-                "batches.step", Step(id, piece.attempt, max(step, piece.step), how, run.why), f"end {id}"
+                "batches.step", Step(id, piece.attempt, max(step, piece.step), end_kind, run.why), f"end {id}"
             )
         ]
 
-    # ---- what comes back ---------------------------------------------------------------------------
+    # ---- answers -------------------------------------------------------------------------------------
 
     def outcome(self, now: int, id: str, step: int, stamp: Stamp, outcome: str, why: str = "") -> None:
-        """Of a step's RPC.  What is not idempotent goes out again only if it surely did not run."""
-        run, piece = self.runs.get(id), self.part.pieces.all.get(id)
+        """Takes the outcome of a step's RPC.
+
+        A step of a piece that is not idempotent is sent again only if it surely did not run.
+        """
+        run = self.runs.get(id)
+        piece = self.part.pieces.all.get(id)
         if (
             run is None
             or piece is None
@@ -157,25 +185,31 @@
             return
         run.phase = Phase.BETWEEN
         if outcome == "ok":
-            run.step, run.back = step + 1, BACK
+            run.step, run.retry_delay = step + 1, RETRY_DELAY
             if self.lease is not None and self.lease.remaining(now) and piece.state is State.RUNNING:
-                self.go_on(now, id, run, piece)
+                self.send_next_step(now, id, run, piece)
         elif outcome == "not run" or outcome == "unknown" and piece.idempotent:
-            run.due, run.back = max(run.due, now + run.back), min(2 * run.back, BACK_MOST)
+            run.due, run.retry_delay = (
+                max(run.due, now + run.retry_delay),
+                min(2 * run.retry_delay, MAX_RETRY_DELAY),
+            )
         else:
             run.why = why or outcome
 
-    def answered(self, tag: str, refused: bool | None) -> None:
-        """What a proposal came to; `refused` None: nobody knows, it is proposed anew."""
-        word, _, id = tag.partition(" ")
+    def answered(self, tag: str, rejected: bool | None) -> None:
+        """Takes the result of a proposal.
+
+        `rejected` None: the result is unknown and the proposal is made again.
+        """
+        action, _, id = tag.partition(" ")
         run = self.runs.get(id)
         if run is None:
             return
-        if refused is False:
-            if word == "end":
-                del self.runs[id]  # it may be given to us anew
+        if rejected is False:
+            if action == "end":
+                del self.runs[id]  # the piece may be assigned to this member again
             return
-        if word == "start" and run.phase is Phase.STARTING:
-            run.phase, run.attempt = Phase.HELD, run.attempt if refused is None else 0
-        elif word == "end" and run.phase is Phase.ENDING:
+        if action == "start" and run.phase is Phase.STARTING:
+            run.phase, run.attempt = Phase.HELD, run.attempt if rejected is None else 0
+        elif action == "end" and run.phase is Phase.ENDING:
             run.phase = Phase.BETWEEN if run.attempt else Phase.HELD
--- a/indigohitch/fleet/batches/sending.py
+++ b/indigohitch/fleet/batches/sending.py
@@ -1,5 +1,8 @@
-"""Steps of pieces as RPCs over HTTP: to the sidecar of this process, whose decision module chooses among the
-servers, or to the server that the operator's file names."""
+"""Sends the steps of pieces as RPCs over HTTP.
+
+They go to the sidecar of this process, whose decision module chooses the server, or to the server that the
+operator's file names.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,19 @@
 from ..types import Stamp
 from .part import Batches
 
-# The least that an answer is waited for; else twice the pace.  A sidecar's own deadline is shorter.
-LEAST = 5 * SECOND
-# What a sidecar says where nothing of an RPC has left it (sidecar/rpc.py, 503): another 503 is its server's.
+# Shortest timeout of a step's RPC; it is twice the pace if that is longer. A sidecar's own deadline is
+# shorter.
+MIN_TIMEOUT = 5 * SECOND
+# Body of a sidecar's own 503 answer, sent when no part of the RPC has left it (sidecar/rpc.py); any other 503
+# comes from the server.
 UNSENT = b"no server now"
 
 
 def outcome(answer: HttpResponse) -> tuple[str, str]:
-    """In the runner's words, and why.  Only what surely never ran counts as that."""
+    """Returns the outcome of an RPC in the runner's terms, and the reason.
+
+    Only an RPC that surely never ran is "not run".
+    """
     if answer.outcome in ("connect_failed", "unreached"):
         return "not run", ""
     if answer.outcome != "answered":
@@ -32,43 +40,54 @@
 
 
 def mark(stamp: Stamp) -> str:
-    """As servers and logs have it: member.incarnation.term.version.number."""
+    """Returns the stamp as servers and logs have it: member.incarnation.term.version.number."""
     return f"{stamp.member}.{stamp.incarnation}.{stamp.term}.{stamp.version}.{stamp.number}"
 
 
 class Sending:
-    """A `runner.Port`.  `to`: by site and kind of node; `back(piece, step, stamp, outcome, why)`."""
+    """Sends steps; a `runner.Port`.
+
+    `targets`: address by site and kind of node.  `on_outcome(piece, step, stamp, outcome, why)` gets each
+    outcome.
+    """
 
     def __init__(
         self,
         loop: EventLoop,
         part: Batches,
-        to: Mapping[tuple[str, str], tuple[str, int]],
-        back: Callable[[str, int, Stamp, str, str], None],
+        targets: Mapping[tuple[str, str], tuple[str, int]],
+        on_outcome: Callable[[str, int, Stamp, str, str], None],
     ) -> None:
-        self.loop, self.part, self.back = loop, part, back
-        # Each step on a connection of its own: one that had rested may close as the RPC goes out, and then
-        # nobody knows whether it ran.
-        self.clients = {place: HttpClient(loop, where) for place, where in to.items()}
+        self.loop = loop
+        self.part = part
+        self.on_outcome = on_outcome
+        # Each step has a connection of its own: an idle one may be closed while the RPC is sent, and then it
+        # is unknown whether the RPC ran.
+        self.clients = {place: HttpClient(loop, target) for place, target in targets.items()}
 
     def send(self, piece: str, step: int, stamp: Stamp) -> None:
-        known = self.part.pieces.all[piece]
-        rpc, place = self.part.rpc(known.rpc), (known.placing.site, known.placing.kind)
+        """Sends the RPC of a step under the stamp of the piece's start."""
+        row = self.part.pieces.all[piece]
+        rpc = self.part.rpc(row.rpc)
+        place = (row.placing.site, row.placing.kind)
         client = self.clients.get(place)
         if rpc is None or client is None:
-            self.loop.call_after(0, lambda: self.back(piece, step, stamp, "not run", "nobody to send it to"))
+            self.loop.call_after(
+                0, lambda: self.on_outcome(piece, step, stamp, "not run", "no server is known for this step")
+            )
             return
-        target = rpc.path.replace("{piece}", piece).replace("{step}", str(step))
+        path = rpc.path.replace("{piece}", piece).replace("{step}", str(step))
         data = (
-            f"POST {target} HTTP/1.1\r\nHost: {client.host}\r\nX-Id: {piece}.{step}\r\n"
+            f"POST {path} HTTP/1.1\r\nHost: {client.host}\r\nX-Id: {piece}.{step}\r\n"
             f"X-Stamp: {mark(stamp)}\r\nContent-Length: 0\r\n\r\n"
         ).encode()
 
         def done(answer: HttpResponse) -> None:
-            self.back(piece, step, stamp, *outcome(answer))
+            self.on_outcome(piece, step, stamp, *outcome(answer))
 
-        HttpExchange(client, data, max(LEAST, 2 * known.cut.work // known.cut.steps), done).start()
+        HttpExchange(client, data, max(MIN_TIMEOUT, 2 * row.cut.work // row.cut.steps), done).start()
 
     def close(self) -> None:
+        """Closes all connections."""
         for client in self.clients.values():
             client.close()
--- a/indigohitch/fleet/batches/tasks.py
+++ b/indigohitch/fleet/batches/tasks.py
@@ -1,74 +1,88 @@
-"""The pieces and who holds each: given, started under one stamp, done, unclear.  Deterministic.
+"""The pieces and their holders: assigned, started under one stamp, done, unclear.  Deterministic.
 
-A piece is free again only when its holder gave it back, or surely holds nothing any more.  What is not
-idempotent and may have run is held as unclear; only an operator's word frees it."""
+A piece can be assigned again only when its holder has given it back, or has surely lost its lease.  A piece
+that is not idempotent and may have run stays unclear until an operator decides.
+"""
 
 from __future__ import annotations
 
 from ...errors import InvalidRequestError
 from ..interfaces import EntryContext
-from .rows import OVER, Give, Late, Piece, Start, State, Step, Word
+from .rows import ENDED_STATES, Give, Late, Piece, Start, State, Step, Word
 
 
 class Pieces:
+    """All pieces by id, with the entries that change them."""
+
     def __init__(self, all: dict[str, Piece], ended: dict[str, int]) -> None:
         self.all = all
-        self.ended = ended  # by member: its last incarnation that holds nothing any more
-        self.over: dict[str, None] = {}  # since who owns this looked last
-        # For looking up; no part of the state.
+        self.ended = ended  # by member: its last incarnation whose lease has expired
+        self.newly_ended: dict[str, None] = {}  # pieces that ended since the owner last cleared this
+        # Indexes, which are not part of the state: pieces that have not ended, and pieces by holder.
         self.open: dict[str, None] = {}
         self.held: dict[tuple[str, int], dict[str, None]] = {}
         for id, piece in sorted(all.items()):
-            if piece.state not in OVER:
+            if piece.state not in ENDED_STATES:
                 self.open[id] = None
             if piece.member:
                 self.held.setdefault((piece.member, piece.incarnation), {})[id] = None
 
     def add(self, id: str, piece: Piece) -> None:
+        """Adds a new piece."""
         self.all[id] = piece
         self.open[id] = None
 
-    def one(self, id: str) -> Piece:
+    def get(self, id: str) -> Piece:
+        """Returns the piece.
+
+        Raises:
+            InvalidRequestError: there is none with this id.
+        """
         if id not in self.all:
             raise InvalidRequestError(f"no piece {id}", remedy="`status` lists the pieces")
         return self.all[id]
 
     def counts(self) -> dict[str, int]:
+        """Returns how many pieces are in each state, by the state's value."""
         counts = {state.value: 0 for state in State}
         for piece in self.all.values():
             counts[piece.state.value] += 1
         return counts
 
-    # ---- entries -----------------------------------------------------------------------------------
+    # ---- entries -------------------------------------------------------------------------------------
 
-    def give(self, at: EntryContext, body: Give) -> int:
-        piece = self.one(body.piece)
+    def assign(self, at: EntryContext, body: Give) -> int:
+        """Assigns a waiting, planned piece to a member; returns how often it was started before."""
+        piece = self.get(body.piece)
         if piece.state is not State.WAITING or piece.placing is None:
             raise InvalidRequestError(f"{body.piece} is {piece.state.value}")
         if at.time >= piece.cut.latest:
             raise InvalidRequestError(f"{body.piece}: its latest time has come")
-        if body.incarnation <= self.ended.get(body.member, 0):  # nobody would ever free it again
+        # A piece assigned to an incarnation that has expired already would never be freed again.
+        if body.incarnation <= self.ended.get(body.member, 0):
             raise InvalidRequestError(f"{body.member} {body.incarnation} is gone")
         piece.state = State.GIVEN
-        self.hold(body.piece, piece, body.member, body.incarnation)
+        self.set_holder(body.piece, piece, body.member, body.incarnation)
         return piece.attempt
 
     def start(self, at: EntryContext, body: Start) -> int:
-        piece = self.one(body.piece)
-        self.own(at, body.piece, piece)
+        """Records that the holder starts the piece; returns the number of steps that are done."""
+        piece = self.get(body.piece)
+        self.check_holder(at, body.piece, piece)
         if piece.state is not State.GIVEN or body.attempt != piece.attempt + 1:
             raise InvalidRequestError(f"{body.piece} is {piece.state.value}, started {piece.attempt} times")
         if at.time >= piece.cut.latest:
             raise InvalidRequestError(f"{body.piece}: its latest time has come")
         piece.state, piece.attempt, piece.stamp = State.RUNNING, body.attempt, body.stamp
-        piece.since = at.time
+        piece.progress_at = at.time
         return piece.step
 
     def step(self, at: EntryContext, body: Step) -> int:
-        piece = self.one(body.piece)
-        self.own(at, body.piece, piece)
-        given_back = piece.state is State.GIVEN and body.end == "rests" and body.step == piece.step
-        if not given_back and (piece.state is not State.RUNNING or body.attempt != piece.attempt):
+        """Records a checkpoint or the end of a run; returns the number of steps that are done."""
+        piece = self.get(body.piece)
+        self.check_holder(at, body.piece, piece)
+        returned_unstarted = piece.state is State.GIVEN and body.end == "rests" and body.step == piece.step
+        if not returned_unstarted and (piece.state is not State.RUNNING or body.attempt != piece.attempt):
             raise InvalidRequestError(f"{body.piece} is {piece.state.value}, started {piece.attempt} times")
         if not piece.step <= body.step <= piece.cut.steps or body.end not in ("", "rests", "done", "unclear"):
             raise InvalidRequestError(
@@ -78,7 +92,7 @@
             raise InvalidRequestError(
                 f"{body.piece}: {body.end or 'goes on'} at step {body.step} of {piece.cut.steps}"
             )
-        piece.step, piece.since = body.step, at.time
+        piece.step, piece.progress_at = body.step, at.time
         if body.end == "rests":
             self.free(body.piece, piece, State.MISSED if at.time >= piece.cut.latest else State.WAITING, at)
         elif body.end:
@@ -91,21 +105,25 @@
             )
         return piece.step
 
-    def late(self, at: EntryContext, body: Late) -> int:
-        """What a member has started is not touched: it ends by itself, or with that member."""
-        late = [
+    def expire(self, at: EntryContext, body: Late) -> int:
+        """Ends pieces that have not started by their latest time; returns how many.
+
+        A started piece is left alone: its holder ends it, or it ends with that member.
+        """
+        expired = [
             id
             for id in body.pieces
             if (piece := self.all.get(id)) is not None
             and piece.state in (State.WAITING, State.GIVEN)
             and at.time >= piece.cut.latest
         ]
-        for id in late:
+        for id in expired:
             self.free(id, self.all[id], State.MISSED, at)
-        return len(late)
+        return len(expired)
 
-    def word(self, at: EntryContext, body: Word) -> str:
-        piece = self.one(body.piece)
+    def decide(self, at: EntryContext, body: Word) -> str:
+        """Applies an operator's decision; returns the value of the new state."""
+        piece = self.get(body.piece)
         if piece.state is not State.UNCLEAR and not (body.word == "drop" and piece.state is State.WAITING):
             raise InvalidRequestError(
                 f"{body.piece} is {piece.state.value}", remedy="a word is wanted of unclear pieces only"
@@ -124,6 +142,10 @@
         return piece.state.value
 
     def gone(self, at: EntryContext, name: str, incarnation: int) -> None:
+        """Takes the pieces of a member whose lease is over away from it.
+
+        A running piece that is not idempotent becomes unclear, any other waits again.
+        """
         self.ended[name] = max(incarnation, self.ended.get(name, 0))
         for id in sorted(self.held.get((name, incarnation), ())):
             piece = self.all[id]
@@ -136,26 +158,32 @@
                 f"{name} was lost at step {piece.step} or later" if unclear else "",
             )
 
-    # ---- one piece ---------------------------------------------------------------------------------
+    # ---- one piece -----------------------------------------------------------------------------------
 
     @staticmethod
-    def own(at: EntryContext, id: str, piece: Piece) -> None:
-        """Guards against a holder that was given up: what it says then comes too late."""
+    def check_holder(at: EntryContext, id: str, piece: Piece) -> None:
+        """Rejects entries of a former holder that arrive after the piece was taken from it.
+
+        Raises:
+            InvalidRequestError: the proposer does not hold the piece.
+        """
         if (piece.member, piece.incarnation) != (at.proposer, at.incarnation):
             raise InvalidRequestError(f"{id} is not held by {at.proposer} {at.incarnation}")
 
-    def hold(self, id: str, piece: Piece, member: str, incarnation: int) -> None:
+    def set_holder(self, id: str, piece: Piece, member: str, incarnation: int) -> None:
+        """Records the member that holds the piece."""
         piece.member, piece.incarnation = member, incarnation
         self.held.setdefault((member, incarnation), {})[id] = None
 
     def free(self, id: str, piece: Piece, state: State, at: EntryContext, why: str = "") -> None:
+        """Takes the piece from its holder, if any, and sets its state and the reason."""
         if piece.member:
-            mine = self.held[piece.member, piece.incarnation]
-            del mine[id]
-            if not mine:
+            held = self.held[piece.member, piece.incarnation]
+            del held[id]
+            if not held:
                 del self.held[piece.member, piece.incarnation]
         piece.member, piece.incarnation, piece.state, piece.why = "", 0, state, why
-        if state in OVER:
-            piece.over, piece.placing = at.time, None
+        if state in ENDED_STATES:
+            piece.ended_at, piece.placing = at.time, None
             del self.open[id]
-            self.over[id] = None
+            self.newly_ended[id] = None
--- a/tests/test_batches_fleet.py
+++ b/tests/test_batches_fleet.py
@@ -1,4 +1,8 @@
-"""Batches in a simulated fleet: started once, none missed, unclear held, under kills, cuts, delays, drift."""
+"""Batches in a simulated fleet under kills, cuts, stops, delays, lost answers and clock drift.
+
+No piece is missed; each step of a piece that is not idempotent runs at most once, and a piece that may have
+run without an answer is unclear.
+"""
 
 import random
 
@@ -21,9 +25,9 @@
 from indigohitch.fleet.interfaces import ProposalRequest
 from indigohitch.fleet.types import Lease, Stamp
 from orderedlog import SECOND, World
-from test_batches_pieces import test_only_its_holder_speaks_of_a_piece as only_its_holder_speaks
+from test_batches_pieces import test_only_the_holder_may_report_on_a_piece as only_the_holder_may_report
 
-TRUE = 10**13
+START = 10**13
 SLOT = 5 * SECOND
 SITE = Site("eros", "UTC", "", {"std": 6}, (Band((), 0, 24 * 3600 * SECOND, 20_000),))
 CONTRACT = Contract(
@@ -34,8 +38,8 @@
 )
 
 
-class Chain:
-    """Stands for the acts of one process."""
+class StampSource:
+    """Stands for the action recorder of a process: stamps while the member has its lease."""
 
     def __init__(self, member):
         self.member, self.number = member, 0
@@ -50,10 +54,12 @@
 
 
 class Servers:
-    """What was acted on, as the servers know it; answers late, loses some, is down for a while."""
+    """Servers that record the steps that ran; answers are delayed, some fail or are lost."""
 
     def __init__(self, world):
-        self.world, self.ran, self.sent, self.way = world, {}, [], []
+        self.world = world
+        self.ran, self.sent = {}, []
+        self.answers = []
 
     def port(self, member):
         servers = self
@@ -65,7 +71,7 @@
                 outcome = world.rng.choices(("ok", "not run", "unknown", "lost"), (90, 5, 2, 3))[0]
                 if outcome in ("ok", "unknown") or outcome == "lost" and world.rng.random() < 0.5:
                     servers.ran[piece, step] = servers.ran.get((piece, step), 0) + 1
-                servers.way.append(
+                servers.answers.append(
                     (
                         world.t + world.rng.randint(100, 4000),
                         member,
@@ -79,9 +85,9 @@
         return Port()
 
     def turn(self):
-        for one in [one for one in self.way if one[0] <= self.world.t and not one[1].stopped]:
-            self.way.remove(one)
-            _, member, piece, step, stamp, outcome = one
+        for answer in [one for one in self.answers if one[0] <= self.world.t and not one[1].stopped]:
+            self.answers.remove(answer)
+            _, member, piece, step, stamp, outcome = answer
             if member.alive:
                 member.works[1].runner.outcome(member.now(), piece, step, stamp, outcome)
 
@@ -96,7 +102,7 @@
             BatchesWork(
                 member.state_machine.parts["batches"],
                 member.name,
-                Chain(member),
+                StampSource(member),
                 world.servers.port(member),
                 clock.time,
                 {"eros": {"std": 2}},
@@ -110,12 +116,12 @@
     return world
 
 
-def submit(world, batch, rpc, pieces, work=8 * SECOND, steps=16, wide=120):
-    now = TRUE + world.t
+def submit(world, batch, rpc, pieces, work=8 * SECOND, steps=16, seconds=120):
+    now = START + world.t
     cuts = tuple(
         Cut(
             now + world.rng.randrange(20) * SECOND,
-            now + (wide + world.rng.randrange(60)) * SECOND,
+            now + (seconds + world.rng.randrange(60)) * SECOND,
             work,
             steps,
         )
@@ -126,10 +132,11 @@
 
 
 class Rules:
-    """Checked after every step: what was sent and ran since the last one."""
+    """Checks after every step what was sent and what ran since the last one."""
 
     def __init__(self, world):
-        self.world, self.starts, self.sent = world, {}, 0
+        self.world = world
+        self.starts, self.sent = {}, 0
 
     def check(self):
         world = self.world
@@ -139,14 +146,14 @@
                     first = self.starts.setdefault((id, piece.attempt), piece.stamp)
                     assert piece.stamp == first, "two stamps for one start"
         new, self.sent = world.servers.sent[self.sent :], len(world.servers.sent)
-        for t, id, step, stamp in new:
-            assert t < world.ended.get((stamp.member, stamp.incarnation), t + 1), "left after it was given up"
+        for sent_at, id, step, stamp in new:
+            assert sent_at < world.ended.get((stamp.member, stamp.incarnation), sent_at + 1), "lease expired"
             assert stamp in [known for (piece, _), known in self.starts.items() if piece == id], "not started"
             assert id[0] == "r" or world.servers.ran.get((id, step), 0) <= 1, f"{id} step {step} ran twice"
 
 
-def trouble(world, step, down):
-    """Kills, stops and cuts of single members; a majority always comes back."""
+def inject_faults(world, step, down):
+    """Kills, stops or cuts off single members; a majority always comes back."""
     rng, members = world.rng, world.members
     for name in [name for name, until in down.items() if until <= step]:
         member = members[name]
@@ -162,26 +169,27 @@
         down[name] = step + rng.randint(5, 60)
 
 
-def played(seed, steps=1100, hurt=True, pieces=6):
-    world, down = build(seed), {}
+def simulate(seed, steps=1100, faults=True, pieces=6):
+    world = build(seed)
+    down = {}
     rules = Rules(world)
     for step in range(steps):
         if step in (60, 300):
             submit(world, f"d{step}", "dunning", pieces)
             submit(world, f"r{step}", "report", pieces)
-        if hurt and step < steps - 450:
-            trouble(world, step, down)
+        if faults and step < steps - 450:
+            inject_faults(world, step, down)
         world.step()
         world.servers.turn()
         rules.check()
         if step == steps - 400:
-            trouble(world, step + 100, down)  # all come back
+            inject_faults(world, step + 100, down)  # all members come back
     return world
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_started_once_none_missed_unclear_held(seed):
-    world = played(seed)
+def test_under_faults_pieces_run_once_and_are_done_or_unclear(seed):
+    world = simulate(seed)
     state_machines = [m.state_machine for m in world.members.values() if m.at == len(world.log)]
     assert len({state_machine.digest() for state_machine in state_machines}) == 1
     part = state_machines[0].parts["batches"]
@@ -194,14 +202,14 @@
             assert piece.state is State.UNCLEAR and not piece.idempotent and piece.why, (id, piece)
 
 
-def test_without_trouble_all_are_done_where_no_answer_is_lost():
-    world = played(99, steps=900, hurt=False)
+def test_without_faults_no_piece_is_missed():
+    world = simulate(99, steps=900, faults=False)
     states = world.members["a"].state_machine.parts["batches"].pieces.counts()
     assert states["missed"] == 0 and states["done"] + states["unclear"] == 24 and states["done"] >= 12
 
 
 GUARDS = {
-    "own": (Pieces, "own", staticmethod(lambda at, id, piece: None)),
+    "holder": (Pieces, "check_holder", staticmethod(lambda at, id, piece: None)),
     "gone": (
         Pieces,
         "gone",
@@ -213,7 +221,7 @@
 
 
 @pytest.mark.parametrize("guard", [*GUARDS, "unknown", "lease"])
-def test_each_guard_taken_away_is_found(monkeypatch, guard):
+def test_removing_any_guard_is_detected(monkeypatch, guard):
     if guard in GUARDS:
         monkeypatch.setattr(*GUARDS[guard])
     elif guard == "unknown":
@@ -234,6 +242,6 @@
 
         monkeypatch.setattr(running.Runner, "turn", unleased)
     with pytest.raises((AssertionError, pytest.fail.Exception)):
-        only_its_holder_speaks()
+        only_the_holder_may_report()
         for seed in range(6):
-            test_started_once_none_missed_unclear_held(seed)
+            test_under_faults_pieces_run_once_and_are_done_or_unclear(seed)
--- a/tests/test_batches_parts.py
+++ b/tests/test_batches_input_and_overload.py
@@ -1,4 +1,4 @@
-"""Batches' directives, what people ask, how steps go out, strain, and the list of prices on a disk."""
+"""Batches: directives, requests on the control socket, outcomes of RPCs, overload, and the price file."""
 
 import pytest
 
@@ -31,12 +31,12 @@
 """
 
 
-def test_a_file_s_contract():
+def test_the_contract_of_an_operator_s_file():
     text = operator_file.read(FILE).fleet.parts["batches"][0]
-    got = contract_of(text, 3)
-    site, (rpc,) = got.sites[0], got.classes
-    assert (got.slot, site.lanes, site.peak, site.surcharge) == (9_000_000, {"std": 8}, 40_000, 12_000)
-    assert [(b.days, b.begin, b.end, b.price) for b in site.bands] == [
+    contract = contract_of(text, 3)
+    site, (rpc,) = contract.sites[0], contract.classes
+    assert (contract.slot, site.lanes, site.peak, site.surcharge) == (9_000_000, {"std": 8}, 40_000, 12_000)
+    assert [(band.days, band.begin, band.end, band.price) for band in site.bands] == [
         (("workday", "saturday"), 216_000_000, 792_000_000, 24_500),
         ((), 0, 864_000_000, -1250),
     ]
@@ -65,16 +65,16 @@
         ((" to 127.0.0.1:8080", ""), 14, "no sidecar"),
     ],
 )
-def test_each_mistake_has_its_line(change, line, why):
+def test_each_mistake_is_reported_with_its_line(change, line, why):
     if not why:
         assert operator_file.read(FILE.replace(*change)).fleet.parts["batches"][0].slot == 36_000_000
         return
-    with pytest.raises(ConfigError) as told:
+    with pytest.raises(ConfigError) as raised:
         operator_file.read(FILE.replace(*change))
-    assert (line, True) in [(at, why in text) for at, text in told.value.found], told.value.found
+    assert (line, True) in [(at, why in text) for at, text in raised.value.found], raised.value.found
 
 
-def test_a_sidecar_runs_pieces_through_itself():
+def test_a_sidecar_sends_pieces_to_its_own_address():
     text = sidecar_file.read("""name s1
 listen 127.0.0.1:8080
 rpc d idempotent
@@ -99,10 +99,10 @@
 BATCH = {"id": "b", "tenant": "t", "class": "c", "pieces": [PIECE]}
 
 
-def test_a_batch_as_people_say_it():
+def test_requests_for_batches_and_decisions_are_parsed_and_checked():
     (cut,) = batch_of(BATCH).cuts
     assert (cut.latest - cut.earliest, cut.work, cut.steps) == (12 * 36_000_000, 24_000_000, 200)
-    for spoilt in (
+    for invalid in (
         None,
         [],
         BATCH | {"id": ""},
@@ -113,17 +113,17 @@
             for wrong in ({"steps": "many"}, {"work": "40"}, {"latest": "2026-12-03T06:00"})
         ),
     ):
-        with pytest.raises(InvalidRequestError) as told:
-            batch_of(spoilt)
-        assert "dunning-7" in told.value.remedy
+        with pytest.raises(InvalidRequestError) as raised:
+            batch_of(invalid)
+        assert "dunning-7" in raised.value.remedy
     assert word_of("b.1 from 8") == Word("b.1", "from", 8) and word_of("b.1 done") == Word("b.1", "done")
-    for spoilt in ("", "b.1", "b.1 from", "b.1 from x", "b.1 again"):
+    for invalid in ("", "b.1", "b.1 from", "b.1 from x", "b.1 again"):
         with pytest.raises(InvalidRequestError):
-            word_of(spoilt)
+            word_of(invalid)
 
 
 @pytest.mark.parametrize(
-    "answer, word",
+    "answer, expected",
     [
         (HttpResponse("answered", 200), "ok"),
         (HttpResponse("connect_failed"), "not run"),
@@ -137,36 +137,37 @@
         (HttpResponse("answered", 429), "not run"),
     ],
 )
-def test_only_what_surely_never_ran_counts_as_that(answer, word):
-    assert outcome(answer)[0] == word
+def test_only_an_rpc_that_surely_never_ran_counts_as_not_run(answer, expected):
+    assert outcome(answer)[0] == expected
 
 
-def felt(strain, now, latencies):
+def record(detector, now, latencies):
     for latency in latencies:
         now += 300
-        strain.felt(now, latency)
-        strain.turn(now)
+        detector.record_latency(now, latency)
+        detector.is_overloaded(now)
     return now
 
 
-def test_strain_pauses_soon_and_is_over_soon_and_noise_is_none():
-    strain = OverloadDetector()
-    now = felt(strain, 0, [400, 410, 420, 405, 430, 400, 410, 420, 405, 430, 410, 900] * 20)  # one is slow
-    assert not strain.strained and strain.pauses == 0
-    now = felt(strain, now, [700] * 6)
-    assert strain.strained
-    now = felt(strain, now, [410] * 40)
-    assert not strain.strained
-    now = felt(strain, now, [700] * 8)
-    assert strain.strained and not strain.turn(now + 20_000)  # nobody is there any more
+def test_overload_begins_and_ends_soon_and_single_slow_rpcs_are_none():
+    detector = OverloadDetector()
+    # One slow RPC in twelve.
+    now = record(detector, 0, [400, 410, 420, 405, 430, 400, 410, 420, 405, 430, 410, 900] * 20)
+    assert not detector.overloaded and detector.overload_count == 0
+    now = record(detector, now, [700] * 6)
+    assert detector.overloaded
+    now = record(detector, now, [410] * 40)
+    assert not detector.overloaded
+    now = record(detector, now, [700] * 8)
+    assert detector.overloaded and not detector.is_overloaded(now + 20_000)  # no interactive RPCs for 2 s
 
 
-def test_batches_can_t_raise_what_counts_as_calm():
-    strain = OverloadDetector()
-    now, calm = felt(strain, 0, [400, 410, 420] * 20), strain.calm
-    strain.busy = True
-    felt(strain, now, [round(calm * 1.1)] * 5000)
-    assert strain.calm <= calm
+def test_batches_do_not_raise_the_baseline():
+    detector = OverloadDetector()
+    now, baseline = record(detector, 0, [400, 410, 420] * 20), detector.baseline
+    detector.batches_running = True
+    record(detector, now, [round(baseline * 1.1)] * 5000)
+    assert detector.baseline <= baseline
 
 
 class Clock:
@@ -177,7 +178,7 @@
         return self.time
 
 
-def test_a_spoilt_list_on_the_disk_leaves_the_last_good_one(tmp_path):
+def test_an_invalid_price_file_leaves_the_last_valid_list(tmp_path):
     path, log = tmp_path / "prices.txt", Log(Clock(), output_fd=-1)
     file = PriceFile(log, str(path), {"eros"}, Clock())
     assert file() is None and log.counts["prices_missing"] == 1
--- a/tests/test_batches_pieces.py
+++ b/tests/test_batches_pieces.py
@@ -1,4 +1,4 @@
-"""What becomes of a piece in the state machine: whose word counts, who is lost, what an operator says."""
+"""A piece in the state machine: its holder, a lost member, an operator's decision, changes of the plan."""
 
 import msgspec
 import pytest
@@ -23,7 +23,7 @@
 from indigohitch.fleet.types import Stamp
 
 SECOND = 10_000
-TRUE = 10**13
+NOW = 10**13
 CONTRACT = Contract(
     1,
     5 * SECOND,
@@ -35,48 +35,46 @@
 def state_machine_with(idempotent=False, steps=4):
     part = Batches()
     part.apply(EntryContext(1, 1, 10, "a", 1), "contract", CONTRACT)
-    cut = Cut(TRUE, TRUE + 100 * SECOND, 8 * SECOND, steps)
+    cut = Cut(NOW, NOW + 100 * SECOND, 8 * SECOND, steps)
     rpc = "report" if idempotent else "dunning"
-    part.apply(EntryContext(2, 1, TRUE, "a", 1), "submit", Batch("x", "whk", rpc, (cut,)))
+    part.apply(EntryContext(2, 1, NOW, "a", 1), "submit", Batch("x", "whk", rpc, (cut,)))
     piece = part.pieces.all["x.0"]
-    piece.placing = Placing("eros", "std", ((TRUE, TRUE + 20 * SECOND),))
-    part.apply(EntryContext(3, 1, TRUE, "a", 1), "give", Give("x.0", "m", 5))
-    part.apply(EntryContext(4, 1, TRUE, "m", 5), "start", Start("x.0", 1, Stamp("m", 5, 1, 3, 1)))
-    part.apply(EntryContext(5, 1, TRUE, "m", 5), "step", Step("x.0", 1, 2))
+    piece.placing = Placing("eros", "std", ((NOW, NOW + 20 * SECOND),))
+    part.apply(EntryContext(3, 1, NOW, "a", 1), "give", Give("x.0", "m", 5))
+    part.apply(EntryContext(4, 1, NOW, "m", 5), "start", Start("x.0", 1, Stamp("m", 5, 1, 3, 1)))
+    part.apply(EntryContext(5, 1, NOW, "m", 5), "step", Step("x.0", 1, 2))
     return part, piece
 
 
-def test_only_its_holder_speaks_of_a_piece():
+def test_only_the_holder_may_report_on_a_piece():
     part, piece = state_machine_with()
-    for who in (("m", 4), ("m", 6), ("n", 5)):
+    for proposer in (("m", 4), ("m", 6), ("n", 5)):
         with pytest.raises(InvalidRequestError):
-            part.apply(EntryContext(6, 1, TRUE, *who), "step", Step("x.0", 1, 4, "done"))
-    part.apply(EntryContext(6, 1, TRUE, "m", 5), "step", Step("x.0", 1, 2, "rests"))
-    with pytest.raises(InvalidRequestError):  # a start that came late, of a piece that was given back
-        part.apply(EntryContext(7, 1, TRUE, "m", 5), "start", Start("x.0", 2, Stamp("m", 5, 1, 3, 2)))
+            part.apply(EntryContext(6, 1, NOW, *proposer), "step", Step("x.0", 1, 4, "done"))
+    part.apply(EntryContext(6, 1, NOW, "m", 5), "step", Step("x.0", 1, 2, "rests"))
+    with pytest.raises(InvalidRequestError):  # a late start of a piece that was given back
+        part.apply(EntryContext(7, 1, NOW, "m", 5), "start", Start("x.0", 2, Stamp("m", 5, 1, 3, 2)))
 
 
-def test_nothing_is_given_to_who_is_gone():
+def test_no_piece_is_assigned_to_an_expired_incarnation():
     part, piece = state_machine_with(idempotent=True)
-    part.on_member_lease_expired(EntryContext(6, 1, TRUE, "", 0), "m", 5)
+    part.on_member_lease_expired(EntryContext(6, 1, NOW, "", 0), "m", 5)
     with pytest.raises(InvalidRequestError, match="gone"):
-        part.apply(EntryContext(7, 1, TRUE, "a", 1), "give", Give("x.0", "m", 5))
-    part.apply(EntryContext(8, 1, TRUE, "a", 1), "give", Give("x.0", "m", 6))
+        part.apply(EntryContext(7, 1, NOW, "a", 1), "give", Give("x.0", "m", 5))
+    part.apply(EntryContext(8, 1, NOW, "a", 1), "give", Give("x.0", "m", 6))
 
 
-def test_a_lost_member_s_piece_goes_on_from_its_checkpoint_or_is_held():
+def test_a_piece_of_a_lost_member_continues_from_its_checkpoint_or_is_unclear():
     part, piece = state_machine_with(idempotent=True)
-    part.on_member_lease_expired(EntryContext(6, 1, TRUE, "", 0), "m", 5)
+    part.on_member_lease_expired(EntryContext(6, 1, NOW, "", 0), "m", 5)
     assert piece.state is State.WAITING and piece.step == 2 and not part.pieces.held
     part, piece = state_machine_with()
-    part.on_member_lease_expired(EntryContext(6, 1, TRUE, "", 0), "m", 5)
+    part.on_member_lease_expired(EntryContext(6, 1, NOW, "", 0), "m", 5)
     assert piece.state is State.UNCLEAR and "lost" in piece.why
     with pytest.raises(InvalidRequestError):
-        part.apply(
-            EntryContext(7, 1, TRUE, "m", 5), "step", Step("x.0", 1, 4, "done")
-        )  # of one that was given up
+        part.apply(EntryContext(7, 1, NOW, "m", 5), "step", Step("x.0", 1, 4, "done"))  # from a former holder
     with pytest.raises(InvalidRequestError):
-        part.apply(EntryContext(7, 1, TRUE, "a", 1), "give", Give("x.0", "n", 6))
+        part.apply(EntryContext(7, 1, NOW, "a", 1), "give", Give("x.0", "n", 6))
 
 
 @pytest.mark.parametrize(
@@ -89,19 +87,19 @@
         ("eh", 0, None),
     ],
 )
-def test_an_operator_s_word_frees_what_is_unclear(word, step, state):
+def test_an_operator_s_decision_ends_or_continues_an_unclear_piece(word, step, state):
     part, piece = state_machine_with()
-    part.on_member_lease_expired(EntryContext(6, 1, TRUE, "", 0), "m", 5)
+    part.on_member_lease_expired(EntryContext(6, 1, NOW, "", 0), "m", 5)
     if state is None:
-        with pytest.raises(InvalidRequestError) as told:
-            part.apply(EntryContext(7, 1, TRUE, "op", 1), "word", Word("x.0", word, step))
-        assert told.value.remedy and piece.state is State.UNCLEAR
+        with pytest.raises(InvalidRequestError) as raised:
+            part.apply(EntryContext(7, 1, NOW, "op", 1), "word", Word("x.0", word, step))
+        assert raised.value.remedy and piece.state is State.UNCLEAR
         return
-    part.apply(EntryContext(7, 1, TRUE, "op", 1), "word", Word("x.0", word, step))
+    part.apply(EntryContext(7, 1, NOW, "op", 1), "word", Word("x.0", word, step))
     assert piece.state is state and (piece.step == 3) == (word == "from")
 
 
-def test_a_snapshot_gives_the_same_state_machine():
+def test_a_snapshot_restores_the_same_state():
     part, _ = state_machine_with()
     other = Batches()
     other.restore(msgspec.msgpack.encode(part.row()))
@@ -120,14 +118,14 @@
         (((0, 20),), "std", 7),
     ],
 )
-def test_a_plan_past_the_times_or_on_another_one_is_not_taken(runs, kind, base):
+def test_a_plan_with_invalid_runs_or_an_old_base_is_not_applied(runs, kind, base):
     part = Batches()
     part.apply(EntryContext(1, 1, 10, "a", 1), "contract", CONTRACT)
-    cut = Cut(TRUE, TRUE + 100 * SECOND, 8 * SECOND, 4)
-    part.apply(EntryContext(2, 1, TRUE, "a", 1), "submit", Batch("x", "whk", "report", (cut,)))
-    placing = Placing("eros", kind, tuple((TRUE + a * SECOND, TRUE + b * SECOND) for a, b in runs))
+    cut = Cut(NOW, NOW + 100 * SECOND, 8 * SECOND, 4)
+    part.apply(EntryContext(2, 1, NOW, "a", 1), "submit", Batch("x", "whk", "report", (cut,)))
+    placing = Placing("eros", kind, tuple((NOW + begin * SECOND, NOW + end * SECOND) for begin, end in runs))
     try:
-        assert part.apply(EntryContext(3, 1, TRUE, "a", 1), "plan", PlanBody(base, {"x.0": placing})) == 0
+        assert part.apply(EntryContext(3, 1, NOW, "a", 1), "plan", PlanBody(base, {"x.0": placing})) == 0
     except InvalidRequestError:
         assert base
     assert part.pieces.all["x.0"].placing is None and part.version == 0
