--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -106,49 +106,49 @@
         classes = self.contract.classes if self.contract is not None else ()
         return next((batch_class for batch_class in classes if batch_class.name == name), None)
 
-    def apply(self, at: EntryContext, kind: str, body: Row) -> object:
+    def apply(self, context: EntryContext, kind: str, body: Row) -> object:
         """Applies an entry; raises InvalidRequestError, with the state unchanged, if it is rejected."""
         match kind:
             case "contract":
-                return self._apply_contract(at, body)
+                return self._apply_contract(context, body)
             case "prices":
-                return self._apply_prices(at, body)
+                return self._apply_prices(context, body)
             case "load":
-                return self._apply_load(at, body)
+                return self._apply_load(context, body)
             case "submit":
-                return self._apply_submit(at, body)
+                return self._apply_submit(context, body)
             case "plan":
-                return self._apply_plan(at, body)
-        result = self._apply_to_piece(at, kind, body)
-        self._count_ended_pieces(at)
+                return self._apply_plan(context, body)
+        result = self._apply_to_piece(context, kind, body)
+        self._count_ended_pieces(context)
         return result
 
-    def _apply_to_piece(self, at: EntryContext, kind: str, body: Row) -> object:
+    def _apply_to_piece(self, context: EntryContext, kind: str, body: Row) -> object:
         match kind:
             case "give":
-                return self.pieces.assign(at, body)
+                return self.pieces.assign(context, body)
             case "start":
-                return self.pieces.start(at, body)
+                return self.pieces.start(context, body)
             case "step":
-                return self.pieces.step(at, body)
+                return self.pieces.step(context, body)
             case "late":
-                return self.pieces.expire(at, body)
+                return self.pieces.expire(context, body)
             case "word":
-                return self.pieces.decide(at, body)
+                return self.pieces.decide(context, body)
         raise ValueError(f"no word of this part: {kind}")
 
-    def on_member_lease_expired(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def on_member_lease_expired(self, context: EntryContext, name: str, incarnation: int) -> None:
         """Takes the pieces of a member whose lease is over away from it."""
-        self.pieces.gone(at, name, incarnation)
+        self.pieces.gone(context, name, incarnation)
 
-    def _count_ended_pieces(self, at: EntryContext) -> None:
+    def _count_ended_pieces(self, context: EntryContext) -> None:
         for id in self.pieces.newly_ended:
             batch = self.batches[self.pieces.all[id].batch]
             batch.left -= 1
-            batch.ended_at = at.time
+            batch.ended_at = context.time
         self.pieces.newly_ended = {}
 
-    def _apply_contract(self, at: EntryContext, body: Contract) -> int:
+    def _apply_contract(self, context: EntryContext, body: Contract) -> int:
         if body == self.contract:
             return body.edition  # two successive leaders may propose the same contract
         if self.contract is not None and body.edition <= self.contract.edition:
@@ -157,24 +157,24 @@
                 remedy="a changed contract has a higher edition",
             )
         self.contract = body
-        announce_change(self.state_machine, at, "electricity")
+        announce_change(self.state_machine, context, "electricity")
         return body.edition
 
-    def _apply_prices(self, at: EntryContext, body: Prices) -> int:
-        prices.check(body, self.prices, self.list_digest, at.time)
-        self.prices = prices.merge(body, self.prices, at.time - KEPT)
+    def _apply_prices(self, context: EntryContext, body: Prices) -> int:
+        prices.check(body, self.prices, self.list_digest, context.time)
+        self.prices = prices.merge(body, self.prices, context.time - KEPT)
         self.list_digest = prices.fingerprint(body)
-        announce_change(self.state_machine, at, "prices")
+        announce_change(self.state_machine, context, "prices")
         return body.edition
 
-    def _apply_load(self, at: EntryContext, body: Load) -> int:
+    def _apply_load(self, context: EntryContext, body: Load) -> int:
         if not 0 <= body.hour < 24 or not 0 <= body.share <= 100:
             raise InvalidRequestError(f"hour {body.hour}, {body.share} per cent")
         hours = self.loads.setdefault(body.site, {})
         hours[body.hour] = body.share
         return body.share
 
-    def _apply_submit(self, at: EntryContext, body: Batch) -> int:
+    def _apply_submit(self, context: EntryContext, body: Batch) -> int:
         submitted, body_digest = self.batches.get(body.id), digest(msgspec.msgpack.encode(body))
         if submitted is not None:
             if submitted.digest == body_digest:
@@ -188,7 +188,7 @@
                 f"no batch-class {body.rpc}", remedy="name one of the contract's classes"
             )
         for number, cut in enumerate(body.cuts):
-            window = min(cut.latest - cut.earliest, cut.latest - at.time)
+            window = min(cut.latest - cut.earliest, cut.latest - context.time)
             if cut.work <= 0 or cut.steps <= 0 or window < cut.work:
                 raise InvalidRequestError(
                     f"piece {number} of {body.id} can't be done between its times",
@@ -202,28 +202,28 @@
             )
         if len(self.pieces.open) + len(body.cuts) > MAX_PIECES:
             raise InvalidRequestError(f"{len(self.pieces.open)} pieces are held already", remedy=TRY_LATER)
-        self._remove_old_batches(at.time)
+        self._remove_old_batches(context.time)
         self.batches[body.id] = SubmittedBatch(body.tenant, body_digest, len(body.cuts))
         for number, cut in enumerate(body.cuts):
             id = f"{body.id}.{number}"
             self.pieces.add(id, Piece(body.id, body.rpc, rpc.idempotent, cut))
         return len(body.cuts)
 
-    def _apply_plan(self, at: EntryContext, body: Plan) -> int:
+    def _apply_plan(self, context: EntryContext, body: Plan) -> int:
         if body.base != self.version:
             raise InvalidRequestError(f"a change of plan {body.base}; {self.version} stands")
         accepted = 0
         for id, placing in sorted(body.changes.items()):
             piece = self.pieces.all.get(id)
-            if piece is None or piece.state not in REPLANNED or not self._is_allowed(at, piece, placing):
+            if piece is None or piece.state not in REPLANNED or not self._is_allowed(context, piece, placing):
                 continue  # impossible by now; the other changes still apply
-            piece.placing, piece.version = placing, at.index
+            piece.placing, piece.version = placing, context.index
             accepted += 1
         if accepted:
-            self.version = at.index
+            self.version = context.index
         return accepted
 
-    def _is_allowed(self, at: EntryContext, piece: Piece, placing: Placing | None) -> bool:
+    def _is_allowed(self, context: EntryContext, piece: Piece, placing: Placing | None) -> bool:
         if placing is None:
             return piece.state is State.WAITING
         rpc, last_end = self.rpc(piece.rpc), 0
--- a/indigohitch/fleet/batches/placing.py
+++ b/indigohitch/fleet/batches/placing.py
@@ -49,11 +49,11 @@
     too few slots or the least cost is not below `limit`.  If the cheapest slots have gaps, it is found by
     dynamic programming over (slot, number chosen so far, whether the last slot is chosen).
     """
-    usable = sorted((cost, at) for at, cost in enumerate(costs) if cost is not None)[:need]
+    usable = sorted((cost, slot) for slot, cost in enumerate(costs) if cost is not None)[:need]
     least = sum(cost for cost, _ in usable)
     if len(usable) < need or least >= limit:
         return None
-    slots = tuple(sorted(at for _, at in usable))
+    slots = tuple(sorted(slot for _, slot in usable))
     if not pause or not gaps(slots):
         return least, slots
     never = 1 << 62
@@ -62,14 +62,14 @@
     inside, outside = [never] * (need + 1), [0] + [never] * need
     # By slot and number chosen, for the way back: a run continues, or ended with the slot before.
     continued, ended = [], []
-    for at, cost in enumerate(costs):
+    for slot, cost in enumerate(costs):
         continued_here, ended_here = bytearray(need + 1), bytearray(need + 1)
         new_inside, new_outside = [never] * (need + 1), outside[:]
-        for number in range(max(0, need - len(costs) + at), min(need, at) + 1):
+        for number in range(max(0, need - len(costs) + slot), min(need, slot) + 1):
             if inside[number] < outside[number]:
                 new_outside[number], ended_here[number] = inside[number], 1
         if cost is not None:
-            for number in range(max(1, need - len(costs) + at + 1), min(need, at + 1) + 1):
+            for number in range(max(1, need - len(costs) + slot + 1), min(need, slot + 1) + 1):
                 started = outside[number - 1] + (pause if number > 1 else 0)
                 if inside[number - 1] <= started:
                     started, continued_here[number] = inside[number - 1], 1
@@ -83,12 +83,12 @@
         return None
     chosen = []
     number, is_in = need, inside[need] < outside[need]
-    for at in range(len(costs) - 1, -1, -1):
+    for slot in range(len(costs) - 1, -1, -1):
         if is_in:
-            chosen.append(at)
-            is_in, number = bool(continued[at][number]), number - 1
+            chosen.append(slot)
+            is_in, number = bool(continued[slot][number]), number - 1
         else:
-            is_in = bool(ended[at][number])
+            is_in = bool(ended[slot][number])
     return total, tuple(reversed(chosen))
 
 
@@ -125,13 +125,13 @@
         """Takes the capacity for a task at a spot; `sign` -1 gives it back."""
         room, drawn = self.room[spot.place], self.drawn[spot.place[0]]
         watts = sign * task.power[spot.place]
-        for at in spot.slots:
-            room[at] -= sign
-            drawn[at] += watts
+        for slot in spot.slots:
+            room[slot] -= sign
+            drawn[slot] += watts
         for feature, number in task.seats.items():
             if (free := self.seats.get(feature)) is not None:
-                for at in spot.slots:
-                    free[at] -= sign * number
+                for slot in spot.slots:
+                    free[slot] -= sign * number
 
     def release(self, task: Task, spot: Spot) -> None:
         """Gives back the capacity that `reserve` took."""
@@ -139,29 +139,31 @@
 
     # ---- queries about a task that has no reservation ------------------------------------------------
 
-    def slot_cost(self, task: Task, place: Place, at: int) -> int:
+    def slot_cost(self, task: Task, place: Place, slot: int) -> int:
         """Returns what the task would cost in one slot, with the peak surcharge that it would cause."""
         watts = task.power[place]
-        cost = self.prices[place][at] * watts
+        cost = self.prices[place][slot] * watts
         if (peak := self.peaks.get(place[0])) is not None:
-            cost += min(watts, max(0, self.drawn[place[0]][at] + watts - peak[0])) * peak[1]
+            cost += min(watts, max(0, self.drawn[place[0]][slot] + watts - peak[0])) * peak[1]
         return cost
 
     def cost(self, task: Task, spot: Spot) -> int:
         """Returns what the task would cost at this spot, with surcharge and pauses."""
-        return sum(self.slot_cost(task, spot.place, at) for at in spot.slots) + task.pause * gaps(spot.slots)
+        return sum(self.slot_cost(task, spot.place, slot) for slot in spot.slots) + task.pause * gaps(
+            spot.slots
+        )
 
-    def fits(self, task: Task, place: Place, at: int) -> bool:
+    def fits(self, task: Task, place: Place, slot: int) -> bool:
         """Returns whether a lane and the seats of the task are free in one slot."""
-        return self.room[place][at] > 0 and all(
-            self.seats[feature][at] >= number
+        return self.room[place][slot] > 0 and all(
+            self.seats[feature][slot] >= number
             for feature, number in task.seats.items()
             if feature in self.seats
         )
 
     def fits_whole(self, task: Task, spot: Spot) -> bool:
         """Returns whether the task fits in all slots of the spot."""
-        return all(self.fits(task, spot.place, at) for at in spot.slots)
+        return all(self.fits(task, spot.place, slot) for slot in spot.slots)
 
     def slot_costs(self, task: Task, place: Place, alone: bool) -> list[int | None]:
         """Returns the cost of each slot from `first` to before `last`, None where the task does not fit.
@@ -176,15 +178,15 @@
             return costs
         if site in self.peaks:
             peak, surcharge = self.peaks[site]
-            for at, drawn in enumerate(self.drawn[site][first:last]):
+            for slot, drawn in enumerate(self.drawn[site][first:last]):
                 if drawn + watts > peak:
-                    costs[at] += min(watts, drawn + watts - peak) * surcharge
+                    costs[slot] += min(watts, drawn + watts - peak) * surcharge
         seats = [
             (self.seats[feature], number) for feature, number in task.seats.items() if feature in self.seats
         ]
-        for at, room in enumerate(self.room[place][first:last]):
-            if room <= 0 or seats and any(free[at + first] < number for free, number in seats):
-                costs[at] = None
+        for slot, room in enumerate(self.room[place][first:last]):
+            if room <= 0 or seats and any(free[slot + first] < number for free, number in seats):
+                costs[slot] = None
         return costs
 
     def best(self, task: Task, alone: bool = False, limit: float = math.inf) -> tuple[int, Spot] | None:
@@ -195,7 +197,7 @@
                 chosen = choose(self.slot_costs(task, place, alone), task.need, task.pause, limit)
                 if chosen is not None:
                     limit = chosen[0]
-                    found = limit, Spot(place, tuple(at + task.first for at in chosen[1]))
+                    found = limit, Spot(place, tuple(slot + task.first for slot in chosen[1]))
         return found
 
     def earliest_finish(self, task: Task) -> Spot | None:
@@ -205,11 +207,11 @@
             if place not in self.room:
                 continue
             slots = []
-            for at in range(task.first, task.last):
+            for slot in range(task.first, task.last):
                 if len(slots) == task.need:
                     break
-                if self.fits(task, place, at):
-                    slots.append(at)
+                if self.fits(task, place, slot):
+                    slots.append(slot)
             if len(slots) == task.need and (found is None or slots[-1] < found.slots[-1]):
                 found = Spot(place, tuple(slots))
         return found
--- a/indigohitch/fleet/batches/plan.py
+++ b/indigohitch/fleet/batches/plan.py
@@ -45,16 +45,16 @@
         """Plans a task at a spot and takes the capacity for it."""
         self.field.reserve(task, spot)
         self.tasks[task.id], self.spots[task.id] = task, spot
-        for at in spot.slots:
-            self.occupants.setdefault((spot.place, at), {})[task.id] = None
+        for slot in spot.slots:
+            self.occupants.setdefault((spot.place, slot), {})[task.id] = None
         self.unplanned.pop(task.id, None)
 
     def unassign(self, task: Task) -> Spot:
         """Takes a task out of the plan and returns the spot that it had."""
         spot = self.spots.pop(task.id)
         self.field.release(task, spot)
-        for at in spot.slots:
-            del self.occupants[spot.place, at][task.id]
+        for slot in spot.slots:
+            del self.occupants[spot.place, slot][task.id]
         return spot
 
     def cost(self) -> int:
@@ -62,7 +62,7 @@
         field, total = self.field, 0
         for id, spot in self.spots.items():
             task = self.tasks[id]
-            total += sum(field.prices[spot.place][at] * task.power[spot.place] for at in spot.slots)
+            total += sum(field.prices[spot.place][slot] * task.power[spot.place] for slot in spot.slots)
             total += task.pause * sum(b != a + 1 for a, b in zip(spot.slots, spot.slots[1:]))
         return total + sum(
             surcharge * sum(max(0, watts - peak) for watts in field.drawn[site])
@@ -155,15 +155,15 @@
         """Returns ids of tasks that use what this one lacks at a spot: lanes, seats, power below the peak."""
         field, site, found = self.field, ideal.place[0], {}
         peak = field.peaks.get(site, (1 << 60, 0))[0]
-        for at in ideal.slots:
-            lanes_full = field.room[ideal.place][at] <= 0
+        for slot in ideal.slots:
+            lanes_full = field.room[ideal.place][slot] <= 0
             seats_free = all(
-                field.seats[name][at] >= seats for name, seats in task.seats.items() if name in field.seats
+                field.seats[name][slot] >= seats for name, seats in task.seats.items() if name in field.seats
             )
-            whole_site = not seats_free or field.drawn[site][at] + task.power[ideal.place] > peak
+            whole_site = not seats_free or field.drawn[site][slot] + task.power[ideal.place] > peak
             for place in field.room if whole_site else [ideal.place] if lanes_full else ():
                 if len(found) < ENOUGH_BLOCKERS and (place[0] == site or task.seats):
-                    found.update(self.occupants.get((place, at), {}))
+                    found.update(self.occupants.get((place, slot), {}))
         found.pop(task.id, None)
         return found
 
@@ -199,7 +199,8 @@
         field, ((site, kind), slots) = self.field, self.spots[task.id]
         peak, surcharge = field.peaks.get(site, (0, 0))
         return task.power[site, kind] * max(
-            field.prices[site, kind][at] + (surcharge if field.drawn[site][at] > peak else 0) for at in slots
+            field.prices[site, kind][slot] + (surcharge if field.drawn[site][slot] > peak else 0)
+            for slot in slots
         )
 
     def looks(self) -> Iterator[bool]:
--- a/indigohitch/fleet/batches/tasks.py
+++ b/indigohitch/fleet/batches/tasks.py
@@ -51,12 +51,12 @@
 
     # ---- entries -------------------------------------------------------------------------------------
 
-    def assign(self, at: EntryContext, body: Give) -> int:
+    def assign(self, context: EntryContext, body: Give) -> int:
         """Assigns a waiting, planned piece to a member; returns how often it was started before."""
         piece = self.get(body.piece)
         if piece.state is not State.WAITING or piece.placing is None:
             raise InvalidRequestError(f"{body.piece} is {piece.state.value}")
-        if at.time >= piece.cut.latest:
+        if context.time >= piece.cut.latest:
             raise InvalidRequestError(f"{body.piece}: its latest time has come")
         # A piece assigned to an incarnation that has expired already would never be freed again.
         if body.incarnation <= self.ended.get(body.member, 0):
@@ -65,22 +65,22 @@
         self.set_holder(body.piece, piece, body.member, body.incarnation)
         return piece.attempt
 
-    def start(self, at: EntryContext, body: Start) -> int:
+    def start(self, context: EntryContext, body: Start) -> int:
         """Records that the holder starts the piece; returns the number of steps that are done."""
         piece = self.get(body.piece)
-        self.check_holder(at, body.piece, piece)
+        self.check_holder(context, body.piece, piece)
         if piece.state is not State.GIVEN or body.attempt != piece.attempt + 1:
             raise InvalidRequestError(f"{body.piece} is {piece.state.value}, started {piece.attempt} times")
-        if at.time >= piece.cut.latest:
+        if context.time >= piece.cut.latest:
             raise InvalidRequestError(f"{body.piece}: its latest time has come")
         piece.state, piece.attempt, piece.stamp = State.RUNNING, body.attempt, body.stamp
-        piece.progress_at = at.time
+        piece.progress_at = context.time
         return piece.step
 
-    def step(self, at: EntryContext, body: Step) -> int:
+    def step(self, context: EntryContext, body: Step) -> int:
         """Records a checkpoint or the end of a run; returns the number of steps that are done."""
         piece = self.get(body.piece)
-        self.check_holder(at, body.piece, piece)
+        self.check_holder(context, body.piece, piece)
         returned_unstarted = piece.state is State.GIVEN and body.end == "rests" and body.step == piece.step
         if not returned_unstarted and (piece.state is not State.RUNNING or body.attempt != piece.attempt):
             raise InvalidRequestError(f"{body.piece} is {piece.state.value}, started {piece.attempt} times")
@@ -92,20 +92,25 @@
             raise InvalidRequestError(
                 f"{body.piece}: {body.end or 'goes on'} at step {body.step} of {piece.cut.steps}"
             )
-        piece.step, piece.progress_at = body.step, at.time
+        piece.step, piece.progress_at = body.step, context.time
         if body.end == "rests":
-            self.free(body.piece, piece, State.MISSED if at.time >= piece.cut.latest else State.WAITING, at)
+            self.free(
+                body.piece,
+                piece,
+                State.MISSED if context.time >= piece.cut.latest else State.WAITING,
+                context,
+            )
         elif body.end:
             self.free(
                 body.piece,
                 piece,
                 State.DONE if body.end == "done" else State.UNCLEAR,
-                at,
+                context,
                 "" if body.end == "done" else f"step {body.step}: {body.why}",
             )
         return piece.step
 
-    def expire(self, at: EntryContext, body: Late) -> int:
+    def expire(self, context: EntryContext, body: Late) -> int:
         """Ends pieces that have not started by their latest time; returns how many.
 
         A started piece is left alone: its holder ends it, or it ends with that member.
@@ -115,13 +120,13 @@
             for id in body.pieces
             if (piece := self.all.get(id)) is not None
             and piece.state in (State.WAITING, State.GIVEN)
-            and at.time >= piece.cut.latest
+            and context.time >= piece.cut.latest
         ]
         for id in expired:
-            self.free(id, self.all[id], State.MISSED, at)
+            self.free(id, self.all[id], State.MISSED, context)
         return len(expired)
 
-    def decide(self, at: EntryContext, body: Word) -> str:
+    def decide(self, context: EntryContext, body: Word) -> str:
         """Applies an operator's decision; returns the value of the new state."""
         piece = self.get(body.piece)
         if piece.state is not State.UNCLEAR and not (body.word == "drop" and piece.state is State.WAITING):
@@ -130,10 +135,15 @@
             )
         if body.word == "from" and piece.step <= body.step < piece.cut.steps:
             piece.step = body.step
-            self.free(body.piece, piece, State.MISSED if at.time >= piece.cut.latest else State.WAITING, at)
+            self.free(
+                body.piece,
+                piece,
+                State.MISSED if context.time >= piece.cut.latest else State.WAITING,
+                context,
+            )
         elif body.word in ("done", "drop"):
             piece.step = piece.cut.steps if body.word == "done" else piece.step
-            self.free(body.piece, piece, State.DONE if body.word == "done" else State.DROPPED, at)
+            self.free(body.piece, piece, State.DONE if body.word == "done" else State.DROPPED, context)
         else:
             raise InvalidRequestError(
                 f"{body.word!r} {body.step}",
@@ -141,7 +151,7 @@
             )
         return piece.state.value
 
-    def gone(self, at: EntryContext, name: str, incarnation: int) -> None:
+    def gone(self, context: EntryContext, name: str, incarnation: int) -> None:
         """Takes the pieces of a member whose lease is over away from it.
 
         A running piece that is not idempotent becomes unclear, any other waits again.
@@ -154,28 +164,28 @@
                 id,
                 piece,
                 State.UNCLEAR if unclear else State.WAITING,
-                at,
+                context,
                 f"{name} was lost at step {piece.step} or later" if unclear else "",
             )
 
     # ---- one piece -----------------------------------------------------------------------------------
 
     @staticmethod
-    def check_holder(at: EntryContext, id: str, piece: Piece) -> None:
+    def check_holder(context: EntryContext, id: str, piece: Piece) -> None:
         """Rejects entries of a former holder that arrive after the piece was taken from it.
 
         Raises:
             InvalidRequestError: the proposer does not hold the piece.
         """
-        if (piece.member, piece.incarnation) != (at.proposer, at.incarnation):
-            raise InvalidRequestError(f"{id} is not held by {at.proposer} {at.incarnation}")
+        if (piece.member, piece.incarnation) != (context.proposer, context.incarnation):
+            raise InvalidRequestError(f"{id} is not held by {context.proposer} {context.incarnation}")
 
     def set_holder(self, id: str, piece: Piece, member: str, incarnation: int) -> None:
         """Records the member that holds the piece."""
         piece.member, piece.incarnation = member, incarnation
         self.held.setdefault((member, incarnation), {})[id] = None
 
-    def free(self, id: str, piece: Piece, state: State, at: EntryContext, why: str = "") -> None:
+    def free(self, id: str, piece: Piece, state: State, context: EntryContext, why: str = "") -> None:
         """Takes the piece from its holder, if any, and sets its state and the reason."""
         if piece.member:
             held = self.held[piece.member, piece.incarnation]
@@ -184,6 +194,6 @@
                 del self.held[piece.member, piece.incarnation]
         piece.member, piece.incarnation, piece.state, piece.why = "", 0, state, why
         if state in ENDED_STATES:
-            piece.ended_at, piece.placing = at.time, None
+            piece.ended_at, piece.placing = context.time, None
             del self.open[id]
             self.newly_ended[id] = None
