--- a/indigohitch/fleet/audit/__init__.py
+++ b/indigohitch/fleet/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The audit: which member acted on which version, from when to when (docs/audit.md)."""
+"""Tamper-evident log of which member acted on which version, from when to when (docs/audit.md)."""
--- a/indigohitch/fleet/audit/acts.py
+++ b/indigohitch/fleet/audit/acts.py
@@ -1,4 +1,7 @@
-"""Acts of this process: each is stamped under a valid lease and recorded before it is done (ports.Acts)."""
+"""The actions of this process: each is stamped under a valid lease and recorded before it is taken.
+
+`ActionChain` is the interfaces.ActionRecorder that the other works use.
+"""
 
 from __future__ import annotations
 
@@ -11,122 +14,135 @@
 from .chain import Chain
 from .files import Store
 
-# Acts whose record must outlive a loss of power, as what follows from them isn't bounded by a lease: a piece
-# of a batch that was let go may have run, and who gave on a member's things must be known.  All others are
-# written before the act, so that they outlive the process, and are on the disk with the next beat.
-FIRM = frozenset({"batches.start"})
-SPANS = 8  # versions whose acts are told of in `status`; the records have all
+# Kinds of actions whose record is synced to the disk before the action is taken, so that it survives a loss
+# of power: no lease bounds their effects.  A piece of a batch that was started may have run, and the log must
+# show who passed on what a member held.  Records of all other kinds are written before the action, so that
+# they survive the process, and are synced with the next turn (100 ms).
+DURABLE_KINDS = frozenset({"batches.start"})
+MAX_VERSIONS = 8  # versions whose actions `status` summarizes; the records hold all
 
 
 class ActionChain:
+    """Stamps the actions of one process and appends them to the record chain of its incarnation."""
+
     def __init__(
         self,
-        me: str,
+        member: str,
         lease: Callable[[int], Lease | None],
         state_machine: ReplicatedStateMachine,
         store: Store,
-        trouble: Callable[[UnavailableError], None],
-        firm: frozenset[str] = FIRM,
+        report_error: Callable[[UnavailableError], None],
+        durable_kinds: frozenset[str] = DURABLE_KINDS,
         when: Callable[[int], int] = lambda now: now,
     ) -> None:
-        """`lease(now)`: work.Membership.lease; `when(now)`: fleet time as this member reckons it; `trouble`
-        is told what an operator should know."""
-        self.me = me
+        """Creates an empty chain, which starts with the first action.
+
+        `lease(now)` returns the lease to act under, as Membership.lease does.  `report_error` is called with
+        each error that an operator should know of.  Records of `durable_kinds` are synced before the action.
+        A function that converts the process's clock to the member's estimate of fleet time may be given.
+        """
+        self.member = member
         self.lease = lease
         self.state_machine = state_machine
         self.store = store
-        self.trouble = trouble
-        self.firm = firm
-        self.when = when
+        self.report_error = report_error
+        self.durable_kinds = durable_kinds
+        self.fleet_time = when
         self.chain: Chain | None = None
-        self.safe: tuple[int, int, bytes] | None = None  # the head of what is on the disk
-        self.counts: Counter[str] = Counter()  # by kind; `refused`, `unwritten`
-        self.spans: dict[int, list[int]] = {}  # by version acted on: acts, when the first, the last
+        self.synced_head: tuple[int, int, bytes] | None = None  # `head()` when it was last synced to the disk
+        self.counts: Counter[str] = Counter()  # by kind of action; also `refused` and `unwritten`
+        # By version acted on: number of actions, fleet time of the first and of the last.
+        self.activity: dict[int, list[int]] = {}
 
     @property
     def number(self) -> int:
-        """Acts stamped by this incarnation: for Renew.acts."""
+        """The number of actions that this incarnation has stamped, for RenewLease.acts."""
         return self.chain.number if self.chain is not None else 0
 
     def stamp(self, now: int, kind: str, about: bytes) -> Stamp | None:
-        """None: this member may not act now (no lease, or the record can't be written).  `now` read right
-        before: between it and the act the process may be stopped (docs/audit.md, what can't be)."""
+        """Records an action and returns its stamp.
+
+        Returns None if this member may not act now: it has no lease, or the record can't be written.  `now`
+        must be read right before the call.  A process that is paused between the call and the action may
+        still act after its lease has expired, which can't be prevented here (docs/audit.md).
+        """
         lease = self.lease(now)
         if lease is None:
             self.counts["refused"] += 1
             return None
-        return self.recorded(now, kind, about, lease)
+        return self._record(now, kind, about, lease)
 
-    def recorded(self, now: int, kind: str, about: bytes, lease: Lease) -> Stamp | None:
+    def _record(self, now: int, kind: str, about: bytes, lease: Lease) -> Stamp | None:
         if self.chain is None or self.chain.incarnation != lease.incarnation:
-            self.chain = Chain(self.me, lease.incarnation)
-        record = self.chain.next(
+            self.chain = Chain(self.member, lease.incarnation)
+        record = self.chain.make_record(
             self.state_machine.term,
             self.state_machine.index,
             kind,
             about,
-            self.when(now),
+            self.fleet_time(now),
             lease.remaining(now),
         )
         try:
-            self.store.append(record, kind in self.firm)
-        except OSError as bad:
+            self.store.append(record, kind in self.durable_kinds)
+        except OSError as error:
             self.counts["unwritten"] += 1
-            self.trouble(
+            self.report_error(
                 UnavailableError(
-                    f"an act can't be recorded, so it isn't done: {bad.strerror}",
+                    f"could not record an action, so it was not taken: {error.strerror}",
                     str(self.store.folder),
-                    "make room on that disk; acts go on by themselves",
+                    "free space on that disk; actions then resume by themselves",
                 )
             )
             return None
-        self.chain.take(record)
+        self.chain.append(record)
         self.counts[kind] += 1
-        span = self.spans.setdefault(self.state_machine.parts["members"].version, [0, record.at, 0])
+        span = self.activity.setdefault(self.state_machine.parts["members"].version, [0, record.at, 0])
         span[0] = span[0] + 1
         span[2] = record.at
-        if len(self.spans) > SPANS:
-            del self.spans[min(self.spans)]
+        if len(self.activity) > MAX_VERSIONS:
+            del self.activity[min(self.activity)]
         return record.stamp
 
     def close(self) -> None:
+        """Syncs the records to the disk and closes the store; a sync that fails is reported only."""
         self.sync()
         self.store.close()
 
     def sync(self) -> bool:
-        """All acts so far are on the disk; False where that failed: it is tried again."""
+        """Syncs all records to the disk; returns False if that failed, and the next call tries again."""
         try:
             self.store.sync()
-        except OSError as bad:
-            self.unsafe(bad)
+        except OSError as error:
+            self._report_sync_error(error)
             return False
-        self.safe = self.head()
+        self.synced_head = self.head()
         return True
 
-    def sync_soon(self) -> None:
-        """With each beat; `safe` follows."""
-        upto = self.head()
-        if upto == self.safe or upto is None:
+    def start_sync(self) -> None:
+        """Starts to sync all records to the disk; sets `synced_head` once that is done."""
+        target = self.head()
+        if target == self.synced_head or target is None:
             return
 
-        def done(bad: OSError | None) -> None:
-            if bad is not None:
-                self.unsafe(bad)
-            elif self.safe is None or upto[:2] > self.safe[:2]:
-                self.safe = upto
+        def done(error: OSError | None) -> None:
+            if error is not None:
+                self._report_sync_error(error)
+            elif self.synced_head is None or target[:2] > self.synced_head[:2]:
+                self.synced_head = target
 
         self.store.sync_soon(done)
 
-    def unsafe(self, bad: OSError) -> None:
-        self.trouble(
+    def _report_sync_error(self, error: OSError) -> None:
+        self.report_error(
             UnavailableError(
-                f"acts are not on the disk: {bad.strerror}",
+                f"could not sync recorded actions to the disk: {error.strerror}",
                 str(self.store.folder),
-                "make room on that disk, or look at its health",
+                "free space on that disk, or check its health",
             )
         )
 
     def head(self) -> tuple[int, int, bytes] | None:
-        """Incarnation, number and digest of the last record."""
+        """Returns incarnation, number and digest of the last record; None before the first action."""
         chain = self.chain
         return (chain.incarnation, chain.number, chain.head) if chain is not None else None
--- a/indigohitch/fleet/audit/chain.py
+++ b/indigohitch/fleet/audit/chain.py
@@ -1,5 +1,8 @@
-"""A chain of records: each holds the digest of the one before, so that none is changed, taken out or put
-elsewhere without the next telling.  No I/O."""
+"""Hash chain of action records.  No I/O.
+
+Each record holds the digest of the one before, so that a record that is changed, removed or moved is detected
+by the next one.
+"""
 
 from __future__ import annotations
 
@@ -8,30 +11,31 @@
 from ...encoding.rows import Row, digest
 from ..types import Stamp
 
-SALT = 0x4155  # "AU": a record's digest is never taken for another thing's
+SALT = 0x4155  # "AU"; keeps the digests of records apart from those of other types
 
 
 class Record(Row, frozen=True):
-    """One act.  `at`: when, by the actor's reckoning; `left`: of its lease then."""
+    """One action of a member."""
 
-    before: bytes  # digest of the record before; of the first: `root`
+    before: bytes  # digest of the record before; in the first record that of member and incarnation
     stamp: Stamp
-    kind: str  # as `seats.given`
-    about: bytes
-    at: int
-    left: int
+    kind: str  # such as `seats.given`
+    about: bytes  # what the action is about, encoded as its kind defines
+    at: int  # fleet time of the action as this member estimated it, tenths of a ms
+    left: int  # how long the lease still ran then, tenths of a ms
 
     def digest(self) -> bytes:
+        """Returns the 16-byte digest of this record, which the next one holds."""
         return digest(msgspec.msgpack.encode(self), SALT)
 
 
 def root(member: str, incarnation: int) -> bytes:
-    """What the first record of a chain holds: no chain begins as another one does."""
+    """Returns the digest that the first record of a chain holds; it differs for each chain."""
     return digest(f"{member} {incarnation}".encode(), SALT)
 
 
 class Chain:
-    """That of one incarnation."""
+    """Number and digest of the last record of one incarnation of a member."""
 
     def __init__(self, member: str, incarnation: int) -> None:
         self.member = member
@@ -39,8 +43,8 @@
         self.number = 0
         self.head = root(member, incarnation)
 
-    def next(self, term: int, version: int, kind: str, about: bytes, at: int, left: int) -> Record:
-        """The record of an act to come; it belongs to the chain once it is written: `take`."""
+    def make_record(self, term: int, version: int, kind: str, about: bytes, at: int, left: int) -> Record:
+        """Returns the record of the next action; the caller writes it, then passes it to `append`."""
         return Record(
             self.head,
             Stamp(self.member, self.incarnation, term, version, self.number + 1),
@@ -50,6 +54,7 @@
             left,
         )
 
-    def take(self, record: Record) -> None:
+    def append(self, record: Record) -> None:
+        """Makes a record that was written the last one of the chain."""
         self.number = record.stamp.number
         self.head = record.digest()
--- a/indigohitch/fleet/audit/check.py
+++ b/indigohitch/fleet/audit/check.py
@@ -1,5 +1,4 @@
-"""The judge over all records: holds what lies in the members' folders against what the ledger tells.  No
-I/O."""
+"""Checks the records in the members' folders against the heads in the replicated state.  No I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +9,17 @@
 from .chain import Record, root
 from .heads import Facts, Kept
 
-# By how much two members' reckonings of one instant may differ: an act that seems later than its member's end
-# by less than that proves nothing (fleet time is slewed, docs/audit.md).
-APART = SECOND // 2
+# Largest difference of two members' estimates of fleet time at one instant, as fleet time is slewed.  An
+# action that seems later than the end of its member's lease by less than that proves nothing (docs/audit.md).
+MAX_TIME_DIFFERENCE = SECOND // 2
 
 
 class Finding(Row, frozen=True):
-    """`kind`: `missing`, `doubled`, `order`, `changed`, `old_version`, `after_gone`, `no_lease`, `unknown`,
-    `contradiction`, `spoilt`."""
+    """A violation that the check has found.
+
+    `kind` is `missing`, `doubled`, `order`, `changed`, `old_version`, `after_gone`, `no_lease`, `unknown`,
+    `contradiction` or `spoilt` (the file can't be decoded there).
+    """
 
     kind: str
     member: str
@@ -26,30 +28,35 @@
     what: str
 
 
-class Acted(Row, frozen=True):
-    """A member's acts by one version: how many, and from when to when by its own reckoning."""
+class VersionActivity(Row, frozen=True):
+    """How many actions a member based on one version, and when."""
 
     member: str
     incarnation: int
     version: int
-    acts: int
-    begun: int
-    ended: int
+    actions: int
+    first_at: int  # fleet time as the member estimated it, tenths of a ms
+    last_at: int
+
 
+Records = Mapping[str, Mapping[int, Sequence[Record]]]  # by member and incarnation, in the order of the files
 
-Records = Mapping[str, Mapping[int, Sequence[Record]]]  # by member, by incarnation, as they lie there
 
+def check(records: Records, facts: Facts, max_time_difference: int = MAX_TIME_DIFFERENCE) -> list[Finding]:
+    """Returns all violations by member, incarnation and number, then the contradictions between heads.
 
-def check(records: Records, facts: Facts, apart: int = APART) -> list[Finding]:
-    """All that is wrong, by member, incarnation and number."""
+    Incarnations older than the oldest one that the replicated state still knows are not checked.
+    """
     found: list[Finding] = []
     for member in sorted(records.keys() | facts.kept.keys()):
-        kept = {one.incarnation: one for one in facts.kept.get(member, ())}
+        incarnations = {one.incarnation: one for one in facts.kept.get(member, ())}
         chains = records.get(member, {})
-        oldest = min(kept, default=0)  # what was before the ledger has let go
-        for incarnation in sorted(one for one in chains.keys() | kept.keys() if one >= oldest):
-            one = One(member, incarnation, chains.get(incarnation, ()), kept.get(incarnation))
-            found += [*one.whole(), *one.allowed(facts, apart)]
+        oldest = min(incarnations, default=0)
+        for incarnation in sorted(one for one in chains.keys() | incarnations.keys() if one >= oldest):
+            checker = IncarnationChecker(
+                member, incarnation, chains.get(incarnation, ()), incarnations.get(incarnation)
+            )
+            found += [*checker.check_chain(), *checker.check_actions(facts, max_time_difference)]
     found += [
         Finding(
             "contradiction",
@@ -58,53 +65,60 @@
             later.number,
             f"a head of {later.number} after one of {known.number}",
         )
-        for known, later in facts.evidence
+        for known, later in facts.contradictions
     ]
     return found
 
 
-def acted(records: Records, versions: Sequence[int] = ()) -> list[Acted]:
-    """Who acted by which version, from when to when.  `versions`: entries that changed what is acted by, in
-    order; an act goes by the last one up to its stamp's.  Without them each entry counts as one."""
-    told = []
+def activity_by_version(records: Records, versions: Sequence[int] = ()) -> list[VersionActivity]:
+    """Returns which member acted on which version, and from when to when.
+
+    `versions`: log entries that changed what members act on, in order; an action counts for the last one up
+    to the version in its stamp.  Without them each log entry counts as a version.
+    """
+    found = []
     for member, chains in sorted(records.items()):
         for incarnation, chain in sorted(chains.items()):
-            spans: dict[int, list[int]] = {}
+            times_by_version: dict[int, list[int]] = {}
             for record in chain:
                 version = record.stamp.version
                 if versions:
                     version = max((one for one in versions if one <= version), default=0)
-                spans.setdefault(version, []).append(record.at)
-            told += [
-                Acted(member, incarnation, version, len(times), min(times), max(times))
-                for version, times in sorted(spans.items())
+                times_by_version.setdefault(version, []).append(record.at)
+            found += [
+                VersionActivity(member, incarnation, version, len(times), min(times), max(times))
+                for version, times in sorted(times_by_version.items())
             ]
-    return told
+    return found
 
 
-class Links:
-    """One chain, record after record."""
+class ChainChecker:
+    """Checks the chain of one incarnation, record by record."""
 
-    def __init__(self, member: str, incarnation: int, kept: Kept | None) -> None:
+    def __init__(self, member: str, incarnation: int, known: Kept | None) -> None:
+        """Starts before the first record; `known`: what the replicated state knows of the incarnation."""
         self.member = member
         self.incarnation = incarnation
-        self.kept = kept
+        self.known = known
         self.last: Record | None = None
 
     def finding(self, kind: str, number: int, what: str) -> Finding:
+        """Returns a finding about a record of this chain."""
         return Finding(kind, self.member, self.incarnation, number, what)
 
-    def next(self, record: Record) -> Iterator[Finding]:
-        """In itself: numbers without a gap, digests that meet, nothing that goes back; and as the ledger
-        knows it."""
+    def check_next(self, record: Record) -> Iterator[Finding]:
+        """Yields what is wrong with a record in relation to the one before and to the known head.
+
+        Numbers must have no gap, digests must match, and terms and versions must not decrease.
+        """
         stamp = record.stamp
         last = self.last
         self.last = record
         if (stamp.member, stamp.incarnation) != (self.member, self.incarnation):
             yield self.finding("changed", stamp.number, f"stamped {stamp.member} {stamp.incarnation}")
         before = last.stamp.number if last is not None else 0
-        if last is None and 1 < stamp.number <= (self.kept.first if self.kept else 1):
-            pass  # what was before was given up, and the ledger knows
+        if last is None and 1 < stamp.number <= (self.known.first if self.known else 1):
+            pass  # the records before were deleted, and the replicated state says so
         elif stamp.number > before + 1:
             yield self.finding("missing", before + 1, f"{before + 1} to {stamp.number - 1}")
         elif stamp.number == before:
@@ -117,52 +131,56 @@
             yield self.finding(
                 "order", stamp.number, f"by version {stamp.version} after {last.stamp.version}"
             )
-        kept = self.kept
-        if kept is not None and stamp.number == kept.number and record.digest() != kept.digest:
+        known = self.known
+        if known is not None and stamp.number == known.number and record.digest() != known.digest:
             yield self.finding("changed", stamp.number, "the ledger knows another digest")
 
-    def end(self) -> Iterator[Finding]:
-        """What the ledger was told of lies here."""
+    def check_end(self) -> Iterator[Finding]:
+        """Yields a finding if the chain ends before the known head."""
         last = self.last.stamp.number if self.last is not None else 0
-        if self.kept is not None and last < self.kept.number:
-            yield self.finding("missing", last + 1, f"the ledger knows of {self.kept.number}")
+        if self.known is not None and last < self.known.number:
+            yield self.finding("missing", last + 1, f"the ledger knows of {self.known.number}")
 
 
-class One(Links):
-    """All records of one incarnation."""
+class IncarnationChecker(ChainChecker):
+    """Checks all records of one incarnation: their chain, and whether each action was allowed."""
 
-    def __init__(self, member: str, incarnation: int, chain: Sequence[Record], kept: Kept | None) -> None:
-        super().__init__(member, incarnation, kept)
+    def __init__(self, member: str, incarnation: int, chain: Sequence[Record], known: Kept | None) -> None:
+        """Takes all records of the incarnation in the order in which the files hold them."""
+        super().__init__(member, incarnation, known)
         self.chain = chain
 
-    def whole(self) -> Iterator[Finding]:
+    def check_chain(self) -> Iterator[Finding]:
+        """Yields what is wrong with the chain itself."""
         for record in self.chain:
-            yield from self.next(record)
-        yield from self.end()
+            yield from self.check_next(record)
+        yield from self.check_end()
 
-    def allowed(self, facts: Facts, apart: int) -> Iterator[Finding]:
-        """Each act was one that its member might do."""
-        if self.chain and self.kept is None:
+    def check_actions(self, facts: Facts, max_time_difference: int) -> Iterator[Finding]:
+        """Yields a finding for each action that its member was not allowed to take."""
+        if self.chain and self.known is None:
             yield self.finding("unknown", 1, "the ledger knows nothing of this incarnation")
-        kept = self.kept or Kept(self.incarnation)
+        known = self.known or Kept(self.incarnation)
         bounds = [
-            (acts, held.version)
-            for held in facts.held
-            for name, incarnation, acts in held.taken
+            (actions, change.version)
+            for change in facts.converged_changes
+            for name, incarnation, actions in change.taken
             if (name, incarnation) == (self.member, self.incarnation)
         ]
         for record in self.chain:
             stamp = record.stamp
             if record.left <= 0:
                 yield self.finding("no_lease", stamp.number, "its lease had run out")
-            if any(0 < end <= stamp.version for end in (kept.shut_out, kept.gone)):
+            if any(0 < end <= stamp.version for end in (known.evicted_index, known.gone)):
                 yield self.finding("after_gone", stamp.number, "it knew that it was shut out")
-            elif kept.gone_at and record.at > kept.gone_at + apart:
+            elif known.lease_ended_at and record.at > known.lease_ended_at + max_time_difference:
                 yield self.finding(
-                    "after_gone", stamp.number, f"{record.at - kept.gone_at} after its lease had run out"
+                    "after_gone",
+                    stamp.number,
+                    f"{record.at - known.lease_ended_at} after its lease had run out",
                 )
-            for acts, version in bounds:
-                if stamp.number > acts and stamp.version < version:
+            for actions, version in bounds:
+                if stamp.number > actions and stamp.version < version:
                     yield self.finding(
                         "old_version", stamp.number, f"by {stamp.version}, and {version} was in force"
                     )
--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -1,5 +1,4 @@
-"""A member's chains in its folder: `chain-<incarnation>-<first number>`, one frame a record, only added
-to."""
+"""A member's chains in its folder: append-only files `chain-<incarnation>-<first number>` of frames."""
 
 from __future__ import annotations
 
@@ -15,33 +14,38 @@
 from .chain import Record
 
 KINDS = MessageTypes(b"IHAU", 1, [Record])
-FILE = 1 << 20  # bytes, then the next one: some 8,000 records, read within 50 ms
-FILES = 64  # kept; the ledger is told which records lie there before those go
-NAME = re.compile(r"chain-(\d+)-(\d+)$")
+MAX_FILE_BYTES = 1 << 20  # some 8,000 records, read within 50 ms; then the next file begins
+MAX_FILES = 64  # kept; the replicated state is told which records remain before older files are deleted
+FILENAME = re.compile(r"chain-(\d+)-(\d+)$")
 
 
 class Store:
-    """Of one process.  An incarnation's files are written by one process only; a new one begins others."""
+    """The chain files of a member; the files of an incarnation are only written by one process."""
 
     def __init__(
         self,
         folder: str | os.PathLike,
-        file: int = FILE,
-        files: int = FILES,
+        file: int = MAX_FILE_BYTES,
+        files: int = MAX_FILES,
         begun: Callable[[], WorkerThread] | None = None,
     ) -> None:
-        """Touches nothing yet: as long as another process has this member's disk, the folder is its own.
-        `begun`: the thread that waits for the disk; without one the caller does."""
-        self.begun, self.worker, self.syncing = begun, None, False
-        self.folder, self.file, self.files = Path(folder), file, files
+        """Touches no file yet: another process may still own this member's disk.
+
+        The limits are the size of a file in bytes and the number of files kept.  If no function is given that
+        makes a worker thread for fsync, the caller waits for the disk itself.
+        """
+        self.start_worker, self.worker, self.is_syncing = begun, None, False
+        self.folder, self.max_bytes, self.max_files = Path(folder), file, files
         self.fd, self.size, self.incarnation = -1, 0, 0
-        self.written = 0  # the last number of this chain
+        self.last_number = 0  # of the records of this chain
         self.unsynced: list[bytes] = []  # frames that may not be on the disk
-        self.cut = -1  # bytes of torn tails that were; -1: not looked at yet
+        self.cut = -1  # bytes of torn tails that were cut; -1: not looked at yet
+
+    def _cut_torn_tails(self) -> int:
+        """Cuts torn tails, left by processes that died in the last file of an incarnation; returns the bytes.
 
-    def mend(self) -> int:
-        """Cut torn tails of processes that died, each in the last file of its incarnation; how many bytes.
-        What is spoilt elsewhere stays as it is: it is evidence."""
+        Damage elsewhere is left as it is, as evidence.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         cut = 0
         last = {incarnation: path for (incarnation, _), path in chains(self.folder)}
@@ -53,77 +57,82 @@
                 cut += len(data) - end
         return cut
 
-    def append(self, record: Record, firm: bool) -> None:
-        """`firm`: on the disk when it returns; else with the next `sync`.  Raises OSError; then the record is
-        not in the chain: what was half written is taken back, or the file is left for a new one."""
+    def append(self, record: Record, durable: bool) -> None:
+        """Writes a record; with `durable` it is synced when this returns, else by the next `sync`.
+
+        Raises OSError; then the record is not in the chain: what was written of it is cut off, or the next
+        record goes to a new file.
+        """
         frame, stamp = KINDS.frame(record), record.stamp
-        if self.fd < 0 or self.size + len(frame) > self.file or stamp.incarnation != self.incarnation:
+        if self.fd < 0 or self.size + len(frame) > self.max_bytes or stamp.incarnation != self.incarnation:
             self.sync()
-            self.begin(stamp.incarnation, stamp.number)
+            self._start_file(stamp.incarnation, stamp.number)
         try:
-            self.write(frame)
+            self._write(frame)
         except OSError:
             try:
                 os.ftruncate(self.fd, self.size)
             except OSError:
-                self.shut()  # a torn tail in mid-chain: the next file goes on after it
+                self._close_file()  # it ends in a torn record; the chain continues in the next file
             raise
         self.size += len(frame)
-        self.written = stamp.number
+        self.last_number = stamp.number
         self.unsynced.append(frame)
-        if firm:
+        if durable:
             try:
                 self.sync()
             except OSError:
                 self.unsynced.pop()
-                self.written -= 1
+                self.last_number -= 1
                 raise
 
-    def write(self, frame: bytes) -> None:
+    def _write(self, frame: bytes) -> None:
         view = memoryview(frame)
         while view:
             view = view[os.write(self.fd, view) :]
 
-    def begin(self, incarnation: int, number: int) -> None:
-        self.shut()
+    def _start_file(self, incarnation: int, number: int) -> None:
+        self._close_file()
         if self.cut < 0:
-            self.cut = self.mend()
+            self.cut = self._cut_torn_tails()
         path = self.folder / f"chain-{incarnation}-{number}"
         self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
         self.size, self.incarnation = 0, incarnation
         sync_folder(str(self.folder))
 
     def sync(self) -> None:
-        """All that was appended is on the disk when it returns.  After an fsync that failed nobody can tell
-        what of a file is: what may be lost is written again into another, which stands for both (`read`).
-        Raises OSError; the next call tries again."""
+        """Syncs all records to the disk; raises OSError, and the next call tries again.
+
+        After a failed fsync it is unknown what of the file is on the disk: records that may be lost are
+        written again into another file, which replaces them when the chain is read.
+        """
         if not self.unsynced:
             return
         try:
             if self.fd < 0:
-                self.begin(self.incarnation, self.written - len(self.unsynced) + 1)
+                self._start_file(self.incarnation, self.last_number - len(self.unsynced) + 1)
                 for frame in self.unsynced:
-                    self.write(frame)
+                    self._write(frame)
                     self.size += len(frame)
             os.fsync(self.fd)
         except OSError:
-            self.shut()
+            self._close_file()
             raise
         self.unsynced.clear()
 
     def sync_soon(self, done: Callable[[OSError | None], None]) -> None:
-        """All that was appended so far; the process goes on meanwhile.  Not while one is out."""
-        if self.syncing:
+        """Starts to sync all records in the worker thread, unless it is syncing; calls `done` at the end."""
+        if self.is_syncing:
             return
-        if self.begun is None or self.fd < 0 or not self.unsynced:
+        if self.start_worker is None or self.fd < 0 or not self.unsynced:
             try:
-                self.sync()  # nothing to do, or what may be lost is to be written again
-            except OSError as bad:
-                done(bad)
+                self.sync()  # nothing to do, or records that may be lost have to be written again
+            except OSError as error:
+                done(error)
             else:
                 done(None)
             return
-        self.syncing, fd, chain, upto = True, os.dup(self.fd), self.incarnation, self.written
+        self.is_syncing, fd, chain, target = True, os.dup(self.fd), self.incarnation, self.last_number
 
         def call() -> None:
             try:
@@ -131,46 +140,45 @@
             finally:
                 os.close(fd)
 
-        def over(result: object, bad: BaseException | None) -> None:
-            self.syncing = False
+        def finished(result: object, error: BaseException | None) -> None:
+            self.is_syncing = False
             if chain == self.incarnation:
-                if bad is not None:
-                    self.shut()
-                else:  # what came meanwhile waits for the next
-                    del self.unsynced[: max(0, len(self.unsynced) - (self.written - upto))]
-            done(bad)
+                if error is not None:
+                    self._close_file()
+                else:  # records that were appended meanwhile wait for the next sync
+                    del self.unsynced[: max(0, len(self.unsynced) - (self.last_number - target))]
+            done(error)
 
-        self.worker = self.worker or self.begun()
-        self.worker.submit(call, over)
+        self.worker = self.worker or self.start_worker()
+        self.worker.submit(call, finished)
 
     def close(self) -> None:
+        """Waits for a sync that runs, and closes the file."""
         if self.worker is not None:
             self.worker.settle()
             self.worker.close()
-        self.shut()
+        self._close_file()
 
-    def shut(self) -> None:
+    def _close_file(self) -> None:
         if self.fd >= 0:
             os.close(self.fd)
             self.fd = -1
 
-    # ---- giving up the oldest ------------------------------------------------------------------------
-
     def wanted(self) -> tuple[int, int]:
-        """What is kept of this chain, and the oldest incarnation kept: for a head, before anything goes."""
-        (incarnation, first), _ = (chains(self.folder)[-self.files :] or [((self.incarnation, 1), None)])[0]
-        return (first if incarnation == self.incarnation else 1), incarnation
+        """Returns the first record of this chain and the oldest incarnation to keep; for a head."""
+        (oldest, first), _ = (chains(self.folder)[-self.max_files :] or [((self.incarnation, 1), None)])[0]
+        return (first if oldest == self.incarnation else 1), oldest
 
     def give_up(self, first: int, oldest: int) -> None:
-        """The ledger knows that what lies before is kept no more."""
+        """Deletes files before these limits, once the replicated state has a head with the limits."""
         listed = chains(self.folder)
-        for n, ((incarnation, _), path) in enumerate(listed[: -self.files]):
-            until = listed[n + 1][0]
-            if incarnation < oldest or incarnation == self.incarnation and until <= (incarnation, first):
+        for position, ((incarnation, _), path) in enumerate(listed[: -self.max_files]):
+            end = listed[position + 1][0]
+            if incarnation < oldest or incarnation == self.incarnation and end <= (incarnation, first):
                 path.unlink()
 
     def keep(self, name: str, data: bytes) -> None:
-        """Evidence, written whole, never over what lies there.  Raises OSError."""
+        """Writes the file `evidence-<name>` atomically, unless it exists; raises OSError."""
         self.folder.mkdir(parents=True, exist_ok=True)
         path = self.folder / f"evidence-{name}"
         if not path.exists():
@@ -178,36 +186,37 @@
 
 
 def chains(folder: Path) -> list[tuple[tuple[int, int], Path]]:
-    """Incarnation and first number of each file, in order."""
+    """Returns incarnation and first number of each chain file, in this order, with its path."""
     return sorted(
-        ((int(m[1]), int(m[2])), path) for path in folder.glob("chain-*") if (m := NAME.search(path.name))
+        ((int(m[1]), int(m[2])), path) for path in folder.glob("chain-*") if (m := FILENAME.search(path.name))
     )
 
 
 def frames(data: bytes) -> tuple[list[Record], int, str]:
-    """The records, where the last whole one ends, and what is spoilt there ("": all was read, or the rest is
-    a frame that was never finished)."""
+    """Decodes records; returns them, the end of the last whole one, and what is damaged there.
+
+    The last is "" if all was decoded, or if the rest is a frame whose write was not completed.
+    """
     found, at = [], 0
-    while at + HEADER_BYTES <= len(data) and any(
-        data[at : at + HEADER_BYTES]
-    ):  # zeros: space that was never written
+    # A header of zeros is space that was never written.
+    while at + HEADER_BYTES <= len(data) and any(data[at : at + HEADER_BYTES]):
         try:
             protocol, number, descriptors, length, checksum = KINDS.head(data, at)
-            if descriptors:  # the one field that the checksum doesn't hold
+            if descriptors:  # the one field that the checksum doesn't cover
                 raise BrokenFrameError("a frame with descriptors")
             if at + HEADER_BYTES + length > len(data):
                 break
             found.append(
                 KINDS.body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
             )
-        except BrokenFrameError as bad:
-            return found, at, bad.problem
+        except BrokenFrameError as error:
+            return found, at, error.problem
         at += HEADER_BYTES + length
-    return found, at, "a length that can't be" if followed(data, at) else ""
+    return found, at, "a length that can't be" if _has_later_frame(data, at) else ""
 
 
-def followed(data: bytes, at: int) -> bool:
-    """A whole frame lies somewhere after: what begins there is no torn tail."""
+def _has_later_frame(data: bytes, at: int) -> bool:
+    """Returns whether a whole frame follows anywhere after `at`; then what begins there is no torn tail."""
     while (at := data.find(KINDS.magic, at + 1)) >= 0 and at + HEADER_BYTES <= len(data):
         try:
             protocol, number, _, length, checksum = KINDS.head(data, at)
@@ -219,23 +228,21 @@
 
 
 def read(folder: str | os.PathLike) -> tuple[dict[int, list[Record]], list[InvalidDataError]]:
-    """All chains that lie there, by incarnation, and what can't be read of them.  A file with a spoilt place
-    is read up to it.  Raises OSError."""
+    """Returns the chains by incarnation, and an error for each file damaged in the middle; raises OSError."""
     found: dict[int, list[Record]] = {}
-    troubles = []
+    errors = []
     for (incarnation, first), path in chains(Path(folder)):
-        records, end, spoilt = frames(path.read_bytes())
+        records, end, spoilt = frames(path.read_bytes())  # up to the damage
         chain = found.setdefault(incarnation, [])
         while chain and chain[-1].stamp.number >= first:
-            chain.pop()  # after an fsync that failed this file stands for them
+            chain.pop()  # this file replaces them, as an fsync of the one before had failed
         chain += records
         if spoilt:
-            troubles.append(
+            errors.append(
                 InvalidDataError(
                     spoilt,
                     f"{path.name}, byte {end}",
-                    "it was changed or harmed on the "
-                    "disk: keep the file, and compare with the heads in the ledger",
+                    "changed or damaged on the disk: keep the file, and compare it with the replicated heads",
                 )
             )
-    return found, troubles
+    return found, errors
--- a/indigohitch/fleet/audit/gate.py
+++ b/indigohitch/fleet/audit/gate.py
@@ -1,5 +1,7 @@
-"""At a receiver that can check stamps: one from before a shutting-out, or older than what has come, is
-refused.  No I/O."""
+"""Rejects stale stamps at a receiver of actions, as fencing tokens are checked.  No I/O.
+
+A stamp is stale if its incarnation was evicted, or if a newer stamp has arrived.
+"""
 
 from __future__ import annotations
 
@@ -7,49 +9,55 @@
 
 from ..types import Stamp
 
-# Things acted on that are remembered; on one that as many others have pushed out, an older stamp of a valid
-# incarnation would be taken.
-THINGS = 4096
+# Number of resources for which the last stamp is kept.  For one that was displaced by that many others, an
+# older stamp of a valid incarnation would be accepted.
+MAX_RESOURCES = 4096
 
 
 class Gate:
+    """Accepts or rejects the stamps of actions that reach one receiver."""
+
     def __init__(self) -> None:
-        self.highest: dict[str, int] = {}  # incarnation seen, by member
-        self.ended: dict[str, int] = {}  # the last incarnation known to be shut out or gone
-        self.floor = 0  # the last hard change in force
+        self.highest_incarnation: dict[str, int] = {}  # accepted so far, by member
+        self.ended_incarnation: dict[str, int] = {}  # the last known to be evicted or expired, by member
+        self.min_version = 0  # the last hard change in force
+        # Incarnation and number of the last stamp accepted, by member and resource.
         self.last: OrderedDict[tuple[str, str], tuple[int, int]] = OrderedDict()
-        self.refused = 0
+        self.rejected = 0  # number of stamps
 
     def end(self, member: str, incarnation: int) -> None:
-        """Its stamps count no more, whenever they come."""
-        self.ended[member] = max(self.ended.get(member, 0), incarnation)
+        """Rejects all further stamps of a member up to that incarnation, which was evicted or has expired."""
+        self.ended_incarnation[member] = max(self.ended_incarnation.get(member, 0), incarnation)
 
     def in_force(self, version: int) -> None:
-        """Nobody acts by what was before any more."""
-        self.floor = max(self.floor, version)
-
-    def admits(self, stamp: Stamp, thing: str = "") -> str:
-        """ "" if the act may take effect, else why not.  `thing`: what it acts on; of two acts of one member
-        on it, the older one doesn't come after the newer."""
-        why = self.why_not(stamp, thing)
-        if why:
-            self.refused += 1
-            return why
-        self.highest[stamp.member] = stamp.incarnation
-        if thing:
-            self.last[stamp.member, thing] = stamp.incarnation, stamp.number
-            self.last.move_to_end((stamp.member, thing))
-            if len(self.last) > THINGS:
+        """Rejects further stamps of versions before a hard change, which is now in force everywhere."""
+        self.min_version = max(self.min_version, version)
+
+    def admits(self, stamp: Stamp, resource: str = "") -> str:
+        """Returns "" if the action may take effect, else why not.
+
+        `resource` is what the action applies to: of a member's actions on one resource, an older one is
+        rejected after a newer one.
+        """
+        reason = self._rejection_reason(stamp, resource)
+        if reason:
+            self.rejected += 1
+            return reason
+        self.highest_incarnation[stamp.member] = stamp.incarnation
+        if resource:
+            self.last[stamp.member, resource] = stamp.incarnation, stamp.number
+            self.last.move_to_end((stamp.member, resource))
+            if len(self.last) > MAX_RESOURCES:
                 self.last.popitem(last=False)
         return ""
 
-    def why_not(self, stamp: Stamp, thing: str) -> str:
-        if stamp.incarnation <= self.ended.get(stamp.member, 0):
+    def _rejection_reason(self, stamp: Stamp, resource: str) -> str:
+        if stamp.incarnation <= self.ended_incarnation.get(stamp.member, 0):
             return "of an incarnation that is shut out"
-        if stamp.incarnation < self.highest.get(stamp.member, 0):
+        if stamp.incarnation < self.highest_incarnation.get(stamp.member, 0):
             return "of an incarnation before one that has come"
-        if stamp.version < self.floor:
+        if stamp.version < self.min_version:
             return "by a version from before a change in force"
-        if thing and (stamp.incarnation, stamp.number) <= self.last.get((stamp.member, thing), (0, 0)):
+        if resource and (stamp.incarnation, stamp.number) <= self.last.get((stamp.member, resource), (0, 0)):
             return "older than what has come"
         return ""
--- a/indigohitch/fleet/audit/heads.py
+++ b/indigohitch/fleet/audit/heads.py
@@ -1,5 +1,7 @@
-"""The heads of all chains in the ledger, and what the check of the records needs of the roster's history.  A
-part of the state machine: what lies in a member's folder can't be written anew unseen."""
+"""The state machine part `audit`: heads of all chains, and the roster's history for the check of records.
+
+As the heads are replicated, records in a member's folder can't be rewritten without being detected.
+"""
 
 from __future__ import annotations
 
@@ -12,56 +14,60 @@
 from ..interfaces import EntryContext
 from ..state_machine import ReplicatedStateMachine
 
-# Incarnations of a name whose last head is kept, and changes in force: those whose records can still lie in a
-# folder with few acts in each.  What is older is not judged any more.
-KEPT = 64
-# Heads that contradict one another; each is a reason to look at once, and the first ones tell the most.
-EVIDENCE = 64
-FORM = 1
+# Incarnations of a member whose last head is kept, and changes in force that are kept: with few actions in
+# each, their records can still be in a folder.  Older ones are not checked any more.
+MAX_HISTORY = 64
+# Contradictions between heads that are kept; each is a reason to investigate at once, and the first ones tell
+# the most.
+MAX_CONTRADICTIONS = 64
+FORMAT_VERSION = 1
 
 
 class Head(Row, frozen=True):
-    """By the member itself: its chain has come to `number`, on its disk, with that digest.  Of this chain it
-    keeps the records from `first` on, and no chain before that of incarnation `oldest`."""
+    """States, by a member itself, how far its chain is synced to its disk, and which records it keeps."""
 
     member: str
     incarnation: int
-    number: int
-    digest: bytes
-    first: int = 1
-    oldest: int = 0
+    number: int  # of the last synced record
+    digest: bytes  # of that record
+    first: int = 1  # number of the first record kept of this chain
+    oldest: int = 0  # oldest incarnation of which any record is kept
 
 
 class Kept(Row):
-    """One incarnation: its last head, and at which entries it began and ended to count (0: not yet)."""
+    """What is known of one incarnation: its last head, and the log entries of its end (0: not yet)."""
 
     incarnation: int
     number: int = 0
     digest: bytes = b""
-    first: int = 1  # of the records that must still lie there
-    shut_out: int = 0
-    gone: int = 0
-    gone_at: int = 0  # when the leader took its lease to have run out
+    first: int = 1  # number of the first record that the folder must still hold
+    evicted_index: int = 0  # of the log entry that evicted it
+    gone: int = 0  # index of the log entry that ended its lease
+    lease_ended_at: int = 0  # fleet time by which its lease had run out, by the leader's clock
 
 
-class Held(Row):
-    """A change in force: the entry that said so, and who had stamped how many acts when it had taken it."""
+class ConvergedChange(Row):
+    """A change that has come into force."""
 
     version: int
-    index: int
-    taken: tuple[tuple[str, int, int], ...]
+    index: int  # of the log entry that put it into force
+    taken: tuple[
+        tuple[str, int, int], ...
+    ]  # members and their action counts, as in membership.entries.InForce
 
 
 class Facts(Row):
-    """Of the ledger, for check.py; also what this part's snapshot holds."""
+    """The state of this part, for check.py and for snapshots."""
 
-    kept: dict[str, list[Kept]]
-    held: list[Held]
-    evidence: list[tuple[Head, Head]]  # known, told later
-    form: int = FORM
+    kept: dict[str, list[Kept]]  # by member; incarnations in order
+    converged_changes: list[ConvergedChange]
+    contradictions: list[tuple[Head, Head]]  # the known head, and a later one that contradicts it
+    format_version: int = FORMAT_VERSION
 
 
 class Heads:
+    """Holds the last head of each chain, and when incarnations ended and changes came into force."""
+
     name = "audit"
     kinds: Mapping[str, type[Row]] = {"head": Head}
     state_machine: ReplicatedStateMachine
@@ -69,62 +75,75 @@
     def __init__(self) -> None:
         self.facts = Facts({}, [], [])
 
-    def of(self, name: str, incarnation: int) -> Kept:
-        lives = self.facts.kept.setdefault(name, [])
-        for kept in reversed(lives):
-            if kept.incarnation == incarnation:
-                return kept
-        lives.append(Kept(incarnation))
-        lives.sort(key=lambda kept: kept.incarnation)
-        del lives[:-KEPT]
-        return lives[-1]
+    def find_or_add(self, name: str, incarnation: int) -> Kept:
+        """Returns what is known of an incarnation, adding a new one; drops the oldest beyond a limit."""
+        incarnations = self.facts.kept.setdefault(name, [])
+        for known in reversed(incarnations):
+            if known.incarnation == incarnation:
+                return known
+        incarnations.append(Kept(incarnation))
+        incarnations.sort(key=lambda known: known.incarnation)
+        del incarnations[:-MAX_HISTORY]
+        return incarnations[-1]
 
     def apply(self, at: EntryContext, word: str, body: Row) -> object:
-        """Told: "" where the head was taken, else why not; that it contradicts is kept."""
+        """Applies the head of a member; returns "" if it was accepted, else why not.
+
+        A head that contradicts the known one is kept in `contradictions`.  Raises InvalidRequestError if
+        another member proposed the head, or if its incarnation has ended.
+        """
         head = body
         if (at.proposer, at.incarnation) != (head.member, head.incarnation):
             raise InvalidRequestError("a head is told by its own member")
-        kept = self.of(head.member, head.incarnation)
-        if kept.gone:
+        known = self.find_or_add(head.member, head.incarnation)
+        if known.gone:
             raise InvalidRequestError(f"{head.member} {head.incarnation} is gone")
-        if head.number > kept.number:
-            kept.number = head.number
-            kept.digest = head.digest
-            kept.first = max(kept.first, head.first)
+        if head.number > known.number:
+            known.number = head.number
+            known.digest = head.digest
+            known.first = max(known.first, head.first)
             self.facts.kept[head.member] = [
                 one for one in self.facts.kept[head.member] if one.incarnation >= head.oldest
             ]
             return ""
-        if head.number == kept.number and head.digest == kept.digest:
+        if head.number == known.number and head.digest == known.digest:
             return ""
-        if len(self.facts.evidence) < EVIDENCE:
-            self.facts.evidence.append((Head(head.member, head.incarnation, kept.number, kept.digest), head))
-        return f"contradicts the head of {kept.number}"
+        if len(self.facts.contradictions) < MAX_CONTRADICTIONS:
+            self.facts.contradictions.append(
+                (Head(head.member, head.incarnation, known.number, known.digest), head)
+            )
+        return f"contradicts the head of {known.number}"
 
-    # ---- what the roster tells -----------------------------------------------------------------------
+    # ---- listeners of the roster -------------------------------------------------------------------
 
     def on_member_joined(self, at: EntryContext, name: str, incarnation: int) -> None:
-        self.of(name, incarnation)
+        """Adds the incarnation."""
+        self.find_or_add(name, incarnation)
 
     def on_member_evicted(self, at: EntryContext, name: str, incarnation: int) -> None:
-        self.of(name, incarnation).shut_out = at.index
+        """Stores the index of the eviction; actions based on that entry or a later one are violations."""
+        self.find_or_add(name, incarnation).evicted_index = at.index
 
     def on_member_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
-        kept = self.of(name, incarnation)
-        kept.gone = at.index
-        kept.gone_at = when
+        """Stores that the lease had run out by fleet time `when`; further heads are rejected."""
+        known = self.find_or_add(name, incarnation)
+        known.gone = at.index
+        known.lease_ended_at = when
 
     def on_change_converged(
         self, at: EntryContext, version: int, taken: tuple[tuple[str, int, int], ...]
     ) -> None:
-        self.facts.held.append(Held(version, at.index, taken))
-        del self.facts.held[:-KEPT]
+        """Stores a change in force, from which on actions based on an older version are violations."""
+        self.facts.converged_changes.append(ConvergedChange(version, at.index, taken))
+        del self.facts.converged_changes[:-MAX_HISTORY]
 
     def row(self) -> Facts:
+        """Returns the state for a snapshot."""
         return self.facts
 
     def restore(self, row: bytes) -> None:
+        """Restores the state from a snapshot; raises InvalidDataError if it can't be decoded."""
         try:
             self.facts = msgspec.msgpack.decode(row, type=Facts)
-        except msgspec.MsgspecError as bad:
-            raise InvalidDataError(f"not the heads of an audit: {bad}") from None
+        except msgspec.MsgspecError as error:
+            raise InvalidDataError(f"invalid snapshot of the part `audit`: {error}") from None
--- a/indigohitch/fleet/audit/orders.py
+++ b/indigohitch/fleet/audit/orders.py
@@ -1,6 +1,8 @@
-"""Orders to the platform's relay as acts: each call is stamped, or it does not go.  The relay's protocol has
-no place for a stamp: the record here, by the digest of the call's orders, says who gave them
-(docs/audit.md)."""
+"""Records each call to the platform's relay as an action; a call that can't be stamped is not sent.
+
+The relay's protocol has no field for a stamp.  Instead the record, by the digest of the call's orders, shows
+who issued them (docs/audit.md).
+"""
 
 from __future__ import annotations
 
@@ -17,15 +19,20 @@
 
 
 def about(orders: str) -> bytes:
-    """What the record of a call holds: the digest of its orders, in the relay's words."""
+    """Returns the digest of a call's orders, as encoded for the relay, for the field `about` of a record."""
     return digest(orders.encode())
 
 
 def stamped(clock: Clock, node: Callable[[], Node | None]) -> Callable[[str], bool]:
-    """For Relay.is_allowed."""
+    """Returns a function for `Relay.is_allowed`: it records a call, and returns whether it may be sent.
+
+    `node()` returns the node of this process, or None before there is one; then no call may be sent.
+    """
 
-    def allowed(orders: str) -> bool:
-        one = node()
-        return one is not None and one.assembly.acts.stamp(clock.now(), KIND, about(orders)) is not None
+    def is_allowed(orders: str) -> bool:
+        current = node()
+        return (
+            current is not None and current.assembly.acts.stamp(clock.now(), KIND, about(orders)) is not None
+        )
 
-    return allowed
+    return is_allowed
--- a/indigohitch/fleet/audit/scrub.py
+++ b/indigohitch/fleet/audit/scrub.py
@@ -1,5 +1,7 @@
-"""Reads this member's own folder over and over, a piece with each beat: what was changed, taken out or harmed
-since it was written is told while the fleet runs."""
+"""Scrubs this member's own folder: reads it over and over, a chunk at each turn, and checks its chains.
+
+Records that are changed, removed or damaged after they were written are thus reported while the fleet runs.
+"""
 
 from __future__ import annotations
 
@@ -7,90 +9,104 @@
 from pathlib import Path
 
 from ...net.clock import SECOND
-from .check import Finding, Links
+from .check import ChainChecker, Finding
 from .files import Store, chains, frames
 from .heads import Facts, Kept
 
-# Bytes a beat: some 300 records, 2 ms.  All files of a folder take some minutes.
-PIECE = 64 << 10
-PAUSE = 10 * SECOND  # from one round to the next: a small folder isn't read with every beat
-FINDINGS = 16  # kept; the first ones tell the most
+# Read at each turn: some 300 records, 2 ms.  All files of a folder take some minutes.
+CHUNK_BYTES = 64 << 10
+PAUSE_BETWEEN_ROUNDS = 10 * SECOND  # so that a small folder isn't read at each turn
+MAX_FINDINGS = 16  # kept; the first ones tell the most
+
 
+class Scrubber:
+    """Reads the files of one member in rounds."""
 
-class Scrub:
     def __init__(self, member: str, store: Store, facts: Callable[[], Facts]) -> None:
+        """Creates a scrubber; `facts()` returns the current state of the part `audit`."""
         self.member = member
         self.store = store
         self.facts = facts
-        self.rounds = 0
-        self.records = 0  # whole rounds, and what the one under way has read
+        self.rounds = 0  # completed ones that have read any record
+        self.records = 0  # read in the current round
         self.found: list[Finding] = []
         self.files: list[tuple[tuple[int, int], Path]] = []  # still to be read in this round
-        self.links: Links | None = None
-        self.at = 0
-        self.due = 0  # in the first of them; when the next round begins
+        self.checker: ChainChecker | None = None  # of the chain that is being read
+        self.offset = 0  # in the first of `files`
+        self.next_round_at = 0
 
     def step(self, now: int) -> list[Finding]:
-        """The next piece; what is new that is wrong.  Raises OSError."""
-        if not self.files and now < self.due:
+        """Reads the next chunk and returns the findings that are new; raises OSError."""
+        if not self.files and now < self.next_round_at:
             return []
-        self.due = now + PAUSE
-        new = [one for one in self.piece() if one not in self.found]
-        self.found += new[: FINDINGS - len(self.found)]
+        self.next_round_at = now + PAUSE_BETWEEN_ROUNDS
+        new = [one for one in self._read_chunk() if one not in self.found]
+        self.found += new[: MAX_FINDINGS - len(self.found)]
         return new
 
-    def piece(self) -> list[Finding]:
+    def _read_chunk(self) -> list[Finding]:
         if not self.files:
-            return self.again()
+            return self._start_round()
         (incarnation, first), path = self.files[0]
         try:
             with open(path, "rb") as file:
-                file.seek(self.at)
-                data = file.read(PIECE)
-        except FileNotFoundError:  # given up meanwhile, and the ledger knows from where on
+                file.seek(self.offset)
+                data = file.read(CHUNK_BYTES)
+        except FileNotFoundError:  # deleted meanwhile; the replicated state knows the first record kept
             self.files.pop(0)
-            self.links = None
-            self.at = 0
+            self.checker = None
+            self.offset = 0
             return []
         found: list[Finding] = []
-        if self.links is None or self.links.incarnation != incarnation:
-            found += self.ended()
-            kept = self.kept()
-            past = Kept(incarnation, first=first) if incarnation < min(kept, default=0) else None
-            self.links = Links(self.member, incarnation, kept.get(incarnation, past))
-        elif not self.at and self.links.last is not None and first <= self.links.last.stamp.number:
-            self.links = Links(self.member, incarnation, Kept(incarnation, first=first))  # files.Store.sync
+        if self.checker is None or self.checker.incarnation != incarnation:
+            found += self._end_chain()
+            known = self._known_incarnations()
+            # An incarnation that the replicated state has dropped may begin with any record.
+            dropped = Kept(incarnation, first=first) if incarnation < min(known, default=0) else None
+            self.checker = ChainChecker(self.member, incarnation, known.get(incarnation, dropped))
+        elif not self.offset and self.checker.last is not None and first <= self.checker.last.stamp.number:
+            # This file replaces records of the one before, whose fsync had failed (files.py).
+            self.checker = ChainChecker(self.member, incarnation, Kept(incarnation, first=first))
         records, end, spoilt = frames(data)
         for record in records:
-            found += self.links.next(record)
+            found += self.checker.check_next(record)
         self.records = self.records + len(records)
-        self.at = self.at + end
+        self.offset = self.offset + end
         if spoilt:
             found.append(
-                Finding("spoilt", self.member, incarnation, first, f"{path.name}, byte {self.at}: {spoilt}")
+                Finding(
+                    "spoilt", self.member, incarnation, first, f"{path.name}, byte {self.offset}: {spoilt}"
+                )
             )
-        if spoilt or not records or len(data) < PIECE:
+        if spoilt or not records or len(data) < CHUNK_BYTES:
             self.files.pop(0)
-            self.at = 0
+            self.offset = 0
         return found
 
-    def kept(self) -> dict[int, Kept]:
+    def _known_incarnations(self) -> dict[int, Kept]:
         return {one.incarnation: one for one in self.facts().kept.get(self.member, ())}
 
-    def ended(self) -> list[Finding]:
-        """The chain just read is over.  That which is written goes on: its head may be ahead of what was
-        read."""
-        links = self.links
-        self.links = None
-        return [] if links is None or links.incarnation == self.store.incarnation else list(links.end())
+    def _end_chain(self) -> list[Finding]:
+        """Ends the check of the chain that was read, and returns what is missing at its end.
+
+        The chain that is being written is not checked for that: its head may be ahead of what was read.
+        """
+        checker = self.checker
+        self.checker = None
+        return (
+            []
+            if checker is None or checker.incarnation == self.store.incarnation
+            else list(checker.check_end())
+        )
 
-    def again(self) -> list[Finding]:
-        found = self.ended()
+    def _start_round(self) -> list[Finding]:
+        """Lists the files for a new round, and returns a finding for each known chain without files."""
+        found = self._end_chain()
         self.rounds += bool(self.records)
         self.records = 0
         self.files = chains(self.store.folder)
-        there = {incarnation for (incarnation, _), _ in self.files}
-        for incarnation, kept in self.kept().items():
-            if incarnation not in there and incarnation != self.store.incarnation:
-                found += Links(self.member, incarnation, kept).end()
+        present = {incarnation for (incarnation, _), _ in self.files}
+        for incarnation, known in self._known_incarnations().items():
+            if incarnation not in present and incarnation != self.store.incarnation:
+                found += ChainChecker(self.member, incarnation, known).check_end()
         return found
--- a/indigohitch/fleet/audit/work.py
+++ b/indigohitch/fleet/audit/work.py
@@ -1,4 +1,7 @@
-"""The audit's part in a member's process: heads of its chain into the ledger, evidence kept, figures."""
+"""The work of the part `audit` in one process: proposes heads, scrubs the folder, reports to the leader.
+
+It also saves the state as evidence when it differs from that of the other members.
+"""
 
 from __future__ import annotations
 
@@ -15,30 +18,32 @@
 from .acts import ActionChain
 from .check import Finding
 from .heads import Head, Heads
-from .scrub import Scrub
+from .scrub import Scrubber
 
-# From one head to the next while acts come: what is rewritten within a second of being done and before its
-# head is committed can't be told; each head is an entry of some 60 bytes a member.
-GAP = SECOND
-TOLD = 4  # findings in a report; the member's own log has them all
+# Between two heads while there are new actions.  A record that is rewritten within a second of its action,
+# before its head is committed, can't be detected.  Each head is a log entry of some 60 bytes a member.
+HEAD_INTERVAL = SECOND
+MAX_REPORTED_FINDINGS = 4  # in a report; the member's own log has all
 
 
 class Report(Row):
-    """Of one member to the leader.  `versions`: entry that changed what is acted by, acts, first, last."""
+    """What a member reports to the leader about its own actions."""
 
-    acts: int
+    acts: int  # number of actions of this incarnation
+    # Index of the change acted on, number of actions, fleet time of the first and of the last.
     versions: list[tuple[int, int, int, int]]
     findings: list[Finding]
     rounds: int  # how often it has read its whole folder
 
 
 def shown(report: Report) -> dict:
+    """Returns a report as plain JSON values, for `status`."""
     return {
         "acts": report.acts,
         "rounds": report.rounds,
         "versions": [
-            {"version": version, "acts": acts, "from_ms": begun / 10, "to_ms": ended / 10}
-            for version, acts, begun, ended in report.versions
+            {"version": version, "acts": actions, "from_ms": first_at / 10, "to_ms": last_at / 10}
+            for version, actions, first_at, last_at in report.versions
         ],
         "findings": [
             {"kind": one.kind, "incarnation": one.incarnation, "number": one.number, "what": one.what}
@@ -48,6 +53,8 @@
 
 
 class AuditWork:
+    """The work of the state machine part `audit` in one process."""
+
     name = "audit"
 
     def __init__(
@@ -55,147 +62,166 @@
         acts: ActionChain,
         heads: Heads,
         membership: Membership,
-        trouble: Callable[[DirectorError], None],
+        report_error: Callable[[DirectorError], None],
     ) -> None:
+        """Creates the work; `report_error` is called with each error that an operator should know of."""
         self.acts = acts
         self.heads = heads
         self.membership = membership
-        self.trouble = trouble
-        self.kept = False  # the evidence of a state that differs
-        self.out: Head | None = None  # proposed, its outcome not known
-        self.told = 0, 0  # incarnation and number of the last head taken
-        self.due = 0
-        self.wrong = ""  # what the ledger said against this member's chain
-        self.scrub = Scrub(acts.me, acts.store, lambda: heads.facts)
-        self.told_by: Mapping[str, bytes] = {}  # at the leader: the last reports
+        self.report_error = report_error
+        self.has_saved_evidence = False  # of a state that differs from that of the others
+        self.pending_head: Head | None = None  # proposed; its outcome is not known yet
+        self.acknowledged = 0, 0  # incarnation and number of the last head whose outcome is known
+        self.next_head_at = 0
+        self.contradiction = ""  # what the replicated state said against this member's chain
+        self.scrub = Scrubber(acts.member, acts.store, lambda: heads.facts)
+        self.reports: Mapping[str, bytes] = {}  # at the leader: the last one of each member
 
     def applied(self, now: int, entry: LogEntry, outcome: Outcome) -> list[ProposalRequest]:
+        """Does nothing: no entry calls for a proposal."""
         return []
 
     def restored(self, now: int) -> list[ProposalRequest]:
+        """Does nothing: the state is read when it is needed."""
         return []
 
     def turn(self, now: int, lease: Lease | None) -> list[ProposalRequest]:
-        """Only what is on the disk goes into a head.  One that shut itself out tells its last one still, as
-        long as the ledger takes it."""
-        if self.membership.evidence is not None and not self.kept:
-            self.kept = True
-            self.differs(*self.membership.evidence)
-        self.look(now)
-        self.acts.sync_soon()
-        return self.head(now) if now >= self.due else []
-
-    def look(self, now: int) -> None:
+        """Scrubs a chunk, starts a sync, and proposes a head if one is due.
+
+        A head only covers records that are synced to the disk.  A member that has stopped acting still
+        proposes its last head, as long as the replicated state accepts it.
+        """
+        if self.membership.evidence is not None and not self.has_saved_evidence:
+            self.has_saved_evidence = True
+            self._save_evidence(*self.membership.evidence)
+        self._scrub_chunk(now)
+        self.acts.start_sync()
+        return self._propose_head(now) if now >= self.next_head_at else []
+
+    def _scrub_chunk(self, now: int) -> None:
         try:
             found = self.scrub.step(now)
-        except OSError as bad:
-            self.trouble(
-                DirectorError(f"the acts can't be read: {bad.strerror}", str(self.acts.store.folder))
+        except OSError as error:
+            self.report_error(
+                DirectorError(
+                    f"could not read the recorded actions: {error.strerror}", str(self.acts.store.folder)
+                )
             )
             return
         for one in found:
-            self.trouble(
+            self.report_error(
                 DirectorError(
-                    f"record {one.number} is {one.kind}: {one.what}",
+                    f"audit finding `{one.kind}` at record {one.number}: {one.what}",
                     f"{one.member} {one.incarnation}",
-                    "keep the folder, and compare it with a "
-                    "copy: someone or the disk changed what was written",
+                    "keep the folder and compare it with a copy: someone changed its files, or the disk "
+                    "damaged them",
                 )
             )
 
-    def head(self, now: int) -> list[ProposalRequest]:
-        if self.acts.safe is None or self.out is not None or self.acts.safe[:2] <= self.told:
+    def _propose_head(self, now: int) -> list[ProposalRequest]:
+        if (
+            self.acts.synced_head is None
+            or self.pending_head is not None
+            or self.acts.synced_head[:2] <= self.acknowledged
+        ):
             return []
-        self.due = now + GAP
-        self.out = Head(self.acts.me, *self.acts.safe, *self.acts.store.wanted())
-        return [ProposalRequest("audit.head", self.out, "head")]
+        self.next_head_at = now + HEAD_INTERVAL
+        self.pending_head = Head(self.acts.member, *self.acts.synced_head, *self.acts.store.wanted())
+        return [ProposalRequest("audit.head", self.pending_head, "head")]
 
     def last(self, now: int) -> list[ProposalRequest]:
-        """Before this incarnation leaves, after its last act."""
-        return self.head(now) if self.acts.sync() else []
+        """Syncs the records and proposes the last head, after the last action before this member leaves."""
+        return self._propose_head(now) if self.acts.sync() else []
 
     def answered(self, now: int, tag: str, outcome: Outcome | None) -> list[ProposalRequest]:
-        head = self.out
-        self.out = None
+        """Handles the outcome of a head: deletes the files that it released, or reports a contradiction."""
+        head = self.pending_head
+        self.pending_head = None
         if head is None or outcome is None:
             return []
-        if outcome.rejection:  # gone: the ledger takes no more of this incarnation
-            self.told = max(self.told, (head.incarnation, head.number))
-        elif why := msgspec.msgpack.decode(outcome.result):
-            self.wrong = why
-            self.told = (head.incarnation, head.number)
-            self.trouble(
+        if outcome.rejection:  # the lease has ended: no further head of this incarnation is accepted
+            self.acknowledged = max(self.acknowledged, (head.incarnation, head.number))
+        elif contradiction := msgspec.msgpack.decode(outcome.result):
+            self.contradiction = contradiction
+            self.acknowledged = (head.incarnation, head.number)
+            self.report_error(
                 DirectorError(
-                    f"the chain of acts {why}",
+                    f"the chain of recorded actions {contradiction}",
                     f"{head.member} {head.incarnation}",
-                    "two processes write under one name, or its folder was changed: stop this "
-                    "member and keep its folder",
+                    "two processes run under one member name, or the folder was changed: stop this member "
+                    "and keep its folder",
                 )
             )
         else:
-            self.told = head.incarnation, head.number
+            self.acknowledged = head.incarnation, head.number
             self.acts.store.give_up(head.first, head.oldest)
         return []
 
-    def differs(self, point: int, own: bytes, others: bytes) -> None:
-        """This member's state is another than the others' (members.Phase.DIFFERS): the evidence is kept."""
+    def _save_evidence(self, index: int, own: bytes, others: bytes) -> None:
+        """Saves this member's state, which differs from that of the others at `index` (Phase.DIFFERS)."""
         state_machine = self.acts.state_machine
         try:
-            self.acts.store.keep(f"{point}-{state_machine.index}.book", state_machine.snapshot())
-        except OSError as bad:
-            self.trouble(
-                DirectorError(f"the evidence can't be written: {bad.strerror}", str(self.acts.store.folder))
+            self.acts.store.keep(f"{index}-{state_machine.index}.book", state_machine.snapshot())
+        except OSError as error:
+            self.report_error(
+                DirectorError(
+                    f"could not save the differing state as evidence: {error.strerror}",
+                    str(self.acts.store.folder),
+                )
             )
-        self.trouble(
+        self.report_error(
             DirectorError(
-                f"the state at entry {point} is {own.hex()}, of the others {others.hex()}: this "
-                "member acts no more",
+                f"the state at entry {index} has digest {own.hex()}, that of the other members "
+                f"{others.hex()}: this member acts no more",
                 str(self.acts.store.folder),
-                "keep this folder for whoever looks into it, and start the member with an empty "
-                "one: it learns the state anew",
+                "keep this folder for analysis, and start the member with an empty one: it then copies the "
+                "state of the others",
             )
         )
 
     def report(self, now: int) -> bytes:
+        """Returns the msgpack of this member's `Report`."""
         return msgspec.msgpack.encode(
             Report(
                 self.acts.number,
-                [(version, *span) for version, span in sorted(self.acts.spans.items())],
-                self.scrub.found[:TOLD],
+                [(version, *span) for version, span in sorted(self.acts.activity.items())],
+                self.scrub.found[:MAX_REPORTED_FINDINGS],
                 self.scrub.rounds,
             )
         )
 
     def lead(self, now: int, reports: Mapping[str, bytes]) -> list[ProposalRequest]:
-        self.told_by = reports
+        """Keeps the reports of the members for `status`; proposes nothing."""
+        self.reports = reports
         return []
 
-    def members(self) -> dict:
-        """At the leader: what each member tells of itself."""
-        told = {}
-        for name, report in sorted(self.told_by.items()):
+    def _member_reports(self) -> dict:
+        """Returns the reports of all members for `status`; there are some only at the leader."""
+        decoded = {}
+        for name, report in sorted(self.reports.items()):
             try:
-                told[name] = shown(msgspec.msgpack.decode(report, type=Report))
+                decoded[name] = shown(msgspec.msgpack.decode(report, type=Report))
             except msgspec.MsgspecError:
-                told[name] = {"unreadable": True}
-        return told
+                decoded[name] = {"unreadable": True}
+        return decoded
 
     def figures(self) -> dict:
+        """Returns the actions, chain and reports of this member and the replicated heads, for `status`."""
         facts = self.heads.facts
         chain = self.acts.chain
         return {
             "own": shown(msgspec.msgpack.decode(self.report(0), type=Report)),
-            "members": self.members(),
+            "members": self._member_reports(),
             "acts": {kind: count for kind, count in sorted(self.acts.counts.items())},
             "chain": {
                 "incarnation": chain.incarnation,
                 "number": chain.number,
                 "head": chain.head.hex(),
-                "told": self.told[1],
+                "told": self.acknowledged[1],
             }
             if chain is not None
             else None,
-            "wrong": self.wrong,
+            "wrong": self.contradiction,
             "torn_bytes_cut": max(0, self.acts.store.cut),
             "heads": [
                 {
@@ -203,12 +229,14 @@
                     "incarnation": one.incarnation,
                     "number": one.number,
                     "digest": one.digest.hex(),
-                    "shut_out": one.shut_out,
+                    "shut_out": one.evicted_index,
                     "gone": one.gone,
                 }
-                for name, lives in sorted(facts.kept.items())
-                for one in lives
+                for name, incarnations in sorted(facts.kept.items())
+                for one in incarnations
+            ],
+            "in_force": [
+                {"version": change.version, "entry": change.index} for change in facts.converged_changes
             ],
-            "in_force": [{"version": held.version, "entry": held.index} for held in facts.held],
-            "contradictions": len(facts.evidence),
+            "contradictions": len(facts.contradictions),
         }
--- a/tests/test_audit_gate.py
+++ b/tests/test_audit_stale_actions.py
@@ -1,4 +1,4 @@
-"""Receivers that can check a stamp refuse an older one."""
+"""Actions that come too late: receivers reject stale stamps, and blocked orders are not sent to the relay."""
 
 from indigohitch import interface as face
 from indigohitch.fleet.audit.gate import Gate
@@ -11,7 +11,7 @@
 from indigohitch.standins.stamped import Stamped
 
 
-def test_a_stand_in_server_refuses_older_stamps():
+def test_a_stand_in_server_rejects_stale_stamps():
     stamped = Stamped()
     assert not stamped.why_not({}) and "read" in stamped.why_not({b"x-stamp": b"m.1.x.2.3"})
     assert not stamped.why_not({b"x-stamp": b"a.m.2.1.9.4"}) and stamped.why_not({b"x-stamp": b"a.m.1.1.9.5"})
@@ -20,7 +20,7 @@
     assert stamped.told(b"/fleet/in-force/12") and stamped.why_not({b"x-stamp": b"o.1.1.11.1"})
 
 
-def test_a_stamp_from_before_a_shutting_out_is_refused():
+def test_a_stamp_of_an_evicted_incarnation_or_an_older_action_is_rejected():
     gate = Gate()
     assert not any(gate.admits(Stamp("m", 1, 1, 10, number), "seat") for number in (1, 2))
     assert "older" in gate.admits(Stamp("m", 1, 1, 10, 2), "seat")
@@ -30,11 +30,11 @@
     assert "before one" in gate.admits(Stamp("m", 2, 1, 12, 9))
     gate.in_force(20)
     assert "in force" in gate.admits(Stamp("m", 3, 1, 19, 2)) and not gate.admits(Stamp("n", 1, 2, 20, 1))
-    assert gate.refused == 4
+    assert gate.rejected == 4
 
 
-def test_orders_that_may_not_go_are_void_and_told():
-    """What was decided while this coordinator might act doesn't go later (platform_protocol/relay)."""
+def test_orders_that_may_not_be_sent_are_dropped_and_reported():
+    """Guards against sending, once a coordinator may not act, what it decided while it still could."""
     clock = Clock()
     relay = Relay(
         EventLoop(clock, print),
@@ -45,16 +45,16 @@
         0,
         ChannelBacklog(0, 0),
     )
-    went, void, may = [], [], False
-    relay.client.request = lambda *words: went.append(words[4])
-    relay.on_dropped = void.extend
-    relay.is_allowed = lambda orders: may and orders.startswith("put,3,b1")
+    sent, dropped, may_send = [], [], False
+    relay.client.request = lambda *arguments: sent.append(arguments[4])
+    relay.on_dropped = dropped.extend
+    relay.is_allowed = lambda orders: may_send and orders.startswith("put,3,b1")
     first, second = face.SetRoute(3, "b1", 1.0), face.SetRoute(4, "b2", 1.0)
     relay.set_paused(True)
     relay.order([first])
     relay.order([second])
     relay.set_paused(False)
-    assert void == [first, second] and relay.idle and not relay.pending_calls and not went
-    may = True
+    assert dropped == [first, second] and relay.idle and not relay.pending_calls and not sent
+    may_send = True
     relay.order([first])
-    assert len(went) == 1 and b"put%2C3%2Cb1" in went[0] and relay.pending_calls
+    assert len(sent) == 1 and b"put%2C3%2Cb1" in sent[0] and relay.pending_calls
