--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -201,13 +201,13 @@
     # A header of zeros is space that was never written.
     while at + HEADER_BYTES <= len(data) and any(data[at : at + HEADER_BYTES]):
         try:
-            protocol, number, descriptors, length, checksum = KINDS.head(data, at)
+            protocol, number, descriptors, length, checksum = KINDS.decode_header(data, at)
             if descriptors:  # the one field that the checksum doesn't cover
                 raise BrokenFrameError("a frame with descriptors")
             if at + HEADER_BYTES + length > len(data):
                 break
             found.append(
-                KINDS.body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
+                KINDS.decode_body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
             )
         except BrokenFrameError as error:
             return found, at, error.problem
@@ -219,8 +219,8 @@
     """Returns whether a whole frame follows anywhere after `at`; then what begins there is no torn tail."""
     while (at := data.find(KINDS.magic, at + 1)) >= 0 and at + HEADER_BYTES <= len(data):
         try:
-            protocol, number, _, length, checksum = KINDS.head(data, at)
-            KINDS.body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
+            protocol, number, _, length, checksum = KINDS.decode_header(data, at)
+            KINDS.decode_body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
             return True
         except BrokenFrameError:
             continue
--- a/tests/test_audit_stale_actions.py
+++ b/tests/test_audit_stale_actions.py
@@ -51,10 +51,10 @@
     relay.is_allowed = lambda orders: may_send and orders.startswith("put,3,b1")
     first, second = face.SetRoute(3, "b1", 1.0), face.SetRoute(4, "b2", 1.0)
     relay.set_paused(True)
-    relay.order([first])
-    relay.order([second])
+    relay.enqueue([first])
+    relay.enqueue([second])
     relay.set_paused(False)
     assert dropped == [first, second] and relay.idle and not relay.pending_calls and not sent
     may_send = True
-    relay.order([first])
+    relay.enqueue([first])
     assert len(sent) == 1 and b"put%2C3%2Cb1" in sent[0] and relay.pending_calls
