--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -207,7 +207,9 @@
             if at + HEADER_BYTES + length > len(data):
                 break
             found.append(
-                KINDS.decode_body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
+                KINDS.decode_body(
+                    data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum
+                )
             )
         except BrokenFrameError as error:
             return found, at, error.problem
@@ -220,7 +222,9 @@
     while (at := data.find(KINDS.magic, at + 1)) >= 0 and at + HEADER_BYTES <= len(data):
         try:
             protocol, number, _, length, checksum = KINDS.decode_header(data, at)
-            KINDS.decode_body(data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum)
+            KINDS.decode_body(
+                data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum
+            )
             return True
         except BrokenFrameError:
             continue
