--- a/benchmarks/capacitykit/seats_cell.py
+++ b/benchmarks/capacitykit/seats_cell.py
@@ -10,10 +10,10 @@
 from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.fleet.membership.roster import Roster
 from indigohitch.fleet.seats.allocator import SeatSettings
-from indigohitch.fleet.seats.configured import COME_BACK, PLACE_KEPT
-from indigohitch.fleet.seats.contract import Contract, Grant, Report, Terms, Wanting
+from indigohitch.fleet.seats.contract import Contract, Grant, PoolDemand, Report, Terms
 from indigohitch.fleet.seats.part import Seats
-from indigohitch.fleet.seats.work import ROUND, SeatsWork
+from indigohitch.fleet.seats.setup import QUEUE_PLACE_TICKS, RETRY_AFTER_TICKS
+from indigohitch.fleet.seats.work import RECALL_ROUND_TICKS, SeatsWork
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 
 from .measuring import Memory, processor_ms
@@ -51,11 +51,13 @@
     for number, name in holders.items():
         grant = Grant("geo", f"tenant{number}", name, 1, SEATS_A_TENANT)
         part.apply(EntryContext(2, 1, 0, name, 1), "grant", grant)
-    settings = SeatSettings(place_kept=PLACE_KEPT, come_back=COME_BACK, drift=0.001)
+    settings = SeatSettings(
+        queue_place_lifetime=QUEUE_PLACE_TICKS, retry_after=RETRY_AFTER_TICKS, drift=0.001
+    )
     work = SeatsWork(names[0], part, Unrecorded(), lambda now: 0, lambda: contract, True, settings)
     spent, wanted, now = [], 0, 0
     for _ in range(ROUNDS):
-        now += ROUND
+        now += RECALL_ROUND_TICKS
         reports = reports_of(chance, names, holders)
         used_ms, proposals = processor_ms(lambda reports=reports, now=now: work.lead(now, reports))
         spent.append(used_ms)
@@ -73,7 +75,7 @@
 
 
 def reports_of(chance: random.Random, names: list[str], holders: dict[int, str]) -> dict[str, bytes]:
-    rows = {name: [Wanting("geo", "", chance.randint(0, 2 * SEATS_A_MEMBER), 0)] for name in names}
+    rows = {name: [PoolDemand("geo", "", chance.randint(0, 2 * SEATS_A_MEMBER), 0)] for name in names}
     for number, name in holders.items():
-        rows[name].append(Wanting("geo", f"tenant{number}", chance.randint(0, SEATS_A_TENANT), 0))
+        rows[name].append(PoolDemand("geo", f"tenant{number}", chance.randint(0, SEATS_A_TENANT), 0))
     return {name: msgspec.msgpack.encode(Report(1, tuple(found))) for name, found in rows.items()}
--- a/benchmarks/seats_model.py
+++ b/benchmarks/seats_model.py
@@ -12,14 +12,14 @@
 
 from indigohitch.fleet.seats.allocator import Allocation, SeatSettings  # noqa: E402
 from indigohitch.fleet.seats.contract import Contract, Grant, Pass, Terms  # noqa: E402
-from indigohitch.fleet.seats.nodeclock import Meter, Nodes, Verdict  # noqa: E402
 from indigohitch.fleet.seats.part import Seats  # noqa: E402
+from indigohitch.fleet.seats.server_clock import Meter, ServerClocks, Verdict  # noqa: E402
 from indigohitch.fleet.seats.work import SeatsWork  # noqa: E402
 from indigohitch.fleet.state_machine import ReplicatedStateMachine  # noqa: E402
 from indigohitch.fleet.types import Lease, LogEntry, Stamp  # noqa: E402
 
 SECOND = 10_000
-SETTINGS = SeatSettings(place_kept=5 * SECOND // 2, come_back=SECOND, drift=0.001)
+SETTINGS = SeatSettings(queue_place_lifetime=5 * SECOND // 2, retry_after=SECOND, drift=0.001)
 COMMIT, REPORT, BEAT, LEASE = 200, SECOND // 2, SECOND // 10, 2 * SECOND  # 20 ms to commit and hear
 SEATS, TERM, JOB, GAP = 1000, 20 * SECOND, SECOND // 2, SECOND // 4
 LOAD = 1.3  # of all wanting, against the seats: more is wanted than there is
@@ -38,7 +38,7 @@
             SeatsWork(f"m{n}", self.part, self, lambda now: 0, lambda: Contract(1, terms), True, SETTINGS)
             for n in range(members)
         ]
-        self.known = [Nodes(SETTINGS.drift) for _ in range(members)]
+        self.known = [ServerClocks(SETTINGS.drift) for _ in range(members)]
         self.meters = [Meter(f"b{n}") for n in range(nodes)]
         self.reports: dict[str, bytes] = {}
         self.weights, self.number, self.term = [1.0] * members, 0, 0
@@ -92,7 +92,7 @@
                     msgspec.structs.replace(
                         next(
                             iter(
-                                self.works[0].want(
+                                self.works[0].propose_once(
                                     f"split {n}",
                                     "seats.grant",
                                     Grant("geo", "", f"m{n}", 1, SEATS // len(self.works)),
@@ -127,9 +127,9 @@
             self.after(self.rng.randint(1, 2 * GAP), lambda: self.client(member))
             return
         self.known[member].heard(str(node), meter.boot, self.t, self.t)  # by the probes before
-        boot, end = self.known[member].end(str(node), found.until)
-        verdict, job = meter.takes(self.t, Pass(found.given, boot, end, found.stamp))
-        assert verdict is Verdict.TAKEN
+        boot, end = self.known[member].server_deadline(str(node), found.until)
+        verdict, job = meter.admit(self.t, Pass(found.given, boot, end, found.stamp))
+        assert verdict is Verdict.ACCEPTED
         self.running += 1
         self.peak = max(self.peak, self.running)
 
--- a/indigohitch/fleet/batches/setup.py
+++ b/indigohitch/fleet/batches/setup.py
@@ -12,7 +12,7 @@
 from ...net.clock import SECOND, Clock
 from ...net.loop import EventLoop
 from ..interfaces import ActionRecorder
-from ..seats.contract import COMMON
+from ..seats.contract import COMMON_POOL
 from ..types import Stamp
 from . import contract, prices
 from .admin_requests import contract_of
@@ -121,7 +121,7 @@
         time = fleet_time(loop.clock.now())
         return (
             {
-                name: row.terms.pools()[COMMON] if row.terms.valid(time) else 0
+                name: row.terms.pools()[COMMON_POOL] if row.terms.valid(time) else 0
                 for name, row in sorted(seats_part.features.items())
             }
             if seats_part is not None
--- a/indigohitch/fleet/node/assembly.py
+++ b/indigohitch/fleet/node/assembly.py
@@ -25,8 +25,8 @@
 from ..interfaces import StateMachinePart, Work
 from ..membership.member_work import Membership
 from ..membership.roster import Roster
-from ..seats.configured import work_of as seats_work
 from ..seats.part import Seats
+from ..seats.setup import work_of as seats_work
 from ..state_machine import ReplicatedStateMachine
 from ..types import Lease, MemberId
 from .notes import Notes
--- a/indigohitch/fleet/seats/allocation.py
+++ b/indigohitch/fleet/seats/allocation.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from ..types import Stamp
-from .contract import Given
+from .contract import SeatUse
 from .pool import Assignment
 
 
@@ -14,8 +14,8 @@
 class SeatSettings:
     """Settings of seat allocation; times are tenths of a millisecond."""
 
-    place_kept: int  # how long a refused tenant keeps its place in the queue
-    come_back: int  # after which time a refused caller is to retry
+    queue_place_lifetime: int  # how long a refused tenant keeps its place in the queue
+    retry_after: int  # after which time a refused caller is to retry
     drift: float  # the largest relative drift between two clocks
 
 
@@ -29,7 +29,7 @@
     released: bool = False
 
     @property
-    def given(self) -> Given:
+    def given(self) -> SeatUse:
         """The identity of this use of the seat."""
         return self.assignment.given
 
--- a/indigohitch/fleet/seats/allocator.py
+++ b/indigohitch/fleet/seats/allocator.py
@@ -3,7 +3,7 @@
 A seat is allocated only while the member's lease is valid and the contract is in force.  Each allocation is
 stamped as an action of the member and ends with the lease or the contract, whichever ends first.  The seat is
 free again once its job is known to have ended.  If the end of a job is never reported, the seat stays
-allocated until the job's expiry, before which the server has ended the job (nodeclock.py).
+allocated until the job's expiry, before which the server has ended the job (server_clock.py).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from ..interfaces import ActionRecorder
 from ..types import Lease
 from .allocation import Allocation, Counts, Expiry, SeatRefusal, SeatSettings
-from .contract import COMMON, Return, Terms
+from .contract import COMMON_POOL, Return, Terms
 from .part import Feature, Seats
 from .pool import Assignment, SeatPool
 
@@ -69,7 +69,7 @@
     def pool(self, feature: str, pool: str) -> SeatPool:
         """Returns the pool, which is created on first use."""
         if (feature, pool) not in self.pools:
-            self.pools[feature, pool] = SeatPool(feature, self.settings.place_kept)
+            self.pools[feature, pool] = SeatPool(feature, self.settings.queue_place_lifetime)
         return self.pools[feature, pool]
 
     def turn(self, now: int, lease: Lease | None) -> None:
@@ -142,7 +142,7 @@
         until = self.latest_end(now, terms, fleet_now, max_duration)
         if until - now < MIN_ALLOCATION_TICKS:
             self.counts.no_lease += 1
-            return SeatRefusal("no lease", self.settings.come_back)
+            return SeatRefusal("no lease", self.settings.retry_after)
         assignment = self.assign(now, feature_seats, tenant, key, fleet_now, retry_after)
         if assignment is None:
             return self.refuse("all seats are in use")
@@ -164,12 +164,12 @@
         # ever share one.
         key = {"node": key, "user": key and f"{tenant}\0{key}"}.get(terms.kind, "")
         pool = None
-        for name in (tenant, COMMON) if tenant and tenant in feature_seats.pools else (COMMON,):
+        for name in (tenant, COMMON_POOL) if tenant and tenant in feature_seats.pools else (COMMON_POOL,):
             pool = self.pool(terms.feature, name)
             assignment = pool.existing_assignment(key, pool.debt > 0 and fleet_now >= pool.drain_ends_at)
             if assignment is not None:
                 return assignment
-            if key not in pool.by_key and pool.may_assign(now, tenant, name == COMMON):
+            if key not in pool.by_key and pool.may_assign(now, tenant, name == COMMON_POOL):
                 return pool.assign(now, key, tenant)
         pool.record_refusal(now, tenant, retry_after)
         return None
@@ -181,7 +181,7 @@
             if not assignment.jobs and not assignment.lingers_until:
                 assignment.pool.unassign(now, assignment)
             self.counts.no_lease += 1
-            return SeatRefusal("this member may not act", self.settings.come_back)
+            return SeatRefusal("this member may not act", self.settings.retry_after)
         assignment.jobs += 1
         self.counts.given += 1
         allocation = Allocation(assignment, until, stamp)
@@ -191,7 +191,7 @@
     def refuse(self, reason: str, retry_after: int = 0) -> SeatRefusal:
         """Counts a refusal and returns it."""
         self.counts.refused += 1
-        return SeatRefusal(reason, max(retry_after, self.settings.come_back))
+        return SeatRefusal(reason, max(retry_after, self.settings.retry_after))
 
     # ---- release and return ------------------------------------------------------------------------
 
--- a/indigohitch/fleet/seats/contract.py
+++ b/indigohitch/fleet/seats/contract.py
@@ -8,7 +8,7 @@
 from ...encoding.rows import Row
 from ..types import Stamp
 
-COMMON = ""  # name of a feature's pool from which every tenant may be allocated seats
+COMMON_POOL = ""  # name of a feature's pool from which every tenant may be allocated seats
 
 
 class Terms(Row, frozen=True):
@@ -25,7 +25,7 @@
 
     def pools(self) -> dict[str, int]:
         """Returns seats by pool: one for each tenant with reserved seats, and the common one."""
-        return {COMMON: self.seats - sum(count for _, count in self.keep), **dict(self.keep)}
+        return {COMMON_POOL: self.seats - sum(count for _, count in self.keep), **dict(self.keep)}
 
     def valid(self, time: int) -> bool:
         """Returns whether the contract is in force at that fleet time.
@@ -116,7 +116,7 @@
 # ---- actions, reports and passes ---------------------------------------------------------------------
 
 
-class Given(Row, frozen=True):
+class SeatUse(Row, frozen=True):
     """The identity of one use of a seat.
 
     (`counter`, `use`) only increases for a seat number: the replicated state increases `counter`, the holder
@@ -130,7 +130,7 @@
     shared: bool
 
 
-class Wanting(Row, frozen=True):
+class PoolDemand(Row, frozen=True):
     """A member's demand for seats of one pool."""
 
     feature: str
@@ -143,7 +143,7 @@
     """The demand that a member reports to the leader with each renewal of its lease, by feature and pool."""
 
     incarnation: int
-    demands: tuple[Wanting, ...]
+    demands: tuple[PoolDemand, ...]
     holds_spares: bool = True  # it holds a part of the seats that nobody needs, to allocate them at once
 
 
@@ -153,7 +153,7 @@
     `until` is the end by the server's clock.
     """
 
-    given: Given
+    given: SeatUse
     boot: str
     until: int
     stamp: Stamp
--- a/indigohitch/fleet/seats/pool.py
+++ b/indigohitch/fleet/seats/pool.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from .contract import Given, Share
+from .contract import SeatUse, Share
 
 MAX_WAITING_TENANTS = 256  # clients choose the names of tenants, so the memory for waiting ones is bounded
 
@@ -24,7 +24,7 @@
     seat: Seat
     key: str  # "" for a single job
     tenant: str
-    given: Given
+    given: SeatUse
     jobs: int = 0
     lingers_until: int = 0  # while no job runs, the node or user keeps the seat until then
 
@@ -150,7 +150,7 @@
         self.measure(now)
         seat = self.idle.pop()
         seat.use_count += 1
-        given = Given(self.feature, seat.number, seat.counter, seat.use_count, bool(key))
+        given = SeatUse(self.feature, seat.number, seat.counter, seat.use_count, bool(key))
         assignment = Assignment(self, seat, key, tenant, given)
         seat.assignment = assignment
         self.assignments[assignment] = None
--- a/indigohitch/fleet/seats/nodeclock.py
+++ b/indigohitch/fleet/seats/server_clock.py
@@ -11,7 +11,7 @@
 import enum
 from dataclasses import dataclass
 
-from .contract import Given, Pass
+from .contract import Pass, SeatUse
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
     at: int  # the holder's clock when it had received the response
 
 
-class Nodes:
+class ServerClocks:
     """The last clock reading of each server, at one holder of seats.
 
     `drift`: the largest relative drift between two clocks.
@@ -39,7 +39,7 @@
         if known is None or known.boot != boot or clock > known.clock:  # responses may arrive out of order
             self.readings[server] = Reading(boot, clock, now)
 
-    def end(self, server: str, until: int) -> tuple[str, int]:
+    def server_deadline(self, server: str, until: int) -> tuple[str, int]:
         """Returns the server's boot id and a time of its clock that it reaches before the holder's `until`.
 
         Returns ("", 0) for a server without a reading: it refuses such a job, and its response has a reading.
@@ -53,16 +53,16 @@
 class Verdict(enum.Enum):
     """The server's decision on a job; some refusals tell the holder that nothing of the job runs there."""
 
-    TAKEN = "taken"
-    UNREAD = "unread"  # the holder has no reading of this server's clock yet
-    LATE = "late"  # the end of the job has passed, or the pass is for another boot of the server
-    OLD = "old"  # a later use of the same seat has been seen
-    TWICE = "twice"  # this allocation has been used here before
+    ACCEPTED = "taken"
+    CLOCK_UNKNOWN = "unread"  # the holder has no reading of this server's clock yet
+    EXPIRED = "late"  # the end of the job has passed, or the pass is for another boot of the server
+    SUPERSEDED = "old"  # a later use of the same seat has been seen
+    DUPLICATE = "twice"  # this allocation has been used here before
 
     @property
-    def unrun(self) -> bool:
+    def did_not_run(self) -> bool:
         """Returns whether it is certain that no job runs on the server under this pass."""
-        return self in (Verdict.UNREAD, Verdict.LATE)
+        return self in (Verdict.CLOCK_UNKNOWN, Verdict.EXPIRED)
 
 
 class Meter:
@@ -83,14 +83,14 @@
         self.last_job = 0
         self.refused = dict.fromkeys(Verdict, 0)
 
-    def takes(self, now: int, seat_pass: Pass) -> tuple[Verdict, int]:
+    def admit(self, now: int, seat_pass: Pass) -> tuple[Verdict, int]:
         """Returns the verdict and the number of the job, 0 if the job is refused.
 
         `now`: the server's monotonic clock.
         """
         verdict = self.verdict(now, seat_pass)
-        self.refused[verdict] += verdict is not Verdict.TAKEN
-        if verdict is not Verdict.TAKEN:
+        self.refused[verdict] += verdict is not Verdict.ACCEPTED
+        if verdict is not Verdict.ACCEPTED:
             return verdict, 0
         given = seat_pass.given
         self.last_uses[given.feature, given.number] = (given.counter, given.use)
@@ -104,18 +104,18 @@
         given = seat_pass.given
         last = self.last_uses.get((seat_pass.given.feature, seat_pass.given.number))
         if not seat_pass.boot:
-            return Verdict.UNREAD
+            return Verdict.CLOCK_UNKNOWN
         if seat_pass.boot != self.boot or now >= seat_pass.until:
-            return Verdict.LATE
+            return Verdict.EXPIRED
         if last is not None and (given.counter, given.use) < last:
-            return Verdict.OLD
+            return Verdict.SUPERSEDED
         if (
             self.stamp_key(seat_pass) in self.seen_stamps
             or last == (given.counter, given.use)
             and not given.shared
         ):
-            return Verdict.TWICE
-        return Verdict.TAKEN
+            return Verdict.DUPLICATE
+        return Verdict.ACCEPTED
 
     @staticmethod
     def stamp_key(seat_pass: Pass) -> tuple[str, int, int]:
@@ -143,7 +143,7 @@
         }
 
 
-def header(seat_pass: Pass) -> str:
+def format_pass(seat_pass: Pass) -> str:
     """Encodes a pass as the value of a header, fields separated by spaces.
 
     The fields: `feature number counter use shared boot until member incarnation term version number`.
@@ -171,7 +171,7 @@
     )
 
 
-def read(text: str) -> Pass | None:
+def parse_pass(text: str) -> Pass | None:
     """Parses a pass from the value of a header; returns None if it is invalid."""
     from ..types import Stamp
 
@@ -179,7 +179,7 @@
     try:
         feature, number, counter, use, shared, boot, until, member, *stamp = fields
         return Pass(
-            Given(feature, int(number), int(counter), int(use), shared == "1"),
+            SeatUse(feature, int(number), int(counter), int(use), shared == "1"),
             "" if boot == "-" else boot,
             int(until),
             Stamp(member, *map(int, stamp)),
--- a/indigohitch/fleet/seats/configured.py
+++ b/indigohitch/fleet/seats/setup.py
@@ -14,8 +14,8 @@
 
 # A refused tenant keeps its place in the queue for two and a half times the delay after which it is told to
 # retry.
-COME_BACK = SECOND
-PLACE_KEPT = 5 * SECOND // 2
+RETRY_AFTER_TICKS = SECOND
+QUEUE_PLACE_TICKS = 5 * SECOND // 2
 
 
 def contract_of(text: FleetText) -> Contract | None:
@@ -48,7 +48,7 @@
 
     The contracts of `text` are read anew at each turn, as a reload may change `text` in place.
     """
-    settings = SeatSettings(PLACE_KEPT, COME_BACK, text.drift)
+    settings = SeatSettings(QUEUE_PLACE_TICKS, RETRY_AFTER_TICKS, text.drift)
     return SeatsWork(
         text.me,
         part,
--- a/indigohitch/fleet/seats/work.py
+++ b/indigohitch/fleet/seats/work.py
@@ -11,12 +11,12 @@
 from ..interfaces import ActionRecorder, ProposalRequest
 from ..types import Lease, LogEntry, Outcome
 from .allocator import Counts, SeatAllocator, SeatSettings
-from .contract import Contract, Grant, Recall, Report, Wanting
+from .contract import Contract, Grant, PoolDemand, Recall, Report
 from .part import Feature, Seats
 from .rebalancing import ROTATION_TICKS, MemberDemand, Move, rebalance
 
 # Tenths of a millisecond between rounds that recall seats: members with a lease of 2 s report as often.
-ROUND = 5_000
+RECALL_ROUND_TICKS = 5_000
 # Tenths of a millisecond for which all seats of a member count as used after a grant to it, until a report
 # can show how many of them it uses.
 GRANT_SETTLING_TICKS = 15_000
@@ -27,7 +27,7 @@
     """A member's last report, and its demand by feature and pool."""
 
     report: Report
-    demands: dict[tuple[str, str], Wanting]
+    demands: dict[tuple[str, str], PoolDemand]
 
 
 class SeatsWork:
@@ -78,17 +78,17 @@
         proposals = self.propose_returns()
         own_contract = self.contract()
         if lease is not None and own_contract is not None and own_contract.edition > self.part.edition:
-            proposals += self.want("contract", "seats.contract", own_contract)
+            proposals += self.propose_once("contract", "seats.contract", own_contract)
         return proposals
 
     def propose_returns(self) -> list[ProposalRequest]:
         """Proposes to return idle seats that are owed."""
         proposals = []
         for row in self.allocator.pending_returns():
-            proposals += self.want(f"return {row.feature} {row.pool}", "seats.return", row)
+            proposals += self.propose_once(f"return {row.feature} {row.pool}", "seats.return", row)
         return proposals
 
-    def want(self, tag: str, kind: str, row: Row) -> list[ProposalRequest]:
+    def propose_once(self, tag: str, kind: str, row: Row) -> list[ProposalRequest]:
         """Returns the proposal, unless another one with the same tag is pending."""
         if tag in self.pending_tags:
             return []
@@ -108,7 +108,7 @@
         demands = []
         for (feature, name), pool in self.allocator.pools.items():
             demand = pool.demand()
-            demands.append(Wanting(feature, name, demand.used, demand.missed))
+            demands.append(PoolDemand(feature, name, demand.used, demand.missed))
         return msgspec.msgpack.encode(
             Report(lease.incarnation if lease is not None else 0, tuple(demands), self.holds_spares)
         )
@@ -149,7 +149,7 @@
         with_recalls = now >= self.next_round
         proposals = []
         if with_recalls:
-            self.next_round = now + ROUND
+            self.next_round = now + RECALL_ROUND_TICKS
         for feature, feature_seats in self.part.features.items():
             for pool, size in feature_seats.pools.items():
                 if not self.moves_pending(feature, pool):
@@ -194,7 +194,7 @@
         """Returns the proposal of one move, unless it is pending."""
         member = move.member
         row = kind(feature, pool, member.name, member.incarnation, move.count)
-        return self.want(f"lead {feature} {pool} {action} {member.name}", f"seats.{action}", row)
+        return self.propose_once(f"lead {feature} {pool} {action} {member.name}", f"seats.{action}", row)
 
     def demand(
         self, now: int, feature_seats: Feature, pool: str, name: str, member_report: MemberReport
--- a/indigohitch/sidecar/seating.py
+++ b/indigohitch/sidecar/seating.py
@@ -1,6 +1,6 @@
 """Seats for the sidecar's RPCs: asked for before one goes out, shown to the server, given back at its end.
 
-Towards a server: `X-Seat` holds the pass (fleet/seats/nodeclock.header).  From it: `X-Node: BOOT CLOCK`, its
+Towards a server: `X-Seat` holds the pass (fleet/seats/server_clock.format_pass).  From it: `X-Node: BOOT CLOCK`, its
 boot id and its monotonic clock in tenths of a ms, with any answer; `X-Seat-Refused: unread|late|old|twice`
 where it took the RPC for one without a valid seat, and has begun nothing."""
 
@@ -13,11 +13,11 @@
 from ..encoding.rows import digest
 from ..fleet.seats.allocator import Allocation, SeatAllocator
 from ..fleet.seats.contract import Pass
-from ..fleet.seats.nodeclock import Nodes, Verdict, header
+from ..fleet.seats.server_clock import ServerClocks, Verdict, format_pass
 from ..log import Log
 
 SEAT, NODE, REFUSED = b"x-seat", b"x-node", b"x-seat-refused"
-UNRUN = frozenset(verdict.value.encode() for verdict in Verdict if verdict.unrun)
+UNRUN = frozenset(verdict.value.encode() for verdict in Verdict if verdict.did_not_run)
 
 
 class Seating:
@@ -27,7 +27,7 @@
         """`allocator()`: of the member in this process, None while it takes no part."""
         self.needed, self.log, self.clock, self.allocator = text.seats, log, clock, allocator
         self.rows = {row.feature: row for row in text.fleet.parts.get("seats", [])} if text.fleet else {}
-        self.nodes = Nodes(text.fleet.drift if text.fleet else 0.0)
+        self.nodes = ServerClocks(text.fleet.drift if text.fleet else 0.0)
 
     def take(self, rpc, server) -> Allocation | None:
         """A seat for a try of this RPC at that server, until its deadline at most; None: there is none."""
@@ -62,8 +62,8 @@
 
     def shown(self, allocation: Allocation, server) -> bytes:
         """The header's line."""
-        boot, until = self.nodes.end(self.node(server), allocation.until)
-        return b"X-Seat: %b\r\n" % header(Pass(allocation.given, boot, until, allocation.stamp)).encode(
+        boot, until = self.nodes.server_deadline(self.node(server), allocation.until)
+        return b"X-Seat: %b\r\n" % format_pass(Pass(allocation.given, boot, until, allocation.stamp)).encode(
             "latin-1"
         )
 
--- a/indigohitch/standins/seated.py
+++ b/indigohitch/standins/seated.py
@@ -14,7 +14,7 @@
 import time
 from collections.abc import Callable
 
-from ..fleet.seats.nodeclock import Meter, Verdict, read
+from ..fleet.seats.server_clock import Meter, Verdict, parse_pass
 from ..net.loop import EventLoop
 
 
@@ -40,9 +40,9 @@
     def begin(self, raw: bytes | None, cut: Callable[[], None]) -> tuple[int, bytes]:
         """The job's number, or 0 and the line that says why not.  `cut` is called where it is ended here."""
         self.sweep()
-        now, shown = self.clock(), read(raw.decode("latin-1")) if raw else None
-        verdict, job = self.meter.takes(now, shown) if shown is not None else (Verdict.UNREAD, 0)
-        if verdict is not Verdict.TAKEN:
+        now, shown = self.clock(), parse_pass(raw.decode("latin-1")) if raw else None
+        verdict, job = self.meter.admit(now, shown) if shown is not None else (Verdict.CLOCK_UNKNOWN, 0)
+        if verdict is not Verdict.ACCEPTED:
             return 0, b"X-Seat-Refused: %b\r\n" % verdict.value.encode()
         g = shown.given
         self.note(
--- a/tests/golden/fleet/write_rows.py
+++ b/tests/golden/fleet/write_rows.py
@@ -31,7 +31,7 @@
 from indigohitch.fleet.membership.member_work import Membership
 from indigohitch.fleet.membership.roster import Roster
 from indigohitch.fleet.node.assembly import parts
-from indigohitch.fleet.seats import contract, nodeclock
+from indigohitch.fleet.seats import contract, server_clock
 from indigohitch.fleet.seats.allocator import SeatSettings
 from indigohitch.fleet.seats.part import Seats
 from indigohitch.fleet.seats.work import SeatsWork
@@ -94,7 +94,7 @@
     "seats": contract.Report,
     "batches": batches.Report,
 }
-ACTS = {"seats.given": contract.Given}
+ACTS = {"seats.given": contract.SeatUse}
 
 
 def wished() -> list[str]:
@@ -115,7 +115,7 @@
 
 
 def seats_figures() -> dict:
-    settings = SeatSettings(place_kept=20_000, come_back=10_000, drift=0.01)
+    settings = SeatSettings(queue_place_lifetime=20_000, retry_after=10_000, drift=0.01)
     work = SeatsWork("a", Seats(), None, lambda now: now, lambda: None, True, settings)
     counts = work.allocator.counts
     counts.given, counts.refused, counts.no_lease, counts.unheard = 1, 2, 3, 4
@@ -131,7 +131,7 @@
         "seats": seats_figures(),
         "wishes": wished(),
         "audit_report": auditing.shown(fill(auditing.Report)),
-        "server_header": nodeclock.header(shown),
+        "server_header": server_clock.format_pass(shown),
         "service_change": msgspec.msgpack.encode(fill(messages.ServiceChange)).hex(),
         "service_digest": service.digest.hex(),
         "scope_digest": scope_digest([service, ServiceContent("empty")]).hex(),
@@ -155,7 +155,7 @@
         if number == 25:
             lease = Lease(2, now + 800_000)
         kind, what = (
-            ("seats.given", msgspec.msgpack.encode(Filler().row(contract.Given))),
+            ("seats.given", msgspec.msgpack.encode(Filler().row(contract.SeatUse))),
             ("batches.start", b"d-7.%d" % number),
             (RELAY, about(f"stop {number}")),
         )[number % 3]
--- a/tests/seats_simulated_members.py
+++ b/tests/seats_simulated_members.py
@@ -10,8 +10,8 @@
 from indigohitch.encoding.rows import Row
 from indigohitch.fleet.seats.allocator import Allocation, SeatSettings
 from indigohitch.fleet.seats.contract import Pass
-from indigohitch.fleet.seats.nodeclock import Meter, Nodes, Verdict
 from indigohitch.fleet.seats.part import Seats
+from indigohitch.fleet.seats.server_clock import Meter, ServerClocks, Verdict
 from indigohitch.fleet.seats.work import SeatsWork
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.types import Lease, LogEntry, Stamp
@@ -20,7 +20,7 @@
 LEASE_TICKS = 2 * SECOND
 DRIFT = 0.05  # far more than that of any quartz clock, so that an ignored drift is noticed soon
 EPOCH = 10**9  # fleet time at the start of the simulation
-SETTINGS = SeatSettings(place_kept=SECOND, come_back=2000, drift=2 * DRIFT)
+SETTINGS = SeatSettings(queue_place_lifetime=SECOND, retry_after=2000, drift=2 * DRIFT)
 
 
 class Gone(Row):
@@ -71,10 +71,10 @@
         fleet = self.fleet
         meter = self.meter
         self.end_overdue_jobs(meter)
-        verdict, job = meter.takes(self.clock(fleet.true_time), seat_pass)
-        if verdict is not Verdict.TAKEN:
+        verdict, job = meter.admit(self.clock(fleet.true_time), seat_pass)
+        if verdict is not Verdict.ACCEPTED:
             fleet.counts[verdict.value] += 1
-            if verdict.unrun:  # otherwise a duplicate of the RPC may be running
+            if verdict.did_not_run:  # otherwise a duplicate of the RPC may be running
                 respond((meter.boot, self.clock(fleet.true_time)))
             return
         self.running[job] = seat_pass.given
@@ -111,7 +111,7 @@
         self.lease_until = self.applied_index = self.proposal_number = self.action_number = 0
         self.pending_tags = {}  # by proposal number
         self.state_machine = ReplicatedStateMachine([Seats(), Members()])
-        self.nodes = Nodes(SETTINGS.drift)
+        self.nodes = ServerClocks(SETTINGS.drift)
         self.work = SeatsWork(
             name,
             self.state_machine.parts["seats"],
@@ -213,7 +213,7 @@
         fleet.counts["asked"] += 1
         if not isinstance(allocation, Allocation):
             return
-        boot, end = self.nodes.end(server.name, allocation.until)
+        boot, end = self.nodes.server_deadline(server.name, allocation.until)
         seat_pass = Pass(allocation.given, boot, end, allocation.stamp)
         fleet.counts["given"] += 1
 
--- a/tests/test_directives_seats.py
+++ b/tests/test_directives_seats.py
@@ -4,8 +4,8 @@
 
 from indigohitch.config import operator_file, sidecar_file
 from indigohitch.config.lines import ConfigError
-from indigohitch.fleet.seats.configured import contract_of
 from indigohitch.fleet.seats.contract import Contract, Terms
+from indigohitch.fleet.seats.setup import contract_of
 from test_directives import TEXT
 from test_directives_fleet import FLEET
 
--- a/tests/test_seats_part.py
+++ b/tests/test_seats_part.py
@@ -8,14 +8,14 @@
 from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.fleet.seats.allocator import Allocation, SeatAllocator, SeatSettings
 from indigohitch.fleet.seats.contract import Contract, Grant, Recall, Return, Terms
-from indigohitch.fleet.seats.nodeclock import Meter, Nodes, Verdict, header, read
 from indigohitch.fleet.seats.part import Seats
 from indigohitch.fleet.seats.rebalancing import MemberDemand, fair_shares, rebalance
+from indigohitch.fleet.seats.server_clock import Meter, ServerClocks, Verdict, format_pass, parse_pass
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.types import Lease, Stamp
 
 SECOND = 10_000
-SETTINGS = SeatSettings(place_kept=2 * SECOND, come_back=SECOND, drift=0.01)
+SETTINGS = SeatSettings(queue_place_lifetime=2 * SECOND, retry_after=SECOND, drift=0.01)
 
 
 class ActionRecorder:
@@ -169,31 +169,31 @@
 
 
 def test_a_server_refuses_passes_that_are_late_old_duplicate_or_for_another_boot():
-    nodes, meter, stamps = Nodes(SETTINGS.drift), Meter("b1"), iter(range(1, 99))
+    nodes, meter, stamps = ServerClocks(SETTINGS.drift), Meter("b1"), iter(range(1, 99))
     seats = SeatsHarness(Terms("geo", 1))
     seats.grant(1)
-    assert nodes.end("s", 5000) == ("", 0)
+    assert nodes.server_deadline("s", 5000) == ("", 0)
     nodes.heard("s", "b1", 700, 1000)
-    assert nodes.end("s", 11_000) == ("b1", 700 + 9900)
+    assert nodes.server_deadline("s", 11_000) == ("b1", 700 + 9900)
 
     def make_pass(use, boot="b1", until=5000):
         given = seats.allocate().given
         seats.allocator.pools["geo", ""].unassign(0, next(iter(seats.allocator.pools["geo", ""].assignments)))
         text = f"geo {given.number} {given.counter} {use} 0 {boot} {until} a 1 1 1 {next(stamps)}"
-        assert header(read(text)) == text
-        return read(text)
+        assert format_pass(parse_pass(text)) == text
+        return parse_pass(text)
 
     for now, seat_pass, verdict in (
-        (10, make_pass(2), Verdict.TAKEN),
-        (10, make_pass(2), Verdict.TWICE),
-        (10, make_pass(1), Verdict.OLD),
-        (10, make_pass(3, "b0"), Verdict.LATE),
-        (5000, make_pass(3), Verdict.LATE),
-        (10, make_pass(3), Verdict.TAKEN),
+        (10, make_pass(2), Verdict.ACCEPTED),
+        (10, make_pass(2), Verdict.DUPLICATE),
+        (10, make_pass(1), Verdict.SUPERSEDED),
+        (10, make_pass(3, "b0"), Verdict.EXPIRED),
+        (5000, make_pass(3), Verdict.EXPIRED),
+        (10, make_pass(3), Verdict.ACCEPTED),
     ):
-        assert meter.takes(now, seat_pass)[0] is verdict
+        assert meter.admit(now, seat_pass)[0] is verdict
     assert len(meter.overdue(5000)) == 2 and not meter.in_use("geo")
-    assert read("geo 1 x") is None and read("") is None
+    assert parse_pass("geo 1 x") is None and parse_pass("") is None
 
 
 @pytest.mark.parametrize("seed", range(60))
--- a/tests/test_seats_schedules.py
+++ b/tests/test_seats_schedules.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from indigohitch.fleet.seats import allocator, nodeclock, part, pool
+from indigohitch.fleet.seats import allocator, part, pool, server_clock
 from indigohitch.fleet.seats.contract import Terms
 from indigohitch.fleet.types import Lease
 from seats_random_schedule import run_random_schedule
@@ -55,7 +55,7 @@
 
 
 def end_no_jobs_at_servers(monkeypatch):
-    monkeypatch.setattr(nodeclock.Meter, "overdue", lambda self, now: [])
+    monkeypatch.setattr(server_clock.Meter, "overdue", lambda self, now: [])
 
 
 def accept_at_servers(verdict, same_boot=True):
@@ -65,26 +65,26 @@
     """
 
     def patch(monkeypatch):
-        original = nodeclock.Meter.verdict
+        original = server_clock.Meter.verdict
 
         def patched_verdict(self, now, seat_pass):
             decided = original(self, now, seat_pass)
             accepted = decided is verdict and (seat_pass.boot == self.boot) is same_boot
-            return nodeclock.Verdict.TAKEN if accepted else decided
+            return server_clock.Verdict.ACCEPTED if accepted else decided
 
-        monkeypatch.setattr(nodeclock.Meter, "verdict", patched_verdict)
+        monkeypatch.setattr(server_clock.Meter, "verdict", patched_verdict)
 
     return patch
 
 
 def ignore_drift(monkeypatch):
-    original = nodeclock.Nodes.__init__
+    original = server_clock.ServerClocks.__init__
 
     def patched_init(self, drift):
         original(self, drift)
         self.drift = 0.0
 
-    monkeypatch.setattr(nodeclock.Nodes, "__init__", patched_init)
+    monkeypatch.setattr(server_clock.ServerClocks, "__init__", patched_init)
 
 
 def assign_seats_being_returned(monkeypatch):
@@ -107,9 +107,9 @@
     "unheard": free_seats_of_unreported_jobs,
     "lease": extend_lease,
     "end": end_no_jobs_at_servers,
-    "late": accept_at_servers(nodeclock.Verdict.LATE),
-    "boot": accept_at_servers(nodeclock.Verdict.LATE, False),
-    "twice": accept_at_servers(nodeclock.Verdict.TWICE),
+    "late": accept_at_servers(server_clock.Verdict.EXPIRED),
+    "boot": accept_at_servers(server_clock.Verdict.EXPIRED, False),
+    "twice": accept_at_servers(server_clock.Verdict.DUPLICATE),
     "drift": ignore_drift,
     "returning": assign_seats_being_returned,
     "room": grant_more_than_contracted,
