--- a/benchmarks/batches.py
+++ b/benchmarks/batches.py
@@ -62,7 +62,7 @@
     plan = Plan(Field(*given))
     once_ms, _ = timed(lambda: plan.at_once(tasks))
     once = plan.cost()
-    looks, steps = [], plan.looks()
+    looks, steps = [], plan.improvement_steps()
 
     def look():
         return next(steps, None)
--- a/benchmarks/batches_model.py
+++ b/benchmarks/batches_model.py
@@ -15,22 +15,22 @@
 from indigohitch.fleet.batches.plan import Plan
 from indigohitch.fleet.batches.rounds import Round
 from indigohitch.fleet.batches.rows import (
+    Assignment,
     Band,
     Batch,
     BatchClass,
+    Checkpoint,
     Contract,
-    Cut,
-    Give,
-    Late,
-    Load,
+    Expiry,
+    InteractiveLoad,
+    OperatorDecision,
+    PieceSpec,
     Prices,
     Site,
     Start,
     State,
-    Step,
-    Word,
 )
-from indigohitch.fleet.batches.rows import Plan as Changes
+from indigohitch.fleet.batches.rows import PlanChanges as Changes
 from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.fleet.types import Stamp
 
@@ -97,7 +97,7 @@
         for site in self.sites:
             for hour in range(24):
                 share = 50 + 40 * math.sin((hour - 8) / 24 * 2 * math.pi) + self.rng.uniform(-8, 8)
-                self.tell("load", Load(site.name, hour, round(max(0, min(100, share)))))
+                self.tell("load", InteractiveLoad(site.name, hour, round(max(0, min(100, share)))))
         names = [f"{site.name}.{n}" for site in self.sites for n in range(MEMBERS // SITES)]
         self.incarnations = dict.fromkeys(names, 1)
         self.losses = {self.rng.randrange(8, self.slots - 40): name for name in names[::5]}
@@ -142,14 +142,14 @@
         self.power[self.slot] = sum(watts.values())
         self.over = max([self.over, *(much - PEAK for much in watts.values())])
         self.slot += 1
-        self.tell("late", Late(tuple(self.part.pieces.open)))
+        self.tell("late", Expiry(tuple(self.part.pieces.open)))
 
     def submit(self, rpc, count):
         cuts = []
         for _ in range(count):
             begin, slots = self.now + self.rng.randrange(1, 8) * SLOT, self.rng.randint(2, 8)
             end = min(BEGIN + self.slots * SLOT, begin + (slots + self.rng.randint(16, 60)) * SLOT)
-            cuts.append(Cut(begin, end, slots * SLOT * 9 // 10, slots * STEPS))
+            cuts.append(PieceSpec(begin, end, slots * SLOT * 9 // 10, slots * STEPS))
         self.tell("submit", Batch(f"{rpc}{self.slot}", "whk", rpc, tuple(cuts)))
 
     def plan(self):
@@ -175,7 +175,7 @@
         if piece.state is State.WAITING:
             member = f"{site}.{sum(id.encode()) % (MEMBERS // SITES)}"
             who = member, self.incarnations[member]
-            self.tell("give", Give(id, *who))
+            self.tell("give", Assignment(id, *who))
             self.tell("start", Start(id, piece.attempt + 1, Stamp(*who, 1, self.index, 1)), *who)
         half = piece.member == lost
         to = min(piece.cut.steps, piece.step + (STEPS // 2 if half else STEPS))
@@ -187,7 +187,7 @@
         if not half:
             goes_on = any(begin <= now + SLOT < end for begin, end in piece.placing.runs)
             end = "done" if to == piece.cut.steps else "" if goes_on else "rests"
-            self.tell("step", Step(id, piece.attempt, to, end), piece.member, piece.incarnation)
+            self.tell("step", Checkpoint(id, piece.attempt, to, end), piece.member, piece.incarnation)
 
     def operator(self):
         for id in self.part.pieces.open:
@@ -197,7 +197,9 @@
         for id in [id for id, until in self.waits.items() if until == self.slot]:
             steps = self.part.pieces.all[id].cut.steps
             ran = sum((id, step) in self.ran for step in range(steps))
-            self.tell("word", Word(id, "from", ran) if ran < steps else Word(id, "done"))
+            self.tell(
+                "word", OperatorDecision(id, "from", ran) if ran < steps else OperatorDecision(id, "done")
+            )
             self.unclear += 1
 
     # ---- held against ------------------------------------------------------------------------------
--- a/indigohitch/cli.py
+++ b/indigohitch/cli.py
@@ -85,10 +85,10 @@
     config = either.load(file)
     if config.fleet is not None and "batches" in config.fleet.parts:
         from .config.lines import ConfigError
-        from .fleet.batches.contract import mistakes
+        from .fleet.batches.contract import find_unknown_places
 
         if mistakes_found := [
-            mistake for part in config.fleet.parts["batches"] for mistake in mistakes(part)
+            mistake for part in config.fleet.parts["batches"] for mistake in find_unknown_places(part)
         ]:
             raise ConfigError(file, mistakes_found)
     if config.pools:
--- a/indigohitch/fleet/batches/admin_requests.py
+++ b/indigohitch/fleet/batches/admin_requests.py
@@ -8,7 +8,7 @@
 from ...config.words import name, span
 from ...errors import InvalidRequestError
 from .prices import parse_time
-from .rows import Band, Batch, BatchClass, Contract, Cut, Site, Word
+from .rows import Band, Batch, BatchClass, Contract, OperatorDecision, PieceSpec, Site
 
 FORM = (
     '{"id": "dunning-7", "tenant": "whk", "class": "dunning", "pieces": [{"earliest": '
@@ -47,7 +47,7 @@
     return Contract(edition, text.slot, sites, classes)
 
 
-def batch_of(request: object) -> Batch:
+def parse_batch(request: object) -> Batch:
     """Returns the batch of a request; `FORM` shows its form.
 
     Raises:
@@ -70,7 +70,7 @@
         raise InvalidRequestError(f"no batch: {problem}", remedy=f"a batch looks like {FORM}") from None
 
 
-def cut_of(index: int, piece: Mapping) -> Cut:
+def cut_of(index: int, piece: Mapping) -> PieceSpec:
     """Returns the piece of a request; `index` is its position there.
 
     Raises:
@@ -80,7 +80,9 @@
         steps = piece["steps"]
         if not isinstance(steps, int) or isinstance(steps, bool):
             raise ValueError("steps: must be a whole number")
-        return Cut(parse_time(piece["earliest"]), parse_time(piece["latest"]), span(piece["work"]), steps)
+        return PieceSpec(
+            parse_time(piece["earliest"]), parse_time(piece["latest"]), span(piece["work"]), steps
+        )
     except (InvalidRequestError, KeyError, TypeError, ValueError) as error:
         problem = (
             f"{error.args[0]} is missing"
@@ -90,7 +92,7 @@
         raise InvalidRequestError(f"piece {index}: {problem}", remedy=f"a batch looks like {FORM}") from None
 
 
-def word_of(text: str) -> Word:
+def parse_decision(text: str) -> OperatorDecision:
     """Returns the decision that `dunning-7.12 from 80`, `dunning-7.12 done` or `dunning-7.12 drop` means.
 
     Raises:
@@ -98,9 +100,9 @@
     """
     parts = text.split()
     if len(parts) == 3 and parts[1] == "from" and parts[2].isdecimal():
-        return Word(parts[0], "from", int(parts[2]))
+        return OperatorDecision(parts[0], "from", int(parts[2]))
     if len(parts) == 2 and parts[1] in ("done", "drop"):
-        return Word(*parts)
+        return OperatorDecision(*parts)
     raise InvalidRequestError(
         f"{text!r} is not a decision on a piece", remedy="say PIECE from STEP, PIECE done or PIECE drop"
     )
--- a/indigohitch/fleet/batches/contract.py
+++ b/indigohitch/fleet/batches/contract.py
@@ -117,7 +117,7 @@
     return band.price if band is not None else None
 
 
-def mistakes(text: BatchesText) -> list[tuple[int, str]]:
+def find_unknown_places(text: BatchesText) -> list[tuple[int, str]]:
     """Returns (line, message) of each site whose time zone or holiday country is unknown.
 
     The parser of the operator's file checks only their form.
--- a/indigohitch/fleet/batches/leader.py
+++ b/indigohitch/fleet/batches/leader.py
@@ -15,7 +15,7 @@
 from .part import Batches
 from .pending import CONTRACT_TAG, LATE_TAG, PLAN_TAG, PendingProposals
 from .rounds import Round
-from .rows import Contract, Give, Late, Load, Piece, Plan, State
+from .rows import Assignment, Contract, Expiry, InteractiveLoad, Piece, PlanChanges, State
 
 # A piece is assigned this long before its run begins: time for two entries of the log.
 ASSIGN_AHEAD = 3 * SECOND // 10
@@ -130,7 +130,7 @@
             hour = contract.hour_of_day(site, time)
             if abs(share - self.part.loads.get(site.name, {}).get(hour, 0)) >= MIN_LOAD_CHANGE:
                 tag = f"load {site.name}"
-                load = Load(site.name, hour, share)
+                load = InteractiveLoad(site.name, hour, share)
                 requests += self.pending.propose_once(now, tag, ProposalRequest("batches.load", load, tag))
         return requests
 
@@ -149,7 +149,7 @@
                 lanes = free.get((piece.placing.site, piece.placing.kind), {})
                 requests += self.assign_piece(now, id, lanes, reports_by_member)
         if late:
-            body = Late(tuple(late[:MAX_LATE]))
+            body = Expiry(tuple(late[:MAX_LATE]))
             requests += self.pending.propose_once(
                 now, LATE_TAG, ProposalRequest("batches.late", body, LATE_TAG)
             )
@@ -164,7 +164,7 @@
             return []
         _, name = min(candidates)
         tag = f"give {id}"
-        body = Give(id, name, reports_by_member[name].incarnation)
+        body = Assignment(id, name, reports_by_member[name].incarnation)
         requests = self.pending.propose_once(now, tag, ProposalRequest("batches.give", body, tag))
         if requests:
             free[name] -= 1
@@ -208,7 +208,7 @@
             return []
         self.moves += len(changes)
         return self.pending.propose_once(
-            now, PLAN_TAG, ProposalRequest("batches.plan", Plan(self.part.version, changes), PLAN_TAG)
+            now, PLAN_TAG, ProposalRequest("batches.plan", PlanChanges(self.part.version, changes), PLAN_TAG)
         )
 
 
--- a/indigohitch/fleet/batches/part.py
+++ b/indigohitch/fleet/batches/part.py
@@ -11,19 +11,19 @@
 from ..membership.roster import announce_change
 from . import prices, rows
 from .rows import (
+    Assignment,
     Batch,
+    Checkpoint,
     Contract,
-    Give,
-    Late,
-    Load,
+    Expiry,
+    InteractiveLoad,
+    OperatorDecision,
     Piece,
-    Placing,
-    Plan,
+    Placement,
+    PlanChanges,
     Prices,
     Start,
     State,
-    Step,
-    Word,
 )
 from .tasks import Pieces
 
@@ -63,14 +63,14 @@
     kinds = {
         "contract": Contract,
         "prices": Prices,
-        "load": Load,
+        "load": InteractiveLoad,
         "submit": Batch,
-        "plan": Plan,
-        "give": Give,
+        "plan": PlanChanges,
+        "give": Assignment,
         "start": Start,
-        "step": Step,
-        "late": Late,
-        "word": Word,
+        "step": Checkpoint,
+        "late": Expiry,
+        "word": OperatorDecision,
     }
 
     def __init__(self) -> None:
@@ -167,7 +167,7 @@
         announce_change(self.state_machine, context, "prices")
         return body.edition
 
-    def _apply_load(self, context: EntryContext, body: Load) -> int:
+    def _apply_load(self, context: EntryContext, body: InteractiveLoad) -> int:
         if not 0 <= body.hour < 24 or not 0 <= body.share <= 100:
             raise InvalidRequestError(f"hour {body.hour}, {body.share} per cent")
         hours = self.loads.setdefault(body.site, {})
@@ -209,7 +209,7 @@
             self.pieces.add(id, Piece(body.id, body.rpc, rpc.idempotent, cut))
         return len(body.cuts)
 
-    def _apply_plan(self, context: EntryContext, body: Plan) -> int:
+    def _apply_plan(self, context: EntryContext, body: PlanChanges) -> int:
         if body.base != self.version:
             raise InvalidRequestError(f"a change of plan {body.base}; {self.version} stands")
         accepted = 0
@@ -223,7 +223,7 @@
             self.version = context.index
         return accepted
 
-    def _is_allowed(self, context: EntryContext, piece: Piece, placing: Placing | None) -> bool:
+    def _is_allowed(self, context: EntryContext, piece: Piece, placing: Placement | None) -> bool:
         if placing is None:
             return piece.state is State.WAITING
         rpc, last_end = self.rpc(piece.rpc), 0
--- a/indigohitch/fleet/batches/plan.py
+++ b/indigohitch/fleet/batches/plan.py
@@ -203,7 +203,7 @@
             for slot in slots
         )
 
-    def looks(self) -> Iterator[bool]:
+    def improvement_steps(self) -> Iterator[bool]:
         """Improves the plan until nothing moves; yields after each attempt, as the caller budgets time."""
         for number in range(MAX_PASSES):
             moved, with_blockers, ranked = False, number >= SINGLE_PASSES, []
@@ -224,7 +224,7 @@
 
     def improve_and_replan(self) -> Iterator[bool]:
         """Does `looks`, then places few new tasks anew, highest power first; keeps the cheaper plan."""
-        yield from self.looks()
+        yield from self.improvement_steps()
         new = [task for id, task in self.tasks.items() if task.is_new and id in self.spots and not task.fixed]
         if not 1 < len(new) <= MAX_REPLANNED or len(self.spots) > MAX_PLAN_REPLANNED:
             return
@@ -236,7 +236,7 @@
                 self.assign(task, best[1])
         try:
             if all(task.id in self.spots for task in new):
-                yield from self.looks()
+                yield from self.improvement_steps()
         finally:
             if self.cost() >= cost or len(self.spots) < len(before):
                 for id in list(self.spots):
--- a/indigohitch/fleet/batches/rounds.py
+++ b/indigohitch/fleet/batches/rounds.py
@@ -9,7 +9,7 @@
 from .part import Batches
 from .placing import Field, Place, Spot, Task
 from .plan import DEAD_BAND, Plan
-from .rows import Piece, Placing, Site, State
+from .rows import Piece, Placement, Site, State
 
 # Work of a step, some ms of the leader's loop: pieces; attempts, of which there are more if pieces are few.
 PIECES_PER_STEP, ATTEMPTS_PER_STEP = 128, (2, 32)
@@ -41,7 +41,7 @@
         self.offered = offered or {}
         self.slot = part.contract.slot
         self.now = time // self.slot  # the current slot
-        self.before: dict[str, Placing | None] = {}  # placings before the round, by id
+        self.before: dict[str, Placement | None] = {}  # placings before the round, by id
         self.spots: dict[str, Spot | None] = {}  # before the round, by id
         self.plan: Plan | None = None
 
@@ -180,7 +180,7 @@
         yield from self.place_new(plan, new)
         yield from self.improve(plan)
 
-    def take(self) -> dict[str, Placing | None]:
+    def take(self) -> dict[str, Placement | None]:
         """Returns the next changes, at most as many as an entry holds, each once; empty after the last."""
         changes = self.collect_changes(self.plan)
         for id in changes:
@@ -211,9 +211,9 @@
             if count % attempts == 0:
                 yield
 
-    def collect_changes(self, plan: Plan) -> dict[str, Placing | None]:
+    def collect_changes(self, plan: Plan) -> dict[str, Placement | None]:
         """Returns the changes that are left, the earliest runs first, at most as many as an entry holds."""
-        changes: dict[str, Placing | None] = {}
+        changes: dict[str, Placement | None] = {}
         for id, before in self.before.items():
             spot, piece = plan.spots.get(id), self.part.pieces.all.get(id)
             if spot is not None and spot == self.spots[id] or piece is None or piece.placing is not before:
@@ -222,7 +222,7 @@
                 if before is not None and piece.state is State.WAITING and before.runs[-1][1] <= self.time:
                     changes[id] = None
                 continue
-            placing = Placing(*spot.place, self.runs_of(spot))
+            placing = Placement(*spot.place, self.runs_of(spot))
             if (
                 before is None
                 or (placing.site, placing.kind) != (before.site, before.kind)
@@ -244,7 +244,7 @@
                 found.append((begin, begin + self.slot))
         return tuple(found)
 
-    def remaining_runs(self, placing: Placing) -> list[tuple[int, int]]:
+    def remaining_runs(self, placing: Placement) -> list[tuple[int, int]]:
         """Returns the runs of a placing from the current slot on."""
         now = self.now * self.slot
         return [(max(begin, now), end) for begin, end in placing.runs if end > now]
--- a/indigohitch/fleet/batches/rows.py
+++ b/indigohitch/fleet/batches/rows.py
@@ -68,7 +68,7 @@
     sites: dict[str, dict[int, int]]  # by site: price by start
 
 
-class Load(Row, frozen=True):
+class InteractiveLoad(Row, frozen=True):
     """The share of a site's lanes that interactive RPCs use, in per cent, in an hour of the local day."""
 
     site: str
@@ -79,7 +79,7 @@
 # ---- batches -----------------------------------------------------------------------------------------
 
 
-class Cut(Row, frozen=True):
+class PieceSpec(Row, frozen=True):
     """A piece as its tenant submits it.
 
     It may run from `earliest` to `latest`; its `steps` RPCs, sent at an even pace, take `work` altogether.
@@ -97,7 +97,7 @@
     id: str
     tenant: str
     rpc: str  # name of a `BatchClass`
-    cuts: tuple[Cut, ...]
+    cuts: tuple[PieceSpec, ...]
 
 
 class State(enum.Enum):
@@ -115,7 +115,7 @@
 ENDED_STATES = (State.DONE, State.MISSED, State.DROPPED)
 
 
-class Placing(Row, frozen=True):
+class Placement(Row, frozen=True):
     """Where and when a piece is planned to run: `runs` are (begin, end), in order and disjoint."""
 
     site: str
@@ -133,10 +133,10 @@
     batch: str
     rpc: str
     idempotent: bool
-    cut: Cut
+    cut: PieceSpec
     state: State = State.WAITING
     step: int = 0
-    placing: Placing | None = None
+    placing: Placement | None = None
     version: int = 0  # index of the entry that planned it
     member: str = ""
     incarnation: int = 0
@@ -150,14 +150,14 @@
 # ---- plan, and entries of single pieces --------------------------------------------------------------
 
 
-class Plan(Row, frozen=True):
+class PlanChanges(Row, frozen=True):
     """Changes of the plan that entry `base` has made; None removes a piece from the plan."""
 
     base: int
-    changes: dict[str, Placing | None]
+    changes: dict[str, Placement | None]
 
 
-class Give(Row, frozen=True):
+class Assignment(Row, frozen=True):
     """Assigns a piece to a member."""
 
     piece: str
@@ -173,7 +173,7 @@
     stamp: Stamp
 
 
-class Step(Row, frozen=True):
+class Checkpoint(Row, frozen=True):
     """A checkpoint of a running piece: this number of steps are surely done.
 
     `end` is "" if it goes on, "rests" if the member gives the piece back, "done", or "unclear" if it is not
@@ -187,13 +187,13 @@
     why: str = ""
 
 
-class Late(Row, frozen=True):
+class Expiry(Row, frozen=True):
     """Ends pieces that have not started by their latest time."""
 
     pieces: tuple[str, ...]
 
 
-class Word(Row, frozen=True):
+class OperatorDecision(Row, frozen=True):
     """An operator's decision about an unclear piece.
 
     "from" continues with step `step`, as all before it ran and it did not; "done" and "drop" end the piece.
--- a/indigohitch/fleet/batches/runner.py
+++ b/indigohitch/fleet/batches/runner.py
@@ -15,7 +15,7 @@
 from ..interfaces import ActionRecorder, ProposalRequest
 from ..types import Lease, Stamp
 from .part import Batches
-from .rows import Piece, Start, State, Step
+from .rows import Checkpoint, Piece, Start, State
 
 # A checkpoint is due after each sixteenth of the work, but not more often than the minimum interval. So a
 # lost member costs a sixteenth of the work, and a member with eight pieces proposes at most four entries a
@@ -129,7 +129,7 @@
         self.send_next_step(now, id, run, piece)
         if now - run.checkpoint_at >= max(MIN_CHECKPOINT_INTERVAL, piece.cut.work // CHECKPOINTS_PER_PIECE):
             run.checkpoint_at = now  # also without progress, as the plan depends on it
-            return [ProposalRequest("batches.step", Step(id, run.attempt, run.step), f"step {id}")]
+            return [ProposalRequest("batches.step", Checkpoint(id, run.attempt, run.step), f"step {id}")]
         return []
 
     def active_runs(self) -> int:
@@ -162,7 +162,9 @@
         step = run.step if run.attempt == piece.attempt and run.attempt else piece.step
         return [
             ProposalRequest(
-                "batches.step", Step(id, piece.attempt, max(step, piece.step), end_kind, run.why), f"end {id}"
+                "batches.step",
+                Checkpoint(id, piece.attempt, max(step, piece.step), end_kind, run.why),
+                f"end {id}",
             )
         ]
 
--- a/indigohitch/fleet/batches/sending.py
+++ b/indigohitch/fleet/batches/sending.py
@@ -39,7 +39,7 @@
     return "unknown" if answer.status >= 500 else "refused", f"answered {answer.status}"
 
 
-def mark(stamp: Stamp) -> str:
+def format_stamp(stamp: Stamp) -> str:
     """Returns the stamp as servers and logs have it: member.incarnation.term.version.number."""
     return f"{stamp.member}.{stamp.incarnation}.{stamp.term}.{stamp.version}.{stamp.number}"
 
@@ -79,7 +79,7 @@
         path = rpc.path.replace("{piece}", piece).replace("{step}", str(step))
         data = (
             f"POST {path} HTTP/1.1\r\nHost: {client.host}\r\nX-Id: {piece}.{step}\r\n"
-            f"X-Stamp: {mark(stamp)}\r\nContent-Length: 0\r\n\r\n"
+            f"X-Stamp: {format_stamp(stamp)}\r\nContent-Length: 0\r\n\r\n"
         ).encode()
 
         def done(answer: HttpResponse) -> None:
--- a/indigohitch/fleet/batches/setup.py
+++ b/indigohitch/fleet/batches/setup.py
@@ -74,7 +74,7 @@
         self.log.event("prices_read", edition=self.list.edition, sites=sorted(self.list.sites))
 
 
-def work_of(
+def create_batches_work(
     loop: EventLoop,
     log: Log,
     text: FleetText,
--- a/indigohitch/fleet/batches/tasks.py
+++ b/indigohitch/fleet/batches/tasks.py
@@ -8,7 +8,7 @@
 
 from ...errors import InvalidRequestError
 from ..interfaces import EntryContext
-from .rows import ENDED_STATES, Give, Late, Piece, Start, State, Step, Word
+from .rows import ENDED_STATES, Assignment, Checkpoint, Expiry, OperatorDecision, Piece, Start, State
 
 
 class Pieces:
@@ -51,7 +51,7 @@
 
     # ---- entries -------------------------------------------------------------------------------------
 
-    def assign(self, context: EntryContext, body: Give) -> int:
+    def assign(self, context: EntryContext, body: Assignment) -> int:
         """Assigns a waiting, planned piece to a member; returns how often it was started before."""
         piece = self.get(body.piece)
         if piece.state is not State.WAITING or piece.placing is None:
@@ -77,7 +77,7 @@
         piece.progress_at = context.time
         return piece.step
 
-    def step(self, context: EntryContext, body: Step) -> int:
+    def step(self, context: EntryContext, body: Checkpoint) -> int:
         """Records a checkpoint or the end of a run; returns the number of steps that are done."""
         piece = self.get(body.piece)
         self.check_holder(context, body.piece, piece)
@@ -110,7 +110,7 @@
             )
         return piece.step
 
-    def expire(self, context: EntryContext, body: Late) -> int:
+    def expire(self, context: EntryContext, body: Expiry) -> int:
         """Ends pieces that have not started by their latest time; returns how many.
 
         A started piece is left alone: its holder ends it, or it ends with that member.
@@ -126,7 +126,7 @@
             self.free(id, self.all[id], State.MISSED, context)
         return len(expired)
 
-    def decide(self, context: EntryContext, body: Word) -> str:
+    def decide(self, context: EntryContext, body: OperatorDecision) -> str:
         """Applies an operator's decision; returns the value of the new state."""
         piece = self.get(body.piece)
         if piece.state is not State.UNCLEAR and not (body.word == "drop" and piece.state is State.WAITING):
--- a/indigohitch/fleet/node/admin_requests.py
+++ b/indigohitch/fleet/node/admin_requests.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from ...errors import InvalidRequestError, UnavailableError
-from ..batches.admin_requests import batch_of, word_of
+from ..batches.admin_requests import parse_batch, parse_decision
 from ..distribution.admin_requests import parse_entry
 from ..types import Outcome
 from .messages import MAX_BODY_BYTES
@@ -91,10 +91,10 @@
         self._submit(str(command.get("kind", argument)), msgspec.msgpack.encode(command.get("body", [])))
 
     def _submit_batch(self, argument: str, command: JsonObject) -> None:
-        self._submit("batches.submit", msgspec.msgpack.encode(batch_of(command.get("batch"))))
+        self._submit("batches.submit", msgspec.msgpack.encode(parse_batch(command.get("batch"))))
 
     def _control_piece(self, argument: str, command: JsonObject) -> None:
-        self._submit("batches.word", msgspec.msgpack.encode(word_of(argument)))
+        self._submit("batches.word", msgspec.msgpack.encode(parse_decision(argument)))
 
     def _distribute(self, argument: str, command: JsonObject) -> None:
         entry = parse_entry(argument, command.get("services"))
--- a/indigohitch/fleet/node/assembly.py
+++ b/indigohitch/fleet/node/assembly.py
@@ -17,7 +17,7 @@
 from ..audit.heads import Heads
 from ..audit.work import AuditWork
 from ..batches.part import Batches
-from ..batches.setup import work_of as batches_work
+from ..batches.setup import create_batches_work as batches_work
 from ..distribution.distributor_role import ConfirmedRead, DistributorRole
 from ..distribution.messages import Report
 from ..distribution.replicated_part import DistributionPart
--- a/tests/golden/fleet/write_story.py
+++ b/tests/golden/fleet/write_story.py
@@ -121,24 +121,26 @@
     story.put(
         "batches.prices", batches.Prices(edition=3, each=HOUR, sites={"north": {START: 17, START + HOUR: 18}})
     )
-    story.put("batches.load", batches.Load(site="north", hour=13, share=40))
-    cut = batches.Cut(earliest=START, latest=START + 4 * HOUR, work=HOUR, steps=5)
-    short = batches.Cut(earliest=START, latest=START + HOUR, work=HOUR // 2, steps=2)
+    story.put("batches.load", batches.InteractiveLoad(site="north", hour=13, share=40))
+    cut = batches.PieceSpec(earliest=START, latest=START + 4 * HOUR, work=HOUR, steps=5)
+    short = batches.PieceSpec(earliest=START, latest=START + HOUR, work=HOUR // 2, steps=2)
     story.put("batches.submit", batches.Batch(id="d-7", tenant="ta", rpc="dun", cuts=(cut,) * 4 + (short,)))
     story.put("batches.submit", batches.Batch(id="d-8", tenant="ta", rpc="unknown", cuts=(cut,)))
     runs = ((START + SECOND, START + HOUR), (START + 2 * HOUR, START + 3 * HOUR))
-    placing = batches.Placing(site="north", kind="gpu", runs=runs)
+    placing = batches.Placement(site="north", kind="gpu", runs=runs)
     changes = {f"d-7.{n}": placing for n in range(4)}
-    planned = story.put("batches.plan", batches.Plan(base=0, changes=changes))
-    story.put("batches.plan", batches.Plan(base=planned, changes={"d-7.3": None}))
+    planned = story.put("batches.plan", batches.PlanChanges(base=0, changes=changes))
+    story.put("batches.plan", batches.PlanChanges(base=planned, changes={"d-7.3": None}))
     for number, name in enumerate("abc"):
         piece = f"d-7.{number}"
-        story.put("batches.give", batches.Give(piece=piece, member=name, incarnation=1), "b")
+        story.put("batches.give", batches.Assignment(piece=piece, member=name, incarnation=1), "b")
         stamp = Stamp(member=name, incarnation=1, term=1, version=planned, number=number + 1)
         story.put("batches.start", batches.Start(piece=piece, attempt=1, stamp=stamp), name)
-        story.put("batches.step", batches.Step(piece=piece, attempt=1, step=2), name)
-    story.put("batches.step", batches.Step(piece="d-7.0", attempt=1, step=5, end="done"))
-    story.put("batches.step", batches.Step(piece="d-7.1", attempt=1, step=3, end="unclear", why="cut"), "b")
+        story.put("batches.step", batches.Checkpoint(piece=piece, attempt=1, step=2), name)
+    story.put("batches.step", batches.Checkpoint(piece="d-7.0", attempt=1, step=5, end="done"))
+    story.put(
+        "batches.step", batches.Checkpoint(piece="d-7.1", attempt=1, step=3, end="unclear", why="cut"), "b"
+    )
 
 
 def distributed(story: Story) -> None:
@@ -170,9 +172,9 @@
     story.put("members.shut_out", members.Evicted(name="c", incarnation=1, why="not heard of for a lease"))
     story.put("hours.tick", ClockTick(time=START + 2 * HOUR))
     story.put("members.gone", members.LeaseExpired(name="c", incarnation=1, when=START + HOUR))
-    story.put("batches.late", batches.Late(pieces=("d-7.4",)), "b")
-    story.put("batches.word", batches.Word(piece="d-7.1", word="from", step=3))
-    story.put("batches.word", batches.Word(piece="d-7.2", word="drop"))
+    story.put("batches.late", batches.Expiry(pieces=("d-7.4",)), "b")
+    story.put("batches.word", batches.OperatorDecision(piece="d-7.1", word="from", step=3))
+    story.put("batches.word", batches.OperatorDecision(piece="d-7.2", word="drop"))
     story.put("members.join", members.Join(name="c", token=99), "c?99", 99)
     story.agreed(("c", 2))
     story.put("seats.contract", seats.Contract(edition=2, terms=(seats.Terms(feature="geo", seats=3),)))
--- a/tests/test_batches_fleet.py
+++ b/tests/test_batches_fleet.py
@@ -15,7 +15,7 @@
     Batch,
     BatchClass,
     Contract,
-    Cut,
+    PieceSpec,
     Site,
     State,
 )
@@ -119,7 +119,7 @@
 def submit(world, batch, rpc, pieces, work=8 * SECOND, steps=16, seconds=120):
     now = START + world.t
     cuts = tuple(
-        Cut(
+        PieceSpec(
             now + world.rng.randrange(20) * SECOND,
             now + (seconds + world.rng.randrange(60)) * SECOND,
             work,
--- a/tests/test_batches_input_and_overload.py
+++ b/tests/test_batches_input_and_overload.py
@@ -5,9 +5,9 @@
 from indigohitch.config import operator_file, sidecar_file
 from indigohitch.config.lines import ConfigError
 from indigohitch.errors import InvalidRequestError
-from indigohitch.fleet.batches.admin_requests import batch_of, contract_of, word_of
+from indigohitch.fleet.batches.admin_requests import contract_of, parse_batch, parse_decision
 from indigohitch.fleet.batches.overload import OverloadDetector
-from indigohitch.fleet.batches.rows import Word
+from indigohitch.fleet.batches.rows import OperatorDecision
 from indigohitch.fleet.batches.sending import outcome
 from indigohitch.fleet.batches.setup import PriceFile
 from indigohitch.log import Log
@@ -100,7 +100,7 @@
 
 
 def test_requests_for_batches_and_decisions_are_parsed_and_checked():
-    (cut,) = batch_of(BATCH).cuts
+    (cut,) = parse_batch(BATCH).cuts
     assert (cut.latest - cut.earliest, cut.work, cut.steps) == (12 * 36_000_000, 24_000_000, 200)
     for invalid in (
         None,
@@ -114,12 +114,14 @@
         ),
     ):
         with pytest.raises(InvalidRequestError) as raised:
-            batch_of(invalid)
+            parse_batch(invalid)
         assert "dunning-7" in raised.value.remedy
-    assert word_of("b.1 from 8") == Word("b.1", "from", 8) and word_of("b.1 done") == Word("b.1", "done")
+    assert parse_decision("b.1 from 8") == OperatorDecision("b.1", "from", 8) and parse_decision(
+        "b.1 done"
+    ) == OperatorDecision("b.1", "done")
     for invalid in ("", "b.1", "b.1 from", "b.1 from x", "b.1 again"):
         with pytest.raises(InvalidRequestError):
-            word_of(invalid)
+            parse_decision(invalid)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_batches_pieces.py
+++ b/tests/test_batches_pieces.py
@@ -6,19 +6,19 @@
 from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.batches.part import Batches
 from indigohitch.fleet.batches.rows import (
+    Assignment,
     Batch,
     BatchClass,
+    Checkpoint,
     Contract,
-    Cut,
-    Give,
-    Placing,
+    OperatorDecision,
+    PieceSpec,
+    Placement,
     Site,
     Start,
     State,
-    Step,
-    Word,
 )
-from indigohitch.fleet.batches.rows import Plan as PlanBody
+from indigohitch.fleet.batches.rows import PlanChanges as PlanBody
 from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.fleet.types import Stamp
 
@@ -35,14 +35,14 @@
 def state_machine_with(idempotent=False, steps=4):
     part = Batches()
     part.apply(EntryContext(1, 1, 10, "a", 1), "contract", CONTRACT)
-    cut = Cut(NOW, NOW + 100 * SECOND, 8 * SECOND, steps)
+    cut = PieceSpec(NOW, NOW + 100 * SECOND, 8 * SECOND, steps)
     rpc = "report" if idempotent else "dunning"
     part.apply(EntryContext(2, 1, NOW, "a", 1), "submit", Batch("x", "whk", rpc, (cut,)))
     piece = part.pieces.all["x.0"]
-    piece.placing = Placing("eros", "std", ((NOW, NOW + 20 * SECOND),))
-    part.apply(EntryContext(3, 1, NOW, "a", 1), "give", Give("x.0", "m", 5))
+    piece.placing = Placement("eros", "std", ((NOW, NOW + 20 * SECOND),))
+    part.apply(EntryContext(3, 1, NOW, "a", 1), "give", Assignment("x.0", "m", 5))
     part.apply(EntryContext(4, 1, NOW, "m", 5), "start", Start("x.0", 1, Stamp("m", 5, 1, 3, 1)))
-    part.apply(EntryContext(5, 1, NOW, "m", 5), "step", Step("x.0", 1, 2))
+    part.apply(EntryContext(5, 1, NOW, "m", 5), "step", Checkpoint("x.0", 1, 2))
     return part, piece
 
 
@@ -50,8 +50,8 @@
     part, piece = state_machine_with()
     for proposer in (("m", 4), ("m", 6), ("n", 5)):
         with pytest.raises(InvalidRequestError):
-            part.apply(EntryContext(6, 1, NOW, *proposer), "step", Step("x.0", 1, 4, "done"))
-    part.apply(EntryContext(6, 1, NOW, "m", 5), "step", Step("x.0", 1, 2, "rests"))
+            part.apply(EntryContext(6, 1, NOW, *proposer), "step", Checkpoint("x.0", 1, 4, "done"))
+    part.apply(EntryContext(6, 1, NOW, "m", 5), "step", Checkpoint("x.0", 1, 2, "rests"))
     with pytest.raises(InvalidRequestError):  # a late start of a piece that was given back
         part.apply(EntryContext(7, 1, NOW, "m", 5), "start", Start("x.0", 2, Stamp("m", 5, 1, 3, 2)))
 
@@ -60,8 +60,8 @@
     part, piece = state_machine_with(idempotent=True)
     part.on_member_lease_expired(EntryContext(6, 1, NOW, "", 0), "m", 5)
     with pytest.raises(InvalidRequestError, match="gone"):
-        part.apply(EntryContext(7, 1, NOW, "a", 1), "give", Give("x.0", "m", 5))
-    part.apply(EntryContext(8, 1, NOW, "a", 1), "give", Give("x.0", "m", 6))
+        part.apply(EntryContext(7, 1, NOW, "a", 1), "give", Assignment("x.0", "m", 5))
+    part.apply(EntryContext(8, 1, NOW, "a", 1), "give", Assignment("x.0", "m", 6))
 
 
 def test_a_piece_of_a_lost_member_continues_from_its_checkpoint_or_is_unclear():
@@ -72,9 +72,11 @@
     part.on_member_lease_expired(EntryContext(6, 1, NOW, "", 0), "m", 5)
     assert piece.state is State.UNCLEAR and "lost" in piece.why
     with pytest.raises(InvalidRequestError):
-        part.apply(EntryContext(7, 1, NOW, "m", 5), "step", Step("x.0", 1, 4, "done"))  # from a former holder
+        part.apply(
+            EntryContext(7, 1, NOW, "m", 5), "step", Checkpoint("x.0", 1, 4, "done")
+        )  # from a former holder
     with pytest.raises(InvalidRequestError):
-        part.apply(EntryContext(7, 1, NOW, "a", 1), "give", Give("x.0", "n", 6))
+        part.apply(EntryContext(7, 1, NOW, "a", 1), "give", Assignment("x.0", "n", 6))
 
 
 @pytest.mark.parametrize(
@@ -92,10 +94,10 @@
     part.on_member_lease_expired(EntryContext(6, 1, NOW, "", 0), "m", 5)
     if state is None:
         with pytest.raises(InvalidRequestError) as raised:
-            part.apply(EntryContext(7, 1, NOW, "op", 1), "word", Word("x.0", word, step))
+            part.apply(EntryContext(7, 1, NOW, "op", 1), "word", OperatorDecision("x.0", word, step))
         assert raised.value.remedy and piece.state is State.UNCLEAR
         return
-    part.apply(EntryContext(7, 1, NOW, "op", 1), "word", Word("x.0", word, step))
+    part.apply(EntryContext(7, 1, NOW, "op", 1), "word", OperatorDecision("x.0", word, step))
     assert piece.state is state and (piece.step == 3) == (word == "from")
 
 
@@ -121,9 +123,11 @@
 def test_a_plan_with_invalid_runs_or_an_old_base_is_not_applied(runs, kind, base):
     part = Batches()
     part.apply(EntryContext(1, 1, 10, "a", 1), "contract", CONTRACT)
-    cut = Cut(NOW, NOW + 100 * SECOND, 8 * SECOND, 4)
+    cut = PieceSpec(NOW, NOW + 100 * SECOND, 8 * SECOND, 4)
     part.apply(EntryContext(2, 1, NOW, "a", 1), "submit", Batch("x", "whk", "report", (cut,)))
-    placing = Placing("eros", kind, tuple((NOW + begin * SECOND, NOW + end * SECOND) for begin, end in runs))
+    placing = Placement(
+        "eros", kind, tuple((NOW + begin * SECOND, NOW + end * SECOND) for begin, end in runs)
+    )
     try:
         assert part.apply(EntryContext(3, 1, NOW, "a", 1), "plan", PlanBody(base, {"x.0": placing})) == 0
     except InvalidRequestError:
--- a/tests/test_batches_plan.py
+++ b/tests/test_batches_plan.py
@@ -73,7 +73,7 @@
     plan.at_once(tasks)
     check_rules(values, plan)
     cost, placed = plan.cost(), len(plan.spots)
-    for _ in plan.looks():
+    for _ in plan.improvement_steps():
         check_rules(values, plan)
         assert len(plan.spots) > placed or plan.cost() <= cost
         cost, placed = plan.cost(), len(plan.spots)
--- a/tests/test_golden_fleet_rows.py
+++ b/tests/test_golden_fleet_rows.py
@@ -9,7 +9,7 @@
 
 from indigohitch.fleet.audit.chain import root
 from indigohitch.fleet.audit.files import KINDS, chains, frames, read
-from indigohitch.fleet.batches.sending import mark
+from indigohitch.fleet.batches.sending import format_stamp
 from indigohitch.fleet.node.assembly import parts
 from indigohitch.fleet.types import Stamp
 
@@ -45,7 +45,7 @@
 
 
 def test_a_stamp_has_the_form_that_servers_and_logs_record():
-    assert mark(Stamp("a", 4, 2, 300, 7)) == "a.4.2.300.7"
+    assert format_stamp(Stamp("a", 4, 2, 300, 7)) == "a.4.2.300.7"
 
 
 def test_chains_of_actions_are_decoded_and_encoded_again(tmp_path):
