--- a/benchmarks/capacitykit/audit_cell.py
+++ b/benchmarks/capacitykit/audit_cell.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from indigohitch.fleet.audit.acts import ActionChain
+from indigohitch.fleet.audit.action_chain import ActionChain
 from indigohitch.fleet.audit.check import check
-from indigohitch.fleet.audit.files import Store, read
-from indigohitch.fleet.audit.heads import Facts, Head, Heads, Kept
+from indigohitch.fleet.audit.files import ChainStore, read_chains
+from indigohitch.fleet.audit.heads import AuditState, Head, Heads, KnownIncarnation
 from indigohitch.fleet.membership.roster import Roster
 from indigohitch.fleet.state_machine import ReplicatedStateMachine
 from indigohitch.fleet.types import Lease, LogEntry
@@ -26,7 +26,7 @@
     """Written without waiting for the disk, as acts are between two beats."""
     with tempfile.TemporaryDirectory(prefix="bench-capacity-") as folder:
         memory, state_machine = Memory(), ReplicatedStateMachine([Roster()])
-        acts = ActionChain("member", lambda now: Lease(1, FAR), state_machine, Store(folder), print)
+        acts = ActionChain("member", lambda now: Lease(1, FAR), state_machine, ChainStore(folder), print)
 
         def act() -> None:
             for number in range(records):
@@ -37,10 +37,10 @@
         acts.close()
         size = sum(path.stat().st_size for path in Path(folder).iterdir())
         memory = Memory()
-        read_ms, (chains, troubles) = processor_ms(lambda: read(folder))
-        kept = Kept(1, records, acts.chain.head)
+        read_ms, (chains, troubles) = processor_ms(lambda: read_chains(folder))
+        kept = KnownIncarnation(1, records, acts.chain.head)
         check_ms, findings = processor_ms(
-            lambda: check({"member": chains}, Facts({"member": [kept]}, [], []))
+            lambda: check({"member": chains}, AuditState({"member": [kept]}, [], []))
         )
         if troubles or findings:
             raise RuntimeError(f"the records measured are not whole: {troubles[:1]} {findings[:1]}")
--- a/benchmarks/seats.py
+++ b/benchmarks/seats.py
@@ -18,8 +18,8 @@
 
 from seats_model import SEATS, SETTINGS, Model  # noqa: E402
 
-from indigohitch.fleet.audit.acts import ActionChain  # noqa: E402
-from indigohitch.fleet.audit.files import Store  # noqa: E402
+from indigohitch.fleet.audit.action_chain import ActionChain  # noqa: E402
+from indigohitch.fleet.audit.files import ChainStore  # noqa: E402
 from indigohitch.fleet.interfaces import EntryContext  # noqa: E402
 from indigohitch.fleet.membership.roster import Roster  # noqa: E402
 from indigohitch.fleet.seats.allocator import SeatAllocator  # noqa: E402
@@ -45,7 +45,7 @@
     """With 64 seats, of which half are out."""
     part = Seats()
     state_machine = ReplicatedStateMachine([Roster(), part])
-    acts = acts or ActionChain("a", lambda now: Lease(1, FAR), state_machine, Store(folder), print)
+    acts = acts or ActionChain("a", lambda now: Lease(1, FAR), state_machine, ChainStore(folder), print)
     part.apply(EntryContext(1, 1, 0, "a", 1), "contract", Contract(1, (Terms("geo", 64),)))
     part.apply(EntryContext(2, 1, 0, "a", 1), "grant", Grant("geo", "", "a", 1, 64))
     found = SeatAllocator("a", part, acts, lambda now: 0, SETTINGS)
--- a/indigohitch/coordinator.py
+++ b/indigohitch/coordinator.py
@@ -73,9 +73,9 @@
             self.subscribed_backends if subscribes else None,
         )
         if self.fleet is not None and not subscribes:
-            from .fleet.audit.orders import stamped
+            from .fleet.audit.relay_orders import order_recorder
 
-            front.relay.is_allowed = stamped(self.clock, lambda: self.companion.node)
+            front.relay.is_allowed = order_recorder(self.clock, lambda: self.companion.node)
         return front
 
     def turn(self) -> None:
--- a/indigohitch/fleet/audit/acts.py
+++ b/indigohitch/fleet/audit/action_chain.py
@@ -12,7 +12,7 @@
 from ..state_machine import ReplicatedStateMachine
 from ..types import Lease, Stamp
 from .chain import Chain
-from .files import Store
+from .files import ChainStore
 
 # Kinds of actions whose record is synced to the disk before the action is taken, so that it survives a loss
 # of power: no lease bounds their effects.  A piece of a batch that was started may have run, and the log must
@@ -30,10 +30,10 @@
         member: str,
         lease: Callable[[int], Lease | None],
         state_machine: ReplicatedStateMachine,
-        store: Store,
+        store: ChainStore,
         report_error: Callable[[UnavailableError], None],
         durable_kinds: frozenset[str] = DURABLE_KINDS,
-        when: Callable[[int], int] = lambda now: now,
+        fleet_time: Callable[[int], int] = lambda now: now,
     ) -> None:
         """Creates an empty chain, which starts with the first action.
 
@@ -47,7 +47,7 @@
         self.store = store
         self.report_error = report_error
         self.durable_kinds = durable_kinds
-        self.fleet_time = when
+        self.fleet_time = fleet_time
         self.chain: Chain | None = None
         self.synced_head: tuple[int, int, bytes] | None = None  # `head()` when it was last synced to the disk
         self.counts: Counter[str] = Counter()  # by kind of action; also `refused` and `unwritten`
@@ -131,7 +131,7 @@
             elif self.synced_head is None or target[:2] > self.synced_head[:2]:
                 self.synced_head = target
 
-        self.store.sync_soon(done)
+        self.store.start_sync(done)
 
     def _report_sync_error(self, error: OSError) -> None:
         self.report_error(
--- a/indigohitch/fleet/audit/chain.py
+++ b/indigohitch/fleet/audit/chain.py
@@ -17,7 +17,7 @@
 class Record(Row, frozen=True):
     """One action of a member."""
 
-    before: bytes  # digest of the record before; in the first record that of member and incarnation
+    previous_digest: bytes  # digest of the record before; in the first record that of member and incarnation
     stamp: Stamp
     kind: str  # such as `seats.given`
     about: bytes  # what the action is about, encoded as its kind defines
@@ -29,7 +29,7 @@
         return digest(msgspec.msgpack.encode(self), SALT)
 
 
-def root(member: str, incarnation: int) -> bytes:
+def root_digest(member: str, incarnation: int) -> bytes:
     """Returns the digest that the first record of a chain holds; it differs for each chain."""
     return digest(f"{member} {incarnation}".encode(), SALT)
 
@@ -41,7 +41,7 @@
         self.member = member
         self.incarnation = incarnation
         self.number = 0
-        self.head = root(member, incarnation)
+        self.head = root_digest(member, incarnation)
 
     def make_record(self, term: int, version: int, kind: str, about: bytes, at: int, left: int) -> Record:
         """Returns the record of the next action; the caller writes it, then passes it to `append`."""
--- a/indigohitch/fleet/audit/check.py
+++ b/indigohitch/fleet/audit/check.py
@@ -6,8 +6,8 @@
 
 from ...encoding.rows import Row
 from ...net.clock import SECOND
-from .chain import Record, root
-from .heads import Facts, Kept
+from .chain import Record, root_digest
+from .heads import AuditState, KnownIncarnation
 
 # Largest difference of two members' estimates of fleet time at one instant, as fleet time is slewed.  An
 # action that seems later than the end of its member's lease by less than that proves nothing (docs/audit.md).
@@ -42,14 +42,16 @@
 Records = Mapping[str, Mapping[int, Sequence[Record]]]  # by member and incarnation, in the order of the files
 
 
-def check(records: Records, facts: Facts, max_time_difference: int = MAX_TIME_DIFFERENCE) -> list[Finding]:
+def check(
+    records: Records, facts: AuditState, max_time_difference: int = MAX_TIME_DIFFERENCE
+) -> list[Finding]:
     """Returns all violations by member, incarnation and number, then the contradictions between heads.
 
     Incarnations older than the oldest one that the replicated state still knows are not checked.
     """
     found: list[Finding] = []
-    for member in sorted(records.keys() | facts.kept.keys()):
-        incarnations = {one.incarnation: one for one in facts.kept.get(member, ())}
+    for member in sorted(records.keys() | facts.incarnations.keys()):
+        incarnations = {one.incarnation: one for one in facts.incarnations.get(member, ())}
         chains = records.get(member, {})
         oldest = min(incarnations, default=0)
         for incarnation in sorted(one for one in chains.keys() | incarnations.keys() if one >= oldest):
@@ -95,7 +97,7 @@
 class ChainChecker:
     """Checks the chain of one incarnation, record by record."""
 
-    def __init__(self, member: str, incarnation: int, known: Kept | None) -> None:
+    def __init__(self, member: str, incarnation: int, known: KnownIncarnation | None) -> None:
         """Starts before the first record; `known`: what the replicated state knows of the incarnation."""
         self.member = member
         self.incarnation = incarnation
@@ -125,7 +127,9 @@
             yield self.finding("doubled", stamp.number, "comes twice")
         elif stamp.number < before:
             yield self.finding("order", stamp.number, f"comes after {before}")
-        elif record.before != (last.digest() if last else root(self.member, self.incarnation)):
+        elif record.previous_digest != (
+            last.digest() if last else root_digest(self.member, self.incarnation)
+        ):
             yield self.finding("changed", before or 1, "its digest isn't what the next record holds")
         if last is not None and (stamp.term, stamp.version) < (last.stamp.term, last.stamp.version):
             yield self.finding(
@@ -145,7 +149,9 @@
 class IncarnationChecker(ChainChecker):
     """Checks all records of one incarnation: their chain, and whether each action was allowed."""
 
-    def __init__(self, member: str, incarnation: int, chain: Sequence[Record], known: Kept | None) -> None:
+    def __init__(
+        self, member: str, incarnation: int, chain: Sequence[Record], known: KnownIncarnation | None
+    ) -> None:
         """Takes all records of the incarnation in the order in which the files hold them."""
         super().__init__(member, incarnation, known)
         self.chain = chain
@@ -156,11 +162,11 @@
             yield from self.check_next(record)
         yield from self.check_end()
 
-    def check_actions(self, facts: Facts, max_time_difference: int) -> Iterator[Finding]:
+    def check_actions(self, facts: AuditState, max_time_difference: int) -> Iterator[Finding]:
         """Yields a finding for each action that its member was not allowed to take."""
         if self.chain and self.known is None:
             yield self.finding("unknown", 1, "the ledger knows nothing of this incarnation")
-        known = self.known or Kept(self.incarnation)
+        known = self.known or KnownIncarnation(self.incarnation)
         bounds = [
             (actions, change.version)
             for change in facts.converged_changes
@@ -171,7 +177,7 @@
             stamp = record.stamp
             if record.left <= 0:
                 yield self.finding("no_lease", stamp.number, "its lease had run out")
-            if any(0 < end <= stamp.version for end in (known.evicted_index, known.gone)):
+            if any(0 < end <= stamp.version for end in (known.evicted_index, known.lease_ended_index)):
                 yield self.finding("after_gone", stamp.number, "it knew that it was shut out")
             elif known.lease_ended_at and record.at > known.lease_ended_at + max_time_difference:
                 yield self.finding(
--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -19,27 +19,27 @@
 FILENAME = re.compile(r"chain-(\d+)-(\d+)$")
 
 
-class Store:
+class ChainStore:
     """The chain files of a member; the files of an incarnation are only written by one process."""
 
     def __init__(
         self,
         folder: str | os.PathLike,
-        file: int = MAX_FILE_BYTES,
-        files: int = MAX_FILES,
-        begun: Callable[[], WorkerThread] | None = None,
+        max_file_bytes: int = MAX_FILE_BYTES,
+        max_files: int = MAX_FILES,
+        start_worker: Callable[[], WorkerThread] | None = None,
     ) -> None:
         """Touches no file yet: another process may still own this member's disk.
 
         The limits are the size of a file in bytes and the number of files kept.  If no function is given that
         makes a worker thread for fsync, the caller waits for the disk itself.
         """
-        self.start_worker, self.worker, self.is_syncing = begun, None, False
-        self.folder, self.max_bytes, self.max_files = Path(folder), file, files
+        self.start_worker, self.worker, self.is_syncing = start_worker, None, False
+        self.folder, self.max_bytes, self.max_files = Path(folder), max_file_bytes, max_files
         self.fd, self.size, self.incarnation = -1, 0, 0
         self.last_number = 0  # of the records of this chain
         self.unsynced: list[bytes] = []  # frames that may not be on the disk
-        self.cut = -1  # bytes of torn tails that were cut; -1: not looked at yet
+        self.torn_bytes_cut = -1  # bytes of torn tails that were cut; -1: not looked at yet
 
     def _cut_torn_tails(self) -> int:
         """Cuts torn tails, left by processes that died in the last file of an incarnation; returns the bytes.
@@ -48,10 +48,10 @@
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         cut = 0
-        last = {incarnation: path for (incarnation, _), path in chains(self.folder)}
+        last = {incarnation: path for (incarnation, _), path in chain_files(self.folder)}
         for path in last.values():
             data = path.read_bytes()
-            _, end, spoilt = frames(data)
+            _, end, spoilt = decode_records(data)
             if end < len(data) and not spoilt:
                 os.truncate(path, end)
                 cut += len(data) - end
@@ -93,8 +93,8 @@
 
     def _start_file(self, incarnation: int, number: int) -> None:
         self._close_file()
-        if self.cut < 0:
-            self.cut = self._cut_torn_tails()
+        if self.torn_bytes_cut < 0:
+            self.torn_bytes_cut = self._cut_torn_tails()
         path = self.folder / f"chain-{incarnation}-{number}"
         self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
         self.size, self.incarnation = 0, incarnation
@@ -120,7 +120,7 @@
             raise
         self.unsynced.clear()
 
-    def sync_soon(self, done: Callable[[OSError | None], None]) -> None:
+    def start_sync(self, done: Callable[[OSError | None], None]) -> None:
         """Starts to sync all records in the worker thread, unless it is syncing; calls `done` at the end."""
         if self.is_syncing:
             return
@@ -164,20 +164,22 @@
             os.close(self.fd)
             self.fd = -1
 
-    def wanted(self) -> tuple[int, int]:
+    def retained_range(self) -> tuple[int, int]:
         """Returns the first record of this chain and the oldest incarnation to keep; for a head."""
-        (oldest, first), _ = (chains(self.folder)[-self.max_files :] or [((self.incarnation, 1), None)])[0]
+        (oldest, first), _ = (chain_files(self.folder)[-self.max_files :] or [((self.incarnation, 1), None)])[
+            0
+        ]
         return (first if oldest == self.incarnation else 1), oldest
 
-    def give_up(self, first: int, oldest: int) -> None:
+    def delete_released(self, first: int, oldest: int) -> None:
         """Deletes files before these limits, once the replicated state has a head with the limits."""
-        listed = chains(self.folder)
+        listed = chain_files(self.folder)
         for position, ((incarnation, _), path) in enumerate(listed[: -self.max_files]):
             end = listed[position + 1][0]
             if incarnation < oldest or incarnation == self.incarnation and end <= (incarnation, first):
                 path.unlink()
 
-    def keep(self, name: str, data: bytes) -> None:
+    def save_evidence(self, name: str, data: bytes) -> None:
         """Writes the file `evidence-<name>` atomically, unless it exists; raises OSError."""
         self.folder.mkdir(parents=True, exist_ok=True)
         path = self.folder / f"evidence-{name}"
@@ -185,14 +187,14 @@
             write_atomically(str(path), data)
 
 
-def chains(folder: Path) -> list[tuple[tuple[int, int], Path]]:
+def chain_files(folder: Path) -> list[tuple[tuple[int, int], Path]]:
     """Returns incarnation and first number of each chain file, in this order, with its path."""
     return sorted(
         ((int(m[1]), int(m[2])), path) for path in folder.glob("chain-*") if (m := FILENAME.search(path.name))
     )
 
 
-def frames(data: bytes) -> tuple[list[Record], int, str]:
+def decode_records(data: bytes) -> tuple[list[Record], int, str]:
     """Decodes records; returns them, the end of the last whole one, and what is damaged there.
 
     The last is "" if all was decoded, or if the rest is a frame whose write was not completed.
@@ -231,12 +233,12 @@
     return False
 
 
-def read(folder: str | os.PathLike) -> tuple[dict[int, list[Record]], list[InvalidDataError]]:
+def read_chains(folder: str | os.PathLike) -> tuple[dict[int, list[Record]], list[InvalidDataError]]:
     """Returns the chains by incarnation, and an error for each file damaged in the middle; raises OSError."""
     found: dict[int, list[Record]] = {}
     errors = []
-    for (incarnation, first), path in chains(Path(folder)):
-        records, end, spoilt = frames(path.read_bytes())  # up to the damage
+    for (incarnation, first), path in chain_files(Path(folder)):
+        records, end, spoilt = decode_records(path.read_bytes())  # up to the damage
         chain = found.setdefault(incarnation, [])
         while chain and chain[-1].stamp.number >= first:
             chain.pop()  # this file replaces them, as an fsync of the one before had failed
--- a/indigohitch/fleet/audit/folders.py
+++ b/indigohitch/fleet/audit/folders.py
@@ -9,11 +9,11 @@
 from ...errors import InvalidDataError
 from . import files
 from .check import Finding, Records, VersionActivity, activity_by_version, check
-from .heads import Facts
+from .heads import AuditState
 
 
 @dataclass(slots=True)
-class Audited:
+class AuditResult:
     """Result of an audit of all members."""
 
     findings: list[Finding]
@@ -21,7 +21,7 @@
     activity: list[VersionActivity]
     acts: dict[str, int] = field(default_factory=dict)  # number of recorded actions by member
 
-    def against(self, member: str) -> bool:
+    def has_findings(self, member: str) -> bool:
         """Returns whether there is any finding about a member, or anything unreadable in its files."""
         return any(one.member == member for one in self.findings) or any(
             name == member for name, _ in self.unread
@@ -42,19 +42,19 @@
     records = {}
     unread = []
     for member, folder in sorted(folders.items()):
-        records[member], errors = files.read(folder)
+        records[member], errors = files.read_chains(folder)
         unread += [(member, error) for error in errors]
     return records, unread
 
 
-def audited(folders: Mapping[str, str | os.PathLike], facts: Facts) -> Audited:
+def audit_folders(folders: Mapping[str, str | os.PathLike], facts: AuditState) -> AuditResult:
     """Checks the folders of all members; raises OSError.
 
     `facts` is the part `audit` of any member's replicated state.  It has to be taken before this call, so
     that actions recorded meanwhile don't count as violations.
     """
     records, unread = read_folders(folders)
-    return Audited(
+    return AuditResult(
         check(records, facts),
         unread,
         activity_by_version(records),
--- a/indigohitch/fleet/audit/heads.py
+++ b/indigohitch/fleet/audit/heads.py
@@ -34,7 +34,7 @@
     oldest: int = 0  # oldest incarnation of which any record is kept
 
 
-class Kept(Row):
+class KnownIncarnation(Row):
     """What is known of one incarnation: its last head, and the log entries of its end (0: not yet)."""
 
     incarnation: int
@@ -42,7 +42,7 @@
     digest: bytes = b""
     first: int = 1  # number of the first record that the folder must still hold
     evicted_index: int = 0  # of the log entry that evicted it
-    gone: int = 0  # index of the log entry that ended its lease
+    lease_ended_index: int = 0  # index of the log entry that ended its lease
     lease_ended_at: int = 0  # fleet time by which its lease had run out, by the leader's clock
 
 
@@ -56,10 +56,10 @@
     ]  # members and their action counts, as in membership.entries.InForce
 
 
-class Facts(Row):
+class AuditState(Row):
     """The state of this part, for check.py and for snapshots."""
 
-    kept: dict[str, list[Kept]]  # by member; incarnations in order
+    incarnations: dict[str, list[KnownIncarnation]]  # by member; incarnations in order
     converged_changes: list[ConvergedChange]
     contradictions: list[tuple[Head, Head]]  # the known head, and a later one that contradicts it
     format_version: int = FORMAT_VERSION
@@ -73,15 +73,15 @@
     state_machine: ReplicatedStateMachine
 
     def __init__(self) -> None:
-        self.facts = Facts({}, [], [])
+        self.facts = AuditState({}, [], [])
 
-    def find_or_add(self, name: str, incarnation: int) -> Kept:
+    def find_or_add(self, name: str, incarnation: int) -> KnownIncarnation:
         """Returns what is known of an incarnation, adding a new one; drops the oldest beyond a limit."""
-        incarnations = self.facts.kept.setdefault(name, [])
+        incarnations = self.facts.incarnations.setdefault(name, [])
         for known in reversed(incarnations):
             if known.incarnation == incarnation:
                 return known
-        incarnations.append(Kept(incarnation))
+        incarnations.append(KnownIncarnation(incarnation))
         incarnations.sort(key=lambda known: known.incarnation)
         del incarnations[:-MAX_HISTORY]
         return incarnations[-1]
@@ -96,14 +96,14 @@
         if (at.proposer, at.incarnation) != (head.member, head.incarnation):
             raise InvalidRequestError("a head is told by its own member")
         known = self.find_or_add(head.member, head.incarnation)
-        if known.gone:
+        if known.lease_ended_index:
             raise InvalidRequestError(f"{head.member} {head.incarnation} is gone")
         if head.number > known.number:
             known.number = head.number
             known.digest = head.digest
             known.first = max(known.first, head.first)
-            self.facts.kept[head.member] = [
-                one for one in self.facts.kept[head.member] if one.incarnation >= head.oldest
+            self.facts.incarnations[head.member] = [
+                one for one in self.facts.incarnations[head.member] if one.incarnation >= head.oldest
             ]
             return ""
         if head.number == known.number and head.digest == known.digest:
@@ -127,7 +127,7 @@
     def on_member_lease_ended(self, at: EntryContext, name: str, incarnation: int, when: int) -> None:
         """Stores that the lease had run out by fleet time `when`; further heads are rejected."""
         known = self.find_or_add(name, incarnation)
-        known.gone = at.index
+        known.lease_ended_index = at.index
         known.lease_ended_at = when
 
     def on_change_converged(
@@ -137,13 +137,13 @@
         self.facts.converged_changes.append(ConvergedChange(version, at.index, taken))
         del self.facts.converged_changes[:-MAX_HISTORY]
 
-    def row(self) -> Facts:
+    def row(self) -> AuditState:
         """Returns the state for a snapshot."""
         return self.facts
 
     def restore(self, row: bytes) -> None:
         """Restores the state from a snapshot; raises InvalidDataError if it can't be decoded."""
         try:
-            self.facts = msgspec.msgpack.decode(row, type=Facts)
+            self.facts = msgspec.msgpack.decode(row, type=AuditState)
         except msgspec.MsgspecError as error:
             raise InvalidDataError(f"invalid snapshot of the part `audit`: {error}") from None
--- a/indigohitch/fleet/audit/orders.py
+++ b/indigohitch/fleet/audit/relay_orders.py
@@ -18,12 +18,12 @@
 KIND = "relay.orders"
 
 
-def about(orders: str) -> bytes:
+def order_digest(orders: str) -> bytes:
     """Returns the digest of a call's orders, as encoded for the relay, for the field `about` of a record."""
     return digest(orders.encode())
 
 
-def stamped(clock: Clock, node: Callable[[], Node | None]) -> Callable[[str], bool]:
+def order_recorder(clock: Clock, node: Callable[[], Node | None]) -> Callable[[str], bool]:
     """Returns a function for `Relay.is_allowed`: it records a call, and returns whether it may be sent.
 
     `node()` returns the node of this process, or None before there is one; then no call may be sent.
@@ -32,7 +32,8 @@
     def is_allowed(orders: str) -> bool:
         current = node()
         return (
-            current is not None and current.assembly.acts.stamp(clock.now(), KIND, about(orders)) is not None
+            current is not None
+            and current.assembly.acts.stamp(clock.now(), KIND, order_digest(orders)) is not None
         )
 
     return is_allowed
--- a/indigohitch/fleet/audit/scrub.py
+++ b/indigohitch/fleet/audit/scrub.py
@@ -10,8 +10,8 @@
 
 from ...net.clock import SECOND
 from .check import ChainChecker, Finding
-from .files import Store, chains, frames
-from .heads import Facts, Kept
+from .files import ChainStore, chain_files, decode_records
+from .heads import AuditState, KnownIncarnation
 
 # Read at each turn: some 300 records, 2 ms.  All files of a folder take some minutes.
 CHUNK_BYTES = 64 << 10
@@ -22,7 +22,7 @@
 class Scrubber:
     """Reads the files of one member in rounds."""
 
-    def __init__(self, member: str, store: Store, facts: Callable[[], Facts]) -> None:
+    def __init__(self, member: str, store: ChainStore, facts: Callable[[], AuditState]) -> None:
         """Creates a scrubber; `facts()` returns the current state of the part `audit`."""
         self.member = member
         self.store = store
@@ -62,12 +62,14 @@
             found += self._end_chain()
             known = self._known_incarnations()
             # An incarnation that the replicated state has dropped may begin with any record.
-            dropped = Kept(incarnation, first=first) if incarnation < min(known, default=0) else None
+            dropped = (
+                KnownIncarnation(incarnation, first=first) if incarnation < min(known, default=0) else None
+            )
             self.checker = ChainChecker(self.member, incarnation, known.get(incarnation, dropped))
         elif not self.offset and self.checker.last is not None and first <= self.checker.last.stamp.number:
             # This file replaces records of the one before, whose fsync had failed (files.py).
-            self.checker = ChainChecker(self.member, incarnation, Kept(incarnation, first=first))
-        records, end, spoilt = frames(data)
+            self.checker = ChainChecker(self.member, incarnation, KnownIncarnation(incarnation, first=first))
+        records, end, spoilt = decode_records(data)
         for record in records:
             found += self.checker.check_next(record)
         self.records = self.records + len(records)
@@ -83,8 +85,8 @@
             self.offset = 0
         return found
 
-    def _known_incarnations(self) -> dict[int, Kept]:
-        return {one.incarnation: one for one in self.facts().kept.get(self.member, ())}
+    def _known_incarnations(self) -> dict[int, KnownIncarnation]:
+        return {one.incarnation: one for one in self.facts().incarnations.get(self.member, ())}
 
     def _end_chain(self) -> list[Finding]:
         """Ends the check of the chain that was read, and returns what is missing at its end.
@@ -104,7 +106,7 @@
         found = self._end_chain()
         self.rounds += bool(self.records)
         self.records = 0
-        self.files = chains(self.store.folder)
+        self.files = chain_files(self.store.folder)
         present = {incarnation for (incarnation, _), _ in self.files}
         for incarnation, known in self._known_incarnations().items():
             if incarnation not in present and incarnation != self.store.incarnation:
--- a/indigohitch/fleet/audit/gate.py
+++ b/indigohitch/fleet/audit/stamp_verifier.py
@@ -14,7 +14,7 @@
 MAX_RESOURCES = 4096
 
 
-class Gate:
+class StampVerifier:
     """Accepts or rejects the stamps of actions that reach one receiver."""
 
     def __init__(self) -> None:
@@ -25,15 +25,15 @@
         self.last: OrderedDict[tuple[str, str], tuple[int, int]] = OrderedDict()
         self.rejected = 0  # number of stamps
 
-    def end(self, member: str, incarnation: int) -> None:
+    def revoke_incarnation(self, member: str, incarnation: int) -> None:
         """Rejects all further stamps of a member up to that incarnation, which was evicted or has expired."""
         self.ended_incarnation[member] = max(self.ended_incarnation.get(member, 0), incarnation)
 
-    def in_force(self, version: int) -> None:
+    def raise_minimum_version(self, version: int) -> None:
         """Rejects further stamps of versions before a hard change, which is now in force everywhere."""
         self.min_version = max(self.min_version, version)
 
-    def admits(self, stamp: Stamp, resource: str = "") -> str:
+    def check(self, stamp: Stamp, resource: str = "") -> str:
         """Returns "" if the action may take effect, else why not.
 
         `resource` is what the action applies to: of a member's actions on one resource, an older one is
--- a/indigohitch/fleet/audit/work.py
+++ b/indigohitch/fleet/audit/work.py
@@ -15,7 +15,7 @@
 from ..interfaces import ProposalRequest
 from ..membership.member_work import Membership
 from ..types import Lease, LogEntry, Outcome
-from .acts import ActionChain
+from .action_chain import ActionChain
 from .check import Finding
 from .heads import Head, Heads
 from .scrub import Scrubber
@@ -36,7 +36,7 @@
     rounds: int  # how often it has read its whole folder
 
 
-def shown(report: Report) -> dict:
+def report_status(report: Report) -> dict:
     """Returns a report as plain JSON values, for `status`."""
     return {
         "acts": report.acts,
@@ -126,10 +126,10 @@
         ):
             return []
         self.next_head_at = now + HEAD_INTERVAL
-        self.pending_head = Head(self.acts.member, *self.acts.synced_head, *self.acts.store.wanted())
+        self.pending_head = Head(self.acts.member, *self.acts.synced_head, *self.acts.store.retained_range())
         return [ProposalRequest("audit.head", self.pending_head, "head")]
 
-    def last(self, now: int) -> list[ProposalRequest]:
+    def propose_last_head(self, now: int) -> list[ProposalRequest]:
         """Syncs the records and proposes the last head, after the last action before this member leaves."""
         return self._propose_head(now) if self.acts.sync() else []
 
@@ -154,14 +154,14 @@
             )
         else:
             self.acknowledged = head.incarnation, head.number
-            self.acts.store.give_up(head.first, head.oldest)
+            self.acts.store.delete_released(head.first, head.oldest)
         return []
 
     def _save_evidence(self, index: int, own: bytes, others: bytes) -> None:
         """Saves this member's state, which differs from that of the others at `index` (Phase.DIFFERS)."""
         state_machine = self.acts.state_machine
         try:
-            self.acts.store.keep(f"{index}-{state_machine.index}.book", state_machine.snapshot())
+            self.acts.store.save_evidence(f"{index}-{state_machine.index}.book", state_machine.snapshot())
         except OSError as error:
             self.report_error(
                 DirectorError(
@@ -200,7 +200,7 @@
         decoded = {}
         for name, report in sorted(self.reports.items()):
             try:
-                decoded[name] = shown(msgspec.msgpack.decode(report, type=Report))
+                decoded[name] = report_status(msgspec.msgpack.decode(report, type=Report))
             except msgspec.MsgspecError:
                 decoded[name] = {"unreadable": True}
         return decoded
@@ -210,7 +210,7 @@
         facts = self.heads.facts
         chain = self.acts.chain
         return {
-            "own": shown(msgspec.msgpack.decode(self.report(0), type=Report)),
+            "own": report_status(msgspec.msgpack.decode(self.report(0), type=Report)),
             "members": self._member_reports(),
             "acts": {kind: count for kind, count in sorted(self.acts.counts.items())},
             "chain": {
@@ -222,7 +222,7 @@
             if chain is not None
             else None,
             "wrong": self.contradiction,
-            "torn_bytes_cut": max(0, self.acts.store.cut),
+            "torn_bytes_cut": max(0, self.acts.store.torn_bytes_cut),
             "heads": [
                 {
                     "member": name,
@@ -230,9 +230,9 @@
                     "number": one.number,
                     "digest": one.digest.hex(),
                     "shut_out": one.evicted_index,
-                    "gone": one.gone,
+                    "gone": one.lease_ended_index,
                 }
-                for name, incarnations in sorted(facts.kept.items())
+                for name, incarnations in sorted(facts.incarnations.items())
                 for one in incarnations
             ],
             "in_force": [
--- a/indigohitch/fleet/node/assembly.py
+++ b/indigohitch/fleet/node/assembly.py
@@ -12,8 +12,8 @@
 from ...net.clock import Clock
 from ...net.loop import EventLoop
 from ...net.worker_thread import WorkerThread
-from ..audit.acts import ActionChain
-from ..audit.files import Store
+from ..audit.action_chain import ActionChain
+from ..audit.files import ChainStore
 from ..audit.heads import Heads
 from ..audit.work import AuditWork
 from ..batches.part import Batches
@@ -103,7 +103,7 @@
         text.me,
         context.lease,
         state_machine,
-        Store(f"{text.folder}/audit", begun=lambda: WorkerThread(context.loop)),
+        ChainStore(f"{text.folder}/audit", begun=lambda: WorkerThread(context.loop)),
         log_fault,
         when=fleet_clock_work.time,
     )
--- a/indigohitch/standins/stamped.py
+++ b/indigohitch/standins/stamped.py
@@ -10,13 +10,13 @@
 
 from collections.abc import Mapping
 
-from ..fleet.audit.gate import Gate
+from ..fleet.audit.stamp_verifier import StampVerifier
 from ..fleet.types import Stamp
 
 
 class Stamped:
     def __init__(self) -> None:
-        self.gate = Gate()
+        self.gate = StampVerifier()
 
     def why_not(self, heads: Mapping[bytes, bytes]) -> str:
         """ "" for an RPC without a stamp, or with one that counts."""
@@ -27,15 +27,15 @@
             stamp = Stamp(member, *map(int, numbers))
         except (ValueError, TypeError):
             return "no stamp that can be read"
-        return self.gate.admits(stamp)
+        return self.gate.check(stamp)
 
     def told(self, target: bytes) -> bool:
         """Whether this was a word on the fleet."""
         match target.decode("latin-1").split("/")[1:]:
             case ["fleet", "gone", member, incarnation] if incarnation.isdigit():
-                self.gate.end(member, int(incarnation))
+                self.gate.revoke_incarnation(member, int(incarnation))
             case ["fleet", "in-force", version] if version.isdigit():
-                self.gate.in_force(int(version))
+                self.gate.raise_minimum_version(int(version))
             case _:
                 return False
         return True
--- a/proofs/audit.py
+++ b/proofs/audit.py
@@ -24,9 +24,9 @@
 from audit_tamper import KINDS_OF, tampered
 from fleetkit import Fleet, settled, until
 
-from indigohitch.fleet.audit.files import read
-from indigohitch.fleet.audit.folders import Audited, audited
-from indigohitch.fleet.audit.heads import Facts
+from indigohitch.fleet.audit.files import read_chains
+from indigohitch.fleet.audit.folders import AuditResult, audit_folders
+from indigohitch.fleet.audit.heads import AuditState
 
 QUICK, BROKEN = os.environ.get("QUICK") == "1", os.environ.get("BROKEN") == "1"
 TAMPERED = 16 if QUICK else 80
@@ -91,9 +91,9 @@
             fleet.close()
             self.platforms.close()
 
-    def facts(self) -> Facts:
+    def facts(self) -> AuditState:
         told = until(lambda: self.fleet.ask(self.late.leader(), "book audit", 5.0), 10, "the book")
-        return msgspec.convert(told["part"], Facts)
+        return msgspec.convert(told["part"], AuditState)
 
     def judged(self) -> dict:
         fleet, platforms = self.fleet, self.platforms
@@ -109,10 +109,12 @@
             platforms.note_late(name)
         folders = {name: fleet.places[name].ledger / "audit" for name in fleet.voters}
         fleet.close()
-        whole = audited(folders, facts)
+        whole = audit_folders(folders, facts)
         for finding in whole.findings[:10]:
             self.say(f"found: {finding}")
-        known = {name: {one.incarnation: one.number for one in lives} for name, lives in facts.kept.items()}
+        known = {
+            name: {one.incarnation: one.number for one in lives} for name, lives in facts.incarnations.items()
+        }
         late, late_right = self.late_stamps(folders, facts)
         spoilt, found = self.tampered(folders, facts, known)
         same = {}
@@ -141,16 +143,16 @@
             "seconds": round(time.monotonic() - self.begun, 1),
         }
 
-    def late_stamps(self, folders: dict[str, Path], facts: Facts) -> tuple[int, int]:
+    def late_stamps(self, folders: dict[str, Path], facts: AuditState) -> tuple[int, int]:
         """To a receiver that knows who is gone: the last stamp of each incarnation that is; and how many of
         those were refused, and those of the valid ones taken."""
         server, sent, right = Server(), 0, 0
         try:
             for name, folder in folders.items():
-                ended = {one.incarnation for one in facts.kept[name] if one.gone}
+                ended = {one.incarnation for one in facts.incarnations[name] if one.lease_ended_index}
                 for incarnation in ended:
                     server.ask(f"/fleet/gone/{name}/{incarnation}")
-                for incarnation, chain in read(folder)[0].items():
+                for incarnation, chain in read_chains(folder)[0].items():
                     status = server.ask("/pieces/1", chain[-1].stamp)
                     sent, right = sent + 1, right + (status == (409 if incarnation in ended else 200))
         finally:
@@ -161,11 +163,11 @@
         """Calls that came to a relay and stand in no record of the coordinator before it."""
         missing = 0
         for name, relay in self.platforms.relays.items():
-            told = {record.about for chain in read(folders[name])[0].values() for record in chain}
+            told = {record.about for chain in read_chains(folders[name])[0].values() for record in chain}
             missing += sum(digest not in told for _, digest in relay.heard)
         return missing
 
-    def tampered(self, folders: dict, facts: Facts, known: dict) -> tuple[int, int]:
+    def tampered(self, folders: dict, facts: AuditState, known: dict) -> tuple[int, int]:
         done = found = 0
         for n in range(TAMPERED):
             name, how = self.chance.choice(sorted(folders)), KINDS_OF[n % len(KINDS_OF)]
@@ -174,8 +176,8 @@
             if not said:
                 continue
             done += 1
-            told: Audited = audited(folders | {name: copy}, facts)
-            if told.against(name):
+            told: AuditResult = audit_folders(folders | {name: copy}, facts)
+            if told.has_findings(name):
                 found += 1
             else:
                 self.late.wrong.append(f"{name}: {said} was not found")
--- a/proofs/audit_platform.py
+++ b/proofs/audit_platform.py
@@ -15,7 +15,7 @@
 
 from fleetkit import Fleet  # noqa: E402
 
-from indigohitch.fleet.audit.orders import about  # noqa: E402
+from indigohitch.fleet.audit.relay_orders import order_digest  # noqa: E402
 from stage import SETTINGS, Platform  # noqa: E402
 from waiting import free_address  # noqa: E402
 
@@ -32,7 +32,7 @@
 
     def _carry_out(self, orders: list[str]) -> int:
         with self.lock:
-            self.heard.append((time.monotonic(), about(";".join(orders))))
+            self.heard.append((time.monotonic(), order_digest(";".join(orders))))
             return super()._carry_out(orders)
 
     def environment(self) -> dict[str, str]:
--- a/proofs/audit_tamper.py
+++ b/proofs/audit_tamper.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from indigohitch.fleet.audit.chain import Record
-from indigohitch.fleet.audit.files import KINDS, chains, read
+from indigohitch.fleet.audit.files import KINDS, chain_files, read_chains
 
 KINDS_OF = ("changed", "removed", "doubled", "swapped", "cut", "harmed", "forged", "lost")
 
@@ -20,12 +20,12 @@
     `most(incarnation)`.  What was done; "" where there is nothing to do it to."""
     shutil.rmtree(copy, ignore_errors=True)
     shutil.copytree(folder, copy)
-    found, _ = read(copy)
+    found, _ = read_chains(copy)
     fit = [incarnation for incarnation, records in found.items() if len(records[: most(incarnation)]) >= 3]
     if not fit:
         return ""
     incarnation = chance.choice(fit)
-    paths = [path for (one, _), path in chains(copy) if one == incarnation]
+    paths = [path for (one, _), path in chain_files(copy) if one == incarnation]
     records, known = found[incarnation], most(incarnation)
     n = chance.randrange(known - 1)
     if how == "lost":
@@ -57,7 +57,7 @@
         case "forged":  # and the whole chain after it made anew, as it should be
             records[n] = msgspec.structs.replace(records[n], at=records[n].at + 1)
             for i in range(n + 1, len(records)):
-                records[i] = msgspec.structs.replace(records[i], before=records[i - 1].digest())
+                records[i] = msgspec.structs.replace(records[i], previous_digest=records[i - 1].digest())
     return records
 
 
--- a/proofs/fleet.py
+++ b/proofs/fleet.py
@@ -25,7 +25,7 @@
 from fleetkit import Fleet, Player, drawn, settled, until
 from seats_truth import Servers
 
-from indigohitch.fleet.audit.heads import Facts
+from indigohitch.fleet.audit.heads import AuditState
 
 QUICK, BROKEN = os.environ.get("QUICK") == "1", os.environ.get("BROKEN") == "1"
 SEED = int(os.environ.get("SEED", "1"))
@@ -158,7 +158,7 @@
             acted, part = acts(self.servers), self.running.batches.part()
             self.pieces = part.pieces.counts() if part else {}
             told = self.fleet.ask(self.fleet.leader(), "book audit", 5.0) if self.fleet.leader() else None
-            facts = msgspec.convert(told["part"], Facts) if told else None
+            facts = msgspec.convert(told["part"], AuditState) if told else None
         finally:
             if hasattr(self.running, "notes"):
                 self.running.end()
--- a/proofs/fleet_verdict.py
+++ b/proofs/fleet_verdict.py
@@ -11,8 +11,8 @@
 from fleetkit import Fleet
 from seats_truth import Servers, Truth
 
-from indigohitch.fleet.audit.folders import audited
-from indigohitch.fleet.audit.heads import Facts
+from indigohitch.fleet.audit.folders import audit_folders
+from indigohitch.fleet.audit.heads import AuditState
 
 ZEROS = (
     "lost_commits",
@@ -55,7 +55,7 @@
 
 
 def judged(
-    proof: FleetRun, found: dict, acted: dict[str, int], facts: Facts | None, noise: list[str]
+    proof: FleetRun, found: dict, acted: dict[str, int], facts: AuditState | None, noise: list[str]
 ) -> dict:
     """The figures of a run, each part's by its own checker."""
     running, fleet, platforms = proof.running, proof.fleet, proof.platforms
@@ -66,7 +66,7 @@
         doubled |= set(twice)
     truth = Truth(proof.servers, FEATURE)
     folders = {name: fleet.places[name].ledger / "audit" for name in fleet.members}
-    whole = audited(folders, facts) if facts else None
+    whole = audit_folders(folders, facts) if facts else None
     for line in noise[:20]:
         proof.say(line)
     for finding in whole.findings[:20] if whole else ():
--- a/tests/fleet_member.py
+++ b/tests/fleet_member.py
@@ -6,7 +6,7 @@
 
 from indigohitch.encoding.rows import Row
 from indigohitch.errors import InvalidRequestError
-from indigohitch.fleet.audit.acts import ActionChain
+from indigohitch.fleet.audit.action_chain import ActionChain
 from indigohitch.fleet.audit.heads import Heads
 from indigohitch.fleet.audit.work import AuditWork
 from indigohitch.fleet.membership.member_work import Membership
@@ -59,7 +59,7 @@
     """A disk of action records, by incarnation; it never fails."""
 
     folder = "memory"
-    cut = 0
+    torn_bytes_cut = 0
 
     def __init__(self):
         self.chains = {}
@@ -71,16 +71,16 @@
     def sync(self):
         pass
 
-    def sync_soon(self, done):
+    def start_sync(self, done):
         done(None)
 
-    def wanted(self):
+    def retained_range(self):
         return 1, 0
 
-    def give_up(self, first, oldest):
+    def delete_released(self, first, oldest):
         pass
 
-    def keep(self, name, data):
+    def save_evidence(self, name, data):
         self.evidence.append(name)
 
 
--- a/tests/golden/fleet/write_rows.py
+++ b/tests/golden/fleet/write_rows.py
@@ -17,10 +17,10 @@
 from indigohitch.fleet import fleet_clock
 from indigohitch.fleet.audit import check, heads
 from indigohitch.fleet.audit import work as auditing
-from indigohitch.fleet.audit.acts import ActionChain
-from indigohitch.fleet.audit.files import Store
-from indigohitch.fleet.audit.orders import KIND as RELAY
-from indigohitch.fleet.audit.orders import about
+from indigohitch.fleet.audit.action_chain import ActionChain
+from indigohitch.fleet.audit.files import ChainStore
+from indigohitch.fleet.audit.relay_orders import KIND as RELAY
+from indigohitch.fleet.audit.relay_orders import order_digest
 from indigohitch.fleet.batches import leader as batches
 from indigohitch.fleet.distribution import messages
 from indigohitch.fleet.distribution.content import ServiceContent, scope_digest
@@ -130,13 +130,13 @@
         "in_force": convergence_status(fill(ConvergenceReport)),
         "seats": seats_figures(),
         "wishes": wished(),
-        "audit_report": auditing.shown(fill(auditing.Report)),
+        "audit_report": auditing.report_status(fill(auditing.Report)),
         "server_header": server_clock.format_pass(shown),
         "service_change": msgspec.msgpack.encode(fill(messages.ServiceChange)).hex(),
         "service_digest": service.digest.hex(),
         "scope_digest": scope_digest([service, ServiceContent("empty")]).hex(),
         "mark": subscriber_mark("s1").hex(),
-        "acts": [RELAY, about("stop 1").hex()],
+        "acts": [RELAY, order_digest("stop 1").hex()],
         "finding": msgspec.msgpack.encode(fill(check.Finding)).hex(),
     }
 
@@ -145,7 +145,7 @@
     """Two incarnations of member `m`: chains in several files."""
     state_machine = ReplicatedStateMachine([Roster(), heads.Heads()])
     lease = Lease(1, 10**9)
-    store = Store(folder, file=1200)
+    store = ChainStore(folder, max_file_bytes=1200)
     acts = ActionChain("m", lambda now: lease, state_machine, store, lambda bad: None)
     now = 17_700_000_000_000
     state_machine.term, lease = 3, Lease(1, now + 900_000)
@@ -157,10 +157,10 @@
         kind, what = (
             ("seats.given", msgspec.msgpack.encode(Filler().row(contract.SeatUse))),
             ("batches.start", b"d-7.%d" % number),
-            (RELAY, about(f"stop {number}")),
+            (RELAY, order_digest(f"stop {number}")),
         )[number % 3]
         assert acts.stamp(now, kind, what) is not None
-    store.keep("1-9", b"evidence")
+    store.save_evidence("1-9", b"evidence")
     acts.close()
 
 
--- a/tests/recording_member.py
+++ b/tests/recording_member.py
@@ -1,8 +1,8 @@
 """A member that records actions in a real folder, for the tests of the audit."""
 
-from indigohitch.fleet.audit.acts import ActionChain
+from indigohitch.fleet.audit.action_chain import ActionChain
 from indigohitch.fleet.audit.check import check
-from indigohitch.fleet.audit.files import Store, read
+from indigohitch.fleet.audit.files import ChainStore, read_chains
 from indigohitch.fleet.audit.heads import Head, Heads
 from indigohitch.fleet.audit.scrub import Scrubber
 from indigohitch.fleet.interfaces import EntryContext
@@ -18,7 +18,7 @@
     def __init__(self, folder, member="m", incarnation=1, **store):
         self.state_machine = ReplicatedStateMachine([Roster(), Heads()])
         self.errors = []
-        self.store = Store(folder, **store)
+        self.store = ChainStore(folder, **store)
         self.member = member
         self.lease = Lease(incarnation, 10**9)
         self.acts = ActionChain(
@@ -45,18 +45,18 @@
         """Syncs, applies a head of the chain and deletes the files that it releases; returns the result."""
         assert self.acts.sync()
         chain = self.acts.chain
-        first, oldest = self.store.wanted()
+        first, oldest = self.store.retained_range()
         at = EntryContext(1, 1, 0, self.member, chain.incarnation)
         result = self.heads.apply(
             at, "head", Head(self.member, chain.incarnation, chain.number, chain.head, first, oldest)
         )
-        self.store.give_up(first, oldest)
+        self.store.delete_released(first, oldest)
         return result
 
 
 def check_findings(member, records=None):
     """Returns what the check finds in the records: those given, or those in the member's folder."""
-    records = read(member.store.folder)[0] if records is None else records
+    records = read_chains(member.store.folder)[0] if records is None else records
     return check({member.member: records}, member.heads.facts)
 
 
--- a/tests/test_audit_chains.py
+++ b/tests/test_audit_chains.py
@@ -7,7 +7,7 @@
 
 from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.audit.check import activity_by_version
-from indigohitch.fleet.audit.files import read
+from indigohitch.fleet.audit.files import read_chains
 from indigohitch.fleet.audit.heads import MAX_CONTRADICTIONS, MAX_HISTORY, Head, Heads
 from indigohitch.fleet.interfaces import EntryContext
 from indigohitch.fleet.types import Lease, Stamp
@@ -22,7 +22,7 @@
 
 def test_a_chain_is_read_as_it_was_written(member):
     assert not check_findings(member)
-    activity = activity_by_version({"m": read(member.store.folder)[0]})
+    activity = activity_by_version({"m": read_chains(member.store.folder)[0]})
     assert (
         len(activity) == 40
         and activity[0].actions == 1
@@ -39,7 +39,7 @@
     The digests of the rest are made anew or left as they are.
     """
     rng = random.Random(seed)
-    chain = list(read(member.store.folder)[0][1])
+    chain = list(read_chains(member.store.folder)[0][1])
     position = rng.randrange(len(chain))
     how = rng.choice(("changed", "removed", "doubled", "swapped", "cut"))
     match how:
@@ -57,7 +57,7 @@
             del chain[position:]
     if rng.random() < 0.5:  # forged by someone who knows how a chain is made
         for i in range(1, len(chain)):
-            chain[i] = msgspec.structs.replace(chain[i], before=chain[i - 1].digest())
+            chain[i] = msgspec.structs.replace(chain[i], previous_digest=chain[i - 1].digest())
     assert check_findings(member, {1: chain}), how
 
 
@@ -72,9 +72,9 @@
     known = member.heads.find_or_add("m", 1)
     member.heads.on_change_converged(EntryContext(50, 1, 0, "l", 1), 30, (("m", 1, 25),))
     assert {f.number for f in check_findings(member) if f.kind == "old_version"} == {26, 27, 28, 29}
-    known.evicted_index, known.gone, known.lease_ended_at = 35, 36, 0
+    known.evicted_index, known.lease_ended_index, known.lease_ended_at = 35, 36, 0
     assert {f.number for f in check_findings(member) if f.kind == "after_gone"} == set(range(35, 41))
-    known.evicted_index = known.gone = 100
+    known.evicted_index = known.lease_ended_index = 100
     known.lease_ended_at = 395 - SECOND // 2
     assert {f.number for f in check_findings(member) if f.kind == "after_gone"} == {40}
     member.lease = Lease(1, 0)
@@ -85,7 +85,9 @@
 def test_incarnations_that_the_replicated_state_has_dropped_are_not_checked(member):
     for incarnation in range(2, 2 + MAX_HISTORY):
         member.heads.on_member_joined(None, "m", incarnation)
-    assert [one.incarnation for one in member.heads.facts.kept["m"]] == list(range(2, 2 + MAX_HISTORY))
+    assert [one.incarnation for one in member.heads.facts.incarnations["m"]] == list(
+        range(2, 2 + MAX_HISTORY)
+    )
     assert not check_findings(member) and not scrub_findings(member)
 
 
--- a/tests/test_audit_stale_actions.py
+++ b/tests/test_audit_stale_actions.py
@@ -1,7 +1,7 @@
 """Actions that come too late: receivers reject stale stamps, and blocked orders are not sent to the relay."""
 
 from indigohitch import interface as face
-from indigohitch.fleet.audit.gate import Gate
+from indigohitch.fleet.audit.stamp_verifier import StampVerifier
 from indigohitch.fleet.types import Stamp
 from indigohitch.log import Log
 from indigohitch.net.clock import Clock
@@ -21,15 +21,15 @@
 
 
 def test_a_stamp_of_an_evicted_incarnation_or_an_older_action_is_rejected():
-    gate = Gate()
-    assert not any(gate.admits(Stamp("m", 1, 1, 10, number), "seat") for number in (1, 2))
-    assert "older" in gate.admits(Stamp("m", 1, 1, 10, 2), "seat")
-    gate.end("m", 1)
-    assert "shut out" in gate.admits(Stamp("m", 1, 1, 12, 3), "seat")
-    assert not gate.admits(Stamp("m", 3, 1, 12, 1), "seat")
-    assert "before one" in gate.admits(Stamp("m", 2, 1, 12, 9))
-    gate.in_force(20)
-    assert "in force" in gate.admits(Stamp("m", 3, 1, 19, 2)) and not gate.admits(Stamp("n", 1, 2, 20, 1))
+    gate = StampVerifier()
+    assert not any(gate.check(Stamp("m", 1, 1, 10, number), "seat") for number in (1, 2))
+    assert "older" in gate.check(Stamp("m", 1, 1, 10, 2), "seat")
+    gate.revoke_incarnation("m", 1)
+    assert "shut out" in gate.check(Stamp("m", 1, 1, 12, 3), "seat")
+    assert not gate.check(Stamp("m", 3, 1, 12, 1), "seat")
+    assert "before one" in gate.check(Stamp("m", 2, 1, 12, 9))
+    gate.raise_minimum_version(20)
+    assert "in force" in gate.check(Stamp("m", 3, 1, 19, 2)) and not gate.check(Stamp("n", 1, 2, 20, 1))
     assert gate.rejected == 4
 
 
--- a/tests/test_golden_fleet_rows.py
+++ b/tests/test_golden_fleet_rows.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
-from indigohitch.fleet.audit.chain import root
-from indigohitch.fleet.audit.files import KINDS, chains, frames, read
+from indigohitch.fleet.audit.chain import root_digest
+from indigohitch.fleet.audit.files import KINDS, chain_files, decode_records, read_chains
 from indigohitch.fleet.batches.sending import format_stamp
 from indigohitch.fleet.node.assembly import parts
 from indigohitch.fleet.types import Stamp
@@ -50,15 +50,15 @@
 
 def test_chains_of_actions_are_decoded_and_encoded_again(tmp_path):
     folder = GOLDEN / "audit"
-    records, errors = read(folder)
+    records, errors = read_chains(folder)
     assert not errors and {incarnation: len(chain) for incarnation, chain in records.items()} == {
         1: 25,
         2: 15,
     }
     for incarnation, chain in records.items():
-        previous_digest = root("m", incarnation)
+        previous_digest = root_digest("m", incarnation)
         for number, record in enumerate(chain, 1):
-            assert record.before == previous_digest
+            assert record.previous_digest == previous_digest
             previous_digest = record.digest()
             assert (record.stamp.member, record.stamp.incarnation, record.stamp.number) == (
                 "m",
@@ -70,9 +70,9 @@
     first = records[1][0]
     assert (first.at, first.left, first.stamp.version) == (17_700_000_000_010, 899_990, 2)
     assert (records[2][-1].kind, records[2][0].about) == ("seats.given", b"d-7.25")
-    assert len(chains(folder)) > 3
-    for _, path in chains(folder):
-        records_of_file, end, problem = frames(path.read_bytes())
+    assert len(chain_files(folder)) > 3
+    for _, path in chain_files(folder):
+        records_of_file, end, problem = decode_records(path.read_bytes())
         assert not problem and end == path.stat().st_size
         assert b"".join(KINDS.frame(record) for record in records_of_file) == path.read_bytes()
 
