--- a/indigohitch/fleet/audit/files.py
+++ b/indigohitch/fleet/audit/files.py
@@ -208,11 +208,8 @@
                 raise BrokenFrameError("a frame with descriptors")
             if at + HEADER_BYTES + length > len(data):
                 break
-            found.append(
-                KINDS.decode_body(
-                    data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum
-                )
-            )
+            body = data[at + HEADER_BYTES : at + HEADER_BYTES + length]
+            found.append(KINDS.decode_body(body, protocol, number, checksum))
         except BrokenFrameError as error:
             return found, at, error.problem
         at += HEADER_BYTES + length
@@ -224,9 +221,8 @@
     while (at := data.find(KINDS.magic, at + 1)) >= 0 and at + HEADER_BYTES <= len(data):
         try:
             protocol, number, _, length, checksum = KINDS.decode_header(data, at)
-            KINDS.decode_body(
-                data[at + HEADER_BYTES : at + HEADER_BYTES + length], protocol, number, checksum
-            )
+            body = data[at + HEADER_BYTES : at + HEADER_BYTES + length]
+            KINDS.decode_body(body, protocol, number, checksum)
             return True
         except BrokenFrameError:
             continue
--- a/indigohitch/sidecar/seating.py
+++ b/indigohitch/sidecar/seating.py
@@ -1,6 +1,6 @@
 """Seats for the sidecar's RPCs: asked for before one goes out, shown to the server, given back at its end.
 
-Towards a server: `X-Seat` holds the pass (fleet/seats/server_clock.format_pass).  From it: `X-Node: BOOT CLOCK`, its
+Towards a server: `X-Seat` holds the pass (fleet/seats/server_clock.py).  From it: `X-Node: BOOT CLOCK`, its
 boot id and its monotonic clock in tenths of a ms, with any answer; `X-Seat-Refused: unread|late|old|twice`
 where it took the RPC for one without a valid seat, and has begun nothing."""
 
