--- a/indigohitch/fleet/node/assembly.py
+++ b/indigohitch/fleet/node/assembly.py
@@ -103,9 +103,9 @@
         text.me,
         context.lease,
         state_machine,
-        ChainStore(f"{text.folder}/audit", begun=lambda: WorkerThread(context.loop)),
+        ChainStore(f"{text.folder}/audit", start_worker=lambda: WorkerThread(context.loop)),
         log_fault,
-        when=fleet_clock_work.time,
+        fleet_time=fleet_clock_work.time,
     )
     audit_work = AuditWork(acts, state_machine.parts["audit"], membership, log_fault)
     seats = seats_work(text, state_machine.parts["seats"], acts, fleet_clock_work.time)
