--- a/indigohitch/config/__init__.py
+++ b/indigohitch/config/__init__.py
@@ -1,21 +1,25 @@
-"""The operator's files, of a sidecar and of a coordinator: one directive a line, in the manner of classic
-daemons.  `words` has words and units, `lines` the reader, `sidecar_file` and `operator_file` what either may
-say, `routes` the table of routes, `checks` what holds across lines, `fleet` the fleet's directives.
+"""Operators' configuration files of sidecars and coordinators, with one directive a line.
 
-A further part of the fleet adds directives of its own from a file of its own, as `seats`:
+`words` parses words and units, `lines` has the reader, `sidecar_file` and `operator_file` say what either
+file may contain, `routes` has the route table, `checks` what must hold across lines, `fleet` the fleet's
+directives.
 
-    def on_seats(at, rest, reader):             # line's number, the words after the first, lines.Reader
-        name = reader.told("seats", words.name, rest[0])
-        reader.once(at, "seats", name)          # ValueError tells a mistake of this line
-        told = reader.options(at, rest[1:], {"for": words.span})    # tells each mistake, leaves out the bad
-        reader.found(FleetText).parts.setdefault("seats", []).append(Contract(name, told, at))
+A feature of the fleet adds its directives from a file of its own, as `seats` does:
 
-    def check(reader):                          # once all lines are read; reader.wrong(line, why)
+    def on_seats(line, rest, reader):           # line number, the words after the first, lines.Reader
+        name = reader.parse("seats", words.name, rest[0])
+        reader.declare(line, "seats", name)     # a ValueError is a mistake of this line
+        options = reader.options(line, rest[1:], {"for": words.span})    # reports mistakes, leaves them out
+        reader.collected(FleetText).parts.setdefault("seats", []).append(Contract(name, options, line))
+
+    def check(reader):                          # runs once all lines are read; reader.report(line, why)
         ...
 
     VOCABULARY = Vocabulary({"seats": on_seats}, checks=(check,))
 
-and one entry in `further.py`.  What is appended has an attribute `line`.  Words that name what others give
-go into `last`, which is read when all other lines are.  Values of `wait X` and `limit X` are given by the
-vocabulary's `waits` and `limits`, read with `reader.picked("wait", WAITS)`.  What an RPC's option `seat`
-names is in `reader.found(sidecar_file.Carried).seats`: (feature, line) by RPC's name."""
+and an entry in `further.py`.  Objects that are appended have an attribute `line`.  Words that refer to names
+declared by other words go into `deferred`, which is handled after all other lines.  Values of `wait X` and
+`limit X` are declared by the vocabulary's `waits` and `limits` and read with `reader.values_of("wait",
+WAITS)`. The option `seat` of an RPC is in `reader.collected(texts.SidecarText).seats`: feature and line by
+the RPC's name.
+"""
--- a/indigohitch/config/batches.py
+++ b/indigohitch/config/batches.py
@@ -1,4 +1,4 @@
-"""The directives of batches: what electricity costs by site, the classes of batches, who runs their pieces.
+"""The directives of batches: electricity prices by site, classes of batches, and who runs their pieces.
 
     edition 3
     batch-slot 15m
@@ -11,9 +11,9 @@
     prices /var/lib/indigohitch/prices.txt
     runs eros std 4 to 127.0.0.1:8080
 
-Prices are in cents for a kWh, local times those of the site's zone; the first band that fits counts.  `runs`
-tells how many pieces this member runs at a time on nodes of a kind, and to whom their RPCs go: without `to`
-to the sidecar in this process."""
+Prices are in cents per kWh, times in the site's zone; the first matching band applies.  `runs` sets how many
+pieces this member runs at a time on nodes of a kind, and where their RPCs go (default: its own sidecar).
+"""
 
 from __future__ import annotations
 
@@ -29,8 +29,10 @@
 
 @dataclass(slots=True)
 class BandText:
-    days: tuple[str, ...]  # empty: any
-    begin: int  # tenths of a ms on the day's clock
+    """A `band` line: the price of electricity on some days between two times of the day."""
+
+    days: tuple[str, ...]  # empty: any day
+    begin: int  # tenths of a ms since local midnight
     end: int
     price: int  # thousandths of a cent
     line: int
@@ -38,6 +40,8 @@
 
 @dataclass(slots=True)
 class SiteText:
+    """A site with its time zone, lanes and tariff."""
+
     name: str
     zone: str
     holidays: str
@@ -45,11 +49,13 @@
     lanes: dict[str, int] = field(default_factory=dict)  # by kind of node
     bands: list[BandText] = field(default_factory=list)
     peak: int = 0  # watts
-    surcharge: int = 0
+    surcharge: int = 0  # thousandths of a cent
 
 
 @dataclass(slots=True)
 class ClassText:
+    """A `batch-class` line; `power` in watts and `seats` by feature, `pause` in thousandths of a cent."""
+
     name: str
     idempotent: bool
     path: str
@@ -62,6 +68,8 @@
 
 @dataclass(slots=True)
 class RunsText:
+    """A `runs` line; `to` is None if it names no address and this process has no sidecar."""
+
     site: str
     kind: str
     lanes: int
@@ -71,7 +79,7 @@
 
 @dataclass(slots=True)
 class BatchesText:
-    """What a file says of batches; `line`: where it first does."""
+    """The batches of a file; `line` is the first line about them, `slot` in tenths of a millisecond."""
 
     sites: dict[str, SiteText] = field(default_factory=dict)
     classes: dict[str, ClassText] = field(default_factory=dict)
@@ -81,106 +89,108 @@
     line: int = 0
 
 
-# ---- directives ------------------------------------------------------------------------------------
-
-
 SITE = {"zone": zone, "holidays": country}
 
 
-def filled(text: str) -> str:
-    """A path whose `{piece}` and `{step}` are filled in for each RPC."""
-    left = words.path(text).replace("{piece}", "").replace("{step}", "")
-    if set(left) & set("{}") or not text.isprintable() or " " in text:
+def rpc_path(text: str) -> str:
+    """Checks a path whose `{piece}` and `{step}` are replaced in each RPC, and returns it unchanged."""
+    without_placeholders = words.path(text).replace("{piece}", "").replace("{step}", "")
+    if set(without_placeholders) & set("{}") or not text.isprintable() or " " in text:
         raise ValueError(f"{text!r}: a path without blanks is wanted; {{piece}} and {{step}} are filled in")
     return text
 
 
-CLASS = {"path": filled, "power": pairs(power), "pause": price, "seats": pairs(words.count), "sites": names}
+CLASS = {"path": rpc_path, "power": pairs(power), "pause": price, "seats": pairs(words.count), "sites": names}
 
 
-def text_of(reader: Reader, at: int) -> BatchesText:
-    text = reader.found(BatchesText)
-    text.line = text.line or at
+def text_of(reader: Reader, line: int) -> BatchesText:
+    """Returns the batches collected so far and notes the first line about them."""
+    text = reader.collected(BatchesText)
+    text.line = text.line or line
     return text
 
 
-def site_of(reader: Reader, at: int, name: str) -> SiteText:
-    sites = text_of(reader, at).sites
+def site_of(reader: Reader, line: int, name: str) -> SiteText:
+    """Returns a site by name; raises ValueError if no line declares it."""
+    sites = text_of(reader, line).sites
     if name not in sites:
         raise ValueError(f"no site {name}; a line `site {name}` is wanted")
     return sites[name]
 
 
-def on_site(at: int, rest: list[str], reader: Reader) -> None:
-    name = reader.told("site", words.name, rest[0] if rest else "")
-    reader.once(at, "site", name)
-    told = reader.options(at, rest[1:], SITE)
-    if "zone" not in told:
-        reader.wrong(at, f"site {name}: no zone is named")
-    text_of(reader, at).sites[name] = SiteText(name, told.get("zone", "UTC"), told.get("holidays", ""), at)
+def on_site(line: int, rest: list[str], reader: Reader) -> None:
+    name = reader.parse("site", words.name, rest[0] if rest else "")
+    reader.declare(line, "site", name)
+    options = reader.options(line, rest[1:], SITE)
+    if "zone" not in options:
+        reader.report(line, f"site {name}: no zone is named")
+    text_of(reader, line).sites[name] = SiteText(
+        name, options.get("zone", "UTC"), options.get("holidays", ""), line
+    )
 
 
-def on_lanes(at: int, rest: list[str], reader: Reader) -> None:
+def on_lanes(line: int, rest: list[str], reader: Reader) -> None:
     if len(rest) != 3:
         raise ValueError("lanes SITE KIND NUMBER")
-    reader.once(at, "lanes", f"{rest[0]} {rest[1]}")
-    lanes = reader.told("lanes", words.count, rest[2])
-    site_of(reader, at, rest[0]).lanes[reader.told("lanes", words.name, rest[1])] = lanes
+    reader.declare(line, "lanes", f"{rest[0]} {rest[1]}")
+    lanes = reader.parse("lanes", words.count, rest[2])
+    site_of(reader, line, rest[0]).lanes[reader.parse("lanes", words.name, rest[1])] = lanes
 
 
-def on_band(at: int, rest: list[str], reader: Reader) -> None:
+def on_band(line: int, rest: list[str], reader: Reader) -> None:
     if len(rest) != 4:
         raise ValueError("band SITE DAYS FROM-TO CENTS")
-    span = reader.told("band", hours, rest[2])
-    band = BandText(reader.told("band", days, rest[1]), *span, reader.told("band", price, rest[3]), at)
-    site_of(reader, at, rest[0]).bands.append(band)
+    period = reader.parse("band", hours, rest[2])
+    band = BandText(reader.parse("band", days, rest[1]), *period, reader.parse("band", price, rest[3]), line)
+    site_of(reader, line, rest[0]).bands.append(band)
 
 
-def on_peak(at: int, rest: list[str], reader: Reader) -> None:
+def on_peak(line: int, rest: list[str], reader: Reader) -> None:
     if len(rest) != 4 or rest[2] != "surcharge":
         raise ValueError("peak SITE POWER surcharge CENTS")
-    reader.once(at, "peak", rest[0])
-    site = site_of(reader, at, rest[0])
-    site.peak, site.surcharge = reader.told("peak", power, rest[1]), reader.told("surcharge", price, rest[3])
+    reader.declare(line, "peak", rest[0])
+    site = site_of(reader, line, rest[0])
+    site.peak = reader.parse("peak", power, rest[1])
+    site.surcharge = reader.parse("surcharge", price, rest[3])
     if site.surcharge <= 0:
-        raise ValueError("a peak without a surcharge above 0 binds nothing")
+        raise ValueError("a peak has no effect without a surcharge above 0")
 
 
-def on_class(at: int, rest: list[str], reader: Reader) -> None:
+def on_class(line: int, rest: list[str], reader: Reader) -> None:
     if len(rest) < 2 or rest[1] not in ("idempotent", "non-idempotent"):
         raise ValueError("batch-class NAME idempotent|non-idempotent ...")
-    name = reader.told("batch-class", words.name, rest[0])
-    reader.once(at, "batch-class", name)
-    told = reader.options(at, rest[2:], CLASS)
+    name = reader.parse("batch-class", words.name, rest[0])
+    reader.declare(line, "batch-class", name)
+    options = reader.options(line, rest[2:], CLASS)
     for wanted in ("path", "power"):
-        if wanted not in told and wanted not in rest[2::2]:  # else what is wrong with it is told
-            reader.wrong(at, f"batch-class {name}: no {wanted}")
-    if told.get("pause", 0) < 0:
-        reader.wrong(at, f"batch-class {name}: a pause that pays is none")
-    text_of(reader, at).classes[name] = ClassText(
+        if wanted not in options and wanted not in rest[2::2]:  # a value with a mistake is reported already
+            reader.report(line, f"batch-class {name}: no {wanted}")
+    if options.get("pause", 0) < 0:
+        reader.report(line, f"batch-class {name}: the price of a pause can't be below 0")
+    text_of(reader, line).classes[name] = ClassText(
         name,
         rest[1] == "idempotent",
-        told.get("path", "/"),
-        told.get("power", {}),
-        told.get("pause", 0),
-        told.get("seats", {}),
-        told.get("sites", ()),
-        at,
+        options.get("path", "/"),
+        options.get("power", {}),
+        options.get("pause", 0),
+        options.get("seats", {}),
+        options.get("sites", ()),
+        line,
     )
 
 
-def on_runs(at: int, rest: list[str], reader: Reader) -> None:
+def on_runs(line: int, rest: list[str], reader: Reader) -> None:
     if len(rest) not in (3, 5) or rest[3:4] not in ([], ["to"]):
         raise ValueError("runs SITE KIND LANES [to HOST:PORT]")
-    reader.once(at, "runs", f"{rest[0]} {rest[1]}")
-    to = reader.told("runs", parse_address, rest[4]) if len(rest) == 5 else None
-    text_of(reader, at).runs.append(
+    reader.declare(line, "runs", f"{rest[0]} {rest[1]}")
+    to = reader.parse("runs", parse_address, rest[4]) if len(rest) == 5 else None
+    text_of(reader, line).runs.append(
         RunsText(
-            reader.told("runs", words.name, rest[0]),
-            reader.told("runs", words.name, rest[1]),
-            reader.told("runs", words.count, rest[2]),
+            reader.parse("runs", words.name, rest[0]),
+            reader.parse("runs", words.name, rest[1]),
+            reader.parse("runs", words.count, rest[2]),
             to,
-            at,
+            line,
         )
     )
 
@@ -189,48 +199,46 @@
 
 
 def check(reader: Reader) -> None:
-    """What must hold between the lines, and with the fleet's own."""
-    text, fleet = reader.found(BatchesText), reader.found(FleetText)
-    told = reader.picked("directive", SINGLE)
-    text.slot, text.prices = told["batch-slot"], told["prices"]
+    """Stores the single values and checks the lines against each other and the fleet's own."""
+    text, fleet = reader.collected(BatchesText), reader.collected(FleetText)
+    options = reader.values_of("directive", SINGLE)
+    text.slot, text.prices = options["batch-slot"], options["prices"]
     if not text.line:
         return
     if not fleet.line:
-        reader.wrong(text.line, "batches without a line `fleet`")
-    contracted = [one.line for one in (*text.sites.values(), *text.classes.values())]
-    if contracted and ("directive", "edition") not in reader.lines:
-        reader.wrong(
-            min(contracted), "a contract without a line `edition`, which numbers what the file contracts"
-        )
-    even = text.slot >= SECOND and not text.slot % SECOND and not 3600 * SECOND % text.slot
-    if not even:
-        reader.wrong(
-            reader.lines["directive", "batch-slot"],
+        reader.report(text.line, "batches without a line `fleet`")
+    lines = [one.line for one in (*text.sites.values(), *text.classes.values())]
+    if lines and ("directive", "edition") not in reader.first_lines:
+        reader.report(min(lines), "a contract without a line `edition`, which numbers what is contracted")
+    valid_slot = text.slot >= SECOND and not text.slot % SECOND and not 3600 * SECOND % text.slot
+    if not valid_slot:
+        reader.report(
+            reader.first_lines["directive", "batch-slot"],
             "a slot of whole seconds that divides the hour is wanted, as 15m",
         )
     for site in text.sites.values():
         if not site.lanes:
-            reader.wrong(site.line, f"site {site.name}: no line `lanes` says how many pieces run there")
+            reader.report(site.line, f"site {site.name}: no line `lanes` says how many pieces run there")
         for band in site.bands:
-            if even and (band.begin % text.slot or band.end % text.slot):
-                reader.wrong(band.line, f"site {site.name}: a band does not begin and end with a slot")
+            if valid_slot and (band.begin % text.slot or band.end % text.slot):
+                reader.report(band.line, f"site {site.name}: a band does not begin and end with a slot")
     kinds = {kind for site in text.sites.values() for kind in site.lanes}
     for one in text.classes.values():
         if one.power and not kinds & set(one.power):
-            reader.wrong(one.line, f"batch-class {one.name}: no site has nodes of its kinds")
+            reader.report(one.line, f"batch-class {one.name}: no site has nodes of its kinds")
         for name in one.sites:
             if name not in text.sites:
-                reader.wrong(one.line, f"batch-class {one.name}: no site {name}")
+                reader.report(one.line, f"batch-class {one.name}: no site {name}")
         for feature in one.seats:
-            if ("seats", feature) not in reader.lines:
-                reader.wrong(one.line, f"batch-class {one.name}: no line `seats {feature}` contracts any")
+            if ("seats", feature) not in reader.first_lines:
+                reader.report(one.line, f"batch-class {one.name}: no line `seats {feature}` contracts any")
     for run in text.runs:
         run.to = run.to or reader.given["directive"].get("listen")
         if run.to is None:
-            reader.wrong(run.line, "no sidecar is in this process: `to HOST:PORT` is wanted")
+            reader.report(run.line, "no sidecar is in this process: `to HOST:PORT` is wanted")
         site = text.sites.get(run.site)
-        if text.sites and (site is None or run.kind not in site.lanes):  # else it stands elsewhere
-            reader.wrong(run.line, f"no lanes of {run.kind} at {run.site}")
+        if text.sites and (site is None or run.kind not in site.lanes):  # else another file has the sites
+            reader.report(run.line, f"no lanes of {run.kind} at {run.site}")
     fleet.parts["batches"] = [text]
 
 
--- a/indigohitch/config/further.py
+++ b/indigohitch/config/further.py
@@ -1,4 +1,4 @@
-"""The vocabularies of the fleet's further parts: one entry each, read after the fleet's own."""
+"""Lists the vocabularies of the fleet and its features; a new feature adds its own here."""
 
 from __future__ import annotations
 
--- a/indigohitch/config/operator_file.py
+++ b/indigohitch/config/operator_file.py
@@ -1,5 +1,7 @@
-"""The operator's file of a coordinator: `control`, `state`, `pidfile`, `program`, `wait`, and the words of
-the fleet.  All else the platform tells it.  No I/O but `load`."""
+"""Reads a coordinator's file: `control`, `state`, `pidfile`, `program`, `wait`, and the words of the fleet.
+
+The platform supplies all other settings.  Only `load` does I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,21 +15,37 @@
 
 
 class OperatorReader(Reader):
+    """Reader of a coordinator's file; says so where a word belongs to a sidecar's file."""
+
     def unknown(self, word: str) -> str:
-        if word in VOCABULARY.words or word in VOCABULARY.last or word in SINGLE:
+        """Returns the message for an unknown word; words of a sidecar's file get one of their own."""
+        if word in VOCABULARY.words or word in VOCABULARY.deferred or word in SINGLE:
             return f"{word!r} is not for a coordinator; there are {', '.join(self.all_words())}"
         return super().unknown(word)
 
 
 def read(text: str, source: str = "-") -> Text:
-    """Raises Mistakes."""
+    """Parses the text of a coordinator's file; `source` is its name in messages.
+
+    Raises:
+        ConfigError: The text has mistakes.
+    """
     own = Vocabulary(single={key: SINGLE[key] for key in OPERATOR}, waits=WAITS)
     reader = OperatorReader(source, (*VOCABULARIES, own)).read(text)
     return Text(
-        source, reader.picked("directive", SINGLE), {}, reader.picked("wait", WAITS), fleet=fleet.told(reader)
+        source,
+        reader.values_of("directive", SINGLE),
+        {},
+        reader.values_of("wait", WAITS),
+        fleet=fleet.fleet_of(reader),
     )
 
 
 def load(source: str) -> Text:
-    """Raises Mistakes, OSError."""
+    """Reads and parses the file at the path `source`.
+
+    Raises:
+        ConfigError: The file has mistakes.
+        OSError: The file can't be read.
+    """
     return read(text_in(source), source)
--- a/indigohitch/config/texts.py
+++ b/indigohitch/config/texts.py
@@ -1,4 +1,4 @@
-"""What a file says, as its readers get it."""
+"""The parsed contents of a configuration file."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 
 @dataclass(slots=True)
 class Server:
+    """A `server` line: one server of a pool, its address and relative weight; `line` is its line number."""
+
     name: str
     address: tuple[str, int]
     weight: float
@@ -21,7 +23,7 @@
 
 @dataclass(slots=True)
 class PoolText:
-    """A pool as the file has it; `boot` is the module's plain map."""
+    """A `pool` line with its servers; `boot` holds the settings with which the pool's module starts."""
 
     name: str
     boot: dict
@@ -33,20 +35,28 @@
 
 
 @dataclass(slots=True)
-class Carried:
-    """What a sidecar carries, as its lines are read."""
+class SidecarText:
+    """The RPCs, pools and routes of a sidecar's file, collected while its lines are read."""
 
     rpcs: dict[str, face.Method] = field(default_factory=dict)
-    seats: dict[str, tuple[str, int]] = field(default_factory=dict)  # by RPC: the feature it needs, line
+    seats: dict[str, tuple[str, int]] = field(default_factory=dict)  # by RPC: needed feature, line number
     pools: dict[str, PoolText] = field(default_factory=dict)
-    wanted: set[str] = field(default_factory=set)  # pools that a server's line names, good or not
+    named_pools: set[str] = field(default_factory=set)  # pools named by any `server` line, even a faulty one
     routes: Routes = field(default_factory=Routes)
 
 
 @dataclass(slots=True)
 class Text:
-    """What a file says.  `limits`: counts, and bytes; `waits`: tenths of a ms; `seats`: by RPC the feature of
-    which it needs a seat; `fleet`: None where the file has no line `fleet`."""
+    """The contents of a file that has no mistakes.
+
+    Attributes:
+        source: The name of the file in messages.
+        single: The values of directives that take one value.
+        limits: Counts and bytes.
+        waits: Durations in tenths of a millisecond.
+        seats: The feature of which an RPC needs a seat, by the RPC's name.
+        fleet: None if the file has no line `fleet`.
+    """
 
     source: str
     single: dict
--- a/tests/test_directives_fleet.py
+++ b/tests/test_directives_fleet.py
@@ -116,7 +116,7 @@
 
 
 def further(at, rest, reader):
-    reader.found(FleetText).parts.setdefault("contract", []).append(Contract(at))
+    reader.collected(FleetText).parts.setdefault("contract", []).append(Contract(at))
 
 
 @pytest.mark.parametrize(
@@ -128,7 +128,7 @@
     own = Vocabulary(single={"name": sidecar_file.SINGLE["name"]})
     reader = Reader("f", (VOCABULARY, own, Vocabulary({"contract": further})))
     try:
-        assert len(reader.read(text).found(FleetText).parts["contract"]) == 1 and not found
+        assert len(reader.read(text).collected(FleetText).parts["contract"]) == 1 and not found
     except ConfigError as bad:
         assert [line for line, _ in bad.found] == found
 
