--- a/indigohitch/config/seats.py
+++ b/indigohitch/config/seats.py
@@ -36,8 +36,8 @@
     Attributes:
         since: The start of the contract in tenths of a millisecond of Unix time; 0 if it has none.
         until: Its end in the same unit; 0 if it has none.
-        linger: How long a seat stays taken after use, in tenths of a millisecond.
-        drain: The time in tenths of a millisecond for which excess seats may finish their work.
+        linger: How long a node or user keeps its seat after its last job, in tenths of a millisecond.
+        drain: How long jobs may still start on seats that have to be returned, in the same unit.
         keep: The seats reserved for each tenant.
     """
 
--- a/indigohitch/config/tariffs.py
+++ b/indigohitch/config/tariffs.py
@@ -11,9 +11,8 @@
 DAYS = ("workday", "saturday", "sunday", "holiday")
 DAY = 24 * 3600 * SECOND
 UNITS_PER_CENT = 1000  # prices are stored in thousandths of a cent
-MAX_PRICE = (
-    4000 * UNITS_PER_CENT
-)  # 10 times the highest hourly price on record; a higher one is a typing error
+# 10 times the highest hourly price on record; a higher one is a typing error.
+MAX_PRICE = 4000 * UNITS_PER_CENT
 _PRICE = re.compile(r"-?\d{1,7}(\.\d{1,3})?\Z")
 _ZONE = re.compile(r"[A-Za-z0-9_+-]+(/[A-Za-z0-9_+-]+){0,2}\Z")
 
--- a/tests/golden_files_directives.py
+++ b/tests/golden_files_directives.py
@@ -1,4 +1,4 @@
-"""Operators' files of every kind, and what they read as."""
+"""Generates configuration files of every kind, and the values that they parse to."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
 
 
 def text_of(kind: str) -> str:
-    """Each kind of file, with every word that it may have."""
+    """Returns a file of this kind; all kinds together use every word."""
     me = FLEET_LINES.format(me="n1")
     return {
         "sidecar": "name eros-1\ncontrol /run/c.sock\nstate /var/s\npidfile /run/p\nseed 7\nzone east\n"
@@ -233,7 +233,7 @@
 
 
 def words() -> bytes:
-    """All words of both kinds of file with their defaults, and the options of directives."""
+    """Returns all words of both kinds of file with their defaults, and the options of directives."""
     own = Vocabulary(single={key: SINGLE[key] for key in OPERATOR}, waits=WAITS)
     return as_json(
         {
--- a/tests/test_directives.py
+++ b/tests/test_directives.py
@@ -1,4 +1,4 @@
-"""A sidecar's file: every mistake with its line."""
+"""Parsing of a sidecar's file; every mistake is reported with its line."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 """
 
 
-def test_a_file_is_read():
+def test_values_are_parsed_to_internal_units():
     text = read(TEXT + "limit memory 1.5MB  # enough\nwait drain 2m\n")
     assert text.limits["memory"] == 3 << 19 and text.waits["drain"] == 1_200_000
     assert text.rpcs["search"].deadline == 20_000 and text.pools["nodes"].boot["report_every"] == 10_000
@@ -55,14 +55,14 @@
         ("route GET /b rpc search pool nodes key cookie c", "is wanted"),
     ],
 )
-def test_every_mistake_is_told_with_its_line(line, why):
+def test_every_mistake_is_reported_with_its_line(line, why):
     with pytest.raises(ConfigError) as found:
         read(TEXT + "\n" + line + "\n", "f.conf")
     assert [at for at, _ in found.value.found] == [7] and why in str(found.value)
     assert str(found.value).startswith("f.conf:7: ")
 
 
-def test_all_mistakes_are_told_at_once():
+def test_all_mistakes_are_reported_at_once():
     with pytest.raises(ConfigError) as found:
         read("nothing\nwait drain 3\n")
     assert [at for at, _ in found.value.found] == [1, 2, 3]
@@ -84,15 +84,15 @@
         ("pool more slices 0 cold-from 2", ["cold-from is a share", "whole number", "no server"]),
     ],
 )
-def test_one_line_tells_all_its_mistakes(line, whys):
+def test_all_mistakes_of_one_line_are_reported(line, whys):
     with pytest.raises(ConfigError) as found:
         read(TEXT + "\n" + line + "\n")
-    told = [why for at, why in found.value.found if at == 7]
-    assert len(told) == len(whys) == len(found.value.found)
-    assert all(any(why in one for one in told) for why in whys)
+    reported = [why for at, why in found.value.found if at == 7]
+    assert len(reported) == len(whys) == len(found.value.found)
+    assert all(any(why in one for one in reported) for why in whys)
 
 
-def test_what_follows_from_a_mistake_is_not_told_again():
+def test_consequences_of_a_mistake_are_not_reported():
     with pytest.raises(ConfigError) as found:
         read(TEXT.replace("slices 8", "slices 0").replace("soft 1s", "soft 1"))
     assert [at for at, _ in found.value.found] == [2, 3]
--- a/tests/test_directives_batches.py
+++ b/tests/test_directives_batches.py
@@ -1,4 +1,4 @@
-"""The directives of batches: each mistake with its line, and what only zones and calendars can tell."""
+"""The directives of batches; the command `check` also finds unknown time zones and countries."""
 
 import pytest
 from click.testing import CliRunner
@@ -30,14 +30,14 @@
         ("runs eros std 4", "`to HOST:PORT` is wanted"),
     ],
 )
-def test_every_mistake_of_batches_is_told_once_with_its_line(line, why):
+def test_every_mistake_is_reported_once_with_its_line(line, why):
     with pytest.raises(ConfigError) as found:
         operator_file.read(FLEET + SITE + line + "\n", "f")
     at = 11 if line.startswith("\n") else 10
     assert [line for line, _ in found.value.found] == [at] and why in found.value.found[0][1]
 
 
-def test_seats_of_a_class_are_those_the_file_contracts():
+def test_a_class_may_need_seats_that_the_file_contracts():
     assert operator_file.read(FLEET + SITE + CLASS + " seats geocoder=1\nseats geocoder 4\n").fleet
 
 
@@ -45,11 +45,11 @@
     "wrong, why",
     [("Europe/Berln", "no time zone 'Europe/Berln'"), ("DE-XX", "no holidays are known for 'DE-XX'")],
 )
-def test_check_tells_a_zone_or_country_that_nobody_knows(tmp_path, wrong, why):
+def test_check_reports_an_unknown_time_zone_or_country(tmp_path, wrong, why):
     file = tmp_path / "f"
     file.write_text(FLEET + SITE)
     assert CliRunner().invoke(main, ["check", str(file)]).exit_code == 0
     right = "Europe/Berlin" if "/" in wrong else "DE-BE"
     file.write_text((FLEET + SITE).replace(right, wrong))
-    said = CliRunner().invoke(main, ["check", str(file)])
-    assert said.exit_code == 1 and f"{file}:8: site eros: {why}" in said.output
+    result = CliRunner().invoke(main, ["check", str(file)])
+    assert result.exit_code == 1 and f"{file}:8: site eros: {why}" in result.output
--- a/tests/test_directives_distribution.py
+++ b/tests/test_directives_distribution.py
@@ -22,13 +22,13 @@
     return found.value.found
 
 
-def test_a_subscriber_is_told_its_services_and_distributors():
+def test_a_subscribers_file_gives_services_and_distributors():
     fleet = operator_file.read(SUBSCRIBER).fleet
     assert (fleet.me, fleet.name, fleet.services) == ("c17", "whk", ["vacancies", "maps", "search"])
     assert {one.name: one.address[1] for one in fleet.distributors.values()} == {"d1": 7501, "d2": 7502}
 
 
-def test_members_are_told_who_distributes():
+def test_a_members_file_gives_the_distributors():
     fleet = operator_file.read(FLEET + "distributor n1 127.0.0.1:7501\n").fleet
     assert list(fleet.distributors) == ["n1"] and not fleet.services
 
@@ -47,8 +47,8 @@
         (f"subscribe {' '.join(f's{n}' for n in range(512))}", "a distributor takes 512 at most"),
     ],
 )
-def test_each_mistake_of_a_subscribers_file_is_told(line, why):
-    assert any(why in said for _, said in mistakes(SUBSCRIBER + line + "\n"))
+def test_each_mistake_of_a_subscribers_file_is_reported(line, why):
+    assert any(why in message for _, message in mistakes(SUBSCRIBER + line + "\n"))
 
 
 @pytest.mark.parametrize(
@@ -62,10 +62,10 @@
         (SUBSCRIBER.replace("name c17", ""), "no line `name` says which subscriber this is"),
     ],
 )
-def test_what_does_not_fit_together_is_told(text, why):
-    assert any(why in said for _, said in mistakes(text))
+def test_conflicting_or_missing_lines_are_reported(text, why):
+    assert any(why in message for _, message in mistakes(text))
 
 
-def test_a_sidecar_does_not_subscribe():
+def test_a_sidecar_cannot_subscribe():
     found = mistakes(TEXT + SUBSCRIBER, sidecar_file.read)
-    assert any("a sidecar can't subscribe yet" in said for _, said in found)
+    assert any("a sidecar can't subscribe yet" in message for _, message in found)
--- a/tests/test_directives_fleet.py
+++ b/tests/test_directives_fleet.py
@@ -16,7 +16,7 @@
 """
 
 
-def test_a_coordinator_is_told_its_fleet():
+def test_a_coordinators_file_gives_its_fleet():
     text = operator_file.read(
         FLEET + "wait lease 1.2s\ndrift 0.01\nlimit ledger 1MB\nwait drain 2s\nedition 3\n"
     )
@@ -31,12 +31,12 @@
     ]
 
 
-def test_a_sidecar_is_told_its_fleet():
+def test_a_sidecars_file_gives_its_fleet():
     text = sidecar_file.read(TEXT + FLEET.replace("name n1", "name eros-1"))
     assert text.fleet.me == "eros-1" and len(text.pools) == 1
 
 
-def test_without_a_line_fleet_there_is_none():
+def test_a_file_without_line_fleet_has_no_fleet():
     assert operator_file.read("control /x\n").fleet is None and sidecar_file.read(TEXT).fleet is None
     assert operator_file.read("").single["program"] == []
 
@@ -71,7 +71,7 @@
         ("membre n3 127.0.0.1:7403 votes", 7, "is 'member' meant?"),
     ],
 )
-def test_every_mistake_of_a_fleet_is_told_with_its_line(line, at, why):
+def test_every_mistake_of_a_fleet_is_reported_with_its_line(line, at, why):
     with pytest.raises(ConfigError) as found:
         operator_file.read(FLEET + line + "\n", "f")
     assert [line for line, _ in found.value.found] == [at] and why in found.value.found[0][1]
@@ -85,20 +85,20 @@
         ("member n1 127.0.0.1:7401 votes\n", 1, "n1 is no member of fleet whk"),
     ],
 )
-def test_what_a_fleet_lacks_is_told(gone, at, why):
+def test_missing_lines_of_a_fleet_are_reported(gone, at, why):
     with pytest.raises(ConfigError) as found:
         operator_file.read(FLEET.replace(gone, ""))
     assert [line for line, _ in found.value.found] == [at] and why in str(found.value)
 
 
-def test_words_of_a_fleet_need_one():
+def test_words_of_a_fleet_need_a_line_fleet():
     with pytest.raises(ConfigError) as found:
         operator_file.read(FLEET.replace("fleet whk\n", "\n") + "wait lease 3s\nlimit ledger 1MB\n")
     assert [line for line, _ in found.value.found] == [3, 4, 5, 6, 7, 8]
     assert all("without a line `fleet`" in why for _, why in found.value.found)
 
 
-def test_somebody_votes():
+def test_a_fleet_without_voters_is_reported():
     with pytest.raises(ConfigError, match=":2: no member votes"):
         operator_file.read(FLEET.replace("votes", "follows"))
 
@@ -115,25 +115,25 @@
         self.line = line
 
 
-def further(at, rest, reader):
-    reader.collected(FleetText).parts.setdefault("contract", []).append(Contract(at))
+def on_contract(line, rest, reader):
+    reader.collected(FleetText).parts.setdefault("contract", []).append(Contract(line))
 
 
 @pytest.mark.parametrize(
     "text, found", [(FLEET + "contract\nedition 1\n", []), (FLEET + "contract\n", [7]), ("\ncontract\n", [2])]
 )
-def test_a_further_part_has_words_of_its_own_and_an_edition(text, found):
+def test_a_feature_has_words_of_its_own_and_needs_an_edition(text, found):
     from indigohitch.config.fleet import VOCABULARY
 
     own = Vocabulary(single={"name": sidecar_file.SINGLE["name"]})
-    reader = Reader("f", (VOCABULARY, own, Vocabulary({"contract": further})))
+    reader = Reader("f", (VOCABULARY, own, Vocabulary({"contract": on_contract})))
     try:
         assert len(reader.read(text).collected(FleetText).parts["contract"]) == 1 and not found
-    except ConfigError as bad:
-        assert [line for line, _ in bad.found] == found
+    except ConfigError as error:
+        assert [line for line, _ in error.found] == found
 
 
-def test_either_kind_is_known_by_its_words(tmp_path):
+def test_the_kind_of_a_file_is_recognized_by_its_words(tmp_path):
     file = tmp_path / "f"
     for text, operators in (
         (FLEET, True),
@@ -145,7 +145,7 @@
         assert either.is_operators(text) == operators
     file.write_text(FLEET)
     assert either.load(str(file)).fleet.name == "whk"
-    file.write_bytes(b"\xef\xbb\xbf" + FLEET.encode())  # some editors put a mark before the text
+    file.write_bytes(b"\xef\xbb\xbf" + FLEET.encode())  # some editors write a byte order mark
     assert either.load(str(file)).fleet.me == "n1"
     file.write_bytes(TEXT.encode() + b"name \xff\n")
     with pytest.raises(ConfigError, match=":6: not UTF-8"):
--- a/tests/test_directives_seats.py
+++ b/tests/test_directives_seats.py
@@ -1,4 +1,4 @@
-"""The directives of licence seats, and what they are to the fleet."""
+"""The directives of licence seats, and the contract that the fleet makes of them."""
 
 import pytest
 
@@ -10,16 +10,16 @@
 from test_directives_fleet import FLEET
 
 SECOND, DAY = 10_000, 24 * 3600 * 10_000
-WHOLE = (
+SEAT_FILE = (
     TEXT.replace("soft 1s", "soft 1s seat geocoder")
     + FLEET.replace("name n1", "name eros-1")
     + "edition 3\nseat-tenant X-Tenant\n"
 )
 
 
-def test_a_contract_is_told():
+def test_lines_become_the_fleets_contract():
     text = sidecar_file.read(
-        WHOLE + "seats geocoder 40 from 2026-01-01 to 2026-12-31 drain 10s keep "
+        SEAT_FILE + "seats geocoder 40 from 2026-01-01 to 2026-12-31 drain 10s keep "
         "b=2,a=4\nseats reader 6 kind node linger 2s to 2026-12-31T18:00\n"
     )
     assert text.seats == {"search": "geocoder"}
@@ -52,16 +52,16 @@
         ("seats geocoder 4\nseats geocoder 4", "already in line"),
     ],
 )
-def test_mistakes_of_a_contract(line, why):
+def test_each_mistake_of_a_contract_is_reported_once(line, why):
     with pytest.raises(ConfigError) as found:
-        sidecar_file.read(WHOLE + line + "\n")
+        sidecar_file.read(SEAT_FILE + line + "\n")
     assert why in found.value.text() and len(found.value.found) == 1
 
 
-def test_a_contract_has_an_edition_and_kept_seats_a_header():
-    for gone, why in (
+def test_a_contract_needs_an_edition_and_kept_seats_need_a_header():
+    for removed, why in (
         ("edition 3\n", "no line `edition`|without a line `edition`"),
         ("seat-tenant X-Tenant\n", "no line `seat-tenant`"),
     ):
         with pytest.raises(ConfigError, match=why):
-            sidecar_file.read((WHOLE + "seats geocoder 4 keep a=1\n").replace(gone, ""))
+            sidecar_file.read((SEAT_FILE + "seats geocoder 4 keep a=1\n").replace(removed, ""))
--- a/tests/test_golden_files_directives.py
+++ b/tests/test_golden_files_directives.py
@@ -1,4 +1,4 @@
-"""Golden files of operators: every kind of file reads as the same values, and every word is known."""
+"""Golden configuration files: each kind parses to the recorded values, and together they use every word."""
 
 import orjson
 import pytest
@@ -8,24 +8,24 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_an_operators_file_is_read(kind):
+def test_a_golden_file_parses_to_its_values(kind):
     text = golden(f"directives/{kind}.conf").decode()
     assert read_as(text) == golden(f"directives/{kind}.json")
     assert text_of(kind) == text
 
 
-def test_all_words_and_their_defaults():
+def test_words_and_defaults_are_the_recorded_ones():
     assert words() == golden("directives/words.json")
 
 
-def test_the_files_have_every_word():
-    said = {
+def test_the_files_use_every_word():
+    used = {
         line.split()[0] if line.split()[0] not in ("wait", "limit") else " ".join(line.split()[:2])
         for kind in KINDS
         for line in golden(f"directives/{kind}.conf").decode().splitlines()
     }
     known = [golden_words(kind) for kind in ("sidecar", "operators")]
-    assert said == known[0] | known[1]
+    assert used == known[0] | known[1]
 
 
 def golden_words(kind):
