--- a/indigohitch/config/routes.py
+++ b/indigohitch/config/routes.py
@@ -36,7 +36,7 @@
     wildcard: dict[str, Route] = field(default_factory=dict)  # routes that end here with `**`, by method
 
 
-class Doubled(InvalidRequestError):
+class DuplicateRouteError(InvalidRequestError):
     """Another route has the same method and pattern."""
 
 
@@ -56,7 +56,7 @@
         """Adds a route.
 
         Raises:
-            Doubled: A route with the same method and pattern exists.
+            DuplicateRouteError: A route with the same method and pattern exists.
             ValueError: The pattern is invalid.
         """
         if not route.pattern.startswith("/"):
@@ -76,7 +76,7 @@
                 node = node.literal.setdefault(segment, _Node())
         ends = node.wildcard if names and names[-1] == WILDCARD else node.exact
         if route.method in ends:
-            raise Doubled(f"the same route stands in line {ends[route.method].line}")
+            raise DuplicateRouteError(f"the same route stands in line {ends[route.method].line}")
         ends[route.method] = route
         self.all.append(route)
 
--- a/indigohitch/config/sidecar_file.py
+++ b/indigohitch/config/sidecar_file.py
@@ -21,7 +21,7 @@
 from .checks import CHECKS
 from .further import VOCABULARIES
 from .lines import ConfigError, DependentLineError, Reader, Vocabulary
-from .routes import Doubled, Route
+from .routes import DuplicateRouteError, Route
 from .texts import PoolText, Server, SidecarText, Text
 from .words import count, form, name, path, positive, size, socket_path, span, words
 
@@ -178,7 +178,7 @@
     pool = reader.report_errors(line, named, reader, "pool", rest, options, sidecar.pools)
     try:
         sidecar.routes.add(Route(method, pattern, rpc, pool, key, line))
-    except Doubled as error:
+    except DuplicateRouteError as error:
         raise ValueError(f"{method} {pattern}: {error}") from None
 
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from indigohitch.config.routes import Doubled, Route, Routes
+from indigohitch.config.routes import DuplicateRouteError, Route, Routes
 from indigohitch.sidecar.keys import key_of, slice_of
 
 
@@ -38,7 +38,7 @@
         try:
             method = rng.choice(["GET", "POST"])
             routes.add(Route(method, "/" + "/".join(parts), None, None, ("none", ""), line))
-        except Doubled:
+        except DuplicateRouteError:
             pass
     for _ in range(2000):
         path = "/" + "/".join(rng.choice("abcd") for _ in range(rng.randint(0, 5)))
