--- a/indigohitch/fleet/node/leaving.py
+++ b/indigohitch/fleet/node/leaving.py
@@ -28,7 +28,7 @@
         if give_up and not node.work_loop.has_leased_resources(now):
             audit_work = node.assembly.audit_work
             membership = node.assembly.membership
-            node.work_loop.request(audit_work, audit_work.last(now))
+            node.work_loop.request(audit_work, audit_work.propose_last_head(now))
             node.work_loop.request(membership, membership.leave())
         self._transfer_leadership()
 
