--- a/indigohitch/versions/amends.py
+++ b/indigohitch/versions/amends.py
@@ -1,4 +1,4 @@
-"""A way back: an old version made fit for now, and the words that say how it was amended.  No I/O."""
+"""Amends an old version so that it is fit to be published now, and notes how. No I/O."""
 
 from __future__ import annotations
 
@@ -11,28 +11,35 @@
 
 @dataclass(slots=True)
 class Amended:
+    """The amended content, with a note for operators on each change."""
+
     root: Root
-    said: list[str] = field(default_factory=list)
-    faults: list[Fault] = field(default_factory=list)  # what no amendment could cure: it must not leave
+    notes: list[str] = field(default_factory=list)
+    faults: list[Fault] = field(default_factory=list)  # what amending could not fix; it must not be published
+
 
+def amended(old: Version, current: Root, facts: Facts, set_aside: frozenset[str] = frozenset()) -> Amended:
+    """Returns `old` without gone, unlisted or draining backends, and with cold ones within their limits.
 
-def amended(old: Version, current: Root, facts: Facts, but: frozenset[str] = frozenset()) -> Amended:
-    """`old` without backends that are gone, unlisted or draining, with cold ones within their caps; a slice
-    that is left without lines takes those it has now, of ready backends only.  The rules of checks.py then
-    hold it against `current`: a rollback is no way round them."""
-    found = Amended(old.root)
-    found.root = cold_within(unfit_out(old.root, current, facts, found.said), current, facts, found.said)
-    found.root = owners_in(found.root, current, facts, found.said)
-    found.faults = faults(current, found.root, facts, but)
-    return found
+    A slice that is left without lines takes its present ones, of ready backends only. The rules of checks.py
+    are then applied against `current`, so that a rollback does not bypass them.
+    """
+    result = Amended(old.root)
+    result.root = cap_cold_lines(
+        replace_unfit_lines(old.root, current, facts, result.notes), current, facts, result.notes
+    )
+    result.root = fill_empty_slices(result.root, current, facts, result.notes)
+    result.faults = faults(current, result.root, facts, set_aside)
+    return result
 
 
 def ready(facts: Facts, name: str) -> bool:
+    """Returns whether the backend is listed and ready."""
     return facts.states.get(name) == "ready"
 
 
-def in_place(slice: int, current: Root, facts: Facts, warm: bool = False) -> dict[str, float]:
-    """What it has now, as far as that is fit."""
+def fallback_lines(slice: int, current: Root, facts: Facts, warm: bool = False) -> dict[str, float]:
+    """Returns the slice's present lines of ready backends, or a line to a ready backend that is not cold."""
     now = current.lines_of(slice)
     fit = {
         name: weight
@@ -45,24 +52,28 @@
     return {spare[slice % len(spare)]: 1.0} if spare else {}
 
 
-def unfit_out(root: Root, current: Root, facts: Facts, said: list[str]) -> Root:
+def replace_unfit_lines(root: Root, current: Root, facts: Facts, notes: list[str]) -> Root:
+    """Returns the root without lines of backends that are not ready; slices left empty get fallback lines."""
     changes = {}
     for slice, table in root.items():
         bad = [name for name in table.lines if not ready(facts, name)]
         if not bad:
             continue
         lines = {name: weight for name, weight in table.lines.items() if name not in bad}
-        changes[slice] = lines or in_place(slice, current, facts)
+        changes[slice] = lines or fallback_lines(slice, current, facts)
         for name in bad:
             state = facts.states.get(name, "not listed")
             instead = ", ".join(changes[slice]) or "none"
-            said.append(f"slice {slice}: {name} is {state}, in its place {instead}")
+            notes.append(f"slice {slice}: {name} is {state}, in its place {instead}")
     return root.changed(changes)
 
 
-def cold_within(root: Root, current: Root, facts: Facts, said: list[str]) -> Root:
-    """Lines of cold backends in the order of slices until the cap is full; what it has already comes first,
-    since it need not be moved."""
+def cap_cold_lines(root: Root, current: Root, facts: Facts, notes: list[str]) -> Root:
+    """Returns the root with lines of cold backends only up to their limits.
+
+    Lines are kept in the order of slices until the limit is reached; those in place already come first, since
+    they need not be moved.
+    """
     if not facts.cold:
         return root
     room = dict(facts.cold)
@@ -79,18 +90,18 @@
             continue
         lines = changes.setdefault(slice, dict(root.lines_of(slice)))
         del lines[name]
-        said.append(f"slice {slice}: {name} is cold and at its cap")
+        notes.append(f"slice {slice}: {name} is cold and at its cap")
     for slice, lines in changes.items():
         if not lines:
-            lines.update(in_place(slice, current, facts, warm=True))
+            lines.update(fallback_lines(slice, current, facts, warm=True))
     return root.changed(changes)
 
 
-def owners_in(root: Root, current: Root, facts: Facts, said: list[str]) -> Root:
-    """Slices that were not there then."""
+def fill_empty_slices(root: Root, current: Root, facts: Facts, notes: list[str]) -> Root:
+    """Returns the root with fallback lines in slices that had none in the old version."""
     changes = {}
     for slice in sorted(facts.slices if root.slices < len(facts.slices) else ()):
-        if root.get(slice) is None and (lines := in_place(slice, current, facts)):
+        if root.get(slice) is None and (lines := fallback_lines(slice, current, facts)):
             changes[slice] = lines
-            said.append(f"slice {slice}: it had no lines then, it keeps {', '.join(lines)}")
+            notes.append(f"slice {slice}: it had no lines then, it keeps {', '.join(lines)}")
     return root.changed(changes)
--- a/indigohitch/versions/canary.py
+++ b/indigohitch/versions/canary.py
@@ -1,8 +1,9 @@
-"""Canary analysis: a staged rollout stops where it harms, the canary relays against the rest.  No I/O.
+"""Canary analysis: stops a staged rollout that harms, by comparing the canary relays with the rest. No I/O.
 
-The test is Fisher's exact one (Fisher 1922), one-sided: with the failures of both together as given, how
-likely is it that so many fell on those with the new version, if it made no difference.  Python's integers
-give the hypergeometric sum exactly; the tests hold it against scipy's."""
+It uses Fisher's exact test (Fisher 1922), one-sided: given the failures of both groups together, how likely
+is it that so many fell on the relays with the new version if the version made no difference? Python's
+integers give the hypergeometric sum exactly; the tests compare it with scipy's.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +11,11 @@
 from dataclasses import dataclass, field
 from math import comb
 
-# Looked at once a second: at 1 in 1,000 a look, a rollout of half a minute would stop by chance once in some
-# 30. Two looks in a row (HYSTERESIS) make it rarer by far, since each look has its own counts.
+# With one look a second and 1 in 1,000 for each, about one in 30 rollouts of half a minute would halt by
+# chance. Requiring two looks in a row (HYSTERESIS) makes that far rarer, since each look has its own counts.
 SIGNIFICANCE, HYSTERESIS = 0.001, 2
-LEAST_REQUESTS = 20  # on either side; fewer say nothing
-MOST_REQUESTS = 2000  # counts above are scaled down: the sum stays short, the test gets milder
+LEAST_REQUESTS = 20  # on either side; fewer are not significant
+MOST_REQUESTS = 2000  # larger counts are scaled down: a shorter sum, a less sensitive test
 STAGES = (0.02, 0.1, 0.3, 1.0)  # shares of the relays
 HEALTHY_LOOKS = 3  # without harm before the next stage
 P_VALUES_KEPT = 10
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestCounts:
-    """RPCs since the last look."""
+    """Failed and all RPCs since the last look."""
 
     failed: int
     total: int
@@ -32,11 +33,12 @@
         return RequestCounts(self.failed + other.failed, self.total + other.total)
 
     def scaled(self, most: int) -> RequestCounts:
+        """Returns the counts scaled so that `most` requests become MOST_REQUESTS."""
         return RequestCounts(self.failed * MOST_REQUESTS // most, self.total * MOST_REQUESTS // most)
 
 
 def p_value(canary: RequestCounts, baseline: RequestCounts) -> float:
-    """P(at least `canary.failed` of all failures fall on the canary's requests)."""
+    """Returns the probability that at least `canary.failed` of all failures fall on the canary's requests."""
     most = max(canary.total, baseline.total)
     if most > MOST_REQUESTS:
         canary, baseline = canary.scaled(most), baseline.scaled(most)
@@ -50,6 +52,8 @@
 
 
 class Verdict(enum.Enum):
+    """Whether a staged rollout goes on, has reached all relays, or was stopped."""
+
     CONTINUE = "continue"
     DONE = "done"
     HALTED = "halted"
@@ -57,8 +61,11 @@
 
 @dataclass(slots=True)
 class CanaryAnalysis:
-    """`look` with the counts since the last look.  A failing that both sides share, as when a backend dies,
-    is no reason: it is the difference that counts."""
+    """The state of one staged rollout; `look` takes the counts since the last look.
+
+    Failures that both groups share, as when a backend dies, are no reason to halt: only the difference
+    counts.
+    """
 
     relays: list[str]  # in the order in which they get the new version
     stage: int = 0
@@ -68,12 +75,13 @@
     p_values: list[float] = field(default_factory=list)  # of the last looks
 
     def updated_relays(self) -> list[str]:
-        """Those that are to have the new version in this stage."""
+        """Returns the relays that are to have the new version in this stage."""
         if self.verdict is Verdict.HALTED:
             return []
         return self.relays[: max(1, round(STAGES[self.stage] * len(self.relays)))]
 
     def look(self, canary: RequestCounts, baseline: RequestCounts) -> Verdict:
+        """Compares the groups and returns the verdict; too few requests on either side change nothing."""
         if self.verdict is not Verdict.CONTINUE:
             return self.verdict
         if min(canary.total, baseline.total) < LEAST_REQUESTS:
@@ -86,11 +94,13 @@
         return self.verdict
 
     def harmful(self) -> None:
+        """Counts a look that found harm; enough of them in a row halt the rollout."""
         self.harmful_looks, self.healthy_looks = self.harmful_looks + 1, 0
         if self.harmful_looks >= HYSTERESIS:
             self.verdict = Verdict.HALTED
 
     def healthy(self) -> None:
+        """Counts a look without harm; enough of them in a row begin the next stage."""
         self.harmful_looks, self.healthy_looks = 0, self.healthy_looks + 1
         if self.healthy_looks < HEALTHY_LOOKS:
             return
@@ -101,8 +111,11 @@
 
 @dataclass(slots=True)
 class HaltBackoff:
-    """After a halt the same content does not go out again by itself, another only after a wait that doubles
-    each time."""
+    """Delays rollouts after a halt.
+
+    The halted content does not go out again by itself, and another one only after a wait that doubles each
+    time.
+    """
 
     wait: int
     most: int
@@ -110,7 +123,8 @@
     halted: set[bytes] = field(default_factory=set)  # digests of contents that were halted
 
     def halt(self, now: int, digest: bytes) -> None:
+        """Records a halted content and begins the next wait."""
         if len(self.halted) >= HALTED_CONTENTS:
-            self.halted.clear()  # long ago; their wait has passed
+            self.halted.clear()  # most were halted long ago, and their wait has passed
         self.halted.add(digest)
         self.until, self.wait = now + self.wait, min(2 * self.wait, self.most)
--- a/indigohitch/versions/checks.py
+++ b/indigohitch/versions/checks.py
@@ -1,7 +1,8 @@
-"""Checks before a version leaves: each a named rule that gives its reasons.  No I/O.
+"""Checks of a version before it is published: named rules that state why they fail. No I/O.
 
-Each looks only at the slices that the version changes against the last good one: what news of backends made
-of unchanged lines is the module's to order, and amends.py's on a way back."""
+Each rule looks only at slices that differ from the last good version. Unchanged lines that became unfit
+because a backend's state changed are left to the module's orders, and on a rollback to amends.py.
+"""
 
 from __future__ import annotations
 
@@ -11,30 +12,34 @@
 from .tables import Root, difference
 from .terms import Guard
 
-# Of all slices, the most that one version may change.  A backend that dies on its own takes a few hundredths
-# of the slices with it; a table that is bad changes nearly all.
-BLAST = 0.3
-FEW = 20  # changes so few are never a blast, whatever share of a small fleet they are
+# The largest share of slices that one version may change. The failure of one backend changes a few hundredths
+# of the slices; a faulty table changes nearly all.
+MAX_CHANGED_SHARE = 0.3
+SMALL_CHANGE_SLICES = 20  # so few never fail the check, whatever their share in a small fleet
 
 
 @dataclass(slots=True, frozen=True)
 class Facts:
-    """What the program knows beside the tables.  `states`: of listed backends, "ready", "draining" or "gone";
-    `slices`: those that must have an owner; `repeats`: tries allowed, by method, and `idempotent` ones."""
+    """What the program knows besides the tables.
+
+    `states`: "ready", "draining" or "gone" for each listed backend; `slices`: those that must have an owner;
+    `cold`: the largest weight of each cold backend; `tries`: allowed tries by method; `idempotent`: methods
+    safe to repeat.
+    """
 
     states: Mapping[str, str]
     slices: frozenset[int] = frozenset()
     cold: Mapping[str, float] = field(default_factory=dict)
     most_lines: int = 1 << 20
-    blast: float = BLAST
+    blast: float = MAX_CHANGED_SHARE
     tries: Mapping[str, int] = field(default_factory=dict)
     idempotent: frozenset[str] = frozenset()
 
     def guard(self) -> Guard:
-        """Stand-ins on the way: three are enough, and few to look at."""
+        """Returns the restrictions for deltas; three warm stand-ins are enough and quick to try."""
         ready = (name for name, state in self.states.items() if state == "ready" and name not in self.cold)
         return Guard(
-            frozenset(n for n, state in self.states.items() if state == "draining"),
+            frozenset(name for name, state in self.states.items() if state == "draining"),
             dict(self.cold),
             tuple(name for name, _ in zip(ready, range(3), strict=False)),
         )
@@ -42,22 +47,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
+    """A failed check: the rule, the line it concerns and the reason."""
+
     rule: str
-    where: str  # the line
+    where: str  # slice and backend, or what else it concerns
     why: str
 
     def text(self) -> str:
+        """Returns the rule, the location and the reason, as logged and shown to operators."""
         return f"{self.rule}: {self.where}: {self.why}"
 
 
 def owner(was: Root, now: Root, facts: Facts) -> Iterator[Fault]:
+    """Yields slices that must have an owner and have no line."""
     gone = {slice for slice, _, table in difference(was, now) if table is None}
     for slice in sorted(facts.slices if was.slices < len(facts.slices) else facts.slices & gone):
         if now.get(slice) is None:
             yield Fault("owner", f"slice {slice}", "no backend answers for it")
 
 
-def lines_to(was: Root, now: Root, facts: Facts, state: str | None) -> Iterator[tuple[int, str]]:
+def lines_in_state(was: Root, now: Root, facts: Facts, state: str | None) -> Iterator[tuple[int, str]]:
+    """Yields slice and backend of changed lines whose backend is in `state` (None: not listed)."""
     for slice, _, table in difference(was, now):
         for backend in table.lines if table is not None else ():
             if facts.states.get(backend) == state:
@@ -65,29 +75,35 @@
 
 
 def listed(was: Root, now: Root, facts: Facts) -> Iterator[Fault]:
-    for slice, backend in lines_to(was, now, facts, None):
+    """Yields changed lines of backends that discovery does not list."""
+    for slice, backend in lines_in_state(was, now, facts, None):
         yield Fault("listed", f"slice {slice} {backend}", "discovery does not list it")
 
 
 def gone(was: Root, now: Root, facts: Facts) -> Iterator[Fault]:
-    for slice, backend in lines_to(was, now, facts, "gone"):
+    """Yields changed lines of backends that are gone."""
+    for slice, backend in lines_in_state(was, now, facts, "gone"):
         yield Fault("gone", f"slice {slice} {backend}", "it is gone")
 
 
 def draining(was: Root, now: Root, facts: Facts) -> Iterator[Fault]:
-    """What it has may stay for the grace; nothing new goes to it."""
-    for slice, backend in lines_to(was, now, facts, "draining"):
+    """Yields lines that a draining backend gains; those it has may stay for the grace period."""
+    for slice, backend in lines_in_state(was, now, facts, "draining"):
         if now.lines_of(slice)[backend] > was.lines_of(slice).get(backend, 0):
             yield Fault("draining", f"slice {slice} {backend}", "it is to lose lines, not to get them")
 
 
 def size(was: Root, now: Root, facts: Facts) -> Iterator[Fault]:
+    """Yields a fault if there are more lines than a relay takes."""
     if now.lines > facts.most_lines:
         yield Fault("size", "all slices", f"{now.lines} lines, a relay takes {facts.most_lines}")
 
 
 def cold(was: Root, now: Root, facts: Facts) -> Iterator[Fault]:
-    """By what it gains: a whole sum is only taken for backends that gain."""
+    """Yields cold backends that gain weight beyond their limit.
+
+    The sum over all slices is computed only for backends that gain.
+    """
     gains: dict[str, float] = {}
     for _, before, after in difference(was, now) if facts.cold else ():
         for name in facts.cold:
@@ -106,22 +122,23 @@
 
 
 def blast(was: Root, now: Root, facts: Facts) -> Iterator[Fault]:
-    """Lines of gone and draining backends that only leave are not counted: they have to."""
+    """Yields a fault if too many slices change; those that leave gone or draining backends don't count."""
     bad, count = {name for name, state in facts.states.items() if state != "ready"}, 0
     for _, before, _ in difference(was, now):
         count += before is not None and bad.isdisjoint(before.lines)
-    if count > max(FEW, facts.blast * was.slices):
+    if count > max(SMALL_CHANGE_SLICES, facts.blast * was.slices):
         yield Fault("blast", "all slices", f"{count} of {was.slices} change at once")
 
 
 def repeats(was: Root, now: Root, facts: Facts) -> Iterator[Fault]:
+    """Yields methods that may be tried more than once without being idempotent."""
     for method, tries in facts.tries.items():
         if tries > 1 and method not in facts.idempotent:
             yield Fault("repeats", method, "not idempotent, and may be tried again after any failure")
 
 
 Rule = Callable[[Root, Root, Facts], Iterator[Fault]]
-# By the name that faults carry and by which operators set one aside, whatever its function is called.
+# The keys are the names in faults and in operators' commands; they don't depend on the functions' names.
 RULES: dict[str, Rule] = {
     "owner": owner,
     "listed": listed,
@@ -134,24 +151,27 @@
 }
 
 
-def faults(was: Root, now: Root, facts: Facts, but: frozenset[str] = frozenset()) -> list[Fault]:
-    """Empty: it may leave.  `but`: rules that an operator sets aside for this one version, by name; no one
-    can set aside what harms RPCs (`owner`, `listed`, `gone`, `repeats`)."""
-    aside = but & {"blast", "size"}
-    return [fault for name, rule in RULES.items() if name not in aside for fault in rule(was, now, facts)]
+def faults(was: Root, now: Root, facts: Facts, set_aside: frozenset[str] = frozenset()) -> list[Fault]:
+    """Returns what forbids publishing `now` after `was`; empty if nothing does.
+
+    `set_aside` names the rules that an operator sets aside for this one version. Only `blast` and `size` can
+    be set aside, never a rule that protects RPCs (`owner`, `listed`, `gone`, `repeats`) or the others.
+    """
+    skipped = set_aside & {"blast", "size"}
+    return [fault for name, rule in RULES.items() if name not in skipped for fault in rule(was, now, facts)]
 
 
 def weights(lines: Mapping[int, Mapping[str, object]]) -> list[Fault]:
-    """Before a table is made of them: what is no number, or a slice whose weights are all 0."""
-    found = []
-    for slice, some in lines.items():
-        for name, weight in some.items():
+    """Returns faults of ordered lines: invalid weights, and slices whose weights are all 0."""
+    faults = []
+    for slice, by_backend in lines.items():
+        for name, weight in by_backend.items():
             if (
                 not isinstance(weight, int | float)
                 or isinstance(weight, bool)
                 or not 0 <= weight < float("inf")
             ):
-                found.append(Fault("weights", f"slice {slice} {name}", f"{weight!r} is no weight"))
-        if some and all(weight == 0 for weight in some.values()):
-            found.append(Fault("weights", f"slice {slice}", "all weights are 0"))
-    return found
+                faults.append(Fault("weights", f"slice {slice} {name}", f"{weight!r} is no weight"))
+        if by_backend and all(weight == 0 for weight in by_backend.values()):
+            faults.append(Fault("weights", f"slice {slice}", "all weights are 0"))
+    return faults
--- a/indigohitch/versions/delta.py
+++ b/indigohitch/versions/delta.py
@@ -1,8 +1,9 @@
-"""From what a relay may hold to what it must hold: the fewest lines, in an order that is safe at each step.
+"""Deltas from what a relay may hold to its target: the fewest lines, in an order that is safe at each step.
 
-A slice's new lines go before its old ones are removed; slices that a draining backend leaves go first; a cold
-backend's weight over all slices never passes the greater of what it has and what it is to have.  Where a
-relay may hold one of several contents, a step has to be safe for each of them."""
+A slice's new lines are set before its old ones are removed; slices that a draining backend leaves come first;
+a cold backend's weight over all slices never exceeds the greater of its weight before and after. Where a
+relay may hold one of several contents, each step has to be safe for all of them.
+"""
 
 from __future__ import annotations
 
@@ -13,24 +14,24 @@
 from .terms import Guard, LineUpdate
 
 
-def changes(froms: Sequence[Root], to: Root) -> dict[int, list[LineUpdate]]:
-    """Lines to be set, by slice: those that differ from any of `froms`."""
-    slices = sorted({slice for root in froms for slice, _, _ in difference(root, to)})
-    found = {}
+def changes(starts: Sequence[Root], to: Root) -> dict[int, list[LineUpdate]]:
+    """Returns the lines to set, by slice: those that differ from any of `starts`."""
+    slices = sorted({slice for root in starts for slice, _, _ in difference(root, to)})
+    by_slice = {}
     for slice in slices:
-        wanted, held = to.lines_of(slice), [root.lines_of(slice) for root in froms]
+        wanted, held = to.lines_of(slice), [root.lines_of(slice) for root in starts]
         names = sorted(set(wanted).union(*held))
-        found[slice] = [
+        by_slice[slice] = [
             LineUpdate(slice, name, wanted.get(name, 0))
             for name in names
             if any(lines.get(name, 0) != wanted.get(name, 0) for lines in held)
         ]
-    return found
+    return by_slice
 
 
-def ordered(froms: Sequence[Root], to: Root, guard: Guard) -> list[LineUpdate]:
-    """Raises Unfit where no order is safe."""
-    todo = changes(froms, to)
+def ordered(starts: Sequence[Root], to: Root, guard: Guard) -> list[LineUpdate]:
+    """Returns the updates in a safe order; raises InvalidRequestError if there is none."""
+    todo = changes(starts, to)
     for updates in todo.values():
         updates.sort(key=lambda update: (update.weight == 0, update.backend in guard.cold))
     first = {
@@ -41,19 +42,19 @@
     slices = sorted(todo, key=lambda slice: slice not in first)
     if not any(update.backend in guard.cold for updates in todo.values() for update in updates):
         return [update for slice in slices for update in todo[slice]]
-    return ColdSafeOrder(froms, to, guard, todo).walk(slices)
+    return ColdSafeOrder(starts, to, guard, todo).order_steps(slices)
 
 
 class ColdSafeOrder:
-    """With cold backends in it: step by step, each held against every content that the relay may hold."""
+    """Orders updates that involve cold backends; checks each against every content the relay may hold."""
 
     def __init__(
-        self, froms: Sequence[Root], to: Root, guard: Guard, todo: dict[int, list[LineUpdate]]
+        self, starts: Sequence[Root], to: Root, guard: Guard, todo: dict[int, list[LineUpdate]]
     ) -> None:
         self.to, self.guard, self.todo = to, guard, todo
-        self.held = [{slice: dict(root.lines_of(slice)) for slice in todo} for root in froms]
-        self.gained = [dict.fromkeys(guard.cold, 0.0) for _ in froms]
-        # A cold backend ends this much above where it began; it may not be higher on the way, nor above 0.
+        self.held = [{slice: dict(root.lines_of(slice)) for slice in todo} for root in starts]
+        self.gained = [dict.fromkeys(guard.cold, 0.0) for _ in starts]
+        # The most that each cold backend may gain in between: its gain in the end, or 0 if it loses weight.
         self.most = [
             {
                 name: max(
@@ -65,17 +66,19 @@
         ]
         self.steps: list[LineUpdate] = []
 
-    def walk(self, slices: list[int]) -> list[LineUpdate]:
+    def order_steps(self, slices: list[int]) -> list[LineUpdate]:
+        """Returns all updates in a safe order; raises InvalidRequestError if there is none."""
         while slices:
             before = len(self.steps)
             for slice in slices:
-                self.todo[slice] = [update for update in self.todo[slice] if not self.took(update)]
+                self.todo[slice] = [update for update in self.todo[slice] if not self.take_if_safe(update)]
             slices = [slice for slice in slices if self.todo[slice]]
             if slices and len(self.steps) == before:
-                self.detour(slices)
+                self.use_stand_in(slices)
         return self.steps
 
-    def took(self, update: LineUpdate) -> bool:
+    def take_if_safe(self, update: LineUpdate) -> bool:
+        """Appends the update if it is safe for every content, and returns whether it did."""
         if not all(self.safe(number, update) for number in range(len(self.held))):
             return False
         for held, gained in zip(self.held, self.gained, strict=True):
@@ -89,6 +92,10 @@
         return True
 
     def safe(self, number: int, update: LineUpdate) -> bool:
+        """Returns whether the update is safe for that content.
+
+        It must leave no slice empty and raise no cold backend above its limit.
+        """
         lines = self.held[number][update.slice]
         if not update.weight:
             return not lines.get(update.backend) or len(lines) > 1 or not self.to.lines_of(update.slice)
@@ -96,13 +103,16 @@
         gained = self.gained[number].get(update.backend)
         return gained is None or more <= 0 or gained + more <= self.most[number][update.backend] + 1e-9
 
-    def detour(self, slices: list[int]) -> None:
-        """Cold backends wait for each other's place: a warm one stands in for a moment."""
+    def use_stand_in(self, slices: list[int]) -> None:
+        """Adds a temporary warm line to a slice, for cold backends that wait for each other's place.
+
+        Raises InvalidRequestError if no warm backend can stand in.
+        """
         for slice in slices:
             if not any(
                 update.backend in self.guard.cold and not update.weight for update in self.todo[slice]
             ):
-                continue  # only a removal makes room
+                continue  # only the removal of a cold line makes room
             wanted = self.to.lines_of(slice)
             for name in self.guard.warm:
                 if (
@@ -111,7 +121,7 @@
                     and name not in self.guard.cold
                     and name not in self.guard.draining
                 ):
-                    self.took(LineUpdate(slice, name, 1.0))
+                    self.take_if_safe(LineUpdate(slice, name, 1.0))
                     self.todo[slice].append(LineUpdate(slice, name, 0))
                     return
         raise InvalidRequestError(
@@ -121,13 +131,16 @@
         )
 
 
-def stripped(to: Root, guard: Guard) -> Root:
-    """Without lines of cold backends, where another stays: what can be set whole over unknown lines."""
+def without_cold_lines(to: Root, guard: Guard) -> Root:
+    """Returns `to` without lines of cold backends in slices that keep another backend.
+
+    This is the content that may replace unknown lines as a whole.
+    """
     if not guard.cold:
         return to
-    found = {}
+    without_cold = {}
     for slice, table in to.items():
         lines = {name: weight for name, weight in table.lines.items() if name not in guard.cold}
         if lines and len(lines) < len(table.lines):
-            found[slice] = lines
-    return to.changed(found)
+            without_cold[slice] = lines
+    return to.changed(without_cold)
--- a/indigohitch/versions/orders.py
+++ b/indigohitch/versions/orders.py
@@ -1,4 +1,4 @@
-"""The module's orders as changes to a root.  No I/O."""
+"""Converts the decision module's orders to changes of a root. No I/O."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 Changes = dict[int, dict[str, float]]
 
 
-def carried(root: Root, orders: Iterable[face.Order]) -> Changes:
-    """New lines of the slices that these orders touch; weights as ordered (checks.weights looks at them)."""
-    found: Changes = {}
+def changed_lines(root: Root, orders: Iterable[face.Order]) -> Changes:
+    """Returns the new lines of each slice that the orders touch.
+
+    Weights are taken as ordered; checks.weights validates them.
+    """
+    changes: Changes = {}
     for order in orders:
         if isinstance(order, face.SetRoute):
-            lines = found.setdefault(order.table, dict(root.lines_of(order.table)))
+            lines = changes.setdefault(order.table, dict(root.lines_of(order.table)))
             if order.weight == 0:
                 lines.pop(order.backend, None)
             else:
                 lines[order.backend] = order.weight
         elif isinstance(order, face.ClearTable):
-            found[order.table] = {}
-    return found
+            changes[order.table] = {}
+    return changes
--- a/indigohitch/versions/publisher.py
+++ b/indigohitch/versions/publisher.py
@@ -1,7 +1,8 @@
-"""Where versions are made and published to the relays: orders, checks, the store, pins and rollbacks.
+"""Makes versions and publishes them to the relays: orders, checks, the store, pins and rollbacks.
 
-Decides; the one thing that it does to the outside is that the store writes a version down before any relay is
-told to come to it.  Messages are the caller's to send (Session.due)."""
+Its only side effect is that the store writes a version before any relay is told to take it. The caller sends
+the messages (Session.due).
+"""
 
 from __future__ import annotations
 
@@ -25,23 +26,26 @@
 
 @dataclass(slots=True, frozen=True)
 class RollbackPlan:
-    """A dry run: what would go out, and what it costs a relay that holds what stands, the cheapest first."""
+    """A dry run: what would be published, and its price for a relay at the current version."""
 
     amended: Amended
-    prices: list[Price]
+    prices: list[Price]  # cheapest first
 
 
 @dataclass(slots=True, frozen=True)
 class Rollback:
-    """`version`: what went out; None where a fault stopped it, or nothing was to be sent."""
+    """The result of a rollback; `version` is None if a fault stopped it or nothing had to be sent."""
 
     amended: Amended
     version: Version | None
 
 
 class VersionPublisher:
-    """`store` may raise OSError: then nothing is sent, and what stood stands.  `log_event(event, **fields)`
-    writes a line of the log."""
+    """Makes and publishes versions, and assigns each relay its target.
+
+    If the store raises OSError, nothing is sent and the current version stays. `log_event(event, **fields)`
+    writes a line of the log.
+    """
 
     def __init__(
         self,
@@ -53,17 +57,17 @@
         self.store, self.history, self.facts = store, store.history, facts
         self.channel, self.log_event = channel, log_event
         self.planner = Planner(channel)
-        self.current = self.history.newest  # the last good one
-        self.wanted = self.root  # what the module has asked for, also while it is held back
+        self.current = self.history.newest  # the last good version
+        self.wanted = self.root  # what the module has asked for, even if a pin or a check holds it back
         self.pin: Pin | None = None
         self.rollout = StagedRollout(self)
         self.recover_pin()
-        self.faults: list[Fault] = []  # of what was asked last; empty: it went out, or is held
+        self.faults: list[Fault] = []  # of the last request; empty if it was published or is held by a pin
         self.sessions: dict[str, Session] = {}
-        self.counted: dict[str, frozenset[bytes]] = {}  # digests that a relay was counted at in the history
+        self.counted: dict[str, frozenset[bytes]] = {}  # by relay: digests it is counted for in the history
 
     def recover_pin(self) -> None:
-        """The pin of before a restart; the baseline of a rollout that was not through is current again."""
+        """Restores the pin of before a restart; the baseline of an unfinished rollout becomes current."""
         pinned = self.store.pinned
         if pinned is None:
             return
@@ -74,22 +78,25 @@
 
     @property
     def root(self) -> Root:
+        """The current version's content; empty before the first version."""
         return self.current.root if self.current is not None else Root()
 
     # ---- ordinary versions -------------------------------------------------------------------------
 
-    def apply_orders(self, now: int, some: Iterable[face.Order], cause: str) -> Version | None:
-        """The module's orders; the version that goes out, if one does.  What a check stops stays asked for,
-        and goes with the next orders that cure it.  Raises OSError."""
-        changes = orders.carried(self.wanted, some)
-        if found := checks.weights(changes):
-            self.reject(found, cause)
+    def apply_orders(self, now: int, ordered: Iterable[face.Order], cause: str) -> Version | None:
+        """Applies the module's orders and returns the version published, if any.
+
+        What a check stops remains wanted, and is published with the next orders that cure it. Raises OSError.
+        """
+        changes = orders.changed_lines(self.wanted, ordered)
+        if faults := checks.weights(changes):
+            self.reject(faults, cause)
             return None
         self.wanted = self.wanted.changed(changes)
         return self.publish_wanted(now, cause)
 
     def update_facts(self, now: int, facts: Facts, cause: str) -> Version | None:
-        """News of backends.  Raises OSError."""
+        """Takes new facts about backends and returns the version published, if any. Raises OSError."""
         self.facts = facts
         for session in self.sessions.values():
             session.set_guard(facts.guard())
@@ -100,22 +107,26 @@
         return self.publish_wanted(now, cause)
 
     def publish_wanted(self, now: int, cause: str) -> Version | None:
-        """What the module wants, as far as a pin lets it through."""
+        """Publishes what the module wants, as far as a pin allows it."""
         if self.pin is None:
             return self.publish(now, self.wanted, cause)
         allowed = self.pin.allowed(self.root, self.wanted, self.facts)
         version = self.publish(now, allowed.root, f"pinned by {self.pin.by}: {cause}")
         if version is not None:
-            self.log_event("version_amended", number=version.number, how=allowed.said)
+            self.log_event("version_amended", number=version.number, how=allowed.notes)
         return version
 
-    def publish(self, now: int, root: Root, cause: str, but: frozenset[str] = frozenset()) -> Version | None:
-        """A new version of that content, after the checks but those named.  Raises OSError."""
+    def publish(
+        self, now: int, root: Root, cause: str, set_aside: frozenset[str] = frozenset()
+    ) -> Version | None:
+        """Makes a version of that content unless a check not in `set_aside` fails. Raises OSError."""
         self.faults = []
         if self.current is not None and root == self.root:
             return None
-        if found := checks.faults(self.root, root, self.facts, but if self.current else but | {"blast"}):
-            self.reject(found, cause)
+        if faults := checks.faults(
+            self.root, root, self.facts, set_aside if self.current else set_aside | {"blast"}
+        ):
+            self.reject(faults, cause)
             return None
         newest = self.history.newest
         number = newest.number + 1 if newest is not None else 1
@@ -128,52 +139,61 @@
             self.assign(session)
         return version
 
-    def reject(self, found: list[Fault], cause: str) -> None:
-        self.faults = found
-        texts = [fault.text() for fault in found[:FAULTS_LOGGED]]
-        self.log_event("version_stopped", cause=cause, faults=texts, all=len(found))
+    def reject(self, faults: list[Fault], cause: str) -> None:
+        """Keeps and logs the faults of a version that is not published."""
+        self.faults = faults
+        texts = [fault.text() for fault in faults[:FAULTS_LOGGED]]
+        self.log_event("version_stopped", cause=cause, faults=texts, all=len(faults))
 
     # ---- rollbacks and pins ------------------------------------------------------------------------
 
-    def plan_rollback(self, which: str | int, but: frozenset[str] = frozenset()) -> RollbackPlan:
-        """Raises Unfit."""
-        found = amended(self.history.get(which), self.root, self.facts, but)
+    def plan_rollback(self, which: str | int, set_aside: frozenset[str] = frozenset()) -> RollbackPlan:
+        """Returns what a rollback would send; raises InvalidRequestError if the version is not kept."""
+        found = amended(self.history.get(which), self.root, self.facts, set_aside)
         return RollbackPlan(found, self.planner.prices(self.root, found.root))
 
-    def rollback(self, now: int, which: str | int, by: str, but: frozenset[str] = frozenset()) -> Rollback:
-        """To that version as amended, and pinned there: else the module's next orders would undo it.  With
-        faults nothing changes.  Raises Unfit; OSError: then it may be pinned at what stands."""
+    def rollback(
+        self, now: int, which: str | int, by: str, set_aside: frozenset[str] = frozenset()
+    ) -> Rollback:
+        """Publishes an old version as amended, and pins it, or the module's next orders would undo it.
+
+        With faults nothing changes. Raises InvalidRequestError if the version is not kept, and OSError; after
+        that the pin may be set while the current version stays.
+        """
         old = self.history.get(which)
-        found = amended(old, self.root, self.facts, but)
+        found = amended(old, self.root, self.facts, set_aside)
         if found.faults:
             self.reject(found.faults, f"rollback to {old.number} by {by}")
             return Rollback(found, None)
         self.rollout.end()
         self.set_pin(Pin(old, by, now))
-        version = self.publish(now, found.root, f"rollback to {old.number} by {by}", but)
-        if found.said:
-            self.log_event("version_amended", number=old.number, how=found.said)
+        version = self.publish(now, found.root, f"rollback to {old.number} by {by}", set_aside)
+        if found.notes:
+            self.log_event("version_amended", number=old.number, how=found.notes)
         return Rollback(found, version)
 
     def pin_current(self, now: int, by: str) -> None:
-        """Raises Unfit where nothing stands."""
+        """Pins the current version; raises InvalidRequestError if there is none."""
         self.set_pin(Pin(self.history.get(self.current.number if self.current is not None else 0), by, now))
 
     def set_pin(self, pin: Pin | None) -> None:
-        """Raises OSError; then it is as it was."""
+        """Stores and sets the pin, or removes it; raises OSError and then changes nothing."""
         if pin is not None:
             self.store.pin(pin.to.number, pin.by, pin.at)
         else:
             self.store.pin(0, "", 0)
         self.pin = pin
 
-    def unpin(self, now: int, by: str, but: frozenset[str] = frozenset({"blast"})) -> Version | None:
-        """One delta to what the module wants by now, whatever it wanted meanwhile.  It may be far: an
-        operator has asked for it.  Raises OSError; then, as after a fault, the pin stands."""
-        if self.wanted.digest in self.rollout.backoff.halted and "halted" not in but:
+    def unpin(self, now: int, by: str, set_aside: frozenset[str] = frozenset({"blast"})) -> Version | None:
+        """Publishes the difference to what the module wants by now, and removes the pin.
+
+        The difference may be large, since an operator has asked for it: the `blast` check is set aside. After
+        a fault or OSError, the pin stays.
+        """
+        if self.wanted.digest in self.rollout.backoff.halted and "halted" not in set_aside:
             self.reject([Fault("halted", "all slices", "this very content was halted")], f"unpinned by {by}")
             return None
-        version = self.publish(now, self.wanted, f"unpinned by {by}", but)
+        version = self.publish(now, self.wanted, f"unpinned by {by}", set_aside)
         if not self.faults:
             self.set_pin(None)
         return version
@@ -181,7 +201,7 @@
     # ---- relays ------------------------------------------------------------------------------------
 
     def session(self, relay: str) -> Session:
-        """The session of that relay, begun with its first call."""
+        """Returns the session of that relay; the first call begins it."""
         if relay not in self.sessions:
             self.sessions[relay] = Session(relay, self.channel, self.history.find, self.planner.plan)
             if self.current is not None:
@@ -194,7 +214,7 @@
         self.count_holder(session)
 
     def count_holder(self, session: Session) -> None:
-        """To be called after anything was said by or of a relay: its contents are not forgotten meanwhile."""
+        """Keeps the relay's contents in the history; to be called after each event or answer of a relay."""
         held = frozenset(session.digests())
         was = self.counted.get(session.relay, frozenset())
         if held != was:
@@ -202,6 +222,6 @@
             self.history.count_holder(was, held)
 
     def remove_relay(self, relay: str) -> None:
-        """A relay that is no more."""
+        """Ends the session of a relay that no longer exists."""
         if self.sessions.pop(relay, None) is not None:
             self.history.count_holder(self.counted.pop(relay, frozenset()), ())
--- a/indigohitch/versions/rollout.py
+++ b/indigohitch/versions/rollout.py
@@ -1,4 +1,4 @@
-"""A staged rollout: a version goes to some relays first, and back from them where it harms.  No I/O."""
+"""Staged rollout: a version goes to some relays first, and is rolled back where it harms. No I/O."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from .session import Session
 from .terms import Version
 
-STAGED_BY, HALTED_BY = "stage", "halt"  # who pinned it
-# After a halt, the next version goes out after that long at first; an operator is awake in the longest.
-WAIT, MOST_WAIT = 60 * SECOND, 3600 * SECOND
+STAGED_BY, HALTED_BY = "stage", "halt"  # values of PinRecord.by for pins that no operator set
+# Wait after a first halt, and the longest: within an hour, an operator can look at it.
+HALT_WAIT_TICKS, MAX_HALT_WAIT_TICKS = 60 * SECOND, 3600 * SECOND
 
 
 class RolloutTarget(Protocol):
@@ -34,27 +34,32 @@
     def assign(self, session: Session) -> None:
         """Gives the session the version that its relay is to have now."""
 
-    def rollback(self, now: int, which: str | int, by: str, but: frozenset[str]) -> object:
-        """To that version as amended, and pinned there."""
+    def rollback(self, now: int, which: str | int, by: str, set_aside: frozenset[str]) -> object:
+        """Publishes that version as amended, and pins it."""
 
 
 class StagedRollout:
+    """Stages the publisher's versions: canary relays get the current one, the others stay at the baseline."""
+
     def __init__(self, publisher: RolloutTarget) -> None:
         self.publisher = publisher
         self.analysis: CanaryAnalysis | None = None  # None: no rollout is under way
-        self.baseline: Version | None = None  # what the other relays stay at
+        self.baseline: Version | None = None  # the version that the other relays stay at
         self.canaries: frozenset[str] = frozenset()
-        self.backoff = HaltBackoff(WAIT, MOST_WAIT)
+        self.backoff = HaltBackoff(HALT_WAIT_TICKS, MAX_HALT_WAIT_TICKS)
 
     def target(self, relay: str) -> Version:
-        """The version that this relay is to have."""
+        """Returns the version that this relay is to have."""
         if self.analysis is None or relay in self.canaries:
             return self.publisher.current
         return self.baseline
 
     def begin(self, now: int) -> None:
-        """Before the version is made that is to go out in stages, to those first whose names come first.
-        Raises NotNow while there is nothing to go back to; OSError."""
+        """Begins a rollout; to be called before the version is made that is to go out in stages.
+
+        The relays whose names sort first get it first. Raises UnavailableError while there is nothing to go
+        back to, a pin stands, or the wait after a halt has not passed; OSError if the store can't write.
+        """
         publisher = self.publisher
         if publisher.current is None or publisher.pin is not None:
             raise UnavailableError(
@@ -69,12 +74,13 @@
         self.canaries = frozenset(self.analysis.updated_relays())
 
     def end(self) -> None:
+        """Ends the rollout, and its pin in the store; raises OSError."""
         if self.analysis is not None:
             self.analysis, self.canaries = None, frozenset()
             self.publisher.store.pin(0, "", 0)
 
     def amend_baseline(self, now: int) -> None:
-        """News of backends came: what the others stay at is made fit, under a number of its own."""
+        """Amends the baseline for new facts about backends, as a version with a number of its own."""
         publisher = self.publisher
         found = amended(self.baseline, self.baseline.root, publisher.facts)
         if found.root == self.baseline.root or found.faults:
@@ -91,7 +97,7 @@
         publisher.store.pin(version.number, STAGED_BY, now)
 
     def look(self, now: int, counts: Mapping[str, RequestCounts]) -> Verdict | None:
-        """Once a second; `counts`: since the last look, by relay.  Raises OSError."""
+        """Takes, once a second, each relay's counts since then; halts or advances. Raises OSError."""
         if self.analysis is None:
             return None
         stage = self.analysis.stage
@@ -103,7 +109,7 @@
         return verdict
 
     def counted(self, counts: Mapping[str, RequestCounts], canaries: bool) -> RequestCounts:
-        """The sum of one side.  Only relays that have come to their version count."""
+        """Returns the sum of one group; only relays that have reached their version count."""
         total = RequestCounts(0, 0)
         for relay, count in counts.items():
             session = self.publisher.sessions.get(relay)
@@ -112,6 +118,7 @@
         return total
 
     def halt(self, now: int) -> None:
+        """Rolls all relays back to the baseline and delays further rollouts; raises OSError."""
         publisher, baseline, analysis = self.publisher, self.baseline, self.analysis
         harmful = publisher.current.root.digest
         publisher.rollback(now, baseline.number, HALTED_BY, frozenset({"blast"}))
@@ -119,6 +126,7 @@
         publisher.log_event("push_halted", to=baseline.number, likelihood=analysis.p_values[-1])
 
     def advance(self, verdict: Verdict) -> None:
+        """Gives more relays the new version, and ends the rollout if all have it."""
         self.canaries = frozenset(self.analysis.updated_relays())
         if verdict is Verdict.DONE:
             self.end()
--- a/indigohitch/versions/store_records.py
+++ b/indigohitch/versions/store_records.py
@@ -1,6 +1,7 @@
-"""The records of a file of versions: their rows, and how they are written and read.  No I/O.
+"""The records of a file of versions: their rows, and how they are written and read. No I/O.
 
-A record is a frame with a checksum (packed/frames)."""
+A record is a frame with a checksum (encoding/frames).
+"""
 
 from __future__ import annotations
 
@@ -18,7 +19,7 @@
 
 
 class Made(Row, frozen=True):
-    """A version, as slices that differ from those of the version before it (in a file's first: from none)."""
+    """A version, as slices that differ from the previous version (for the first of a file: from no lines)."""
 
     number: int
     parent: VersionId | None
@@ -29,20 +30,20 @@
 
 
 class More(Row, frozen=True):
-    """Changes that come before those of the next Made: no record is larger than a frame takes."""
+    """Changes that precede those of the next Made, so that no record exceeds the size of a frame."""
 
     changes: tuple[SliceLines, ...]
 
 
 class Named(Row, frozen=True):
-    """Number 0 takes the name away."""
+    """A name for a version; number 0 removes the name."""
 
     name: str
     number: int
 
 
 class Pinned(Row, frozen=True):
-    """Number 0: unpinned."""
+    """A pin; number 0 removes it."""
 
     number: int
     by: str
@@ -50,7 +51,7 @@
 
 
 class Begun(Row, frozen=True):
-    """First in a file; `records`: of the snapshot that follows, which was written with it."""
+    """The first record of a file; `records` counts those of the snapshot that was written with it."""
 
     records: int
 
@@ -58,30 +59,35 @@
 RECORDS = MessageTypes(MAGIC, 1, [Begun, Made, More, Named, Pinned])
 
 
-class Harmed(InvalidDataError):
+class InvalidVersionFileError(InvalidDataError):
+    """The file is damaged other than by a crash during the last write."""
+
     remedy = "take the file away: relays are then set whole once, and the named versions are lost"
 
 
 @dataclass(slots=True, frozen=True)
 class Contents:
-    """What was read of a file; `good`: the bytes up to the end of the last whole record."""
+    """What was read of a file; `valid_bytes` is where its last whole record ends."""
 
     rows: list[Row]
-    good: int
+    valid_bytes: int
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
+    """One record that was read."""
+
     row: Row
     end: int  # where it ends in the file
 
 
 def frames(rows: Iterable[Row]) -> bytes:
+    """Returns the rows as encoded records."""
     return b"".join(RECORDS.frame(row) for row in rows)
 
 
 def version_rows(version: Version, before: Root) -> list[Row]:
-    """The records of a version, as its difference from `before`."""
+    """Returns the records of a version, as its difference from `before`."""
     changes = [
         SliceLines(slice, table.lines if table is not None else {})
         for slice, _, table in difference(before, version.root)
@@ -97,22 +103,22 @@
 
 
 def read(data: bytes, where: str) -> Contents:
-    """Raises Harmed for a bad record that is not the last one."""
+    """Returns the whole records; raises InvalidVersionFileError for a bad record that is not the last one."""
     rows, at = [], 0
     while at < len(data):
         try:
-            found = record(data, at)
+            whole = record(data, at)
         except BrokenFrameError as broken:
             if record_follows(data, at):
-                raise Harmed(broken.problem, f"{where}, byte {at}") from None
+                raise InvalidVersionFileError(broken.problem, f"{where}, byte {at}") from None
             break
-        rows.append(found.row)
-        at = found.end
+        rows.append(whole.row)
+        at = whole.end
     return Contents(rows, at)
 
 
 def record(data: bytes, at: int) -> Record:
-    """The one that begins there; raises Broken."""
+    """Returns the record that begins at that byte; raises BrokenFrameError."""
     if len(data) - at < HEADER_BYTES:
         raise BrokenFrameError("it ends within its head")
     protocol, kind, descriptors, length, checksum = RECORDS.decode_header(data, at)
@@ -123,7 +129,7 @@
 
 
 def record_follows(data: bytes, at: int) -> bool:
-    """Whether a record that can be read begins after the bad one: then it was no crash."""
+    """Returns whether a readable record begins after the bad one, which a crash can't have caused."""
     while (at := data.find(MAGIC, at + 1)) >= 0:
         try:
             if len(data) - at < HEADER_BYTES:
--- a/indigohitch/versions/terms.py
+++ b/indigohitch/versions/terms.py
@@ -1,7 +1,8 @@
-"""The words between the parts: versions, messages to a relay and its answers.  No I/O.
+"""Types shared by the modules of this package: versions, messages to a relay and its answers. No I/O.
 
-Times are whole tenths of a ms.  A `VersionId` names a version and acknowledges it: it goes out with the
-messages and comes back in the answers."""
+Times are in ticks of 0.1 ms. A `VersionId` identifies a version and acknowledges it: messages carry it, and
+the answers return it.
+"""
 
 from __future__ import annotations
 
@@ -13,30 +14,34 @@
 
 
 class VersionId(Row, frozen=True):
-    """Numbers alone say nothing: two programs may both have made a version 7."""
+    """Number and digest of a version; a number is ambiguous, as two programs may both make a version 7."""
 
     number: int
     digest: bytes
 
     def text(self) -> str:
+        """Returns the number and the first 12 hex digits of the digest, as operators give it in commands."""
         return f"{self.number}-{self.digest.hex()[:12]}"
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Version:
+    """An immutable version of all slices; `at` is when it was made, in ticks."""
+
     number: int
     root: Root
     parent: VersionId | None
-    cause: str  # which decision, or which operator
+    cause: str  # the decision or the operator that made it
     at: int
 
     @property
     def version_id(self) -> VersionId:
+        """Its number with the digest of its content."""
         return VersionId(self.number, self.root.digest)
 
 
 class LineUpdate(Row, frozen=True):
-    """One line; weight 0 removes it."""
+    """Sets one line of a slice; weight 0 removes it."""
 
     slice: int
     backend: str
@@ -51,13 +56,14 @@
 
 
 class RangeReplacement(Row, frozen=True):
-    """All lines of the slices from `first` to `last`, in one step: what is not listed goes."""
+    """Replaces all lines of the slices from `first` to `last` in one step; slices not listed lose theirs."""
 
     first: int
     last: int
     tables: tuple[SliceLines, ...]
 
     def lines(self) -> int:
+        """Returns the number of lines that it sets."""
         return sum(len(table.lines) for table in self.tables)
 
 
@@ -65,8 +71,11 @@
 
 
 class Message(Row, frozen=True):
-    """`sequence` only grows on a connection, from 1; `after`: of the message that it must follow, so that a
-    relay that missed one takes none after it.  Without steps it only asks."""
+    """Steps for a relay; a message without steps only asks for an answer.
+
+    `sequence` counts from 1 on each connection. `after` is the sequence of the message that this one must
+    follow, so that a relay that missed a message takes none after it.
+    """
 
     connection: int
     sequence: int
@@ -76,14 +85,18 @@
     replacements: tuple[RangeReplacement, ...] = ()
 
     def lines(self) -> int:
+        """Returns the number of lines of all steps, which the channel's limits count."""
         return len(self.updates) + sum(one.lines() for one in self.replacements)
 
 
 class Claim(Row, frozen=True):
-    """What a relay says that it holds.  `parts`: Root.parts, or nothing; `heard`: messages that came to it in
-    the last 10 s, so that a program that was restarted does not fill the window twice.  `base`: digest of the
-    last version that it held whole, and `since` the lines set after that, if they are few: by these a program
-    that was killed within a delta knows what its relays hold."""
+    """What a relay reports that it holds.
+
+    `parts`: Root.parts, or empty. `heard`: messages received in the last 10 s, so that a restarted program
+    does not fill the window twice. `base`: digest of the last version that the relay held whole, and `since`
+    the lines set after it, if they are few: they tell a program that was killed within a delta what its
+    relays hold.
+    """
 
     digest: bytes
     parts: tuple[bytes, ...] = ()
@@ -93,15 +106,20 @@
 
 
 class Ack(Row, frozen=True):
+    """A relay's answer that it has taken all messages up to `sequence`."""
+
     connection: int
     sequence: int
     version_id: VersionId
-    digest: bytes  # of all that it holds now; empty: this relay tells none
+    digest: bytes  # of all that it holds now; empty: this relay reports none
 
 
 class Nack(Row, frozen=True):
-    """`refused`: sequence of the message; `sequence`: the last one taken.  `gap`: one between is missing;
-    else the relay won't take what it was sent."""
+    """A relay's refusal of a message.
+
+    `refused` is the sequence of that message, `sequence` that of the last one taken. With `gap`, a message
+    before it is missing; otherwise the relay rejects what it was sent.
+    """
 
     connection: int
     refused: int
@@ -113,8 +131,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Guard:
-    """What is forbidden on the way.  `cold`: the most weight, over all slices, that a cold backend may have;
-    `warm`: backends that may stand in for a moment."""
+    """Restrictions on the intermediate steps of a delta.
+
+    `cold`: the largest weight, over all slices, that each cold backend may have; `warm`: backends that may
+    serve as temporary stand-ins.
+    """
 
     draining: frozenset[str] = frozenset()
     cold: dict[str, float] = field(default_factory=dict)
@@ -123,17 +144,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Channel:
-    """To one relay.  The window is the platform's: so many messages in 10 s."""
+    """Limits of the connection to one relay; the platform sets the window of so many messages in 10 s."""
 
     messages: int = 40
-    lines: int = 200  # most in one message
-    queue: int = 1000  # most lines that wait unanswered
-    stall: int = 1  # for each line, the relay answers nothing else that long
+    lines: int = 200  # maximum in one message
+    queue: int = 1000  # maximum of unanswered lines
+    stall: int = 1  # ticks for each line, during which the relay answers nothing else
     WINDOW = 10 * SECOND
 
 
 def applied(root: Root, message: Message) -> Root:
-    """What a relay holds after it; raises Unfit."""
+    """Returns what a relay holds after the message; raises InvalidRequestError as Root.changed does."""
     for one in message.replacements:
         changes: dict[int, dict] = {slice: {} for slice, _ in root.items(one.first, one.last)}
         root = root.changed(changes | {table.slice: table.lines for table in one.tables})
--- a/indigohitch/versions/window.py
+++ b/indigohitch/versions/window.py
@@ -1,4 +1,4 @@
-"""What a channel takes: messages in 10 s, lines unanswered, the stall for each line.  No I/O."""
+"""Limits of a relay's channel: messages in 10 s, unanswered lines, and the stall for each line. No I/O."""
 
 from __future__ import annotations
 
@@ -8,37 +8,38 @@
 from ..net.clock import SECOND
 from .terms import Channel, Message
 
-# A message counts so much longer than the window: one that was slow on the way and a quick one after it must
-# not come within it.
+# A message counts this much longer than the window, so that a message that was delayed on the way and a quick
+# one after it do not arrive within one window.
 SPREAD = SECOND // 2
 
 
 class Window:
-    """It outlives connections: the platform counts by relay."""
+    """Send window of one relay; it outlives connections, since the platform counts messages by relay."""
 
     def __init__(self, channel: Channel) -> None:
         self.channel = channel
-        # It leaves messages to drains, as a module that orders without a pause takes all that there are.
+        # Holds messages in reserve for drains, since a module that orders without a pause uses up all others.
         self.pace = MessageRateLimit(channel.messages, Channel.WINDOW + SPREAD)
-        self.free_at = 0  # the stall of the last message is over
+        self.free_at = 0  # when the stall of the last message ends
 
     def free(self, now: int, waiting: Iterable[Message], urgent: bool = False) -> bool:
-        """Whether it takes one more message of the largest size."""
+        """Returns whether the channel takes one more message of the largest size now."""
         if now < self.free_at or self.pace.free_at(now, urgent) > now:
             return False
         lines = sum(message.lines() for message in waiting)
         return lines + self.channel.lines <= max(self.channel.queue, self.channel.lines)
 
     def opens(self, now: int, urgent: bool = False) -> int | None:
-        """When time alone frees it; None: it is free, but for answers."""
+        """Returns when time alone opens the window, or None if only answers are waited for, or nothing is."""
         opens = max(self.free_at, self.pace.free_at(now, urgent))
         return opens if opens > now else None
 
     def take(self, now: int, message: Message) -> None:
+        """Counts a message sent now, and the stall that its lines cause."""
         self.pace.record_sent(now)
         self.free_at = max(now, self.free_at) + self.channel.stall * message.lines()
 
     def count_received(self, now: int, heard: int) -> None:
-        """The relay heard more than this process has sent: another one did, before it."""
+        """Counts messages that the relay received from an earlier process, beyond those sent by this one."""
         for _ in range(heard - len(self.pace.sent)):
             self.pace.record_sent(now)
--- a/indigohitch/versions/words.py
+++ b/indigohitch/versions/words.py
@@ -1,4 +1,4 @@
-"""Words between a program and its relays, as frames.  No I/O."""
+"""Messages between a program and its relays, and their framing. No I/O."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class Hello(Row, frozen=True):
-    """A relay's first word."""
+    """First message of a relay on a connection: its name."""
 
     relay: str
 
 
 class Welcome(Row, frozen=True):
-    """The number of this connection: it only grows, for a relay and a run of the program."""
+    """Reply to Hello: the connection's number, which only grows for a relay and a run of the program."""
 
     connection: int
 
 
 class Joined(Row, frozen=True):
-    """What it holds; nothing but a Welcome goes to it before."""
+    """What the relay holds; it is sent nothing but a Welcome before this message."""
 
     connection: int
     claim: Claim
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -47,7 +47,7 @@
 def test_records_of_a_store_are_read_and_written(name):
     data = golden(f"versions/{name}")
     found = read(data, name)
-    assert found.good == len(data) and frames(found.rows) == data
+    assert found.valid_bytes == len(data) and frames(found.rows) == data
     if name == "records":
         assert as_json(values(found.rows, RECORD_VALUES)) == golden("versions/records.json")
         assert {type(row) for row in found.rows} == set(RECORDS.rows)  # each kind is there
--- a/tests/test_versions_publisher.py
+++ b/tests/test_versions_publisher.py
@@ -67,7 +67,7 @@
     room.go()
     plan = room.publisher.plan_rollback(first.number)
     assert (
-        not plan.amended.said
+        not plan.amended.notes
         and plan.prices[0].lines == 20
         and plan.prices[0].way == "delta"
         and room.go() == 0
@@ -90,7 +90,7 @@
     room.go()
     room.publisher.update_facts(2, Facts(READY | {"a": "draining"}, FACTS.slices, cold={"b": 50.0}), "drain")
     back = room.publisher.rollback(3, first.number, "op")
-    assert back.version is not None and any("a is draining" in said for said in back.amended.said)
+    assert back.version is not None and any("a is draining" in said for said in back.amended.notes)
     room.go()
     room.same()
     assert all("a" not in table.lines for _, table in room.publisher.root.items())
@@ -110,7 +110,7 @@
     room.publisher.update_facts(3, Facts(READY, FACTS.slices, cold={"c": 3.0}), "c was restarted")
     back = room.publisher.rollback(4, with_c.number, "op")
     assert sum(table.lines.get("c", 0) for _, table in back.version.root.items()) == 3.0
-    assert sum("c is cold" in said for said in back.amended.said) == 7 and back.version.root.slices == SLICES
+    assert sum("c is cold" in said for said in back.amended.notes) == 7 and back.version.root.slices == SLICES
 
 
 def test_two_rollbacks_overlap_and_the_last_one_stands():
--- a/tests/test_versions_store.py
+++ b/tests/test_versions_store.py
@@ -11,7 +11,7 @@
 from indigohitch.errors import InvalidRequestError
 from indigohitch.fleet.storage.files import FileSystem
 from indigohitch.versions.store import Store
-from indigohitch.versions.store_records import Harmed, read
+from indigohitch.versions.store_records import InvalidVersionFileError, read
 from indigohitch.versions.tables import Root, root_of
 from indigohitch.versions.terms import Version
 from tests.publishing import Plain
@@ -65,7 +65,7 @@
         files.held = {path: spoilt}
         try:
             store = opened(files, last=100)
-        except Harmed:
+        except InvalidVersionFileError:
             harmed += 1
             continue
         roots = [version.root for version in store.history.by_number.values()]
@@ -99,7 +99,7 @@
     again = Store(FileSystem(), str(tmp_path))
     again.open()
     assert again.history.get("good").root == root_of({1: {"a": 1.0}})
-    assert os.path.getsize(again.path) == again.good
+    assert os.path.getsize(again.path) == again.valid_bytes
     again.close()
 
 
