--- a/tests/golden_files_versions.py
+++ b/tests/golden_files_versions.py
@@ -1,6 +1,7 @@
-"""What versions leave on a disk and send to relays, read as plain values.
+"""What versions write to disk and send to relays, converted to plain values.
 
-Names of fields in the values are written out here, so that they stay when a class or attribute is renamed."""
+Field names are written out here, so that they stay the same when a class or an attribute is renamed.
+"""
 
 from __future__ import annotations
 
@@ -84,7 +85,7 @@
     }
 
 
-# By class: the kind's number in a frame, and its values.
+# By class: the number of its kind in a frame, and a function that returns its values.
 RECORD_VALUES: dict[type, tuple[int, Callable[..., dict]]] = {
     Begun: (0, lambda one: {"records": one.records}),
     Made: (1, made_version),
@@ -107,7 +108,7 @@
 
 
 def kept(store: Store) -> dict:
-    """What a store has read."""
+    """Returns what a store has read."""
     history = store.history
     return {
         "versions": [
@@ -137,7 +138,7 @@
 
 
 def as_sent(row: Row) -> Row:
-    """As the program makes it: a line is removed by the whole number 0, which is read as the float 0.0."""
+    """Returns the row as the program makes it: it removes a line by the weight 0, read as the float 0.0."""
     if isinstance(row, Message):
         return replace(row, updates=removals(row.updates))
     if isinstance(row, Joined | Nack):
--- a/tests/golden_files_versions_made.py
+++ b/tests/golden_files_versions_made.py
@@ -1,4 +1,4 @@
-"""What versions leave on a disk and send to relays, made for the golden files."""
+"""Makes what versions write to disk and send to relays, for the golden files."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def records() -> bytes:
-    """Each record once, with all its fields."""
+    """Returns one record of each kind, with all its fields."""
     rows = [
         Begun(6),
         More(TABLES),
@@ -52,7 +52,7 @@
 
 
 def words() -> bytes:
-    """Each word with all its fields, and with none that has a default."""
+    """Returns each message with all its fields, and without those that have a default."""
     full = Claim(DIGEST, (bytes(16), DIGEST), 3, DIGEST[::-1], UPDATES)
     rows = [
         Hello("relay-1"),
@@ -69,7 +69,7 @@
 
 
 def session() -> bytes:
-    """All that passes in a relay's session: set whole, a delta, a message lost, a restart within a delta."""
+    """Returns a relay's session: a replacement, a delta, a lost message, a restart within a delta."""
     said: list = [Hello("relay-1")]
     first = root_of({n * 37: {"ab"[n % 2]: 1.0} for n in range(60)})
     second = first.changed({n * 37: {"c": 2.0, "a": 0.5} for n in range(0, 60, 3)})
@@ -82,7 +82,7 @@
         one.on_connect(0, connection, held)
 
     def go(now: int, lost: int = 0) -> None:
-        """Until nothing is sent any more; the message of that number does not come."""
+        """Sends until nothing is left to send; the message of sequence `lost` does not arrive."""
         for step in range(now, now + 20_000, 1000):
             for sent in one.due(step):
                 said.append(sent)
@@ -97,7 +97,8 @@
     one.set_target(Version(2, second, VersionId(1, first.digest), "second", 1), Guard())
     go(200_000, lost=one.sequence + 2)
     assert relay.root == second
-    relay.root, relay.base, relay.since = first.with_line(0, "x", 1.0), b"", ()  # it is set whole
+    # An unknown content, which is replaced.
+    relay.root, relay.base, relay.since = first.with_line(0, "x", 1.0), b"", ()
     connect(2)
     go(400_000)
     assert relay.root == second
@@ -105,7 +106,7 @@
 
 
 def write_store(folder: str) -> Store:
-    """Versions, names and pins, as a program with versions leaves them."""
+    """Writes versions, names and pins, as a program does."""
     store = Store(FileSystem(), folder)
     store.open(8)
     first = root_of({0: {"a": 1.0}, 1: {"b": 2.25, "a": 0.5}, 300: {"c": 1.0}, 65535: {"bé": 3.0}})
--- a/tests/golden_files_versions_said.py
+++ b/tests/golden_files_versions_said.py
@@ -1,4 +1,4 @@
-"""What operators of versions are told, the events in the log, and the names of the rules."""
+"""Answers to operators of versions, the events in the log, and the names of the rules."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 )
 WAS = root_of({slice: {"a": 1.0} for slice in range(40)})
 KNOWN = Facts({"a": "ready", "b": "ready", "d": "draining", "g": "gone"}, frozenset(range(40)))
-# By rule: a change that it stops, and what is known beside it.
+# By rule: a change that it stops, and the facts for it.
 STOPPED = {
     "owner": ({0: {}}, KNOWN),
     "listed": ({0: {"x": 1.0}}, KNOWN),
@@ -51,7 +51,7 @@
 
 
 def commands() -> bytes:
-    """Operators' words in order, what each is answered, and the events that went into the log."""
+    """Returns operators' commands in order with their answers, and the events that were logged."""
     store = Store(Plain(), "f")
     store.open(8)
     room = Room(2, store)
@@ -68,7 +68,7 @@
 
 
 def rules() -> bytes:
-    """What each rule says, and what is left where an operator sets this one aside by its name."""
+    """Returns what each rule reports, and what remains when an operator sets it aside by name."""
     found = {}
     for rule, (changes, facts) in STOPPED.items():
         now = WAS.changed(changes)
--- a/tests/publishing.py
+++ b/tests/publishing.py
@@ -1,4 +1,4 @@
-"""A publisher and relays for tests, and files in memory."""
+"""A publisher with relays for tests, and files in memory."""
 
 import errno
 
@@ -26,7 +26,7 @@
 
 
 class Room:
-    """A publisher and its relays, with nothing lost between them."""
+    """A publisher and its relays, with no message lost between them."""
 
     def __init__(self, relays=3, store=None, facts=FACTS):
         self.said, self.now = [], 0
@@ -67,7 +67,7 @@
 
 
 class Plain(FileSystem):
-    """Files in memory: the same calls; `room` bytes are left."""
+    """Files in memory with the interface of FileSystem; `room` is the number of bytes left."""
 
     def __init__(self):
         self.held, self.open, self.room = {}, {}, 1 << 40
@@ -94,7 +94,7 @@
     def write(self, fd, data):
         part = bytes(data[: max(1, len(data) // 2)])
         if len(part) > self.room:
-            self.held[self.open[fd]] += part[: self.room]  # a torn record
+            self.held[self.open[fd]] += part[: self.room]  # an unfinished record
             self.room = 0
             raise OSError(errno.ENOSPC, "full")
         self.room -= len(part)
@@ -119,7 +119,7 @@
 
 
 def quiet(session, relay, now, most=400):
-    """No more trouble: time goes on until it is settled; returns the time."""
+    """Delivers everything and advances the time until the session is in sync; returns that time."""
     for _ in range(most):
         for message in session.due(now):
             said = relay.receive(message)
--- a/tests/test_golden_files.py
+++ b/tests/test_golden_files.py
@@ -23,14 +23,14 @@
 
 
 @pytest.mark.parametrize("name", [FIRST, SECOND])
-def test_a_store_is_read(tmp_path, name):
+def test_a_store_reads_the_golden_file(tmp_path, name):
     store = opened(tmp_path, name)
     assert as_json(kept(store)) == golden("versions/store.json")
     store.close()
-    assert (tmp_path / name).read_bytes() == golden(f"versions/{name}")  # nothing was cut away
+    assert (tmp_path / name).read_bytes() == golden(f"versions/{name}")  # nothing was cut off
 
 
-def test_a_store_that_was_read_is_begun_anew_with_the_same_snapshot(tmp_path):
+def test_a_store_that_was_read_writes_the_same_snapshot_to_a_new_file(tmp_path):
     store = opened(tmp_path, FIRST)
     store.begin()
     store.close()
@@ -38,7 +38,7 @@
     assert (tmp_path / SECOND).read_bytes() == golden(f"versions/{SECOND}")
 
 
-def test_a_store_is_written(tmp_path):
+def test_a_store_writes_the_golden_file(tmp_path):
     write_store(str(tmp_path)).close()
     assert (tmp_path / FIRST).read_bytes() == golden(f"versions/{FIRST}")
 
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("name, make", [("words", words), ("session", session)])
-def test_words_to_relays_are_read_and_written(name, make):
+def test_messages_to_relays_are_read_and_written(name, make):
     data = golden(f"versions/{name}")
     rows = read_words(data)
     assert as_json(values(rows, WORD_VALUES)) == golden(f"versions/{name}.json")
@@ -64,12 +64,12 @@
     assert make() == data
 
 
-def test_heads_of_frames():
+def test_frame_headers_are_unchanged():
     head = {"bytes": HEADER_BYTES, "records": RECORDS.magic, "words": WORDS.magic}
     assert as_json(head) == golden("versions/heads.json")
 
 
-def test_what_operators_of_versions_are_told():
+def test_answers_to_operators_are_unchanged():
     assert commands() == golden("versions/commands.json")
 
 
--- a/tests/test_versions_canary.py
+++ b/tests/test_versions_canary.py
@@ -1,4 +1,4 @@
-"""Staged pushes: what stops them, and what does not."""
+"""Staged rollouts: what halts them, and what does not."""
 
 import random
 
@@ -11,7 +11,7 @@
 from tests.publishing import FACTS, READY, Room, moved
 
 
-def test_a_staged_push_that_harms_is_taken_back_and_one_that_does_not_goes_on():
+def test_a_harmful_staged_rollout_is_rolled_back_and_pinned():
     room = Room(relays=20)
     good = room.publisher.current
     room.publisher.rollout.begin(1)
@@ -30,7 +30,7 @@
         room.publisher.rollout.begin(5)
 
 
-def test_a_server_that_dies_during_a_staged_push_halts_nothing():
+def test_a_backend_that_dies_during_a_staged_rollout_does_not_halt_it():
     room = Room(relays=20)
     room.publisher.rollout.begin(1)
     room.publisher.apply_orders(1, moved(0, "a", "c"), "good")
@@ -48,11 +48,11 @@
     assert room.publisher.root.lines_of(0) == {"c": 1.0} and room.publisher.pin is None
 
 
-def test_the_test_is_the_library_s_and_equal_relays_hardly_halt():
-    chance = random.Random(2)
+def test_p_values_equal_those_of_scipy_and_equal_relays_do_not_halt():
+    rng = random.Random(2)
     for _ in range(50):
-        all, other = chance.randint(20, 200), chance.randint(20, 1000)
-        bad, other_bad = chance.randint(0, 20), chance.randint(0, 20)
+        all, other = rng.randint(20, 200), rng.randint(20, 1000)
+        bad, other_bad = rng.randint(0, 20), rng.randint(0, 20)
         expected = fisher_exact([[bad, all - bad], [other_bad, other - other_bad]], "greater").pvalue
         assert p_value(RequestCounts(bad, all), RequestCounts(other_bad, other)) == pytest.approx(
             expected, rel=1e-6
@@ -62,8 +62,8 @@
         analysis = CanaryAnalysis([f"r{number}" for number in range(100)])
         while analysis.verdict is Verdict.CONTINUE:
             analysis.look(
-                RequestCounts(sum(chance.random() < 0.05 for _ in range(50)), 50),
-                RequestCounts(sum(chance.random() < 0.05 for _ in range(200)), 200),
+                RequestCounts(sum(rng.random() < 0.05 for _ in range(50)), 50),
+                RequestCounts(sum(rng.random() < 0.05 for _ in range(200)), 200),
             )
         halted += analysis.verdict is Verdict.HALTED
     assert halted == 0 and 0 < SIGNIFICANCE < 0.01
--- a/tests/test_versions_commands.py
+++ b/tests/test_versions_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask, and what they are told."""
+"""Operators' commands on versions and their answers."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from tests.publishing import FACTS, READY, Room, moved
 
 
-def test_a_rollback_is_tried_dry_then_done_and_unpinned():
+def test_a_rollback_is_dry_run_then_done_and_unpinned():
     room = Room()
     publisher = room.publisher
     room.publisher.apply_orders(1, moved(0, "a", "c") + moved(1, "b", "d"), "module moves")
@@ -28,23 +28,23 @@
     room.same()
 
 
-def test_what_a_rule_stops_changes_nothing_and_is_told():
+def test_a_rollback_that_a_rule_stops_changes_nothing_and_is_reported():
     room = Room()
     for slice in range(0, 100, 2):
         room.publisher.apply_orders(1, moved(slice, "a", "c"), "away")
     room.go()
-    said = answer(room.publisher, 2, ["rollback", "1"], "op")
-    assert said[0] == "nothing was changed" and said[1].startswith("stopped by blast")
+    lines = answer(room.publisher, 2, ["rollback", "1"], "op")
+    assert lines[0] == "nothing was changed" and lines[1].startswith("stopped by blast")
     assert room.publisher.pin is None
     assert answer(room.publisher, 2, ["rollback", "1", "--anyway"], "op")[0].endswith("pinned")
 
 
-def test_an_amendment_is_told_line_by_line():
+def test_each_amended_line_is_reported():
     room = Room()
     room.publisher.apply_orders(1, moved(0, "a", "c"), "away")
     room.publisher.update_facts(2, Facts(READY | {"a": "draining"}, FACTS.slices, blast=1.0), "drain")
-    said = answer(room.publisher, 3, ["rollback", "1", "--dry-run"], "op")
-    assert "amended: slice 0: a is draining, in its place c" in said
+    lines = answer(room.publisher, 3, ["rollback", "1", "--dry-run"], "op")
+    assert "amended: slice 0: a is draining, in its place c" in lines
 
 
 @pytest.mark.parametrize(
@@ -60,7 +60,7 @@
         ["diff", "1", "1-abc"],
     ],
 )
-def test_what_can_not_be_is_refused_with_a_remedy(words):
-    with pytest.raises(InvalidRequestError) as bad:
+def test_an_invalid_command_is_rejected_with_a_remedy(words):
+    with pytest.raises(InvalidRequestError) as error:
         answer(Room().publisher, 1, words, "op")
-    assert bad.value.remedy
+    assert error.value.remedy
--- a/tests/test_versions_delta.py
+++ b/tests/test_versions_delta.py
@@ -13,23 +13,21 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_delta_is_minimal_and_safe_at_each_step(seed):
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     names = [f"n{number}" for number in range(8)]
 
     def tables():
-        return {
-            slice: {name: 1.0 for name in chance.sample(names, chance.randint(1, 2))} for slice in range(30)
-        }
+        return {slice: {name: 1.0 for name in rng.sample(names, rng.randint(1, 2))} for slice in range(30)}
 
     start, to = root_of(tables()), root_of(tables())
     weight = [sum(table.lines.get("n0", 0) for _, table in root.items()) for root in (start, to)]
     guard = Guard(frozenset({"n7"}), {"n0": max(weight)}, ("w",))
     updates = delta.ordered([start], to, guard)
-    differs = sum(
+    changed_lines = sum(
         len(set((a.lines if a else {}).items()) ^ set((b.lines if b else {}).items()))
         for _, a, b in difference(start, to)
     )
-    assert len(updates) == differs + 2 * sum(
+    assert len(updates) == changed_lines + 2 * sum(
         update.backend == "w" and update.weight > 0 for update in updates
     )
     held = start
@@ -38,18 +36,24 @@
         assert held.slices == 30, "bare"
         assert sum(table.lines.get("n0", 0) for _, table in held.items()) <= max(weight), "cold"
     assert held == to
-    leave = [number for number, update in enumerate(updates) if update.backend == "n7" and not update.weight]
-    other = [
+    drain_positions = [
+        number for number, update in enumerate(updates) if update.backend == "n7" and not update.weight
+    ]
+    other_positions = [
         number
         for number, update in enumerate(updates)
         if update.backend != "n7"
         and not update.weight
         and all(one.backend != "n7" or one.slice != update.slice for one in updates)
     ]
-    assert not leave or not other or sum(leave) / len(leave) < sum(other) / len(other)
+    assert (
+        not drain_positions
+        or not other_positions
+        or sum(drain_positions) / len(drain_positions) < sum(other_positions) / len(other_positions)
+    )
 
 
-def test_cold_backends_that_wait_for_each_other_pass_by_way_of_a_warm_one():
+def test_cold_backends_that_swap_slices_use_a_warm_stand_in():
     start, to = root_of({1: {"a": 1.0}, 2: {"b": 1.0}}), root_of({1: {"b": 1.0}, 2: {"a": 1.0}})
     updates = delta.ordered([start], to, Guard(cold={"a": 1.0, "b": 1.0}, warm=("w",)))
     assert [update for update in updates if update.backend == "w"] == [
@@ -60,7 +64,7 @@
         delta.ordered([start], to, Guard(cold={"a": 1.0, "b": 1.0}))
 
 
-def test_where_nearly_all_changes_ranges_are_sent_and_no_slice_goes_bare():
+def test_when_nearly_all_lines_change_ranges_are_sent_and_no_slice_is_empty():
     start = root_of({slice: {"a": 1.0} for slice in range(1000)})
     to = root_of({slice: {"b": 1.0} for slice in range(1000)} | {7: {"b": 1.0, "c": 1.0}})
     relay, session = TableRelay(start), Session("r", Channel(), {start.digest: start}.get)
--- a/tests/test_versions_publisher.py
+++ b/tests/test_versions_publisher.py
@@ -1,4 +1,4 @@
-"""Versions made, stopped, pinned and taken back."""
+"""Versions published, stopped by checks, pinned and rolled back."""
 
 import random
 
@@ -28,7 +28,7 @@
         ("repeats", {3: {"c": 1.0}}, Facts(READY, FACTS.slices, tries={"buy": 2})),
     ],
 )
-def test_each_rule_stops_its_own_and_a_good_one_passes(rule, change, facts):
+def test_each_rule_stops_only_its_own_fault_and_a_valid_change_passes(rule, change, facts):
     was = root_of({slice: {"ab"[slice % 2]: 1.0} for slice in range(SLICES)})
     assert [fault.rule for fault in checks.faults(was, was.changed(change), facts)] == [rule]
     good = Facts(
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("weight", [float("nan"), float("inf"), -1.0, "2", None])
-def test_a_weight_that_is_none_is_stopped_with_its_line(weight):
+def test_an_invalid_weight_is_stopped_and_its_line_is_logged(weight):
     room = Room()
     assert room.publisher.apply_orders(1, [line(5, "c", weight)], "bad") is None
     assert room.said[-1][1]["faults"][0].startswith("weights: slice 5 c")
@@ -46,7 +46,7 @@
     room.same()
 
 
-def test_what_was_stopped_never_leaves_and_goes_once_it_is_cured():
+def test_a_stopped_change_is_published_only_once_it_is_corrected():
     room = Room()
     before = room.publisher.root
     assert room.publisher.apply_orders(1, [line(4, "x"), line(4, "a", 0)], "names one not listed") is None
@@ -59,7 +59,7 @@
     room.same()
 
 
-def test_a_rollback_sends_one_delta_and_pins_and_unpinning_sends_the_sum():
+def test_a_rollback_sends_one_delta_and_unpinning_sends_the_sum_of_held_orders():
     room = Room()
     first = room.publisher.current
     for slice in range(10):
@@ -74,7 +74,8 @@
     )
     room.publisher.rollback(2, first.number, "op")
     assert room.go() == 3 * 20 and room.publisher.root == first.root
-    for back in (moved(0, "c", "a"), moved(0, "a", "d"), moved(0, "d", "c")):  # held, there and back
+    # The pin holds these orders, and they cancel out.
+    for back in (moved(0, "c", "a"), moved(0, "a", "d"), moved(0, "d", "c")):
         assert room.publisher.apply_orders(3, back, "module") is None
     assert room.go() == 0
     assert room.publisher.unpin(4, "op").root.lines_of(0) == {"c": 1.0}
@@ -82,7 +83,7 @@
     room.same()
 
 
-def test_a_rollback_during_a_drain_is_amended_and_says_how():
+def test_a_rollback_during_a_drain_is_amended_and_notes_it():
     room = Room()
     first = room.publisher.current
     for slice in range(0, 20, 2):
@@ -100,7 +101,7 @@
     )
 
 
-def test_a_rollback_to_a_version_with_a_cold_backend_stays_within_its_cap():
+def test_a_rollback_to_a_version_with_a_cold_backend_stays_within_its_limit():
     room = Room()
     for slice in range(10):
         room.publisher.apply_orders(1, moved(slice, "ab"[slice % 2], "c"), "to c")
@@ -113,7 +114,7 @@
     assert sum("c is cold" in said for said in back.amended.notes) == 7 and back.version.root.slices == SLICES
 
 
-def test_two_rollbacks_overlap_and_the_last_one_stands():
+def test_of_two_overlapping_rollbacks_the_last_one_wins():
     room = Room()
     first = room.publisher.current
     second = room.publisher.apply_orders(1, moved(0, "a", "c"), "2")
@@ -131,17 +132,18 @@
     assert room.publisher.root == second.root and room.publisher.pin.by == "other"
 
 
-def test_a_rollback_while_most_streams_are_broken_reaches_all():
-    room, chance = Room(relays=20), random.Random(1)
+def test_a_rollback_while_most_relays_are_disconnected_reaches_all():
+    room, rng = Room(relays=20), random.Random(1)
     first = room.publisher.current
     room.publisher.apply_orders(1, moved(0, "a", "c"), "2")
-    for number in chance.sample(range(20), 16):
+    for number in rng.sample(range(20), 16):
         session = room.publisher.sessions[f"r{number}"]
         session.due(room.now + 1)
         session.on_disconnect(session.connection)
     room.publisher.rollback(2, first.number, "op")
     room.go()
-    assert sum(relay.root == first.root for relay in room.relays.values()) == 20  # 16 never got version 2
+    # 16 never received version 2.
+    assert sum(relay.root == first.root for relay in room.relays.values()) == 20
     assert sum(session.in_sync for session in room.publisher.sessions.values()) == 4
     for name, relay in room.relays.items():
         room.join(name, relay)
@@ -149,22 +151,22 @@
     assert all(session.in_sync for session in room.publisher.sessions.values())
 
 
-def test_a_pin_stands_through_an_owners_death():
+def test_a_pin_stays_when_the_owner_of_slices_dies():
     room = Room()
     room.publisher.pin_current(1, "op")
     assert room.publisher.apply_orders(2, moved(0, "a", "c") + moved(2, "a", "d"), "held") is None
     made = room.publisher.update_facts(3, Facts(READY | {"a": "gone"}, FACTS.slices), "a died")
     assert made is not None and room.publisher.pin is not None
     assert all("a" not in table.lines for _, table in made.root.items()) and made.root.slices == SLICES
-    assert made.root.lines_of(0) == {"c": 1.0}  # the module's line for it comes before a spare one
-    assert made.root.lines_of(1) == {"b": 1.0}  # and nothing else moved
+    assert made.root.lines_of(0) == {"c": 1.0}  # the module's line is preferred to another ready backend
+    assert made.root.lines_of(1) == {"b": 1.0}  # and no other slice changed
     room.go()
     room.same()
 
 
 @pytest.mark.parametrize("sent", [False, True])
-def test_killed_between_write_and_send_and_between_send_and_answer(sent):
-    """Relays are met again by digest: nothing is sent that they hold."""
+def test_a_process_killed_before_or_after_sending_sends_nothing_twice(sent):
+    """After a restart, relays are recognized by their digests, and are not sent what they hold."""
     files = Plain()
     store = Store(files, "f")
     store.open()
@@ -185,7 +187,7 @@
     after.same()
 
 
-def test_a_version_that_can_not_be_written_is_not_sent_and_a_pin_outlives_the_process():
+def test_a_version_that_can_not_be_stored_is_not_sent_and_a_pin_survives_a_restart():
     files = Plain()
     store = Store(files, "f")
     store.open()
@@ -196,7 +198,8 @@
     assert room.go() == 0
     files.room = 1 << 30
     made = room.publisher.apply_orders(2, moved(2, "a", "c"), "room")
-    assert made.number == 2 and made.root.lines_of(0) == {"c": 1.0}  # what was asked for goes with it
+    # It includes the orders that could not be stored.
+    assert made.number == 2 and made.root.lines_of(0) == {"c": 1.0}
     room.publisher.rollback(3, 1, "op")
     again = Store(files, "f")
     again.open()
@@ -204,7 +207,7 @@
     assert publisher.pin.by == "op" and publisher.root == room.publisher.root
 
 
-def test_keeping_forgets_the_old_ones_but_not_what_a_relay_holds():
+def test_history_forgets_old_versions_but_not_what_a_relay_holds():
     history = VersionHistory(last=3)
     roots = [root_of({1: {f"n{number}": 1.0}}) for number in range(20)]
     history.count_holder((), [roots[2].digest])
@@ -221,11 +224,11 @@
     assert history.get(history.get(19).version_id.text()).number == 19
 
 
-def test_a_content_that_stands_twice_is_found_in_the_version_that_is_kept():
+def test_a_content_of_two_versions_is_found_in_the_one_that_is_kept():
     history, root, other = VersionHistory(last=1), root_of({1: {"a": 1.0}}), root_of({1: {"b": 1.0}})
     history.add(Version(1, root, None, "x", 0))
     history.name("good", 1)
     history.add(Version(2, root, None, "x", 0))
-    history.add(Version(3, other, None, "x", 0))  # the second goes, the first has a name
+    history.add(Version(3, other, None, "x", 0))  # the second is forgotten, the first has a name
     assert list(history.by_number) == [1, 3] and history.find(root.digest) is root
     assert history.unname("good")[0].number == 1 and history.find(root.digest) is None
--- a/tests/test_versions_cases.py
+++ b/tests/test_versions_session_cases.py
@@ -1,4 +1,4 @@
-"""Sessions, case by case: what a relay missed, claims, refuses, says late or not truly."""
+"""Sessions, case by case: lost messages, claims, refusals, late answers and wrong digests."""
 
 import math
 
@@ -11,7 +11,7 @@
 from tests.publishing import quiet, settled, version
 
 
-def test_a_missed_version_is_answered_with_a_gap_and_costs_only_its_lines():
+def test_a_lost_version_is_reported_as_a_gap_and_only_its_lines_are_sent_again():
     relay, session, _ = settled({1: {"a": 1.0}, 2: {"a": 1.0}})
     session.set_target(version(2, session.confirmed.with_line(1, "b", 1.0)), Guard())
     session.due(0)  # lost
@@ -26,7 +26,7 @@
     assert session.in_sync and relay.root == session.target.root
 
 
-def test_an_answer_for_what_was_superseded_moves_what_is_known_not_what_is_wanted():
+def test_an_ack_of_a_superseded_version_updates_the_confirmed_content_but_not_the_target():
     relay, session, _ = settled({1: {"a": 1.0}})
     session.set_target(version(2, root_of({1: {"b": 1.0}})), Guard())
     (first,) = session.due(0)
@@ -37,7 +37,7 @@
     assert relay.root == root_of({1: {"c": 1.0}})
 
 
-def test_a_claim_of_a_version_that_never_was_sets_only_the_parts_that_differ():
+def test_a_claim_of_an_unknown_content_replaces_only_the_parts_that_differ():
     tables = {slice: {"a": 1.0} for slice in range(0, 2560, 16)}
     _, session, _ = settled(tables)
     relay = TableRelay(root_of(tables | {16: {"strange": 1.0}}))
@@ -50,7 +50,7 @@
     assert session.in_sync and relay.root == session.target.root
 
 
-def test_a_relay_that_lies_is_set_whole_once_and_then_left_for_a_while():
+def test_a_relay_with_wrong_digests_is_replaced_once_and_then_backed_off():
     relay, session, _ = settled({1: {"a": 1.0}})
     session.set_target(version(2, root_of({1: {"b": 1.0}})), Guard())
     relay.false_digests = 2
@@ -65,7 +65,7 @@
     assert relay.root == session.target.root
 
 
-def test_a_refusal_is_not_repeated_until_another_version_is_wanted():
+def test_a_refused_version_is_not_sent_again_but_another_one_is():
     relay, session, _ = settled({1: {"a": 1.0}})
     relay.refuses = True
     session.set_target(version(2, root_of({1: {"b": 1.0}})), Guard())
@@ -78,8 +78,8 @@
     assert relay.root == session.target.root
 
 
-def test_a_relay_without_digests_is_brought_there_from_all_that_it_may_hold():
-    """Whichever of the messages it took, after the next ones it is right."""
+def test_a_relay_without_digests_reaches_the_target_from_any_content_it_may_hold():
+    """Whichever of the messages the relay took before the connection broke, the next ones correct it."""
     start = root_of({1: {"a": 1.0}, 2: {"a": 1.0}})
     for taken in range(4):
         session = Session("r", Channel(lines=1), {start.digest: start}.get)
@@ -103,8 +103,8 @@
         assert held == session.target.root
 
 
-def test_answers_of_an_earlier_connection_say_nothing_of_this_one():
-    """Sequences begin anew, so a late answer may name one that is in flight here."""
+def test_answers_of_an_earlier_connection_are_ignored():
+    """Sequences start again on each connection, so a late answer may name a message in flight on this one."""
     relay, session, roots = settled({1: {"a": 1.0}})
     old_ack = Ack(1, 1, session.target.version_id, root_of({1: {"b": 1.0}}).digest)
     old_nack = Nack(1, 1, 0, True, Claim(Root().digest))
@@ -120,8 +120,8 @@
     assert session.in_sync
 
 
-def sent_until_shut(session, relay, now):
-    """One line a version, until the window takes no more; returns messages."""
+def sent_until_window_closes(session, relay, now):
+    """Sends one line per version until the window takes no more, and returns the number of messages."""
     count = 0
     while count < 100:
         session.set_target(version(count + 2, session.confirmed.with_line(1, "a", count + 2.0)), Guard())
@@ -135,33 +135,33 @@
     return count
 
 
-def test_a_drain_goes_out_though_the_window_is_shut_for_all_else():
+def test_a_drain_is_sent_when_the_window_is_closed_to_other_changes():
     relay, session, _ = settled({1: {"a": 1.0}, 2: {"d": 1.0}})
-    assert sent_until_shut(session, relay, 100) == 7  # of a burst of 13, 6 are left to drains
+    assert sent_until_window_closes(session, relay, 100) == 7  # of a burst of 13, 6 are reserved for drains
     session.set_target(version(99, session.confirmed.changed({2: {"a": 1.0}})), Guard(frozenset({"d"})))
     (message,) = session.due(5000)
     session.on_ack(5001, relay.receive(message))
     assert session.in_sync and "d" not in relay.root.lines_of(2)
 
 
-def test_a_program_that_was_restarted_does_not_fill_the_window_twice():
+def test_a_restarted_program_counts_messages_sent_before_in_the_window():
     relay, session, roots = settled({1: {"a": 1.0}})
     again = Session("r", Channel(), roots.get)
     claim = relay.connect(2)
     again.on_connect(50, 2, Claim(claim.digest, claim.parts, 25))
     again.set_target(session.target, Guard())
-    assert again.in_sync and sent_until_shut(again, relay, 100) == 0
-    pace, went = again.window.pace, 25  # by the program before it, all of them counted as of now
+    assert again.in_sync and sent_until_window_closes(again, relay, 100) == 0
+    pace, counted = again.window.pace, 25  # sent by the program before it, all counted as of now
     assert again.next_due(1000) == 50 + math.ceil(7 * pace.refill_interval)
     for now in range(50, 50 + Channel.WINDOW + SPREAD, 10):
         if again.window.free(now, (), True):
             pace.record_sent(now)
-            went += 1
-    assert went == Channel().messages and not again.window.free(now, (), True)
+            counted += 1
+    assert counted == Channel().messages and not again.window.free(now, (), True)
     assert again.next_due(now) == 50 + Channel.WINDOW + SPREAD
 
 
-def test_a_lie_that_was_made_good_is_forgotten():
+def test_a_corrected_digest_resets_the_count_of_mismatches():
     relay, session, _ = settled({1: {"a": 1.0}})
     for number, backend in enumerate("bcd", 2):
         relay.false_digests = 1
@@ -170,7 +170,7 @@
         assert session.mismatches == 0
 
 
-def test_a_program_killed_within_a_delta_knows_what_its_relay_holds():
+def test_a_program_killed_within_a_delta_recovers_what_its_relay_holds():
     relay, session, roots = settled({slice: {"a": 1.0} for slice in range(300)})
     relay.base = session.confirmed.digest
     session.set_target(version(2, root_of({slice: {"a": 1.0, "b": 1.0} for slice in range(300)})), Guard())
@@ -182,4 +182,4 @@
     told = relay.connect(3)
     fresh = Session("r", Channel(), roots.get)
     fresh.on_connect(70, 3, Claim(told.digest, told.parts, 0, told.base, told.since[1:]))
-    assert fresh.phase is Phase.REPLACING  # lines that do not give the digest are not believed
+    assert fresh.phase is Phase.REPLACING  # lines that do not result in the claimed digest are not believed
--- a/tests/test_versions_sessions.py
+++ b/tests/test_versions_session_random_events.py
@@ -1,4 +1,4 @@
-"""Sessions under any course of events, against a plain model: what the relay truly holds."""
+"""Sessions under random sequences of events, compared with what the relay really holds."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -24,7 +24,7 @@
         self.roots = {Root().digest: Root()}
         self.relay = TableRelay()
         self.session = Session("r", CHANNEL, self.roots.get)
-        self.down, self.up, self.times = [], [], []
+        self.down, self.up, self.send_times = [], [], []
         self.connection = 0
         self.served = set()  # slices that had lines, and have to keep them
         self.join()
@@ -34,7 +34,7 @@
         self.session.on_connect(self.now, self.connection, self.relay.connect(self.connection))
 
     @rule(tables=TABLES)
-    def want(self, tables):
+    def set_target(self, tables):
         self.numbers += 1
         root = root_of(tables)
         self.roots[root.digest] = root
@@ -45,10 +45,10 @@
         self.now += wait
         for message in self.session.due(self.now):
             self.down.append(message)
-            self.times.append(self.now)
+            self.send_times.append(self.now)
 
     @rule(lost=st.booleans())
-    def arrive(self, lost):
+    def deliver_message(self, lost):
         if self.down:
             message = self.down.pop(0)
             if not lost and (said := self.relay.receive(message)) is not None:
@@ -62,52 +62,52 @@
                 (self.session.on_nack if hasattr(said, "gap") else self.session.on_ack)(self.now, said)
 
     @rule(again=st.integers(0, 3))
-    def said_twice(self, again):
-        """The same message comes to the relay once more, and the same answer to the session."""
+    def duplicate_message(self, again):
+        """Duplicates the next message to the relay, and its answers to the session."""
         if self.down and self.down[0].sequence == self.relay.taken + 1:
             said = [self.relay.receive(self.down[0]) for _ in range(again)]
             self.up += [one for one in said if one is not None]
 
     @rule(heard=st.booleans())
-    def broken(self, heard):
+    def break_connection(self, heard):
         self.down.clear()
         late, self.up = self.up, []
         if heard:
             self.session.on_disconnect(self.connection)
         self.join()
-        for said in late:  # of the connection before: they must say nothing
+        for said in late:  # answers on the previous connection must have no effect
             (self.session.on_nack if hasattr(said, "gap") else self.session.on_ack)(self.now, said)
 
     @rule(tables=TABLES, empty=st.booleans())
-    def restarted(self, tables, empty):
-        """With nothing, or with what never was a version."""
+    def restart_relay(self, tables, empty):
+        """Restarts the relay with nothing, or with a content that never was a version."""
         self.relay.root = Root() if empty else root_of(tables)
         self.served.clear()
-        self.broken(True)
+        self.break_connection(True)
 
     @rule()
-    def lies(self):
+    def report_wrong_digest(self):
         self.relay.false_digests = 1
 
     @invariant()
-    def truth(self):
+    def content_is_possible_and_no_slice_is_empty(self):
         session, held = self.session, self.relay.root
         if (
             session.phase is Phase.UPDATING
             and session.connection == self.relay.connection
             and not self.relay.false_digests
         ):
-            assert held in session.possible_contents()  # in a set, and the true one is in it
-        bare = {slice for slice in self.served if not held.lines_of(slice)}
-        assert not bare, f"bare: {bare}"
+            assert held in session.possible_contents()  # the real content is one of the possible ones
+        empty_slices = {slice for slice in self.served if not held.lines_of(slice)}
+        assert not empty_slices, f"bare: {empty_slices}"
         self.served |= {slice for slice, _ in held.items()}
-        for at in self.times:
-            assert sum(at <= other < at + Channel.WINDOW for other in self.times) <= CHANNEL.messages
+        for at in self.send_times:
+            assert sum(at <= other < at + Channel.WINDOW for other in self.send_times) <= CHANNEL.messages
 
     def teardown(self):
         if self.session.target is not None:
             self.relay.false_digests = 0
-            self.broken(True)
+            self.break_connection(True)
             quiet(self.session, self.relay, self.now + BACKOFF)
             assert self.relay.root == self.session.target.root
 
--- a/tests/test_versions_store.py
+++ b/tests/test_versions_store.py
@@ -1,4 +1,4 @@
-"""The store against a plain model, killed at every boundary and at seeded offsets; a full disk; harm."""
+"""The store compared with a plain model: kills at every boundary and seeded offsets, a full disk, damage."""
 
 import os
 import random
@@ -24,12 +24,12 @@
 
 
 def written(count, seed=1):
-    """A store with so many versions; the root and the length of the file after each."""
-    chance, files = random.Random(seed), Plain()
+    """Returns files with a store of so many versions, its path, and the file's length and root after each."""
+    rng, files = random.Random(seed), Plain()
     store = opened(files, last=count)
     ends, root = [], Root()
     for number in range(1, count + 1):
-        root = root.changed({chance.randrange(300): {f"n{chance.randrange(5)}": 1.0} for _ in range(3)})
+        root = root.changed({rng.randrange(300): {f"n{rng.randrange(5)}": 1.0} for _ in range(3)})
         store.add(Version(number, root, None, f"order {number}", number * 10))
         ends.append((len(files.held[store.path]), root))
     return files, store.path, ends
@@ -39,41 +39,45 @@
     files.held[path] = files.held[path][:at]
     store = opened(files, last=100)
     whole = [root for end, root in ends if end <= at]
-    assert [version.root for version in store.history.by_number.values()] == whole  # all, and no other
+    # All whole versions, and no other.
+    assert [version.root for version in store.history.by_number.values()] == whole
     assert len(files.held[store.path]) <= at
-    store.add(Version(1000, Root().with_line(7, "x", 1.0), None, "after", 0))  # it goes on
+    store.add(Version(1000, Root().with_line(7, "x", 1.0), None, "after", 0))  # writing continues
     again = opened(files, last=100)
-    assert [v.root for v in again.history.by_number.values()] == [*whole, Root().with_line(7, "x", 1.0)]
+    assert [version.root for version in again.history.by_number.values()] == [
+        *whole,
+        Root().with_line(7, "x", 1.0),
+    ]
 
 
-def test_killed_at_every_boundary_and_at_200_offsets():
+def test_a_file_cut_at_any_offset_keeps_all_whole_versions():
     files, path, ends = written(20)
-    data, chance = bytes(files.held[path]), random.Random(5)
+    data, rng = bytes(files.held[path]), random.Random(5)
     assert len(read(data, path).rows) == 21
     start = data.find(b"IHvt", 1)  # after the first record, which is written whole
-    for at in [start, *(end for end, _ in ends), *(chance.randrange(start, len(data)) for _ in range(200))]:
+    for at in [start, *(end for end, _ in ends), *(rng.randrange(start, len(data)) for _ in range(200))]:
         files.held = {path: bytearray(data)}
         check_cut(files, path, ends, at)
 
 
-def test_a_byte_changed_before_the_end_is_harm_and_never_a_wrong_table():
+def test_a_changed_byte_is_reported_as_damage_and_never_gives_a_wrong_table():
     files, path, ends = written(8)
-    data, chance, harmed = bytes(files.held[path]), random.Random(6), 0
+    data, rng, rejected = bytes(files.held[path]), random.Random(6), 0
     for _ in range(200):
-        spoilt, at = bytearray(data), chance.randrange(len(data))
-        spoilt[at] ^= 1 << chance.randrange(8)
-        files.held = {path: spoilt}
+        damaged, at = bytearray(data), rng.randrange(len(data))
+        damaged[at] ^= 1 << rng.randrange(8)
+        files.held = {path: damaged}
         try:
             store = opened(files, last=100)
         except InvalidVersionFileError:
-            harmed += 1
+            rejected += 1
             continue
         roots = [version.root for version in store.history.by_number.values()]
         assert roots == [root for _, root in ends][: len(roots)] and at >= ends[-2][0]
-    assert harmed > 100
+    assert rejected > 100
 
 
-def test_a_full_disk_keeps_nothing_of_the_call_and_goes_on_when_there_is_room():
+def test_a_write_to_a_full_disk_keeps_nothing_and_later_writes_succeed():
     files, _, ends = written(3)
     store = opened(files)
     files.room = 20
@@ -88,7 +92,7 @@
     assert opened(files).history.get(3).root == ends[2][1]
 
 
-def test_on_a_real_disk(tmp_path):
+def test_an_unfinished_record_on_a_real_disk_is_cut_off(tmp_path):
     store = Store(FileSystem(), str(tmp_path))
     store.open()
     store.add(Version(1, root_of({1: {"a": 1.0}}), None, "x", 0))
@@ -104,7 +108,7 @@
 
 
 class Stores(RuleBasedStateMachine):
-    """The model: a list of versions, a dict of names, the pin."""
+    """The model: the roots by version number, the names, and the pin."""
 
     def __init__(self):
         super().__init__()
@@ -139,7 +143,7 @@
             self.store.pin(self.pin, "operator", 5)
 
     @rule(room=st.integers(0, 40), slice=st.integers(0, 600))
-    def full(self, room, slice):
+    def add_on_full_disk(self, room, slice):
         number = max(self.made, default=0) + 1
         self.files.room = room
         root = self.store.root.with_line(slice, "full", 1.0)
@@ -151,7 +155,7 @@
         self.files.room = 1 << 40
 
     @rule(torn=st.binary(max_size=30))
-    def killed(self, torn):
+    def restart_after_kill(self, torn):
         if self.store.fd >= 0:
             self.files.held[self.store.path] += torn
         self.files.open.clear()
