--- a/indigohitch/model/__init__.py
+++ b/indigohitch/model/__init__.py
@@ -1,1 +1,1 @@
-"""An emulator of what the module balances, for sizes that sockets don't reach.  A tool; small on purpose."""
+"""An emulator of the backends and proxies around the coordinators, for sizes that sockets don't reach."""
--- a/indigohitch/model/backends.py
+++ b/indigohitch/model/backends.py
@@ -1,4 +1,4 @@
-"""A backend of the emulator: cores, a queue, caches by slice, warm-up.  Times are tenths of a ms."""
+"""A backend of the emulator: cores, a queue, a cache by slice, warm-up.  Times are in tenths of a ms."""
 
 from __future__ import annotations
 
@@ -11,36 +11,37 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """What machines of one make are like."""
+    """The properties of one type of machine."""
 
-    cores: float = 4.0  # math.inf: everything at once, as the stand-in servers do
-    queue: int = 60  # that wait; more are turned away
+    cores: float = 4.0  # math.inf: all RPCs at once, as in the stand-in servers
+    queue: int = 60  # RPCs that wait; further ones are rejected
     speed: float = 1.0  # of a core
-    cold_from: float = 0.25  # share of the speed at a start
-    warm_within: int = 10 * SECOND
-    cached: float = 0.5  # of the work, for a slice that came lately
-    memory: int = 15 * SECOND  # for so long
+    cold_from: float = 0.25  # share of the speed right after a start
+    warm_within: int = 10 * SECOND  # time from a start to full speed
+    cached: float = 0.5  # share of the work for a slice that is in the cache
+    memory: int = 15 * SECOND  # time for which a slice stays in the cache after its last RPC
 
 
 class Backend:
-    """`held`, `withdrawn` are what request.Table looks at."""
+    """One emulated backend; `request.RouteTable` reads its `held` and `withdrawn`."""
 
     def __init__(self, id: str, kind: Kind, started: int = 0) -> None:
         self.id, self.kind, self.started = id, kind, started
         self.state = "ready"
         self.held, self.withdrawn = 0, False
-        self.busy, self.waiting = 0, deque()  # jobs
-        self.met: dict[int, int] = {}  # when each slice last came
-        self.slow = 1.0  # times the work, while it is ill
-        self.spent, self.done = 0.0, 0  # work and answers since the last load report
+        self.busy, self.waiting = 0, deque()  # running RPCs, queued jobs
+        self.met: dict[int, int] = {}  # time of the last RPC, by slice
+        self.slow = 1.0  # factor on the work, above 1 while the backend is degraded
+        self.spent, self.done = 0.0, 0  # work and RPCs since the last load report
         self.total = 0
 
     def warmth(self, now: int) -> float:
+        """Returns the share of the full speed that the backend has at `now`."""
         age = (now - self.started) / self.kind.warm_within if self.started else 1.0
         return min(1.0, self.kind.cold_from + (1 - self.kind.cold_from) * age)
 
-    def takes(self, job) -> bool:
-        """Begun, or waiting; False: turned away unseen."""
+    def accept(self, job: tuple) -> bool:
+        """Starts or queues a job; returns False if it is rejected because the queue is full."""
         self.total += 1
         if self.busy < self.kind.cores:
             self.busy += 1
@@ -51,16 +52,18 @@
         return True
 
     def work(self, slice: int, cost: float, now: int) -> int:
-        """How long an RPC takes that begins now."""
-        known = now - self.met.get(slice, -math.inf) < self.kind.memory
+        """Returns the service time of an RPC that begins now, and counts it as done."""
+        cached = now - self.met.get(slice, -math.inf) < self.kind.memory
         self.met[slice] = now
-        took = cost * (self.kind.cached if known else 1.0) * self.slow / (self.kind.speed * self.warmth(now))
-        self.spent += took
+        duration = (
+            cost * (self.kind.cached if cached else 1.0) * self.slow / (self.kind.speed * self.warmth(now))
+        )
+        self.spent += duration
         self.done += 1
-        return max(1, round(took))
+        return max(1, round(duration))
 
     def report(self) -> dict[str, float]:
-        """A load report: what waits, and the mean service time since the last one."""
+        """Returns a load report: the queue's length, and the mean service time since the last report."""
         service = self.spent / self.done if self.done else 0.0
         self.spent, self.done = 0.0, 0
         return {"queued": len(self.waiting)} | ({"service_time": service} if service else {})
--- a/indigohitch/model/emulator.py
+++ b/indigohitch/model/emulator.py
@@ -1,12 +1,13 @@
-"""Event by event: requests of a trace, proxies that draw as request.Table does, backends, the real module.
+"""A discrete-event emulator: requests of a trace, proxies, backends, and the real coordinators.
 
-One heap of events, seeded; no sockets and no clock.  What goes to the module is late and in sums, what comes
-from it takes its time to the proxies, as in service."""
+The proxies pick backends as `request.RouteTable` does.  There is one seeded heap of events, and no sockets or
+clock.  Reports reach a coordinator late and summed up, and orders reach the proxies late, as in production.
+"""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 from itertools import count
@@ -22,21 +23,22 @@
 
 @dataclass(frozen=True)
 class World:
-    """What there is beside the trace."""
+    """The settings of an emulation, other than the trace.  Times are in tenths of a ms."""
 
     slices: int
     kinds: tuple[Kind, ...] = (Kind(),)
     methods: tuple[face.Method, ...] = (SEARCH,)
-    costs: dict[str, float] = field(default_factory=dict)  # tenths of a ms of one core, by RPC
+    costs: dict[str, float] = field(default_factory=dict)  # time on one core, by RPC
     coordinators: int = 1
-    report: int = 2 * SECOND
-    late: int = SECOND  # of sums
-    transit: int = SECOND // 4  # of orders
-    hop: int = 0  # that an answer takes beyond its service
+    report: int = 2 * SECOND  # interval between reports
+    late: int = SECOND  # delay of reports
+    transit: int = SECOND // 4  # delay of orders
+    hop: int = 0  # network time added to each answer
     seed: int = 1
-    boot: dict = field(default_factory=dict)
+    boot: dict = field(default_factory=dict)  # replaces entries of the bootstrap
 
     def bootstrap(self, number: int) -> dict:
+        """Returns the settings that coordinator `number` starts with."""
         kind = self.kinds[0]
         return {
             "methods": self.methods,
@@ -54,7 +56,7 @@
 
 @dataclass
 class Seen:
-    """Of one run."""
+    """The results of one run: numbers of requests by outcome, moves of routes, and latencies."""
 
     asked: int = 0
     in_time: int = 0
@@ -62,21 +64,27 @@
     refused: int = 0
     moves: int = 0
     took: list[int] = field(default_factory=list)
-    by_second: dict[int, list[int]] = field(default_factory=dict)  # asked, in time
+    by_second: dict[int, list[int]] = field(default_factory=dict)  # [asked, in time]
 
     def share(self, start: int = 0, end: int | None = None) -> float:
-        """Answered within the soft deadline of what was asked, in those seconds."""
+        """Returns the share of requests answered by the soft deadline, from second `start` up to `end`."""
         rows = [row for s, row in self.by_second.items() if s >= start and (end is None or s < end)]
-        return sum(r[1] for r in rows) / max(1, sum(r[0] for r in rows))
+        return sum(row[1] for row in rows) / max(1, sum(row[0] for row in rows))
 
 
 class Emulator:
-    BEGIN = 1000 * SECOND  # the module counts from somewhere
+    """Runs traces against emulated proxies and backends, with real coordinators."""
+
+    BEGIN = 1000 * SECOND  # the time at the start is arbitrary, but not 0
 
     def __init__(
-        self, world: World, backends: int, profile: Iterable[face.SliceDemand] = (), make=Coordinator
+        self,
+        world: World,
+        backends: int,
+        profile: Iterable[face.SliceDemand] = (),
+        make: Callable[..., Coordinator] = Coordinator,
     ) -> None:
-        """`profile`: demand that is known at the start; `make(seed, bootstrap)`: the module."""
+        """`profile` is the demand known at the start; `make(seed, bootstrap)` returns a coordinator."""
         self.world, self.random = world, random.Random(world.seed)
         self.now, self.order, self.events = self.BEGIN, count(), []
         self.backends = {
@@ -85,24 +93,26 @@
         self.tables = [RouteTable() for _ in range(world.slices)]
         self.methods = {m.name: m for m in world.methods}
         self.seen = Seen()
-        self.tries = [{} for _ in range(world.coordinators)]
-        self.came = [{} for _ in range(world.coordinators)]
+        self.attempts = [{} for _ in range(world.coordinators)]
+        self.demand = [{} for _ in range(world.coordinators)]
         self.modules = [make(world.seed + n, world.bootstrap(n)) for n in range(world.coordinators)]
         ids, profile = list(self.backends), list(profile)
         for n, module in enumerate(self.modules):
-            told: list[face.Event] = [self.listing("full"), face.ProxyJoined(0, "", 1.0, True)]
-            for s in range(n, world.slices, world.coordinators):
-                owner = ids[s % len(ids)]
-                self.tables[s].set(self.backends[owner], 1.0)
-                told += [face.SliceOwnership(s, True), face.StoredRoute(s, owner, 1.0)]
-            told += [demand for demand in profile if demand.slice % world.coordinators == n]
-            self.orders(n, module.handle(self.now, told))
+            events: list[face.Event] = [self.listing("full"), face.ProxyJoined(0, "", 1.0, True)]
+            for slice in range(n, world.slices, world.coordinators):
+                owner = ids[slice % len(ids)]
+                self.tables[slice].set(self.backends[owner], 1.0)
+                events += [face.SliceOwnership(slice, True), face.StoredRoute(slice, owner, 1.0)]
+            events += [demand for demand in profile if demand.slice % world.coordinators == n]
+            self.carry_out(n, module.handle(self.now, events))
             self.at(self.now + world.report, self.report, n)
 
-    def at(self, when: int, action, *words) -> None:
-        heappush(self.events, (when, next(self.order), action, words))
+    def at(self, when: int, action: Callable[..., None], *arguments: object) -> None:
+        """Schedules `action(*arguments)` at `when`; events of one time run in the order of these calls."""
+        heappush(self.events, (when, next(self.order), action, arguments))
 
     def listing(self, scope: str, *which: Backend) -> face.BackendList:
+        """Returns the list of `which` backends, by default of all."""
         return face.BackendList(
             scope,
             1,
@@ -112,22 +122,25 @@
             ),
         )
 
-    # ---- the module's side -----------------------------------------------------------------------
+    # ---- the coordinators -------------------------------------------------------------------------
 
-    def hear(self, n: int, *events: face.Event) -> None:
-        self.orders(n, self.modules[n].handle(self.now, list(events)))
+    def handle_events(self, n: int, *events: face.Event) -> None:
+        """Passes events to coordinator `n` and carries out its orders."""
+        self.carry_out(n, self.modules[n].handle(self.now, list(events)))
 
-    def orders(self, n: int, orders: list[face.Order]) -> None:
-        out = []
+    def carry_out(self, n: int, orders: list[face.Order]) -> None:
+        """Sets the timers among the orders of coordinator `n`; sends the others to the proxies."""
+        delayed = []
         for order in orders:
             if isinstance(order, face.SetTimer):
-                self.at(max(order.due_at, self.now), self.hear, n, face.TimerFired(order.tag))
+                self.at(max(order.due_at, self.now), self.handle_events, n, face.TimerFired(order.tag))
             elif isinstance(order, (face.SetRoute, face.EjectBackend, face.UpdateMarker)):
-                out.append(order)
-        if out:
-            self.at(self.now + self.world.transit, self.apply, n, out)
+                delayed.append(order)
+        if delayed:
+            self.at(self.now + self.world.transit, self.apply, n, delayed)
 
     def apply(self, n: int, orders: list[face.Order]) -> None:
+        """Applies orders that have reached the proxies."""
         for order in orders:
             if isinstance(order, face.SetRoute):
                 self.tables[order.table].set(self.backends[order.backend], order.weight)
@@ -135,95 +148,103 @@
             elif isinstance(order, face.EjectBackend):
                 self.backends[order.backend].withdrawn = order.ejected
             else:
-                self.hear(n, face.UpdateAcknowledged(0, order.marker, self.world.transit))
+                self.handle_events(n, face.UpdateAcknowledged(0, order.marker, self.world.transit))
 
     def report(self, n: int) -> None:
-        every, events = self.world.report, []
-        came, self.came[n], tries, self.tries[n] = self.came[n], {}, self.tries[n], {}
-        events += [face.SliceDemand(s, rpc, many, 0, every) for (s, rpc), many in came.items()]
+        """Sends the proxies' sums since the last report to coordinator `n`."""
+        interval, events = self.world.report, []
+        demand, self.demand[n], attempts, self.attempts[n] = self.demand[n], {}, self.attempts[n], {}
+        events += [face.SliceDemand(slice, rpc, sent, 0, interval) for (slice, rpc), sent in demand.items()]
         events += [
-            face.BackendTraffic("", b.id, many, failed, 0, every, b.report() if many > failed else {})
-            for b, (many, failed) in tries.items()
+            face.BackendTraffic("", b.id, sent, failed, 0, interval, b.report() if sent > failed else {})
+            for b, (sent, failed) in attempts.items()
         ]
         if events:
-            self.at(self.now + self.world.late, self.hear, n, *events)
-        self.at(self.now + every, self.report, n)
+            self.at(self.now + self.world.late, self.handle_events, n, *events)
+        self.at(self.now + interval, self.report, n)
 
-    # ---- the requests' way -----------------------------------------------------------------------
+    # ---- requests --------------------------------------------------------------------------------
 
     def arrive(self, slice: int, rpc: str) -> None:
+        """Sends a request to the backend that the slice's table picks."""
         seen, n = self.seen, slice % self.world.coordinators
         seen.asked += 1
         seen.by_second.setdefault((self.now - self.BEGIN) // SECOND, [0, 0])[0] += 1
-        self.came[n][slice, rpc] = self.came[n].get((slice, rpc), 0) + 1
+        self.demand[n][slice, rpc] = self.demand[n].get((slice, rpc), 0) + 1
         backend = self.tables[slice].pick(self.random.random)
         if backend is None:
             seen.refused += 1
             return
-        tries = self.tries[n].setdefault(backend, [0, 0])
-        tries[0] += 1
-        job = slice, rpc, self.now, tries
+        attempts = self.attempts[n].setdefault(backend, [0, 0])
+        attempts[0] += 1
+        job = slice, rpc, self.now, attempts
         backend.held += 1
         busy = backend.busy
-        if not backend.takes(job):
+        if not backend.accept(job):
             backend.held -= 1
-            tries[1] += 1
+            attempts[1] += 1
             seen.refused += 1
         elif backend.busy > busy:
             self.begin(backend, job)
 
-    def begin(self, backend: Backend, job) -> None:
+    def begin(self, backend: Backend, job: tuple) -> None:
+        """Starts a job on a core of the backend."""
         slice, rpc, _, _ = job
         cost = self.world.costs.get(rpc, SECOND // 10)
         self.at(self.now + backend.work(slice, cost, self.now), self.finish, backend, job)
 
-    def finish(self, backend: Backend, job) -> None:
-        _, rpc, came, tries = job
-        took, method = self.now - came + self.world.hop, self.methods[rpc]
+    def finish(self, backend: Backend, job: tuple) -> None:
+        """Records the answer and starts the next queued job."""
+        _, rpc, arrived_at, attempts = job
+        duration, method = self.now - arrived_at + self.world.hop, self.methods[rpc]
         backend.held -= 1
         backend.busy -= 1
-        self.seen.took.append(took)
-        if took <= method.soft_deadline:
+        self.seen.took.append(duration)
+        if duration <= method.soft_deadline:
             self.seen.in_time += 1
-            self.seen.by_second[(came - self.BEGIN) // SECOND][1] += 1
+            self.seen.by_second[(arrived_at - self.BEGIN) // SECOND][1] += 1
         else:
             self.seen.late += 1
-            tries[1] += took > method.deadline
+            attempts[1] += duration > method.deadline
         if backend.waiting:
             backend.busy += 1
             self.begin(backend, backend.waiting.popleft())
 
-    # ---- what befalls the fleet ------------------------------------------------------------------
+    # ---- events of the fleet ---------------------------------------------------------------------
 
     def ill(self, id: str, slow: float) -> None:
+        """Multiplies the work of a backend by `slow`; 1 restores it."""
         self.backends[id].slow = slow
 
     def drain(self, id: str) -> None:
+        """Marks a backend as draining and notifies the coordinators."""
         self.backends[id].state = "draining"
         for n in range(len(self.modules)):
-            self.hear(n, self.listing("changes", self.backends[id]))
+            self.handle_events(n, self.listing("changes", self.backends[id]))
 
     def start(self, id: str) -> None:
+        """Starts a new, cold backend and notifies the coordinators."""
         new = self.backends[id] = Backend(id, self.world.kinds[0], self.now)
         for n in range(len(self.modules)):
-            self.hear(n, self.listing("changes", new))
-
-    # ---- the whole -------------------------------------------------------------------------------
+            self.handle_events(n, self.listing("changes", new))
 
     def run(self, requests: Iterable[tuple[int, int, str]], befalls: Iterable[tuple] = ()) -> Seen:
-        """(time since the begin, slice, RPC) in order; `befalls`: (time, action's name, words...)."""
-        for when, action, *words in befalls:
-            self.at(self.BEGIN + when, getattr(self, action), *words)
+        """Runs `requests`, rows of (time since the start, slice, RPC) in order of time; returns the results.
+
+        `befalls` are events of the fleet: (time since the start, name of a method above, arguments...).
+        """
+        for when, action, *arguments in befalls:
+            self.at(self.BEGIN + when, getattr(self, action), *arguments)
         events = self.events
         for at, slice, rpc in requests:
             at += self.BEGIN
             while events and events[0][0] <= at:
-                self.now, _, action, words = heappop(events)
-                action(*words)
+                self.now, _, action, arguments = heappop(events)
+                action(*arguments)
             self.now = at
             self.arrive(slice, rpc)
-        end = self.now + 10 * SECOND  # for what is still at work
+        end = self.now + 10 * SECOND  # for requests still in progress
         while events and events[0][0] <= end:
-            self.now, _, action, words = heappop(events)
-            action(*words)
+            self.now, _, action, arguments = heappop(events)
+            action(*arguments)
         return self.seen
--- a/indigohitch/standins/__init__.py
+++ b/indigohitch/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the program meets: servers and clients of our own, on loopback, that fail on order."""
+"""Stand-ins on loopback for the servers, clients and relays around the program, with faults on request."""
--- a/indigohitch/standins/fault_links.py
+++ b/indigohitch/standins/fault_links.py
@@ -1,8 +1,8 @@
-"""What a relay of faults does to bytes: a lane is all that goes from one member to another, over whichever of
-them dialled; a passage is one connection of theirs, one half a direction.
+"""The links, connections and listeners of the fault proxy (fault_proxy.py).
 
-A lane that is cut holds what it has and what comes, as a network does whose packets are lost: nobody hears of
-it, and once it is healed all comes late, in order, unless the connections were reset before."""
+A link that is cut keeps what it holds and what arrives, as a network does while packets are lost: neither end
+is notified, and once it is healed all is delivered late, in order, unless the connections were reset before.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
 from ..net.loop import Deadline, EventLoop
 from ..net.stream import Stream
 
-# How often a trickling lane lets something through: twenty times a second is slow, and no burst.
-DRIP = SECOND // 20
-# What a lane holds back in its own queue; the rest waits in the rings, then with the sender.
-HELD = 256 << 10
+# A throttled link delivers bytes twenty times a second: slow, and without bursts.
+TRICKLE_INTERVAL = SECOND // 20
+# The bytes that one direction keeps in its own queue; the rest waits in the ring buffers, then at the sender.
+QUEUE_BYTES = 256 << 10
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """What stands on a lane.  `delay`, up to `spread` more: tenths of a ms, in order; `trickle`: bytes a
-    second, 0 for no bound; `spoil`: the share of pieces in which one byte is changed."""
+    """The faults of one link: delays of `delay` to `delay + spread` tenths of a ms, in order.
+
+    `trickle`: limit in bytes a second, 0 for none; `spoil`: the share of pieces in which one byte is changed.
+    """
 
     cut: bool = False
     delay: int = 0
@@ -39,188 +41,204 @@
 
 
 class FaultLink:
+    """All bytes from `sender` to `receiver`, whichever of them connected; counts bytes and changed pieces."""
+
     def __init__(self, sender: str, receiver: str, uniform: Callable[[], float]) -> None:
         self.sender, self.receiver, self.uniform = sender, receiver, uniform
-        self.halves: set[Half] = set()
+        self.directions: set[_Direction] = set()
         self.bytes = self.spoilt = 0
         self.fault = NO_FAULT
 
-    def changed(self) -> None:
-        for half in list(self.halves):
-            half.pump()
+    def on_fault_changed(self) -> None:
+        """Continues delivery in all directions of the link, under the new fault."""
+        for direction in list(self.directions):
+            direction.pump()
 
-    def passed(self, data: bytes) -> bytes:
+    def transmit(self, data: bytes) -> bytes:
+        """Counts `data` and returns it, with one byte changed where the link's `spoil` fault says so."""
         self.bytes += len(data)
         if not self.fault.spoil or self.uniform() >= self.fault.spoil:
             return data
         self.spoilt += 1
-        at = int(self.uniform() * len(data))
-        return data[:at] + bytes([data[at] ^ (1 + int(self.uniform() * 255))]) + data[at + 1 :]
+        index = int(self.uniform() * len(data))
+        return data[:index] + bytes([data[index] ^ (1 + int(self.uniform() * 255))]) + data[index + 1 :]
 
 
-class Half:
-    """Bytes of one direction of a passage: out of `source`, into `sink`."""
+class _Direction:
+    """One direction of a connection: bytes read from `source`, delivered to `sink`."""
 
-    def __init__(self, loop: EventLoop, lane: FaultLink) -> None:
-        self.loop, self.lane = loop, lane
+    def __init__(self, loop: EventLoop, link: FaultLink) -> None:
+        self.loop, self.link = loop, link
         self.source: Stream | None = None
         self.sink: Stream | None = None
-        self.queue: deque[tuple[int, bytes]] = deque()  # due, piece
-        self.held = 0  # bytes in `queue`
-        self.last = 0  # due time of the last piece: pieces never overtake
-        self.next = 0  # a trickling lane lets nothing through before
-        self.ended = ""  # why the source ended: told to the sink after what it sent
+        self.queue: deque[tuple[int, bytes]] = deque()  # due time, piece
+        self.queued_bytes = 0  # in `queue`
+        self.last_due = 0  # due time of the last piece: pieces never overtake each other
+        self.next_delivery = 0  # a throttled link delivers nothing before this time
+        self.ended = ""  # how the source ended; the sink is closed that way after the last byte
         self.timer: Deadline | None = None
-        lane.halves.add(self)
+        link.directions.add(self)
 
-    def take(self, data: bytes) -> None:
-        fault = self.lane.fault
-        wait = fault.delay + int(fault.spread * self.lane.uniform()) if fault.spread else fault.delay
-        self.last = max(self.last, self.loop.clock.now() + wait)
-        self.queue.append((self.last, data))
-        self.held += len(data)
+    def enqueue(self, data: bytes) -> None:
+        fault = self.link.fault
+        delay = fault.delay + int(fault.spread * self.link.uniform()) if fault.spread else fault.delay
+        self.last_due = max(self.last_due, self.loop.clock.now() + delay)
+        self.queue.append((self.last_due, data))
+        self.queued_bytes += len(data)
 
     def pump(self) -> None:
-        """Let through what may go now; come again when more may."""
+        """Delivers what is due now and sets a timer for the rest."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        source, sink, lane = self.source, self.sink, self.lane
-        while source is not None and source.open and len(source.incoming) and self.held < HELD:
-            self.take(source.incoming.take(min(len(source.incoming), HELD)))
+        source, sink, link = self.source, self.sink, self.link
+        while source is not None and source.open and len(source.incoming) and self.queued_bytes < QUEUE_BYTES:
+            self.enqueue(source.incoming.take(min(len(source.incoming), QUEUE_BYTES)))
             source.resume_reading()
-        if lane.fault.cut or sink is None or sink.connecting or not sink.open:
+        if link.fault.cut or sink is None or sink.connecting or not sink.open:
             return
-        now, allowed = self.loop.clock.now(), HELD
-        if lane.fault.trickle and self.queue:
-            if now < self.next:
-                self.timer = self.loop.call_at(self.next, self.pump)
+        now, allowed = self.loop.clock.now(), QUEUE_BYTES
+        if link.fault.trickle and self.queue:
+            if now < self.next_delivery:
+                self.timer = self.loop.call_at(self.next_delivery, self.pump)
                 return
-            self.next, allowed = now + DRIP, max(1, lane.fault.trickle * DRIP // SECOND)
+            self.next_delivery = now + TRICKLE_INTERVAL
+            allowed = max(1, link.fault.trickle * TRICKLE_INTERVAL // SECOND)
         while self.queue and self.queue[0][0] <= now and allowed > 0:
             room = min(sink.free_capacity(), allowed)
             if room <= 0:
                 return  # `on_output_drained` pumps again
-            due, data = self.queue.popleft()
+            due_at, data = self.queue.popleft()
             if len(data) > room:
-                self.queue.appendleft((due, data[room:]))
+                self.queue.appendleft((due_at, data[room:]))
                 data = data[:room]
-            self.held -= len(data)
+            self.queued_bytes -= len(data)
             allowed -= len(data)
-            sink.write(lane.passed(data))
+            sink.write(link.transmit(data))
         if self.queue:
-            earliest = self.next if lane.fault.trickle else now
+            earliest = self.next_delivery if link.fault.trickle else now
             self.timer = self.loop.call_at(max(earliest, self.queue[0][0]), self.pump)
         elif source is not None and source.open and len(source.incoming):
-            self.timer = self.loop.call_at(now, self.pump)  # left while the queue was full
+            self.timer = self.loop.call_at(now, self.pump)  # unread while the queue was full
         elif self.ended and not len(sink.outgoing):
-            hang_up(sink, self.ended)
+            close_stream(sink, self.ended)
 
 
-def hang_up(stream: Stream, why: str) -> None:
+def close_stream(stream: Stream, why: str) -> None:
+    """Closes the stream; `why` "reset" makes the kernel send a TCP reset."""
     if why == "reset":
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     stream.close("hung up")
 
 
-class Passage:
-    """One connection that a member dialled, and ours to the member that it meant."""
+class _ProxiedConnection:
+    """One connection that a member opened, and the proxy's own connection to the member behind the gate."""
 
     def __init__(self, gate: Gate, sock: socket.socket) -> None:
         self.gate = gate
-        self.forth, self.back = Half(gate.loop, gate.forth), Half(gate.loop, gate.back)
-        self.near = Stream.accepted(gate.loop, sock, self, Stream.MAX_BUFFERED, gate.loop.pool)
-        self.far: Stream | None = None
-        self.forth.source = self.back.sink = self.near
-        gate.passages.add(self)
+        self.forward, self.reverse = _Direction(gate.loop, gate.forward), _Direction(gate.loop, gate.reverse)
+        self.client = Stream.accepted(gate.loop, sock, self, Stream.MAX_BUFFERED, gate.loop.pool)
+        self.upstream: Stream | None = None
+        self.forward.source = self.reverse.sink = self.client
+        gate.connections.add(self)
         self.dial()
 
     def dial(self) -> None:
-        """A connection needs both lanes: until then nothing comes of it, and who dialled is not told."""
-        if self.far is not None or self.forth.lane.fault.cut or self.back.lane.fault.cut:
+        """Connects upstream once neither link is cut; until then the client waits and is not notified."""
+        if self.upstream is not None or self.forward.link.fault.cut or self.reverse.link.fault.cut:
             return
         try:
-            self.far = Stream.dial(self.gate.loop, self.gate.to, self)
+            self.upstream = Stream.dial(self.gate.loop, self.gate.target, self)
         except OSError:
             self.reset()
             return
-        self.forth.sink = self.back.source = self.far
+        self.forward.sink = self.reverse.source = self.upstream
 
     def on_connected(self, stream: Stream) -> None:
-        self.forth.pump()
+        self.forward.pump()
 
     def on_data(self, stream: Stream) -> None:
-        (self.forth if stream is self.near else self.back).pump()
+        (self.forward if stream is self.client else self.reverse).pump()
 
     def on_output_drained(self, stream: Stream) -> None:
-        (self.back if stream is self.near else self.forth).pump()
+        (self.reverse if stream is self.client else self.forward).pump()
 
     def on_closed(self, stream: Stream, why: str) -> None:
-        if self not in self.gate.passages:
+        """Closes the other end the same way, after everything that this end sent has been delivered."""
+        if self not in self.gate.connections:
             return
-        out, into = (self.forth, self.back) if stream is self.near else (self.back, self.forth)
+        outgoing, incoming = (
+            (self.forward, self.reverse) if stream is self.client else (self.reverse, self.forward)
+        )
         if len(stream.incoming):
-            out.take(stream.incoming.take())
-        out.ended = "reset" if why in ("reset", "refused") else "ended"
-        into.queue.clear()
-        into.held = 0
-        other = self.far if stream is self.near else self.near
+            outgoing.enqueue(stream.incoming.take())
+        outgoing.ended = "reset" if why in ("reset", "refused") else "ended"
+        incoming.queue.clear()
+        incoming.queued_bytes = 0
+        other = self.upstream if stream is self.client else self.client
         if other is None or not other.open:
-            self.forget()
+            self.detach()
         else:
-            out.pump()
+            outgoing.pump()
 
     def reset(self) -> None:
-        """Both ends are told at once."""
-        self.forget()
-        for stream in (self.near, self.far):
+        """Resets both ends at once and drops what is queued."""
+        self.detach()
+        for stream in (self.client, self.upstream):
             if stream is not None and stream.open:
-                hang_up(stream, "reset")
+                close_stream(stream, "reset")
 
-    def forget(self) -> None:
-        self.gate.passages.discard(self)
-        for half in (self.forth, self.back):
-            half.lane.halves.discard(half)
-            if half.timer is not None:
-                half.timer.cancel()
+    def detach(self) -> None:
+        """Removes the connection from its gate and links and cancels its timers."""
+        self.gate.connections.discard(self)
+        for direction in (self.forward, self.reverse):
+            direction.link.directions.discard(direction)
+            if direction.timer is not None:
+                direction.timer.cancel()
 
 
 class Gate:
-    """The port that one member's file names for another."""
-
-    def __init__(self, loop: EventLoop, forth: FaultLink, back: FaultLink, to: tuple[str, int]) -> None:
-        self.loop, self.forth, self.back, self.to = loop, forth, back, to
-        self.passages: set[Passage] = set()
-        # Bound and never listening: it keeps the port ours while a refusing gate listens nowhere.
-        self.holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.holder.bind(("127.0.0.1", 0))
-        self.at = self.holder.getsockname()
+    """The listener at which one member reaches another; members' files name its address."""
+
+    def __init__(
+        self, loop: EventLoop, forward: FaultLink, reverse: FaultLink, target: tuple[str, int]
+    ) -> None:
+        self.loop, self.forward, self.reverse, self.target = loop, forward, reverse, target
+        self.connections: set[_ProxiedConnection] = set()
+        # Bound and never listening: reserves the port while the gate refuses connections and has no listener.
+        self.port_reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self.port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.port_reservation.bind(("127.0.0.1", 0))
+        self.at = self.port_reservation.getsockname()
         self.listener: Listener | None = None
         self.refuse(False)
 
     def refuse(self, on: bool) -> None:
+        """Stops listening, so that new connections are refused, or listens again."""
         if on and self.listener is not None:
             self.listener.close()
             self.listener = None
         elif not on and self.listener is None:
-            self.listener = Listener(self.loop, self.at, self.greet, lambda why: None)
+            self.listener = Listener(self.loop, self.at, self.on_accepted, lambda why: None)
 
-    def greet(self, sock: socket.socket) -> bool:
+    def on_accepted(self, sock: socket.socket) -> bool:
+        """Proxies an accepted connection; returns True, as the listener goes on accepting."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        Passage(self, sock)
+        _ProxiedConnection(self, sock)
         return True
 
-    def changed(self) -> None:
-        """A lane was cut or healed."""
-        for passage in list(self.passages):
-            passage.dial()
+    def on_fault_changed(self) -> None:
+        """Connects upstream where a cut that was healed prevented it."""
+        for connection in list(self.connections):
+            connection.dial()
 
     def reset(self) -> None:
-        for passage in list(self.passages):
-            passage.reset()
+        """Resets all connections of the gate."""
+        for connection in list(self.connections):
+            connection.reset()
 
     def close(self) -> None:
+        """Resets all connections, stops listening and releases the port."""
         self.reset()
         self.refuse(True)
-        self.holder.close()
+        self.port_reservation.close()
--- a/indigohitch/standins/fault_proxy.py
+++ b/indigohitch/standins/fault_proxy.py
@@ -1,16 +1,18 @@
-"""A relay of faults between members, on loopback, in a thread of the process that tests.
-
-    breaker = Breaker(seed=1)
-    at = breaker.gate("a", "b", ("127.0.0.1", 9001))    # what the file of a names for b
-    breaker.cut("a", "b")                               # silence from a to b; b to a goes on
-    breaker.cut_off("a")                                # between a and all others, both ways
-    breaker.slow("a", "b", trickle=2000)
-    breaker.heal()
-    breaker.close()
-
-A fault stands on a lane, that is on all bytes from one member to the other, whichever of them dialled
-(lanes.py).  A cut is silent: nobody is reset, what was sent waits and comes late when it is healed.  The same
-calls with the same seed spoil and delay the same pieces, as far as the same pieces come."""
+"""A fault-injecting proxy between members, on loopback, in a thread of the test process.
+
+    proxy = FaultProxy(seed=1)
+    address = proxy.gate("a", "b", ("127.0.0.1", 9001)) # the address that the file of a names for b
+    proxy.cut("a", "b")                                 # nothing from a reaches b; b to a still works
+    proxy.cut_off("a")                                  # between a and all others, both ways
+    proxy.slow("a", "b", trickle=2000)
+    proxy.heal()
+    proxy.close()
+
+A fault applies to a link, that is to all bytes from one member to another, whichever of them opened the
+connection (fault_links.py).  A cut is silent: no connection is reset, and what was sent waits and is
+delivered late, once the cut is healed.  The same calls with the same seed change and delay the same pieces,
+as far as the same pieces arrive.
+"""
 
 from __future__ import annotations
 
@@ -29,16 +31,21 @@
 
 
 class FaultProxy:
-    WAIT = 10.0  # s until a call that the thread does not answer is a defect of ours
+    """The gates, links and faults between members, served by a thread of its own.
+
+    All methods may be called from any thread.  `told` records each fault with the time at which it was set.
+    """
+
+    CALL_TIMEOUT_SECONDS = 10.0  # a call that the thread has not run by then is a defect of the proxy
 
     def __init__(self, seed: int = 1) -> None:
         self.uniform = random.Random(seed).random
         self.broken: list[BaseException] = []
         self.loop = EventLoop(Clock(), self.broken.append)
-        self.loop.pool.available = 1 << 30  # a stand-in's memory is nobody's concern
+        self.loop.pool.available = 1 << 30  # no memory limit: the proxy runs in tests only
         self.gates: dict[tuple[str, str], Gate] = {}
         self.lanes: dict[tuple[str, str], FaultLink] = {}
-        self.told: list[tuple[float, str]] = []  # when (time.monotonic), what was done
+        self.told: list[tuple[float, str]] = []  # time.monotonic(), the fault that was set
         self._calls: deque[Callable[[], None]] = deque()
         self._woken, self._wake = socket.socketpair()
         self._woken.setblocking(False)
@@ -57,48 +64,52 @@
         self.loop.close()
 
     def ready(self, readable: bool, writable: bool) -> None:
+        """Runs the calls that other threads queued."""
         self._woken.recv(4096)
         while self._calls:
             self._calls.popleft()()
 
-    def _do(self, action: Callable[[], object], said: str = "") -> object:
-        """In the thread; returns what it returned or raises what it raised."""
-        done, found = threading.Event(), []
+    def _call_in_thread(self, action: Callable[[], object], description: str = "") -> object:
+        """Runs `action` in the proxy's thread; returns what it returned or raises what it raised.
+
+        Records `description` in `told` after the action.  Raises TimeoutError if it did not run in time.
+        """
+        done, outcome = threading.Event(), []
 
         def call() -> None:
             try:
-                found.append((action(), None))
-            except Exception as bad:
-                found.append((None, bad))
+                outcome.append((action(), None))
+            except Exception as error:
+                outcome.append((None, error))
             done.set()
 
         self._calls.append(call)
         self._wake.send(b"x")
-        if not done.wait(self.WAIT):
-            raise TimeoutError("the breaker's thread does not answer")
-        if said:
-            self.told.append((time.monotonic(), said))
-        result, bad = found[0]
-        if bad is not None:
-            raise bad
+        if not done.wait(self.CALL_TIMEOUT_SECONDS):
+            raise TimeoutError("the fault proxy's thread did not run the call in time")
+        if description:
+            self.told.append((time.monotonic(), description))
+        result, error = outcome[0]
+        if error is not None:
+            raise error
         return result
 
     # ---- gates ---------------------------------------------------------------------------------------
 
     def gate(self, sender: str, receiver: str, to: tuple[str, int]) -> tuple[str, int]:
-        """The address at which `sender` reaches `receiver`, which listens at `to` (now or later)."""
+        """Returns the address at which `sender` reaches `receiver`, which listens at `to` (now or later)."""
 
         def make() -> tuple[str, int]:
             known = self.gates.get((sender, receiver))
             if known is None:
                 known = self.gates[sender, receiver] = Gate(
-                    self.loop, self._lane(sender, receiver), self._lane(receiver, sender), to
+                    self.loop, self._link(sender, receiver), self._link(receiver, sender), to
                 )
             return known.at
 
-        return self._do(make)
+        return self._call_in_thread(make)
 
-    def _lane(self, sender: str, receiver: str) -> FaultLink:
+    def _link(self, sender: str, receiver: str) -> FaultLink:
         if (sender, receiver) not in self.lanes:
             self.lanes[sender, receiver] = FaultLink(sender, receiver, self.uniform)
         return self.lanes[sender, receiver]
@@ -108,57 +119,60 @@
         return [pair for pair in sorted(self.lanes) if pair[0] in some and pair[1] in others]
 
     def names(self) -> set[str]:
+        """Returns the members that any link begins or ends at."""
         return {name for pair in self.lanes for name in pair}
 
     # ---- faults --------------------------------------------------------------------------------------
 
-    def stand(self, wanted: Mapping[tuple[str, str], Fault], said: str = "") -> None:
-        """These faults stand on lanes (sender, receiver), and no others."""
+    def stand(self, wanted: Mapping[tuple[str, str], Fault], description: str = "") -> None:
+        """Sets the fault of each link (sender, receiver) in `wanted`; all other links have none."""
 
         def change() -> None:
-            differ = [lane for pair, lane in self.lanes.items() if lane.fault != wanted.get(pair, NO_FAULT)]
-            for lane in differ:
-                lane.fault = wanted.get((lane.sender, lane.receiver), NO_FAULT)
+            changed = [link for pair, link in self.lanes.items() if link.fault != wanted.get(pair, NO_FAULT)]
+            for link in changed:
+                link.fault = wanted.get((link.sender, link.receiver), NO_FAULT)
             for gate in self.gates.values():
-                gate.changed()
-            for lane in differ:
-                lane.changed()
+                gate.on_fault_changed()
+            for link in changed:
+                link.on_fault_changed()
 
-        self._do(change, said)
+        self._call_in_thread(change, description)
 
-    def _set(self, pairs: Iterable[tuple[str, str]], said: str, **words) -> None:
-        stands = {pair: lane.fault for pair, lane in self.lanes.items()}
-        self.stand(stands | {pair: replace(stands[pair], **words) for pair in pairs}, said)
+    def _update_faults(self, pairs: Iterable[tuple[str, str]], description: str, **changes: float) -> None:
+        current = {pair: link.fault for pair, link in self.lanes.items()}
+        self.stand(current | {pair: replace(current[pair], **changes) for pair in pairs}, description)
 
     def cut(self, sender: str, receiver: str, both: bool = False) -> None:
-        """Silence from `sender` to `receiver`, or both ways."""
+        """Delivers nothing from `sender` to `receiver`, or both ways, until healed."""
         pairs = [(sender, receiver), *([(receiver, sender)] if both else [])]
-        self._set(pairs, f"cut {sender} {receiver}{' both' if both else ''}", cut=True)
+        self._update_faults(pairs, f"cut {sender} {receiver}{' both' if both else ''}", cut=True)
 
     def part(self, some: Iterable[str], others: Iterable[str] | None = None) -> None:
-        """Silence both ways between `some` and `others` (all the rest)."""
+        """Cuts the links both ways between `some` and `others`, by default all other members."""
         some = set(some)
         others = self.names() - some if others is None else set(others)
-        self._set(
+        self._update_faults(
             self._between(some, others) + self._between(others, some),
             f"part {','.join(sorted(some))}",
             cut=True,
         )
 
     def cut_off(self, name: str, hears: bool = False, heard: bool = False) -> None:
-        """`name` from all others; `hears`: but what they say reaches it; `heard`: but they hear it."""
+        """Cuts `name` off from all others; with `hears` it still receives, with `heard` it still sends."""
         rest = self.names() - {name}
         pairs = [] if hears else self._between(rest, {name})
         pairs += [] if heard else self._between({name}, rest)
-        said = f"cut_off {name}{' hears' if hears else ''}{' heard' if heard else ''}"
-        self._set(pairs, said, cut=True)
+        description = f"cut_off {name}{' hears' if hears else ''}{' heard' if heard else ''}"
+        self._update_faults(pairs, description, cut=True)
 
     def slow(
         self, sender: str, receiver: str, delay_ms: float = 0, spread_ms: float = 0, trickle: int = 0
     ) -> None:
-        """Delay each piece by `delay_ms` to `delay_ms + spread_ms`, in order; at most `trickle` bytes a
-        second."""
-        self._set(
+        """Delays each piece by `delay_ms` to `delay_ms + spread_ms`, in order.
+
+        At most `trickle` bytes a second are delivered, without a limit if it is 0.
+        """
+        self._update_faults(
             [(sender, receiver)],
             f"slow {sender} {receiver} {delay_ms} {spread_ms} {trickle}",
             delay=int(delay_ms * SECOND // 1000),
@@ -167,48 +181,48 @@
         )
 
     def spoil(self, sender: str, receiver: str, share: float) -> None:
-        """Change one byte in that share of the pieces."""
-        self._set([(sender, receiver)], f"spoil {sender} {receiver} {share}", spoil=share)
+        """Changes one byte in `share` (0 to 1) of the pieces."""
+        self._update_faults([(sender, receiver)], f"spoil {sender} {receiver} {share}", spoil=share)
 
     def reset(self, sender: str, receiver: str) -> None:
-        """Reset the connections that `sender` dialled to `receiver`; it may dial again at once."""
-        self._do(self.gates[sender, receiver].reset, f"reset {sender} {receiver}")
+        """Resets the connections that `sender` opened to `receiver`; it may connect again at once."""
+        self._call_in_thread(self.gates[sender, receiver].reset, f"reset {sender} {receiver}")
 
     def refuse(self, sender: str, receiver: str, on: bool = True) -> None:
-        """New connections of `sender` to `receiver` are refused; those that stand, stand."""
-        self._do(
+        """Refuses new connections of `sender` to `receiver`; open ones stay open."""
+        self._call_in_thread(
             lambda: self.gates[sender, receiver].refuse(on),
             f"refuse {sender} {receiver} {'on' if on else 'off'}",
         )
 
     def heal(self, lose: bool = False) -> None:
-        """No fault stands any more; `lose`: what waits is lost with its connections, else it comes late."""
+        """Removes all faults; bytes that a cut held are delivered late, or lost by a reset with `lose`."""
 
-        def let() -> None:
+        def open_gates() -> None:
             for gate in self.gates.values():
-                if lose and (gate.forth.fault.cut or gate.back.fault.cut):
+                if lose and (gate.forward.fault.cut or gate.reverse.fault.cut):
                     gate.reset()
                 gate.refuse(False)
 
-        self._do(let)
+        self._call_in_thread(open_gates)
         self.stand({}, "heal lose" if lose else "heal")
 
     def figures(self) -> dict[str, int]:
-        """Bytes that passed and pieces spoilt, of all lanes."""
+        """Returns the bytes delivered and the pieces changed, over all links."""
         return {
-            "bytes": sum(lane.bytes for lane in self.lanes.values()),
-            "spoilt": sum(lane.spoilt for lane in self.lanes.values()),
+            "bytes": sum(link.bytes for link in self.lanes.values()),
+            "spoilt": sum(link.spoilt for link in self.lanes.values()),
         }
 
     def close(self) -> None:
-        """Raises what broke in the thread, if anything did."""
+        """Closes all gates and ends the thread; raises the first error that the thread met, if any."""
 
         def end() -> None:
             self._ending = True
 
         if not self._ending:
-            self._do(end)
-            self._thread.join(self.WAIT)
+            self._call_in_thread(end)
+            self._thread.join(self.CALL_TIMEOUT_SECONDS)
             self._woken.close()
             self._wake.close()
         if self.broken:
--- a/indigohitch/standins/load.py
+++ b/indigohitch/standins/load.py
@@ -1,13 +1,15 @@
-"""A stand-in for clients: an open loop at a fixed rate, or a closed one, over kept and fresh connections.
+"""A stand-in for clients: an open loop at a fixed rate, or a closed one, over persistent and new connections.
 
-Latency counts from the time at which a request was due, so that a stall shows in all that waited for it.
-A request is lost if no whole answer came for it, or one with a status of 500 and more."""
+Latency counts from the time at which a request was due, so a stall shows in all requests that it delayed.
+A request is lost if no complete answer arrived for it, or one with a status of 500 or more.
+"""
 
 from __future__ import annotations
 
 import random
 import signal
 import sys
+from collections.abc import Callable
 
 import orjson
 
@@ -18,6 +20,13 @@
 
 
 class Load:
+    """Sends requests and records their results.
+
+    `kept` is the number of persistent connections, `fresh` the share of requests on a connection of their
+    own, `reserve` the share of requests that reserve, `keys` the number of places.  Each request's id begins
+    with `prefix`.
+    """
+
     def __init__(
         self,
         to: tuple[str, int],
@@ -28,23 +37,24 @@
         keys: int = 5000,
         prefix: str = "r",
     ) -> None:
-        def failed(broken: BaseException) -> None:
-            raise broken
+        def raise_error(error: BaseException) -> None:
+            raise error
 
-        self.loop = EventLoop(Clock(), failed)
+        self.loop = EventLoop(Clock(), raise_error)
         self.loop.pool.available = 1 << 30
         self.to, self.kept, self.fresh, self.reserve, self.keys = to, kept, fresh, reserve, keys
         rng = random.Random(seed)
         self.uniform, self.randrange, self.prefix = rng.random, rng.randrange, prefix
-        self.spare: dict[RequestConnection, None] = {}
-        self.once: set[RequestConnection] = set()  # wires for one request
-        self.kept_open = self.out = self.number = 0
-        self.results: list[tuple[int, int, int, str, str]] = []  # due, took, status, id, why
+        self.idle: dict[RequestConnection, None] = {}
+        self.single_use: set[RequestConnection] = set()  # connections for one request each
+        self.kept_open = self.out = self.number = 0  # `out`: requests in flight
+        self.results: list[tuple[int, int, int, str, str]] = []  # due, duration, status, id, reason
         self.reserves: set[str] = set()
         self.stopped = False
-        self.then = None
+        self.on_result: Callable[[], None] | None = None
 
-    def form(self, act: str = "") -> tuple[str, bytes]:
+    def build_request(self, act: str = "") -> tuple[str, bytes]:
+        """Returns the id and the bytes of the next request; `act` is its `X-Act` header."""
         self.number += 1
         id, key = f"{self.prefix}{self.number}", self.randrange(self.keys)
         extra = f"X-Act: {act}\r\n" if act else ""
@@ -58,118 +68,132 @@
         return id, f"GET /vacancies/{key} HTTP/1.1\r\nHost: t\r\nX-Id: {id}\r\n{extra}\r\n".encode()
 
     def begin(self, due: int, act: str = "") -> None:
-        id, data = self.form(act)
+        """Sends a request that was due at `due`, over an idle, a new or a single-use connection."""
+        id, data = self.build_request(act)
         self.out += 1
         if self.uniform() < self.fresh:
-            wire = RequestConnection(self)
-            self.once.add(wire)
-        elif self.spare and self.kept_open >= self.kept:
-            wire = next(iter(self.spare))  # the one that rested longest: all stay in use
-            del self.spare[wire]
+            connection = RequestConnection(self)
+            self.single_use.add(connection)
+        elif self.idle and self.kept_open >= self.kept:
+            connection = next(iter(self.idle))  # the one idle for the longest time, so that all stay in use
+            del self.idle[connection]
         else:
-            wire = RequestConnection(self)
+            connection = RequestConnection(self)
             self.kept_open += 1
-        wire.send((due, id), data)
+        connection.send((due, id), data)
 
-    def free(self, wire: RequestConnection) -> None:
-        if len(self.spare) < self.kept:
-            self.spare[wire] = None
+    def release(self, connection: RequestConnection) -> None:
+        """Makes the connection idle, or closes it if enough are idle."""
+        if len(self.idle) < self.kept:
+            self.idle[connection] = None
         else:
-            wire.stream.close()
+            connection.stream.close()
             self.kept_open -= 1
 
-    def on_connection_closed(self, wire: RequestConnection) -> None:
-        self.spare.pop(wire, None)
-        if wire in self.once:
-            self.once.discard(wire)
+    def on_connection_closed(self, connection: RequestConnection) -> None:
+        """Forgets a connection that was closed."""
+        self.idle.pop(connection, None)
+        if connection in self.single_use:
+            self.single_use.discard(connection)
         else:
             self.kept_open -= 1
 
-    def on_request_ended(self, wire: RequestConnection, job: tuple, status: int, why: str) -> None:
-        if wire in self.once:
-            self.once.discard(wire)
-            wire.stream.close()
-        elif wire.is_reusable:
-            self.free(wire)
+    def on_request_ended(self, connection: RequestConnection, job: tuple, status: int, why: str) -> None:
+        """Records the result of a request; `status` is 0 if no complete answer arrived."""
+        if connection in self.single_use:
+            self.single_use.discard(connection)
+            connection.stream.close()
+        elif connection.is_reusable:
+            self.release(connection)
         self.out -= 1
         self.results.append((job[0], self.loop.clock.now() - job[0], status, job[1], why))
-        if self.then is not None:
-            self.then()
+        if self.on_result is not None:
+            self.on_result()
 
-    def run_open(self, rate: float, seconds: float, act=lambda due: "") -> None:
-        """`rate` a second, evenly spaced; ends once the last answer came, or after ten seconds more."""
+    def run_open(self, rate: float, seconds: float, act: Callable[[int], str] = lambda due: "") -> None:
+        """Sends `rate` requests a second, evenly spaced, for `seconds`.
+
+        Returns once the last answer has arrived, or ten seconds after the end.
+        """
         now = self.loop.clock.now
-        begin, total, sent = now(), int(rate * seconds), 0
+        started, total, sent = now(), int(rate * seconds), 0
 
         def tick() -> None:
             nonlocal sent
-            while sent < total and begin + int(sent * SECOND / rate) <= now():
-                due = begin + int(sent * SECOND / rate)
-                self.begin(due, act(due - begin))
+            while sent < total and started + int(sent * SECOND / rate) <= now():
+                due = started + int(sent * SECOND / rate)
+                self.begin(due, act(due - started))
                 sent += 1
             if sent < total:
-                self.loop.call_at(begin + int(sent * SECOND / rate), tick)
+                self.loop.call_at(started + int(sent * SECOND / rate), tick)
 
         tick()
         self.turn_until(lambda: sent >= total and not self.out, seconds + 10)
 
     def run_closed(self, connections: int, seconds: float) -> None:
-        """As many at once as connections, each followed by the next."""
+        """Keeps one request in flight per connection for `seconds`."""
         now = self.loop.clock.now
         end = now() + int(seconds * SECOND)
         self.kept = connections
 
-        def then() -> None:
+        def begin_next() -> None:
             if now() < end:
                 self.begin(now())
 
-        self.then = then
+        self.on_result = begin_next
         for _ in range(connections):
             self.begin(now())
         self.turn_until(lambda: now() >= end and not self.out, seconds + 5)
 
-    def turn_until(self, done, most: float) -> None:
-        end = self.loop.clock.now() + int(most * SECOND)
+    def turn_until(self, done: Callable[[], bool], max_seconds: float) -> None:
+        """Runs the loop until `done()`, for at most `max_seconds` or until stopped."""
+        end = self.loop.clock.now() + int(max_seconds * SECOND)
         self.loop.call_at(end, lambda: None)
         while not self.stopped and not done() and self.loop.clock.now() < end:
             self.loop.turn()
 
     def figures(self) -> dict:
-        took = sorted(r[1] for r in self.results)
-        lost = [r for r in self.results if not 0 < r[2] < 500]
-        whys: dict[str, int] = {}
-        for r in lost:
-            whys[r[4] or str(r[2])] = whys.get(r[4] or str(r[2]), 0) + 1
+        """Returns counts of requests and losses, reasons of losses, and latencies in ms."""
+        durations = sorted(result[1] for result in self.results)
+        lost = [result for result in self.results if not 0 < result[2] < 500]
+        reasons: dict[str, int] = {}
+        for result in lost:
+            reasons[result[4] or str(result[2])] = reasons.get(result[4] or str(result[2]), 0) + 1
         return {
             "requests": len(self.results) + self.out,
             "lost": len(lost) + self.out,
             "unanswered": self.out,
-            "why": whys,
-            "p50_ms": took[len(took) // 2] / 10 if took else None,
-            "p99_ms": took[len(took) * 99 // 100] / 10 if took else None,
+            "why": reasons,
+            "p50_ms": durations[len(durations) // 2] / 10 if durations else None,
+            "p99_ms": durations[len(durations) * 99 // 100] / 10 if durations else None,
         }
 
 
 def main(words: list[str]) -> None:
-    """TARGET open RATE SECONDS [KEPT FRESH RESERVE SEED] | TARGET closed CONNECTIONS SECONDS"""
-    target, how, first, seconds, *rest = words
+    """Runs TARGET open RATE SECONDS [KEPT FRESH RESERVE SEED] or TARGET closed CONNECTIONS SECONDS.
+
+    Prints the figures as JSON.  Raises SystemExit for a target off loopback.
+    """
+    target, mode, amount, seconds, *rest = words
     to = parse_address(target)
     if not to[0].startswith("127."):
         raise SystemExit("a stand-in sends to loopback only")
     kept, fresh, reserve, seed = [*map(float, rest), *(50, 0.2, 0.24, 1)[len(rest) :]]
-    load = Load(to, int(seed), int(kept), fresh if how == "open" else 0.0, reserve if how == "open" else 0.0)
+    load = Load(
+        to, int(seed), int(kept), fresh if mode == "open" else 0.0, reserve if mode == "open" else 0.0
+    )
     signal.signal(signal.SIGTERM, lambda *_: setattr(load, "stopped", True))
-    if how == "open":
-        load.run_open(float(first), float(seconds))
+    if mode == "open":
+        load.run_open(float(amount), float(seconds))
     else:
-        load.run_closed(int(first), float(seconds))
-    found = load.figures()
-    if how == "closed":
-        found["per_second"] = round(len(load.results) / float(seconds))
+        load.run_closed(int(amount), float(seconds))
+    report = load.figures()
+    if mode == "closed":
+        report["per_second"] = round(len(load.results) / float(seconds))
     else:
-        found["results"] = load.results
-        found["reserves"] = sorted(load.reserves)
-    print(orjson.dumps(found).decode())
+        report["results"] = load.results
+        report["reserves"] = sorted(load.reserves)
+    print(orjson.dumps(report).decode())
 
 
 if __name__ == "__main__":
--- a/indigohitch/standins/peer.py
+++ b/indigohitch/standins/peer.py
@@ -1,11 +1,11 @@
-"""One connection at a stand-in for a server: its requests in order, each acted on and answered as it asks."""
+"""One connection at a stand-in server: handles its requests in order and answers as each one asks."""
 
 from __future__ import annotations
 
 import socket
 import struct
 from collections import Counter
-from typing import Protocol
+from typing import Any, Protocol
 
 import httptools
 import orjson
@@ -15,68 +15,81 @@
 from ..net.loop import EventLoop
 from ..net.ring_buffer import BufferPool
 from ..net.stream import Stream
-from .seated import Seated
+from .seated import SeatEnforcer
 from .stamped import Stamped
 
-# A replay asks for this before it sends what must not run twice.
-PROOF = PATH.encode() + b"?"
+# A replay requests this proof before it sends requests that must not run twice.
+PROOF_PREFIX = PATH.encode() + b"?"
 
 
-class Answering(Protocol):
-    """What a connection needs of its server.  `acts`: by id how often each was acted on; `service`: ms that
-    every answer takes; `lose`: every so many RPCs one is acted on, and reset."""
+class PeerServer(Protocol):
+    """What a connection needs of its server.
+
+    `acts` counts by id how often each request was acted on.  `service` is the time in ms that each answer
+    takes.  Each `lose`-th RPC is acted on and then reset without an answer; 0: none.
+    """
 
     loop: EventLoop
-    memory: BufferPool
+    buffer_pool: BufferPool
     name: bytes
     service: float
     lose: int
-    seated: Seated | None
-    stamped: Stamped
+    seat_enforcer: SeatEnforcer | None
+    stamps: Stamped
     counts: Counter[str]
     acts: dict[str, int]
     peers: set[Peer]
 
 
 class Peer:
-    def __init__(self, server: Answering, sock: socket.socket) -> None:
+    """A client's connection: parses its requests, queues them and answers one at a time."""
+
+    def __init__(self, server: PeerServer, sock: socket.socket) -> None:
         self.server = server
-        self.stream = Stream.accepted(server.loop, sock, self, Stream.MAX_BUFFERED, server.memory)
-        self.queue: list[tuple] = []  # requests whose bodies have come, in order
+        self.stream = Stream.accepted(server.loop, sock, self, Stream.MAX_BUFFERED, server.buffer_pool)
+        self.queue: list[tuple] = []  # requests ready to be handled, in order
         self.busy = False
-        self.writing = self.more = b""
-        self.begin()
+        self.unsent = self.extra_headers = b""
+        self.start_parser()
 
-    def begin(self) -> None:
+    def start_parser(self) -> None:
+        """Creates the HTTP parser, which calls the methods below as it parses."""
         self.parser = httptools.HttpRequestParser(self)
 
     def on_message_begin(self) -> None:
-        self.target, self.heads, self.got = b"", {}, 0
+        """Starts a new request."""
+        self.target, self.headers, self.body_bytes = b"", {}, 0
 
     def on_url(self, part: bytes) -> None:
+        """Appends a part of the target."""
         self.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.heads[name.lower()] = value
+        """Keeps a header under its name in lower case."""
+        self.headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
+        """Reads the directives of `X-Act`; queues the request at once if they say `early`."""
         self.method = self.parser.get_method()
-        self.act = dict(
-            (pair.partition("=")[::2]) for pair in self.heads.get(b"x-act", b"").decode().split(",") if pair
+        self.directives = dict(
+            (pair.partition("=")[::2]) for pair in self.headers.get(b"x-act", b"").decode().split(",") if pair
         )
-        if self.heads.get(b"expect"):
+        if self.headers.get(b"expect"):
             self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if "early" in self.act:
-            self.queue.append((self.method, self.target, self.heads, self.act, 0))
+        if "early" in self.directives:
+            self.queue.append((self.method, self.target, self.headers, self.directives, 0))
 
     def on_body(self, part: bytes) -> None:
-        self.got += len(part)
+        """Counts the bytes of the body, which is not kept."""
+        self.body_bytes += len(part)
 
     def on_message_complete(self) -> None:
-        if "early" not in self.act:
-            self.queue.append((self.method, self.target, self.heads, self.act, self.got))
+        """Queues the request unless it was queued early."""
+        if "early" not in self.directives:
+            self.queue.append((self.method, self.target, self.headers, self.directives, self.body_bytes))
 
     def on_data(self, stream: Stream) -> None:
+        """Parses what arrived and handles the next request; closes the connection if it is not HTTP."""
         data = stream.incoming.take()
         self.server.counts["bytes"] += len(data)
         try:
@@ -86,76 +99,83 @@
         except httptools.HttpParserError:
             stream.close()
             return
-        self.next()
+        self.handle_next()
 
-    def next(self) -> None:
+    def handle_next(self) -> None:
+        """Handles the oldest queued request unless one is being answered."""
         if self.busy or not self.queue or not self.stream.open:
             return
         self.busy = True
-        method, target, heads, act, got = self.queue.pop(0)
+        method, target, headers, directives, body_bytes = self.queue.pop(0)
         server = self.server
-        if target.startswith(PROOF):
+        if target.startswith(PROOF_PREFIX):
             self.answer(200, proof(target.partition(b"nonce=")[2].decode("latin-1")).encode(), {})
             return
         if target in (b"/stats", b"/health/live"):
             stats = orjson.dumps(
                 {"counts": server.counts, "acts": server.acts}
-                | ({"seats": server.seated.figures()} if server.seated else {})
+                | ({"seats": server.seat_enforcer.figures()} if server.seat_enforcer else {})
             )
             self.answer(200, stats if target == b"/stats" else b"", {})
             return
-        if server.stamped.told(target):
+        if server.stamps.told(target):
             self.answer(200, b"", {})
             return
-        if why := server.stamped.why_not(heads):
+        if reason := server.stamps.why_not(headers):
             server.counts["older_stamps"] += 1
-            self.answer(409, why.encode(), {})
+            self.answer(409, reason.encode(), {})
             return
-        if server.seated is not None and server.seated.needs(target):
-            job, self.more = server.seated.begin(heads.get(b"x-seat"), self.reset)
+        if server.seat_enforcer is not None and server.seat_enforcer.needs_seat(target):
+            job, self.extra_headers = server.seat_enforcer.begin(headers.get(b"x-seat"), self.reset)
             if not job:
                 self.answer(409, b"no seat", {})
                 return
         else:
-            job, self.more = 0, b""
+            job, self.extra_headers = 0, b""
         server.counts["requests"] += 1
         server.counts[target.split(b"/")[1].decode("latin-1")] += 1
-        if id := heads.get(b"x-id"):
-            server.acts[id.decode()] = server.acts.get(id.decode(), 0) + 1
-        if "reset" in act or server.lose and server.counts["requests"] % server.lose == 0:
+        if request_id := headers.get(b"x-id"):
+            server.acts[request_id.decode()] = server.acts.get(request_id.decode(), 0) + 1
+        if "reset" in directives or server.lose and server.counts["requests"] % server.lose == 0:
             self.reset()
-        elif "mute" not in act:
-            body = b"x" * int(act["size"]) if "size" in act else b"%s acted %d" % (server.name, got)
-            wait = int(float(act.get("wait", server.service)) * SECOND // 1000)
-            answer = (int(act.get("status", 200)), body, act, method)
-            if wait:
-                server.loop.call_after(wait, lambda: self.acted(job, *answer))
+        elif "mute" not in directives:
+            body = (
+                b"x" * int(directives["size"])
+                if "size" in directives
+                else b"%s acted %d" % (server.name, body_bytes)
+            )
+            delay = int(float(directives.get("wait", server.service)) * SECOND // 1000)
+            answer = (int(directives.get("status", 200)), body, directives, method)
+            if delay:
+                server.loop.call_after(delay, lambda: self.finish_job(job, *answer))
             else:
-                self.acted(job, *answer)
+                self.finish_job(job, *answer)
 
-    def acted(self, job: int, *answer) -> None:
-        """The job is over before a word of its answer goes out."""
-        if not job or self.server.seated.end(job):
+    def finish_job(self, job: int, *answer: Any) -> None:  # noqa: ANN401 - the arguments of `answer`
+        """Ends the job, before the first byte of its answer is sent, and answers unless it was aborted."""
+        if not job or self.server.seat_enforcer.end(job):
             self.answer(*answer)
 
     def reset(self) -> None:
+        """Closes the connection with a TCP reset."""
         if not self.stream.open:
             return
         self.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.stream.close()
 
-    def answer(self, status: int, body: bytes, act: dict, method: bytes = b"GET") -> None:
+    def answer(self, status: int, body: bytes, directives: dict, method: bytes = b"GET") -> None:
+        """Sends the answer in the way that the directives ask for."""
         if not self.stream.open:
             return
-        chunks = "chunks" in act
+        chunks = "chunks" in directives
         head = b"HTTP/1.1 %d Fine\r\nContent-Type: text/plain\r\nX-Server: %s\r\n%b" % (
             status,
             self.server.name,
             b"Transfer-Encoding: chunked\r\n" if chunks else b"Content-Length: %d\r\n" % len(body),
         )
-        if self.server.seated is not None:
-            head += self.server.seated.told() + self.more
-        if "doubled" in act:
+        if self.server.seat_enforcer is not None:
+            head += self.server.seat_enforcer.clock_header() + self.extra_headers
+        if "doubled" in directives:
             head += b"Content-Length: 3\r\n"
         if method == b"HEAD":
             body = b""
@@ -167,37 +187,41 @@
                 )
                 + b"0\r\n\r\n"
             )
-        if "reset_head" in act:
+        if "reset_head" in directives:
             self.stream.write(head + b"\r\n" + body[:1])
             self.server.loop.call_after(50, self.reset)
             return
-        if "drip" in act:
+        if "drip" in directives:
             self.stream.write(head + b"\r\n")
-            self.writing = body
-            self.drip(int(act["drip"]) * SECOND // 1000)
+            self.unsent = body
+            self.send_slowly(int(directives["drip"]) * SECOND // 1000)
             return
-        self.writing = memoryview(head + b"\r\n" + body)  # cut without copying the rest
+        self.unsent = memoryview(head + b"\r\n" + body)  # slicing a memoryview copies nothing
         self.on_output_drained(self.stream)
 
-    def drip(self, gap: int) -> None:
-        part, self.writing = self.writing[:1024], self.writing[1024:]
+    def send_slowly(self, interval: int) -> None:
+        """Sends a kilobyte every `interval` tenths of a ms."""
+        part, self.unsent = self.unsent[:1024], self.unsent[1024:]
         self.stream.write(part)
-        if self.writing:
-            self.server.loop.call_after(gap, lambda: self.drip(gap))
+        if self.unsent:
+            self.server.loop.call_after(interval, lambda: self.send_slowly(interval))
         else:
-            self.done()
+            self.on_answer_sent()
 
-    def done(self) -> None:
+    def on_answer_sent(self) -> None:
+        """Continues with the next request."""
         self.busy = False
-        self.next()
+        self.handle_next()
 
     def on_output_drained(self, stream: Stream) -> None:
-        while self.writing and stream.free_capacity() > 0:
+        """Sends as much of the answer as the stream has room for."""
+        while self.unsent and stream.free_capacity() > 0:
             room = min(stream.free_capacity(), 1 << 18)
-            part, self.writing = bytes(self.writing[:room]), self.writing[room:]
+            part, self.unsent = bytes(self.unsent[:room]), self.unsent[room:]
             stream.write(part)
-        if not self.writing and self.busy:
-            self.done()
+        if not self.unsent and self.busy:
+            self.on_answer_sent()
 
     def on_closed(self, stream: Stream, why: str) -> None:
+        """Removes the connection from the server."""
         self.server.peers.discard(self)
--- a/indigohitch/standins/seated.py
+++ b/indigohitch/standins/seated.py
@@ -1,11 +1,15 @@
-"""The licensed software at a stand-in server: takes RPCs by their seats, ends jobs at their end, and writes
-down each beginning and end by the machine's monotonic clock, which a proof merges into the truth of all.
+"""The licensed software of a stand-in server: accepts RPCs by their seats and ends jobs when their seats end.
+
+It logs each start and end of a job with the machine's monotonic clock in ns.  A proof merges these logs into
+the true order of events over all servers:
 
     + NS JOB FEATURE NUMBER COUNTER USE SHARED MEMBER   a job began
-    - NS JOB                                            it is over
-    - NS JOB UNTIL                                      it was ended here, as its seat was its until UNTIL
+    - NS JOB                                            it has ended
+    - NS JOB UNTIL                                      it was ended here: its seat was valid until UNTIL
 
-A server that got no processor writes the last one late: no job of it ran meanwhile, and UNTIL counts."""
+A server that got no processor time writes the last kind of line late.  No job of it ran meanwhile, so UNTIL
+is the time that counts.
+"""
 
 from __future__ import annotations
 
@@ -18,60 +22,73 @@
 from ..net.loop import EventLoop
 
 
-class Seated:
+class SeatEnforcer:
+    """Admits the jobs of licensed RPCs, and logs and ends them."""
+
     def __init__(self, loop: EventLoop, paths: tuple[str, ...], log: str) -> None:
-        """`paths`: RPCs whose path begins so need a seat.  Raises OSError for a log that can't be had."""
+        """RPCs to paths with a prefix in `paths` need a seat.  Raises OSError if `log` can't be opened."""
         self.loop, self.paths = loop, tuple(path.encode() for path in paths)
         self.meter = Meter(f"{os.getpid():x}-{secrets.token_hex(4)}")
-        self.out = os.open(log, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
-        self.cuts: dict[int, tuple[Callable[[], None], int]] = {}  # and until when, ns
+        self.log_descriptor = os.open(log, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
+        # By job: the function that aborts it, and the end of its seat in ns.
+        self.running: dict[int, tuple[Callable[[], None], int]] = {}
 
     @staticmethod
     def clock() -> int:
+        """Returns the monotonic time in tenths of a ms, the unit in which seat passes state deadlines."""
         return time.monotonic_ns() // 100_000
 
-    def told(self) -> bytes:
-        """For the head of each answer."""
+    def clock_header(self) -> bytes:
+        """Returns the header, for each answer, that states the server's boot and clock."""
         return b"X-Node: %b %d\r\n" % (self.meter.boot.encode(), self.clock())
 
-    def needs(self, target: bytes) -> bool:
+    def needs_seat(self, target: bytes) -> bool:
+        """Returns whether an RPC to `target` needs a seat."""
         return target.startswith(self.paths)
 
-    def begin(self, raw: bytes | None, cut: Callable[[], None]) -> tuple[int, bytes]:
-        """The job's number, or 0 and the line that says why not.  `cut` is called where it is ended here."""
-        self.sweep()
-        now, shown = self.clock(), parse_pass(raw.decode("latin-1")) if raw else None
-        verdict, job = self.meter.admit(now, shown) if shown is not None else (Verdict.CLOCK_UNKNOWN, 0)
+    def begin(self, raw: bytes | None, abort: Callable[[], None]) -> tuple[int, bytes]:
+        """Returns the job's number, or 0 and the header that says why it was refused.
+
+        `abort` is called if the seat ends before the job does.
+        """
+        self.end_overdue()
+        now, seat_pass = self.clock(), parse_pass(raw.decode("latin-1")) if raw else None
+        verdict, job = (
+            self.meter.admit(now, seat_pass) if seat_pass is not None else (Verdict.CLOCK_UNKNOWN, 0)
+        )
         if verdict is not Verdict.ACCEPTED:
             return 0, b"X-Seat-Refused: %b\r\n" % verdict.value.encode()
-        g = shown.given
-        self.note(
-            f"+ {time.monotonic_ns()} {job} {g.feature} {g.number} {g.counter} {g.use} {g.shared:d} "
-            f"{shown.stamp.member}"
+        seat = seat_pass.given
+        self.write_line(
+            f"+ {time.monotonic_ns()} {job} {seat.feature} {seat.number} {seat.counter} {seat.use} "
+            f"{seat.shared:d} {seat_pass.stamp.member}"
         )
-        self.cuts[job] = cut, shown.until * 100_000
-        self.loop.call_after(shown.until - now, self.sweep)
+        self.running[job] = abort, seat_pass.until * 100_000
+        self.loop.call_after(seat_pass.until - now, self.end_overdue)
         return job, b""
 
     def end(self, job: int) -> bool:
-        """False: it was ended before."""
-        self.sweep()
+        """Ends the job; returns False if it was ended before, at the end of its seat."""
+        self.end_overdue()
         if not self.meter.ended(job):
             return False
-        self.note(f"- {time.monotonic_ns()} {job}")
-        del self.cuts[job]
+        self.write_line(f"- {time.monotonic_ns()} {job}")
+        del self.running[job]
         return True
 
-    def sweep(self) -> None:
+    def end_overdue(self) -> None:
+        """Aborts the jobs whose seats have ended."""
         for job in self.meter.overdue(self.clock()):
-            cut, until = self.cuts.pop(job)
-            self.note(f"- {time.monotonic_ns()} {job} {until}")
-            cut()
+            abort, until = self.running.pop(job)
+            self.write_line(f"- {time.monotonic_ns()} {job} {until}")
+            abort()
 
-    def note(self, line: str) -> None:
-        os.write(self.out, f"{line}\n".encode())
+    def write_line(self, line: str) -> None:
+        """Appends a line to the log."""
+        os.write(self.log_descriptor, f"{line}\n".encode())
 
     def figures(self) -> dict:
+        """Returns the refusals by reason and the number of running jobs."""
         return {
             "refused": {verdict.value: count for verdict, count in self.meter.refused.items() if count},
             "running": len(self.meter.jobs),
--- a/indigohitch/standins/server.py
+++ b/indigohitch/standins/server.py
@@ -1,16 +1,17 @@
-"""A stand-in for a server: answers RPCs, counts what it acted on, and fails as the request asks.
-
-A request's header `X-Act` orders faults, as `word` or `word=value` by commas:
-    wait=MS         answer so much later
-    status=N        with that status
-    size=BYTES      a body of that length; `chunks`: in chunks; `drip=MS`: a kilobyte each so many ms
-    early           answer before the body has come
-    reset           reset instead of answering, after acting; `reset_head`: after the answer's head
+"""A stand-in server: answers RPCs, counts those that it acted on, and fails as the request asks.
+
+A request's header `X-Act` selects faults, as `word` or `word=value` separated by commas:
+    wait=MS         answer after a delay
+    status=N        answer with that status
+    size=BYTES      a body of that length; `chunks`: chunked encoding; `drip=MS`: a kilobyte each so many ms
+    early           answer before the body has arrived
+    reset           reset instead of answering, after acting; `reset_head`: after the head of the answer
     mute            never answer
-    doubled         an answer with two lengths
-`X-Id` names an act: how often each was acted on is kept.  GET /stats tells the counts, GET /health/live
-answers 200.  With licensed paths it takes these by their seats alone (seated.py); an RPC by an older stamp
-than has come is refused (stamped.py)."""
+    doubled         an answer with two Content-Length headers
+`X-Id` identifies an action: the server counts how often it acted on each.  GET /stats returns the counts,
+GET /health/live answers 200.  An RPC on a licensed path needs a seat (seated.py); an RPC whose stamp is older
+than one received before is refused (stamped.py).
+"""
 
 from __future__ import annotations
 
@@ -24,15 +25,18 @@
 from ..net.loop import EventLoop
 from ..net.ring_buffer import BufferPool
 from .peer import Peer
-from .seated import Seated
+from .seated import SeatEnforcer
 from .stamped import Stamped
 
 
 def further(n: int, port: int) -> tuple[str, int]:
+    """Returns the n-th additional address on loopback, 250 in each network 127.1.x."""
     return f"127.1.{n // 250}.{1 + n % 250}", port
 
 
 class Server:
+    """A stand-in server with its listeners, connections and counts."""
+
     def __init__(
         self,
         loop: EventLoop,
@@ -40,22 +44,29 @@
         at: tuple[str, int],
         service: float = 0.0,
         lose: int = 0,
-        seated: Seated | None = None,
+        seat_enforcer: SeatEnforcer | None = None,
     ) -> None:
-        """`service`: ms that every answer takes; `lose`: every so many RPCs one is acted on, and reset."""
-        self.seated, self.stamped = seated, Stamped()
+        """Begins to listen at `at`.
+
+        `service` is the time in ms that each answer takes.  Each `lose`-th RPC is acted on and then reset
+        without an answer; 0: none.  Raises OSError if the address cannot be bound.
+        """
+        self.seat_enforcer, self.stamps = seat_enforcer, Stamped()
         self.loop, self.name, self.service, self.lose = loop, name.encode(), service, lose
-        self.memory = BufferPool(1 << 30)
+        self.buffer_pool = BufferPool(1 << 30)
         self.counts: Counter[str] = Counter()
         self.acts: dict[str, int] = {}
         self.peers: set[Peer] = set()
-        self.listeners = [Listener(loop, at, self.greet, print)]
+        self.listeners = [Listener(loop, at, self.on_accepted, print)]
 
     def also(self, count: int, port: int) -> None:
-        """Listen at further addresses of the loopback range, as if there were more servers."""
-        self.listeners += [Listener(self.loop, further(n, port), self.greet, print) for n in range(count)]
+        """Listens at `count` more loopback addresses, as if there were more servers."""
+        self.listeners += [
+            Listener(self.loop, further(n, port), self.on_accepted, print) for n in range(count)
+        ]
 
-    def greet(self, sock: socket.socket) -> bool:
+    def on_accepted(self, sock: socket.socket) -> bool:
+        """Serves an accepted connection; returns True, as the listener goes on accepting."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.counts["connections"] += 1
         self.peers.add(Peer(self, sock))
@@ -71,15 +82,21 @@
     licensed: tuple[str, ...] = (),
     meter: str = "",
 ) -> None:
+    """Runs a stand-in server until it is terminated.
+
+    `service` is in ms; `also` is the number of additional addresses; `licensed` are the path prefixes of RPCs
+    that need a seat, whose jobs are written to the file `meter`.  Raises SystemExit for an address off
+    loopback.
+    """
     if not at[0].startswith("127."):
         raise SystemExit("a stand-in listens on loopback only")
 
-    def failed(broken: BaseException) -> None:
-        print(f"stand-in: {type(broken).__name__}: {broken}", file=sys.stderr, flush=True)
+    def report_error(error: BaseException) -> None:
+        print(f"stand-in: {type(error).__name__}: {error}", file=sys.stderr, flush=True)
 
-    loop = EventLoop(Clock(), failed)
-    seated = Seated(loop, licensed, meter) if licensed else None
-    Server(loop, name, at, service, lose, seated).also(also, at[1])
+    loop = EventLoop(Clock(), report_error)
+    seat_enforcer = SeatEnforcer(loop, licensed, meter) if licensed else None
+    Server(loop, name, at, service, lose, seat_enforcer).also(also, at[1])
     print(f"{name} on {at[0]}:{at[1]}", flush=True)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     signal.signal(signal.SIGINT, lambda *_: sys.exit(0))
--- a/indigohitch/standins/stamped.py
+++ b/indigohitch/standins/stamped.py
@@ -1,10 +1,13 @@
-"""Stamps at a stand-in server: RPCs that bear one in `X-Stamp` (member.incarnation.term.version.number) are
-held against those that came before, and against what it is told of the fleet:
+"""Checks stamps at a stand-in server.
 
-    /fleet/gone/MEMBER/INCARNATION      its stamps count no more
-    /fleet/in-force/VERSION             nor do those by what was before
+An RPC may carry a stamp in `X-Stamp` (member.incarnation.term.version.number).  It is compared with those
+that came before, and with what the server is told about the fleet:
 
-An older one gets 409, and nothing is acted on."""
+    /fleet/gone/MEMBER/INCARNATION      stamps of that incarnation are no longer valid
+    /fleet/in-force/VERSION             nor are stamps of earlier versions
+
+An RPC with a stale stamp gets 409 and is not acted on.
+"""
 
 from __future__ import annotations
 
@@ -15,27 +18,29 @@
 
 
 class Stamped:
+    """Rejects RPCs whose stamps are stale or cannot be read."""
+
     def __init__(self) -> None:
-        self.gate = StampVerifier()
+        self.verifier = StampVerifier()
 
-    def why_not(self, heads: Mapping[bytes, bytes]) -> str:
-        """ "" for an RPC without a stamp, or with one that counts."""
-        if (shown := heads.get(b"x-stamp")) is None:
+    def why_not(self, headers: Mapping[bytes, bytes]) -> str:
+        """Returns why the RPC is rejected, or "" if it has no stamp or a valid one."""
+        if (text := headers.get(b"x-stamp")) is None:
             return ""
         try:
-            member, *numbers = shown.decode().rsplit(".", 4)
+            member, *numbers = text.decode().rsplit(".", 4)
             stamp = Stamp(member, *map(int, numbers))
         except (ValueError, TypeError):
             return "no stamp that can be read"
-        return self.gate.check(stamp)
+        return self.verifier.check(stamp)
 
     def told(self, target: bytes) -> bool:
-        """Whether this was a word on the fleet."""
+        """Applies a message about the fleet; returns whether the target was one."""
         match target.decode("latin-1").split("/")[1:]:
             case ["fleet", "gone", member, incarnation] if incarnation.isdigit():
-                self.gate.revoke_incarnation(member, int(incarnation))
+                self.verifier.revoke_incarnation(member, int(incarnation))
             case ["fleet", "in-force", version] if version.isdigit():
-                self.gate.raise_minimum_version(int(version))
+                self.verifier.raise_minimum_version(int(version))
             case _:
                 return False
         return True
