--- a/indigohitch/model/backends.py
+++ b/indigohitch/model/backends.py
@@ -30,7 +30,7 @@
         self.state = "ready"
         self.held, self.withdrawn = 0, False
         self.busy, self.waiting = 0, deque()  # running RPCs, queued jobs
-        self.met: dict[int, int] = {}  # time of the last RPC, by slice
+        self.last_rpc: dict[int, int] = {}  # time, by slice
         self.slow = 1.0  # factor on the work, above 1 while the backend is degraded
         self.spent, self.done = 0.0, 0  # work and RPCs since the last load report
         self.total = 0
@@ -53,8 +53,8 @@
 
     def work(self, slice: int, cost: float, now: int) -> int:
         """Returns the service time of an RPC that begins now, and counts it as done."""
-        cached = now - self.met.get(slice, -math.inf) < self.kind.memory
-        self.met[slice] = now
+        cached = now - self.last_rpc.get(slice, -math.inf) < self.kind.memory
+        self.last_rpc[slice] = now
         duration = (
             cost * (self.kind.cached if cached else 1.0) * self.slow / (self.kind.speed * self.warmth(now))
         )
--- a/indigohitch/model/emulator.py
+++ b/indigohitch/model/emulator.py
@@ -69,7 +69,7 @@
     def share(self, start: int = 0, end: int | None = None) -> float:
         """Returns the share of requests answered by the soft deadline, from second `start` up to `end`."""
         rows = [row for s, row in self.by_second.items() if s >= start and (end is None or s < end)]
-        return sum(row[1] for row in rows) / max(1, sum(row[0] for row in rows))
+        return sum(r[1] for r in rows) / max(1, sum(r[0] for r in rows))
 
 
 class Emulator:
@@ -95,16 +95,16 @@
         self.seen = Seen()
         self.attempts = [{} for _ in range(world.coordinators)]
         self.demand = [{} for _ in range(world.coordinators)]
-        self.modules = [make(world.seed + n, world.bootstrap(n)) for n in range(world.coordinators)]
+        self.coordinators = [make(world.seed + n, world.bootstrap(n)) for n in range(world.coordinators)]
         ids, profile = list(self.backends), list(profile)
-        for n, module in enumerate(self.modules):
+        for n, coordinator in enumerate(self.coordinators):
             events: list[face.Event] = [self.listing("full"), face.ProxyJoined(0, "", 1.0, True)]
             for slice in range(n, world.slices, world.coordinators):
                 owner = ids[slice % len(ids)]
                 self.tables[slice].set(self.backends[owner], 1.0)
                 events += [face.SliceOwnership(slice, True), face.StoredRoute(slice, owner, 1.0)]
             events += [demand for demand in profile if demand.slice % world.coordinators == n]
-            self.carry_out(n, module.handle(self.now, events))
+            self.carry_out(n, coordinator.handle(self.now, events))
             self.at(self.now + world.report, self.report, n)
 
     def at(self, when: int, action: Callable[..., None], *arguments: object) -> None:
@@ -126,7 +126,7 @@
 
     def handle_events(self, n: int, *events: face.Event) -> None:
         """Passes events to coordinator `n` and carries out its orders."""
-        self.carry_out(n, self.modules[n].handle(self.now, list(events)))
+        self.carry_out(n, self.coordinators[n].handle(self.now, list(events)))
 
     def carry_out(self, n: int, orders: list[face.Order]) -> None:
         """Sets the timers among the orders of coordinator `n`; sends the others to the proxies."""
@@ -212,28 +212,28 @@
 
     # ---- events of the fleet ---------------------------------------------------------------------
 
-    def ill(self, id: str, slow: float) -> None:
+    def degrade(self, id: str, slow: float) -> None:
         """Multiplies the work of a backend by `slow`; 1 restores it."""
         self.backends[id].slow = slow
 
     def drain(self, id: str) -> None:
         """Marks a backend as draining and notifies the coordinators."""
         self.backends[id].state = "draining"
-        for n in range(len(self.modules)):
+        for n in range(len(self.coordinators)):
             self.handle_events(n, self.listing("changes", self.backends[id]))
 
     def start(self, id: str) -> None:
         """Starts a new, cold backend and notifies the coordinators."""
         new = self.backends[id] = Backend(id, self.world.kinds[0], self.now)
-        for n in range(len(self.modules)):
+        for n in range(len(self.coordinators)):
             self.handle_events(n, self.listing("changes", new))
 
-    def run(self, requests: Iterable[tuple[int, int, str]], befalls: Iterable[tuple] = ()) -> Seen:
+    def run(self, requests: Iterable[tuple[int, int, str]], fleet_events: Iterable[tuple] = ()) -> Seen:
         """Runs `requests`, rows of (time since the start, slice, RPC) in order of time; returns the results.
 
-        `befalls` are events of the fleet: (time since the start, name of a method above, arguments...).
+        `fleet_events` are events of the fleet: (time since the start, name of a method above, arguments...).
         """
-        for when, action, *arguments in befalls:
+        for when, action, *arguments in fleet_events:
             self.at(self.BEGIN + when, getattr(self, action), *arguments)
         events = self.events
         for at, slice, rpc in requests:
--- a/indigohitch/standins/fault_links.py
+++ b/indigohitch/standins/fault_links.py
@@ -209,7 +209,7 @@
         self.port_reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.port_reservation.bind(("127.0.0.1", 0))
-        self.at = self.port_reservation.getsockname()
+        self.address = self.port_reservation.getsockname()
         self.listener: Listener | None = None
         self.refuse(False)
 
@@ -219,7 +219,7 @@
             self.listener.close()
             self.listener = None
         elif not on and self.listener is None:
-            self.listener = Listener(self.loop, self.at, self.on_accepted, lambda why: None)
+            self.listener = Listener(self.loop, self.address, self.on_accepted, lambda why: None)
 
     def on_accepted(self, sock: socket.socket) -> bool:
         """Proxies an accepted connection; returns True, as the listener goes on accepting."""
--- a/indigohitch/standins/fault_proxy.py
+++ b/indigohitch/standins/fault_proxy.py
@@ -40,8 +40,8 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.uniform = random.Random(seed).random
-        self.broken: list[BaseException] = []
-        self.loop = EventLoop(Clock(), self.broken.append)
+        self.errors: list[BaseException] = []
+        self.loop = EventLoop(Clock(), self.errors.append)
         self.loop.pool.available = 1 << 30  # no memory limit: the proxy runs in tests only
         self.gates: dict[tuple[str, str], Gate] = {}
         self.lanes: dict[tuple[str, str], FaultLink] = {}
@@ -105,7 +105,7 @@
                 known = self.gates[sender, receiver] = Gate(
                     self.loop, self._link(sender, receiver), self._link(receiver, sender), to
                 )
-            return known.at
+            return known.address
 
         return self._call_in_thread(make)
 
@@ -225,5 +225,5 @@
             self._thread.join(self.CALL_TIMEOUT_SECONDS)
             self._woken.close()
             self._wake.close()
-        if self.broken:
-            raise self.broken[0]
+        if self.errors:
+            raise self.errors[0]
--- a/indigohitch/standins/load.py
+++ b/indigohitch/standins/load.py
@@ -51,7 +51,7 @@
         self.results: list[tuple[int, int, int, str, str]] = []  # due, duration, status, id, reason
         self.reserves: set[str] = set()
         self.stopped = False
-        self.on_result: Callable[[], None] | None = None
+        self.on_result = None
 
     def build_request(self, act: str = "") -> tuple[str, bytes]:
         """Returns the id and the bytes of the next request; `act` is its `X-Act` header."""
--- a/tests/echo.py
+++ b/tests/echo.py
@@ -1,22 +1,25 @@
-"""A member on loopback that answers with the bytes that it gets, for tests of what lies between members."""
+"""An echo server on loopback, for tests of what lies between members."""
 
 import socket
 import threading
 
 
 class Echo:
-    """Members that answer with what they heard; `heard` keeps all bytes by who listened."""
+    """Sends back what it receives.
+
+    `received` holds the bytes of all connections, `ends` has "ended" or "reset" for each closed one.
+    """
 
     def __init__(self, name):
-        self.name, self.heard, self.ends = name, bytearray(), []
-        self.listening = socket.create_server(("127.0.0.1", 0))
-        self.at = self.listening.getsockname()
+        self.name, self.received, self.ends = name, bytearray(), []
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.address = self.listener.getsockname()
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
         while True:
             try:
-                sock, _ = self.listening.accept()
+                sock, _ = self.listener.accept()
             except OSError:
                 return
             threading.Thread(target=self.serve, args=(sock,), daemon=True).start()
@@ -24,7 +27,7 @@
     def serve(self, sock):
         try:
             while data := sock.recv(65536):
-                self.heard += data
+                self.received += data
                 sock.sendall(data)
             self.ends.append("ended")
         except OSError:
