--- a/indigohitch/standins/fault_proxy.py
+++ b/indigohitch/standins/fault_proxy.py
@@ -1,9 +1,9 @@
 """A fault-injecting proxy between members, on loopback, in a thread of the test process.
 
     proxy = FaultProxy(seed=1)
-    address = proxy.gate("a", "b", ("127.0.0.1", 9001)) # the address that the file of a names for b
-    proxy.cut("a", "b")                                 # nothing from a reaches b; b to a still works
-    proxy.cut_off("a")                                  # between a and all others, both ways
+    address = proxy.gate("a", "b", ("127.0.0.1", 9001))  # the address that the file of a names for b
+    proxy.cut("a", "b")                                  # nothing from a reaches b; b to a still works
+    proxy.cut_off("a")                                   # between a and all others, both ways
     proxy.slow("a", "b", trickle=2000)
     proxy.heal()
     proxy.close()
@@ -33,7 +33,8 @@
 class FaultProxy:
     """The gates, links and faults between members, served by a thread of its own.
 
-    All methods may be called from any thread.  `told` records each fault with the time at which it was set.
+    The methods that set faults run their change in that thread and return after it; `told` records each one
+    with its time.
     """
 
     CALL_TIMEOUT_SECONDS = 10.0  # a call that the thread has not run by then is a defect of the proxy
