--- a/indigohitch/standins/fault_proxy.py
+++ b/indigohitch/standins/fault_proxy.py
@@ -45,7 +45,7 @@
         self.loop = EventLoop(Clock(), self.errors.append)
         self.loop.pool.available = 1 << 30  # no memory limit: the proxy runs in tests only
         self.gates: dict[tuple[str, str], Gate] = {}
-        self.lanes: dict[tuple[str, str], FaultLink] = {}
+        self.links: dict[tuple[str, str], FaultLink] = {}
         self.told: list[tuple[float, str]] = []  # time.monotonic(), the fault that was set
         self._calls: deque[Callable[[], None]] = deque()
         self._woken, self._wake = socket.socketpair()
@@ -111,17 +111,17 @@
         return self._call_in_thread(make)
 
     def _link(self, sender: str, receiver: str) -> FaultLink:
-        if (sender, receiver) not in self.lanes:
-            self.lanes[sender, receiver] = FaultLink(sender, receiver, self.uniform)
-        return self.lanes[sender, receiver]
+        if (sender, receiver) not in self.links:
+            self.links[sender, receiver] = FaultLink(sender, receiver, self.uniform)
+        return self.links[sender, receiver]
 
     def _between(self, some: Iterable[str], others: Iterable[str]) -> list[tuple[str, str]]:
         some, others = set(some), set(others)
-        return [pair for pair in sorted(self.lanes) if pair[0] in some and pair[1] in others]
+        return [pair for pair in sorted(self.links) if pair[0] in some and pair[1] in others]
 
     def names(self) -> set[str]:
         """Returns the members that any link begins or ends at."""
-        return {name for pair in self.lanes for name in pair}
+        return {name for pair in self.links for name in pair}
 
     # ---- faults --------------------------------------------------------------------------------------
 
@@ -129,7 +129,7 @@
         """Sets the fault of each link (sender, receiver) in `wanted`; all other links have none."""
 
         def change() -> None:
-            changed = [link for pair, link in self.lanes.items() if link.fault != wanted.get(pair, NO_FAULT)]
+            changed = [link for pair, link in self.links.items() if link.fault != wanted.get(pair, NO_FAULT)]
             for link in changed:
                 link.fault = wanted.get((link.sender, link.receiver), NO_FAULT)
             for gate in self.gates.values():
@@ -140,7 +140,7 @@
         self._call_in_thread(change, description)
 
     def _update_faults(self, pairs: Iterable[tuple[str, str]], description: str, **changes: float) -> None:
-        current = {pair: link.fault for pair, link in self.lanes.items()}
+        current = {pair: link.fault for pair, link in self.links.items()}
         self.stand(current | {pair: replace(current[pair], **changes) for pair in pairs}, description)
 
     def cut(self, sender: str, receiver: str, both: bool = False) -> None:
@@ -211,8 +211,8 @@
     def figures(self) -> dict[str, int]:
         """Returns the bytes delivered and the pieces changed, over all links."""
         return {
-            "bytes": sum(link.bytes for link in self.lanes.values()),
-            "spoilt": sum(link.spoilt for link in self.lanes.values()),
+            "bytes": sum(link.bytes for link in self.links.values()),
+            "spoilt": sum(link.spoilt for link in self.links.values()),
         }
 
     def close(self) -> None:
--- a/indigohitch/standins/peer.py
+++ b/indigohitch/standins/peer.py
@@ -15,8 +15,8 @@
 from ..net.loop import EventLoop
 from ..net.ring_buffer import BufferPool
 from ..net.stream import Stream
-from .seated import SeatEnforcer
-from .stamped import Stamped
+from .seat_enforcer import SeatEnforcer
+from .stamp_guard import StampGuard
 
 # A replay requests this proof before it sends requests that must not run twice.
 PROOF_PREFIX = PATH.encode() + b"?"
@@ -35,7 +35,7 @@
     service: float
     lose: int
     seat_enforcer: SeatEnforcer | None
-    stamps: Stamped
+    stamps: StampGuard
     counts: Counter[str]
     acts: dict[str, int]
     peers: set[Peer]
@@ -118,10 +118,10 @@
             )
             self.answer(200, stats if target == b"/stats" else b"", {})
             return
-        if server.stamps.told(target):
+        if server.stamps.apply_fleet_message(target):
             self.answer(200, b"", {})
             return
-        if reason := server.stamps.why_not(headers):
+        if reason := server.stamps.rejection_reason(headers):
             server.counts["older_stamps"] += 1
             self.answer(409, reason.encode(), {})
             return
--- a/indigohitch/standins/server.py
+++ b/indigohitch/standins/server.py
@@ -9,8 +9,8 @@
     mute            never answer
     doubled         an answer with two Content-Length headers
 `X-Id` identifies an action: the server counts how often it acted on each.  GET /stats returns the counts,
-GET /health/live answers 200.  An RPC on a licensed path needs a seat (seated.py); an RPC whose stamp is older
-than one received before is refused (stamped.py).
+GET /health/live answers 200.  An RPC on a licensed path needs a seat (seat_enforcer.py); an RPC whose stamp is older
+than one received before is refused (stamp_guard.py).
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from ..net.loop import EventLoop
 from ..net.ring_buffer import BufferPool
 from .peer import Peer
-from .seated import SeatEnforcer
-from .stamped import Stamped
+from .seat_enforcer import SeatEnforcer
+from .stamp_guard import StampGuard
 
 
 def further(n: int, port: int) -> tuple[str, int]:
@@ -51,7 +51,7 @@
         `service` is the time in ms that each answer takes.  Each `lose`-th RPC is acted on and then reset
         without an answer; 0: none.  Raises OSError if the address cannot be bound.
         """
-        self.seat_enforcer, self.stamps = seat_enforcer, Stamped()
+        self.seat_enforcer, self.stamps = seat_enforcer, StampGuard()
         self.loop, self.name, self.service, self.lose = loop, name.encode(), service, lose
         self.buffer_pool = BufferPool(1 << 30)
         self.counts: Counter[str] = Counter()
--- a/indigohitch/standins/stamped.py
+++ b/indigohitch/standins/stamp_guard.py
@@ -17,13 +17,13 @@
 from ..fleet.types import Stamp
 
 
-class Stamped:
+class StampGuard:
     """Rejects RPCs whose stamps are stale or cannot be read."""
 
     def __init__(self) -> None:
         self.verifier = StampVerifier()
 
-    def why_not(self, headers: Mapping[bytes, bytes]) -> str:
+    def rejection_reason(self, headers: Mapping[bytes, bytes]) -> str:
         """Returns why the RPC is rejected, or "" if it has no stamp or a valid one."""
         if (text := headers.get(b"x-stamp")) is None:
             return ""
@@ -34,7 +34,7 @@
             return "no stamp that can be read"
         return self.verifier.check(stamp)
 
-    def told(self, target: bytes) -> bool:
+    def apply_fleet_message(self, target: bytes) -> bool:
         """Applies a message about the fleet; returns whether the target was one."""
         match target.decode("latin-1").split("/")[1:]:
             case ["fleet", "gone", member, incarnation] if incarnation.isdigit():
--- a/proofs/fleetkit/faults.py
+++ b/proofs/fleetkit/faults.py
@@ -171,7 +171,7 @@
         wanted = {}
         for name, event in self.held.items():
             if fault := LANES.get(event.kind):
-                for pair in self.fleet.breaker.lanes:
+                for pair in self.fleet.breaker.links:
                     met = pair[1] == name and event.kind != "mute" or pair[0] == name and event.kind != "deaf"
                     if met and not wanted.get(pair, NO_FAULT).cut:
                         wanted[pair] = fault
--- a/proofs/scalekit/result.py
+++ b/proofs/scalekit/result.py
@@ -74,7 +74,7 @@
 def flat(proof) -> int:
     """Bytes both ways between the voters and the one distributor that exchanged the fewest of them."""
     by_name = dict.fromkeys(proof.names, 0)
-    for (sender, receiver), lane in proof.fleet.breaker.lanes.items():
+    for (sender, receiver), lane in proof.fleet.breaker.links.items():
         for name, other in ((sender, receiver), (receiver, sender)):
             if name in by_name and other in proof.fleet.voters:
                 by_name[name] += lane.bytes
--- a/tests/test_audit_stale_actions.py
+++ b/tests/test_audit_stale_actions.py
@@ -8,16 +8,22 @@
 from indigohitch.net.loop import EventLoop
 from indigohitch.platform_protocol.channel_backlog import ChannelBacklog
 from indigohitch.platform_protocol.relay import Relay
-from indigohitch.standins.stamped import Stamped
+from indigohitch.standins.stamp_guard import StampGuard
 
 
 def test_a_stand_in_server_rejects_stale_stamps():
-    stamped = Stamped()
-    assert not stamped.why_not({}) and "read" in stamped.why_not({b"x-stamp": b"m.1.x.2.3"})
-    assert not stamped.why_not({b"x-stamp": b"a.m.2.1.9.4"}) and stamped.why_not({b"x-stamp": b"a.m.1.1.9.5"})
-    assert stamped.told(b"/fleet/gone/a.m/2") and not stamped.told(b"/vacancies/12")
-    assert "shut out" in stamped.why_not({b"x-stamp": b"a.m.2.1.9.6"})
-    assert stamped.told(b"/fleet/in-force/12") and stamped.why_not({b"x-stamp": b"o.1.1.11.1"})
+    stamped = StampGuard()
+    assert not stamped.rejection_reason({}) and "read" in stamped.rejection_reason({b"x-stamp": b"m.1.x.2.3"})
+    assert not stamped.rejection_reason({b"x-stamp": b"a.m.2.1.9.4"}) and stamped.rejection_reason(
+        {b"x-stamp": b"a.m.1.1.9.5"}
+    )
+    assert stamped.apply_fleet_message(b"/fleet/gone/a.m/2") and not stamped.apply_fleet_message(
+        b"/vacancies/12"
+    )
+    assert "shut out" in stamped.rejection_reason({b"x-stamp": b"a.m.2.1.9.6"})
+    assert stamped.apply_fleet_message(b"/fleet/in-force/12") and stamped.rejection_reason(
+        {b"x-stamp": b"o.1.1.11.1"}
+    )
 
 
 def test_a_stamp_of_an_evicted_incarnation_or_an_older_action_is_rejected():
--- a/tests/test_fault_proxy.py
+++ b/tests/test_fault_proxy.py
@@ -207,10 +207,10 @@
             if sender != receiver:
                 proxy.gate(sender, receiver, echoes[receiver].address)
     proxy.cut_off("a", hears=True)
-    assert {pair for pair, link in proxy.lanes.items() if link.fault.cut} == {("a", "b"), ("a", "c")}
+    assert {pair for pair, link in proxy.links.items() if link.fault.cut} == {("a", "b"), ("a", "c")}
     proxy.heal()
     proxy.part("ab")
-    assert {pair for pair, link in proxy.lanes.items() if link.fault.cut} == {
+    assert {pair for pair, link in proxy.links.items() if link.fault.cut} == {
         ("a", "c"),
         ("b", "c"),
         ("c", "a"),
