--- a/indigohitch/standins/server.py
+++ b/indigohitch/standins/server.py
@@ -9,8 +9,8 @@
     mute            never answer
     doubled         an answer with two Content-Length headers
 `X-Id` identifies an action: the server counts how often it acted on each.  GET /stats returns the counts,
-GET /health/live answers 200.  An RPC on a licensed path needs a seat (seat_enforcer.py); an RPC whose stamp is
-older than one received before is refused (stamp_guard.py).
+GET /health/live answers 200.  An RPC on a licensed path needs a seat (seat_enforcer.py).  One
+whose stamp is older than one received before is refused (stamp_guard.py).
 """
 
 from __future__ import annotations
