--- a/indigohitch/sidecar/__init__.py
+++ b/indigohitch/sidecar/__init__.py
@@ -1,2 +1,4 @@
-"""The second front of the decision module: a sidecar that carries RPCs itself, as a joined proxy of its own
-coordinator."""
+"""Sidecar that proxies RPCs itself.
+
+It is the second front of the decision module: the only proxy, permanently joined, of its own coordinator.
+"""
--- a/indigohitch/sidecar/clients.py
+++ b/indigohitch/sidecar/clients.py
@@ -1,4 +1,4 @@
-"""A client's connection: heads out of its ring, one RPC at a time, in order."""
+"""Client connections: parse requests from the receive ring and run one RPC at a time, in order."""
 
 from __future__ import annotations
 
@@ -11,41 +11,48 @@
 from ..net.http_exchange import is_connection_open
 from ..net.stream import Stream
 from .framing import Body
-from .heads import Refused, RequestHead, plain
+from .heads import RefusedHeadError, RequestHead, plain_answer
 from .keys import key_of, slice_of
 from .rpc import Rpc
 
 
 class Client:
-    """`since` is when it was last heard of, for the sweep that ends who is too slow."""
+    """A client connection and its current RPC.
 
-    LINGER = 2 * SECOND  # to read the end of an answer before a reset could destroy it
-    TARGET = 8192
-    WAITING = Stream.MAX_BUFFERED // 2  # of earlier answers: the next one's head has to fit in beside them
+    `last_activity` is when the client last made progress; `is_overdue` uses it to find slow clients.
+    """
+
+    LINGER_TIME = 2 * SECOND  # lets the client read the end of its answer before a reset could discard it
+    MAX_TARGET_BYTES = 8192
+    # Unsent bytes of earlier answers; the head of the next answer has to fit into the ring beside them.
+    MAX_UNSENT_BYTES = Stream.MAX_BUFFERED // 2
 
     __slots__ = (
         "host",
         "stream",
         "rpc",
-        "since",
+        "last_activity",
         "close_after",
         "lingering",
-        "_inside",
+        "_is_processing",
         "number",
-        "marked",
+        "bytes_at_last_sweep",
         "serial",
     )
 
     def __init__(self, host) -> None:
-        self.host, self.rpc, self.since = host, None, host.loop.clock.now()
+        self.host, self.rpc, self.last_activity = host, None, host.loop.clock.now()
         self.stream: Stream | None = None
-        self.close_after = self.lingering = self._inside = False
-        self.marked = 0  # bytes that waited in the ring at the last sweep
+        self.close_after = self.lingering = self._is_processing = False
+        self.bytes_at_last_sweep = 0  # unprocessed bytes in the ring
         self.number = self.serial = -1
 
     @property
-    def idle(self) -> bool:
-        """Nothing is out for it and nothing waits to be written: it can go to another process."""
+    def is_idle(self) -> bool:
+        """Whether no RPC is in flight and no output is queued.
+
+        An idle connection can be passed to another process.
+        """
         return (
             self.rpc is None
             and not self.lingering
@@ -55,50 +62,52 @@
         )
 
     def on_data(self, stream: Stream) -> None:
+        """Forwards body data of the current RPC, or starts the next one. Discards data while lingering."""
         if self.lingering:
             stream.incoming.take()
         elif self.rpc is not None:
-            self.since = self.host.now
-            self.rpc.client_more()
+            self.last_activity = self.host.now
+            self.rpc.on_client_data()
         else:
-            if not self.marked:
-                self.since = self.host.now
-            self.next()
+            if not self.bytes_at_last_sweep:
+                self.last_activity = self.host.now
+            self.process_requests()
 
-    def next(self) -> None:
-        """The next RPCs that stand whole in the ring, until one has to wait."""
-        if self._inside:
+    def process_requests(self) -> None:
+        """Starts the complete requests in the ring, until one has to wait for its answer."""
+        if self._is_processing:
             return
-        self._inside = True
+        self._is_processing = True
         try:
             while self.rpc is None and self.stream.open and not self.lingering and self._begin():
                 pass
         finally:
-            self._inside = False
+            self._is_processing = False
 
     def _begin(self) -> bool:
+        """Starts one RPC from the ring; returns whether the next request can be tried at once."""
         ring, host = self.stream.incoming, self.host
-        if not len(ring) or host.holding or len(self.stream.outgoing) > self.WAITING:
+        if not len(ring) or host.is_holding_requests or len(self.stream.outgoing) > self.MAX_UNSENT_BYTES:
             return False
         end = ring.find_end(b"\r\n\r\n")
-        most = host.text.limits["head"]
-        if not end and len(ring) <= most and not ring.full:
-            while ring.peek(2) == b"\r\n":  # a blank line before a request is read over (RFC 9112, 2.2)
+        max_head_bytes = host.text.limits["head"]
+        if not end and len(ring) <= max_head_bytes and not ring.full:
+            while ring.peek(2) == b"\r\n":  # ignores blank lines before a request (RFC 9112, 2.2)
                 ring.skip(2)
             return False
-        if not end or end > most:
+        if not end or end > max_head_bytes:
             self.refuse(431, "the head is too long")
             return False
         data = ring.take(end)
-        self.marked = 0
+        self.bytes_at_last_sweep = 0
         self.stream.resume_reading()
         try:
             head = RequestHead(data.lstrip(b"\r\n"))
-        except Refused as bad:
-            host.log.count(f"rpc_refused_{bad.status}")
-            self.refuse(bad.status, str(bad))
+        except RefusedHeadError as error:
+            host.log.count(f"rpc_refused_{error.status}")
+            self.refuse(error.status, str(error))
             return False
-        if len(head.target) > self.TARGET:
+        if len(head.target) > self.MAX_TARGET_BYTES:
             self.refuse(414, "the target is too long")
             return False
         target = head.target.decode("latin-1")
@@ -106,48 +115,54 @@
         route = host.text.routes.find(head.method, path)
         if isinstance(route, int):
             host.log.count(f"rpc_refused_{route}")
-            host.note(self, head, host.now, "", route, 0)
+            host.log_access(self, head, host.now, "", route, 0)
             self.close_after |= not head.body.done or not head.keep
-            self.stream.write(plain(route, "no such route", None, self.close_after, head.method == "HEAD"))
-            self.finished()
+            self.stream.write(
+                plain_answer(route, "no such route", None, self.close_after, head.method == "HEAD")
+            )
+            self.on_answer_finished()
             return True
         if head.body.kind == Body.LENGTH and head.body.left > host.text.limits["body"]:
             host.log.count("rpc_refused_413")
-            host.note(self, head, host.now, route.rpc.name, 413, 0)
+            host.log_access(self, head, host.now, route.rpc.name, 413, 0)
             self.refuse(413, "the body is too large")
             return False
         pool = host.pools[route.pool.name]
         key = key_of(route, target, path, head.values)
-        # Without a key any slice will do; in turn, so that all get their share.
-        number = pool.turn() if key is None else slice_of(key, pool.slices)
-        self.since = host.now
+        # A request without a key may use any slice; round robin spreads these evenly.
+        number = pool.next_slice() if key is None else slice_of(key, pool.slices)
+        self.last_activity = host.now
         self.rpc = rpc = Rpc(self, head, route, pool, number)
-        pool.came(number, route.rpc.name)
+        pool.count_request(number, route.rpc.name)
         rpc.start()
         return True
 
     def refuse(self, status: int, why: str) -> None:
+        """Answers with `status` and closes the connection after the answer."""
         self.close_after = True
-        self.stream.write(plain(status, why, None, True))
-        self.finished()
+        self.stream.write(plain_answer(status, why, None, True))
+        self.on_answer_finished()
+
+    def on_answer_finished(self) -> None:
+        """Ends the current RPC; its answer has been written or queued in full.
 
-    def finished(self) -> None:
-        """The answer has all been written, or waits in the ring."""
-        self.rpc, self.since = None, self.host.now
+        Then closes the connection, passes it to another process or processes the next request.
+        """
+        self.rpc, self.last_activity = None, self.host.now
         if self.close_after:
             if not len(self.stream.outgoing):
                 self.linger()
-        elif not self._inside:
-            if self.host.passing and self.idle:
+        elif not self._is_processing:
+            if self.host.is_passing_connections and self.is_idle:
                 self.host.pass_on(self)
             elif len(self.stream.incoming):
-                self.next()
+                self.process_requests()
 
     def linger(self) -> None:
-        """Our side is closed; what still comes is thrown away for a while, then the rest."""
+        """Closes the sending side and discards received data for LINGER_TIME, then closes the connection."""
         if self.lingering or not self.stream.open:
             return
-        self.lingering, self.since = True, self.host.now
+        self.lingering, self.last_activity = True, self.host.now
         self.stream.incoming.take()
         try:
             self.stream.sock.shutdown(socket.SHUT_WR)
@@ -156,50 +171,60 @@
             return
         self.stream.resume_reading()
 
-    def part(self) -> None:
-        """The process ends and nothing is out for this one.  Closed over bytes unread, or met by more while
-        an answer still is on its way, the connection would be reset, and the answer lost."""
+    def close_gracefully(self) -> None:
+        """Closes the connection of an idle client while the process ends.
+
+        If it were closed with unread bytes, or if more arrived while an answer is still being delivered,
+        the connection would be reset and the answer lost.
+        """
         if not self.close_after and not is_connection_open(self.stream.sock):
-            self.close_after = True  # the next turn reads it: what stands whole there is the last
-        elif self.close_after or len(self.stream.incoming) or self.unsent():
+            self.close_after = True  # the next turn reads the data; a complete request in it is the last one
+        elif self.close_after or len(self.stream.incoming) or self.unsent_byte_count():
             self.linger()
         else:
             self.stream.close()
-            self.gone()
+            self.discard()
 
-    def unsent(self) -> int:
-        """Bytes that the system holds for the client."""
+    def unsent_byte_count(self) -> int:
+        """Returns the number of bytes in the kernel's send buffer that the client has not acknowledged."""
         return int.from_bytes(fcntl.ioctl(self.stream.sock, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
 
     def on_output_drained(self, stream: Stream) -> None:
-        self.since = self.host.now
+        """Continues the current RPC, or what waited for the output to be written."""
+        self.last_activity = self.host.now
         if self.rpc is not None:
-            self.rpc.client_drained()
+            self.rpc.on_client_output_drained()
         elif self.close_after:
             self.linger()
-        elif self.host.passing and self.idle:
+        elif self.host.is_passing_connections and self.is_idle:
             self.host.pass_on(self)
         else:
-            self.next()
+            self.process_requests()
 
     def on_closed(self, stream: Stream, why: str) -> None:
-        self.gone()
+        """Abandons the current RPC: the connection was closed by the client or by an error."""
+        self.discard()
 
-    def gone(self) -> None:
+    def discard(self) -> None:
+        """Abandons the current RPC and removes the client from its host."""
         rpc, self.rpc = self.rpc, None
         if rpc is not None:
             rpc.abandon()
         self.host.forget(self)
 
-    def overdue(self, now: int) -> bool:
-        """Too slow: with its head, with its body or in reading, or idle for long.  An RPC that waits for its
-        server has a deadline of its own."""
-        waits, quiet = self.host.text.waits, now - self.since
+    def is_overdue(self, now: int) -> bool:
+        """Whether the client is too slow in sending or reading, or was idle for too long.
+
+        An RPC that waits for its server is not counted: it has a deadline of its own.
+        """
+        waits = self.host.text.waits
+        quiet = now - self.last_activity
         if self.lingering:
-            return quiet > self.LINGER
+            return quiet > self.LINGER_TIME
         if self.rpc is None:
             if len(self.stream.outgoing):
                 return quiet > waits["stream"]
-            self.marked = len(self.stream.incoming)  # from here on its time runs, whatever trickles in
-            return quiet > waits["head" if self.marked else "idle"]
+            # Once a partial head is present, bytes that trickle in no longer extend the client's time.
+            self.bytes_at_last_sweep = len(self.stream.incoming)
+            return quiet > waits["head" if self.bytes_at_last_sweep else "idle"]
         return quiet > waits["stream"] and (not self.rpc.body.done or self.rpc.answer is not None)
--- a/indigohitch/sidecar/framing.py
+++ b/indigohitch/sidecar/framing.py
@@ -1,4 +1,4 @@
-"""Where a body ends: by its length, in chunks, or with its connection.  No I/O: works on a ring."""
+"""Message body framing: by length, in chunks or until the connection ends. Works on a ring, without I/O."""
 
 from __future__ import annotations
 
@@ -6,19 +6,22 @@
 from ..net.ring_buffer import RingBuffer
 
 
-class Malformed(InvalidDataError):
-    """The body is not framed as its head said."""
+class MalformedBodyError(InvalidDataError):
+    """The framing of a body is invalid."""
 
     remedy = "its sender has to frame it as RFC 9112, 7.1, says"
 
 
 class Body:
-    """The body of one message as it comes.  `take` gives its data without the framing; `done` once all of it
-    has been taken, never a byte past it: what follows in the ring is the next message."""
+    """Incremental decoder of one message body.
+
+    `take` returns the data without the framing. `done` is true once the whole body has been taken; no
+    byte after it is read, because what follows in the ring is the next message.
+    """
 
     NONE, LENGTH, CHUNKED, TO_END = "none", "length", "chunked", "to_end"
-    LINE = 256  # of a chunk's size with its extensions; sizes are 16 digits at most
-    TRAILERS = 8192  # bytes of trailers, which are read over
+    MAX_SIZE_LINE_BYTES = 256  # line with a chunk's size, at most 16 digits, and its extensions
+    MAX_TRAILER_BYTES = 8192  # all trailers of a body, which are ignored
 
     __slots__ = ("kind", "left", "done", "_state", "_trailers", "total")
 
@@ -27,14 +30,14 @@
         self.done = kind == self.NONE or kind == self.LENGTH and not length
         self._state, self._trailers = "size", 0
 
-    def take(self, ring: RingBuffer, most: int) -> bytes:
-        """Up to `most` bytes of data that have come; raises Malformed."""
-        if self.done or most <= 0:
+    def take(self, ring: RingBuffer, max_bytes: int) -> bytes:
+        """Returns up to `max_bytes` bytes of the received data; raises MalformedBodyError."""
+        if self.done or max_bytes <= 0:
             return b""
         if self.kind == self.CHUNKED:
-            data = self._chunks(ring, most)
+            data = self._chunks(ring, max_bytes)
         else:
-            count = min(len(ring), most)
+            count = min(len(ring), max_bytes)
             if self.kind == self.LENGTH:
                 count = min(count, self.left)
                 self.left -= count
@@ -44,28 +47,28 @@
         return data
 
     def ended(self) -> bool:
-        """The connection ended in order: was that the end of the body?"""
+        """Records that the connection ended normally; returns whether the body is complete."""
         self.done |= self.kind == self.TO_END
         return self.done
 
-    def _line(self, ring: RingBuffer, most: int) -> bytes | None:
+    def _line(self, ring: RingBuffer, max_bytes: int) -> bytes | None:
         end = ring.find_end(b"\r\n")
         if not end:
-            if len(ring) > most:
-                raise Malformed("a line of the chunks is too long")
+            if len(ring) > max_bytes:
+                raise MalformedBodyError("a line of the chunks is too long")
             return None
-        if end > most + 2:
-            raise Malformed("a line of the chunks is too long")
+        if end > max_bytes + 2:
+            raise MalformedBodyError("a line of the chunks is too long")
         line = ring.take(end)[:-2]
         if b"\n" in line or b"\r" in line:
-            raise Malformed("a line of the chunks does not end in CRLF")
+            raise MalformedBodyError("a line of the chunks does not end in CRLF")
         return line
 
-    def _chunks(self, ring: RingBuffer, most: int) -> bytes:
+    def _chunks(self, ring: RingBuffer, max_bytes: int) -> bytes:
         parts, got = [], 0
-        while not self.done and got < most:
+        while not self.done and got < max_bytes:
             if self._state == "data":
-                part = ring.take(min(len(ring), self.left, most - got))
+                part = ring.take(min(len(ring), self.left, max_bytes - got))
                 if not part:
                     break
                 parts.append(part)
@@ -74,12 +77,14 @@
                 if not self.left:
                     self._state = "end"
                 continue
-            line = self._line(ring, self.TRAILERS if self._state == "trailer" else self.LINE)
+            line = self._line(
+                ring, self.MAX_TRAILER_BYTES if self._state == "trailer" else self.MAX_SIZE_LINE_BYTES
+            )
             if line is None:
                 break
             if self._state == "end":
                 if line:
-                    raise Malformed("a chunk is longer than its size")
+                    raise MalformedBodyError("a chunk is longer than its size")
                 self._state = "size"
             elif self._state == "size":
                 self.left = self._size(line)
@@ -88,21 +93,21 @@
                 self.done = True
             else:
                 self._trailers += len(line) + 2
-                if self._trailers > self.TRAILERS:
-                    raise Malformed("the trailers are too long")
+                if self._trailers > self.MAX_TRAILER_BYTES:
+                    raise MalformedBodyError("the trailers are too long")
         return b"".join(parts)
 
     @staticmethod
     def _size(line: bytes) -> int:
         digits = line.partition(b";")[0].rstrip(b" \t")
-        # int() would take signs, underscores and blanks, and two readers would differ on where a body ends.
+        # int() accepts signs, underscores and blanks; another reader could then place the end elsewhere.
         if not digits or len(digits) > 16 or digits.strip(b"0123456789abcdefABCDEF"):
-            raise Malformed(f"no size of a chunk: {line[:20]!r}")
+            raise MalformedBodyError(f"no size of a chunk: {line[:20]!r}")
         return int(digits, 16)
 
 
 def chunk(data: bytes) -> bytes:
-    """Data as one chunk."""
+    """Returns the data encoded as one chunk, or nothing for empty data, which would encode the last chunk."""
     return b"%x\r\n%b\r\n" % (len(data), data) if data else b""
 
 
--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -1,4 +1,4 @@
-"""The sidecar as something that can be handed over: its state as rows and back, its connections."""
+"""Handover of a sidecar to the next process: its state as snapshot rows, and its connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from .. import interface as face
-from ..config.texts import Server as Told
+from ..config.texts import Server as ServerText
 from ..net.listener import Listener
 from ..upgrade import event_codec
 from ..upgrade import snapshot as shots
@@ -20,19 +20,21 @@
 from .pool import Pool
 
 
-def chance(uniform) -> tuple:
+def random_state(uniform: Callable[[], float]) -> tuple:
+    """Returns the state of the generator whose `random` method this is."""
     version, internal, gauss = uniform.__self__.getstate()
     return version, list(internal), gauss
 
 
-def told(servers: Iterable[Told]) -> list[tuple]:
-    """What the file says of each, without the line."""
+def server_specs(servers: Iterable[ServerText]) -> list[tuple]:
+    """Returns the configuration of each server, without its line number."""
     return [(t.name, *t.address, t.weight, t.zone, t.kind) for t in servers]
 
 
 def pool_row(pool: Pool) -> shots.PoolRow:
+    """Returns the state of a pool as a snapshot row."""
     servers = list(pool.servers.values())
-    place = {server: at for at, server in enumerate(servers)}
+    index = {server: i for i, server in enumerate(servers)}
     return shots.PoolRow(
         pool.name,
         pool.slices,
@@ -40,80 +42,79 @@
         [shots.ServerRow(s.name, *s.address, s.withdrawn, s.listed, s.load) for s in servers],
         [
             shots.TableRow(
-                [(place[s], float(w)) for s, w in zip(t.servers, t.weights)], t.level, t.levels, t.retry_level
+                [(index[s], float(w)) for s, w in zip(t.servers, t.weights)], t.level, t.levels, t.retry_level
             )
             for t in pool.tables
         ],
-        chance(pool.uniform),
+        random_state(pool.uniform),
         pool.version,
         pool._turn,
         pool.reported,
-        told(pool.text.servers.values()),
+        server_specs(pool.text.servers.values()),
         [b.id for b in pool.coordinator.backends.values() if b.probe_sent_at],
     )
 
 
 def restore_pool(pool: Pool, row: shots.PoolRow) -> None:
-    """The pool as it was.  Its file may name other servers by now: `begin` tells the module of those."""
+    """Restores a pool; `start_serving` applies changes of the configured servers afterwards."""
     pool.coordinator = thaw(row.module, pool.boot)
-    drawn = random.Random()
-    drawn.setstate((row.chance[0], tuple(row.chance[1]), row.chance[2]))
-    pool.uniform = drawn.random
+    generator = random.Random()
+    generator.setstate((row.chance[0], tuple(row.chance[1]), row.chance[2]))
+    pool.uniform = generator.random
     pool.servers.clear()
     for found in row.servers:
-        server = pool.add(Told(found.name, (found.host, found.port), 1.0, "", "", 0))
+        server = pool.add_server(ServerText(found.name, (found.host, found.port), 1.0, "", "", 0))
         server.withdrawn, server.listed, server.load = found.withdrawn, found.listed, found.load
     servers = list(pool.servers.values())
     for table, found in zip(pool.tables, row.tables):
-        for at, weight in found.lines:
-            table.set(servers[at], weight)
+        for index, weight in found.lines:
+            table.set(servers[index], weight)
         table.level, table.levels, table.retry_level = found.level, found.levels, found.tries
     pool.version, pool._turn, pool.reported = row.version, row.turn, row.reported
     pool.text.servers = {
-        name: Told(name, (host, port), weight, zone, kind, 0)
+        name: ServerText(name, (host, port), weight, zone, kind, 0)
         for name, host, port, weight, zone, kind in row.listed
     }
 
 
 class SidecarHandover:
-    """Of a host; see upgrade.side.Side."""
+    """Hands over a host; implements upgrade.handover_participant."""
 
     def __init__(
         self,
         host: Host,
-        controls: Callable[[], Listener | None],
-        control_taken: Callable[[socket.socket], None],
+        control_listener: Callable[[], Listener | None],
+        take_over_control: Callable[[socket.socket], None],
         reload: Callable[[], None],
     ) -> None:
-        self.host, self.controls, self.control_taken, self.reload = host, controls, control_taken, reload
-        self.wanted = {name: dict(pool.servers) for name, pool in host.text.pools.items()}
-        self.cold: list[str] = []  # pools that the state had nothing usable of
-        self.given: dict[str, socket.socket] = {}
+        self.host, self.reload = host, reload
+        self.control_listener, self.take_over_control = control_listener, take_over_control
+        self.configured_servers = {name: dict(pool.servers) for name, pool in host.text.pools.items()}
+        self.cold: list[str] = []  # pools without usable state in the snapshot
+        self.inherited_listeners: dict[str, socket.socket] = {}
         self.rows: dict[str, shots.PoolRow] = {}
-        self.kept: dict[str, list] = {}  # events given on, until the upgrade stands
-        self.taken = 0
+        self.events_since_snapshot: dict[str, list] = {}  # by pool, until the upgrade is complete, for `thaw`
+        self.snapshot_taken_at = 0
 
     # ---- in the old process ------------------------------------------------------------------------
-
     def listeners(self) -> dict[str, socket.socket]:
-        control = self.controls()
+        control = self.control_listener()
         return {"clients": self.host.listener.sock} | ({"control": control.sock} if control else {})
 
     def settle(self, on: bool) -> None:
-        """The module ends the turn that it is at, and begins no other."""
         for pool in self.host.pools.values():
             pool.event_batch.is_paused = on
 
     def has_urgent_work(self) -> bool:
-        """Nothing: its requests go on, and its tables are its own."""
+        """Returns False: RPCs continue, and their tables are in this process."""
         return False
 
     def is_settled(self) -> bool:
-        return not any(pool.deciding for pool in self.host.pools.values())
+        return not any(pool.is_deciding for pool in self.host.pools.values())
 
     def snapshot(self) -> shots.Snapshot:
         if not self.is_settled():
-            self.host.worker.settle()  # a turn of the module, at most
+            self.host.worker.settle()  # waits for one round of each module, at most
         return self.rows_now()
 
     def rows_now(self) -> shots.Snapshot:
@@ -124,7 +125,7 @@
         )
 
     def freeze(self, taken: Callable[[bytes | None, BaseException | None], None]) -> None:
-        """Beside the loop: the module and the tables stand still, RPCs do not."""
+        """Encodes the snapshot in the worker thread; modules and tables are paused, RPCs continue."""
         self.host.worker.submit(lambda: shots.encode(self.rows_now()), taken)
 
     def thaw(self) -> None:
@@ -132,20 +133,20 @@
             if pool.report_due is None:
                 pool.report_soon()
             pool.event_batch.is_paused = False
-            pool.event_batch.restore(self.kept.pop(pool.name, []))
-            pool.timer_again()
+            pool.event_batch.restore(self.events_since_snapshot.pop(pool.name, []))
+            pool.restart_timer()
 
     def set_accepting(self, on: bool) -> None:
         host = self.host
         host.listener.accept(on)
-        control = self.controls()
+        control = self.control_listener()
         if control:
             control.accept(on)
-        host.holding = not on
+        host.is_holding_requests = not on
         if on:
-            host.passing = False
+            host.is_passing_connections = False
             for client in list(host.clients):
-                client.next()
+                client.process_requests()
 
     def late_events(self) -> bytes:
         now = self.host.loop.clock.now()
@@ -154,35 +155,35 @@
             if pool.report_due is not None:
                 pool.report_due.cancel()
                 pool.report_due = None
-            taken = [*pool.event_batch.take(), *pool.sums(now)]
-            self.kept.setdefault(pool.name, []).extend(taken)
-            # Probes that are out are sent again by the new process: their answers here would count twice.
+            taken = [*pool.event_batch.take(), *pool.take_traffic_events(now)]
+            self.events_since_snapshot.setdefault(pool.name, []).extend(taken)
+            # The new process repeats the probes in flight; their results here would count twice.
             rows[pool.name] = (event_codec.pack_all(e for e in taken if type(e) is not face.ProbeResult), now)
         return msgspec.msgpack.encode(rows)
 
     def take_idle_connections(self) -> list[PassedConnection]:
-        return [self.take_out(client) for client in list(self.host.clients) if client.idle]
+        return [self.take_out(client) for client in list(self.host.clients) if client.is_idle]
 
     def take_out(self, client: Client) -> PassedConnection:
         self.host.forget(client)
         return ("client", *client.stream.detach())
 
     def adopt(self, kind: str, sock: socket.socket, rest: bytes) -> None:
-        self.host.take(sock, rest).next()
+        self.host.add_client(sock, rest).process_requests()
 
     def drain(self, pass_on: Callable[[PassedConnection], bool]) -> None:
         host = self.host
 
-        def passed(client: Client) -> None:
+        def pass_client(client: Client) -> None:
             connection = self.take_out(client)
             if not pass_on(connection):
-                connection[1].close()  # nobody could read on from it; its client will come again
+                connection[1].close()  # no process can continue reading it; the client has to reconnect
                 host.log.count("connections_not_passed")
 
-        host.pass_on, host.passing = passed, True
+        host.pass_on, host.is_passing_connections = pass_client, True
         for client in list(host.clients):
-            if client.idle:
-                passed(client)
+            if client.is_idle:
+                pass_client(client)
 
     def is_drained(self) -> bool:
         return not len(self.host.clients)
@@ -191,13 +192,12 @@
         return event_codec.rehearsal_digest((pool.coordinator for pool in self.host.pools.values()), at)
 
     # ---- in the new process ------------------------------------------------------------------------
-
     def restore(self, state: shots.Snapshot, listeners: dict[str, socket.socket]) -> None:
         if state.sidecar is None:
-            raise shots.UnusableSnapshotError(f"the state of a {state.kind}")
-        self.given = listeners
+            raise shots.UnusableSnapshotError(f"snapshot holds the state of a {state.kind}, not of a sidecar")
+        self.inherited_listeners = listeners
         rows = {row.name: row for row in state.sidecar.pools}
-        self.rows, self.taken = rows, state.taken
+        self.rows, self.snapshot_taken_at = rows, state.taken
         for name, pool in self.host.pools.items():
             if name in rows and rows[name].slices == pool.slices:
                 restore_pool(pool, rows[name])
@@ -205,11 +205,11 @@
                 self.cold.append(name)
 
     def snapshot_again(self) -> shots.Snapshot:
-        """What of the state is not used here, or of a pool cut otherwise, is given back as it came."""
+        """Returns the state with the rows of gone or resized pools as they were received."""
         again = self.snapshot()
         kept = {row.name: row for row in again.sidecar.pools if row.name not in self.cold}
         again.sidecar.pools = [kept.get(name, row) for name, row in self.rows.items()]
-        again.taken = self.taken
+        again.taken = self.snapshot_taken_at
         return again
 
     def rehearse_copy(self, state: shots.Snapshot, at: int) -> bytes:
@@ -226,24 +226,24 @@
                 pool.event_batch.add(*event_codec.unpack_all(rows))
 
     def start_empty(self, listeners: dict[str, socket.socket]) -> None:
-        self.given, self.cold = listeners, list(self.host.pools)
+        self.inherited_listeners, self.cold = listeners, list(self.host.pools)
 
     def start_serving(self, restored: bool) -> None:
         host = self.host
-        host.start(self.given.get("clients"))
-        if "control" in self.given:
-            self.control_taken(self.given["control"])
+        host.start(self.inherited_listeners.get("clients"))
+        if "control" in self.inherited_listeners:
+            self.take_over_control(self.inherited_listeners["control"])
         for name, pool in host.pools.items():
             if name in self.cold:
                 if self.rows:
                     host.log.event("pool_begins_anew", pool=name)
                 pool.start()
                 continue
-            pool.timer_again()
+            pool.restart_timer()
             pool.report_soon()
             for backend in self.rows[name].probing:
                 pool.probes.send(backend)
-            wanted = self.wanted[name]
-            if sorted(told(wanted.values())) != sorted(told(pool.text.servers.values())):
-                host.log.event("servers_changed", pool=name, **pool.relist(wanted))
-        host.go()
+            wanted = self.configured_servers[name]
+            if sorted(server_specs(wanted.values())) != sorted(server_specs(pool.text.servers.values())):
+                host.log.event("servers_changed", pool=name, **pool.update_servers(wanted))
+        host.start_sweeps()
--- a/indigohitch/sidecar/keys.py
+++ b/indigohitch/sidecar/keys.py
@@ -1,7 +1,8 @@
-"""A request's key, and which slice it belongs to.  No I/O."""
+"""The key of a request, and the slice that a key belongs to. Performs no I/O."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from urllib.parse import unquote_to_bytes
 
 import xxhash
@@ -9,8 +10,11 @@
 from ..config.routes import Route, segments
 
 
-def key_of(route: Route, target: str, path: str, header) -> bytes | None:
-    """The key that the route names, None where the request has none.  `header(name)` gives its values."""
+def key_of(route: Route, target: str, path: str, header: Callable[[bytes], list[bytes]]) -> bytes | None:
+    """Returns the key that the route selects, None if the request has none.
+
+    `header(name)` returns the values of a header field.
+    """
     kind, name = route.key
     if kind == "path":
         names = segments(path)
@@ -27,4 +31,5 @@
 
 
 def slice_of(key: bytes, slices: int) -> int:
+    """Returns the slice of the key: its xxh3 hash modulo the number of slices."""
     return xxhash.xxh3_64_intdigest(key) % slices
--- a/indigohitch/sidecar/server_probes.py
+++ b/indigohitch/sidecar/server_probes.py
@@ -1,4 +1,4 @@
-"""Health checks of a pool's servers, which its decision module orders."""
+"""Health checks of a pool's servers, requested by its decision module."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class ServerProbes:
     """Sends health checks; each result becomes an event of the decision module."""
 
-    TIMEOUT = 6000  # ticks; a server that runs answers in a tenth of that
+    TIMEOUT = 6000  # ticks; a healthy server answers in a tenth of that
 
     def __init__(
         self, loop: EventLoop, event_batch: EventBatch, servers: Mapping[str, Server], text: PoolText
@@ -28,7 +28,7 @@
         self._clients: set[HttpClient] = set()
 
     def send(self, backend: str) -> None:
-        """Checks a server by its name; one that is not in the pool counts as out of reach."""
+        """Checks a server by its name; one that is not in the pool counts as unreachable."""
         server = self.servers.get(backend)
         if server is None:
             self.event_batch.add(interface.ProbeResult(backend, "connect_failed", 0))
@@ -51,6 +51,6 @@
         self.event_batch.add(interface.ProbeResult(backend, outcome, response.duration))
 
     def close(self) -> None:
-        """Gives up all checks that are under way."""
+        """Cancels all checks in flight."""
         for client in list(self._clients):
             client.close()
--- a/indigohitch/sidecar/servers.py
+++ b/indigohitch/sidecar/servers.py
@@ -1,4 +1,4 @@
-"""A server as the sidecar meets it: what is out at it, its kept connections, and what was met there."""
+"""The servers of a pool: RPCs in flight, idle connections, and traffic since the last report."""
 
 from __future__ import annotations
 
@@ -7,35 +7,45 @@
 
 
 class Server:
+    """A server of a pool.
+
+    `withdrawn` follows the orders of the decision module; `listed` says whether the configuration has the
+    server.
+    """
+
     __slots__ = (
         "name",
         "address",
         "withdrawn",
         "held",
         "idle",
-        "most_idle",
-        "tries",
+        "max_idle",
+        "attempts",
         "failures",
-        "oks",
-        "time",
+        "successes",
+        "success_time",
         "load",
         "listed",
     )
 
-    def __init__(self, name: str, address: tuple[str, int], most_idle: int) -> None:
-        self.name, self.address, self.most_idle = name, address, most_idle
+    def __init__(self, name: str, address: tuple[str, int], max_idle: int) -> None:
+        self.name, self.address, self.max_idle = name, address, max_idle
         self.withdrawn, self.listed = False, True
-        self.held = 0  # own RPCs out
-        self.idle: list[Upstream] = []  # the last used last
-        self.load: dict[str, float] = {}  # its newest load report
-        self.forget_sums()
+        self.held = 0  # RPCs of this sidecar in flight
+        self.idle: list[Upstream] = []  # the most recently used last
+        self.load: dict[str, float] = {}  # the latest load report
+        self.reset_counts()
 
-    def forget_sums(self) -> None:
-        self.tries = self.failures = self.oks = self.time = 0
+    def reset_counts(self) -> None:
+        """Resets the traffic counts, after a report."""
+        self.attempts = self.failures = self.successes = self.success_time = 0
 
-    def spare(self) -> Upstream | None:
-        """A kept connection, silent as far as can be seen now: its end would cost an RPC that must not go out
-        twice, and bytes that nobody asked for would be the answer to the next."""
+    def take_idle_connection(self) -> Upstream | None:
+        """Returns an idle connection, None if there is none that is open and has no unread data.
+
+        An RPC sent on a connection that has ended could be lost even though it must not be repeated, and
+        unrequested data would be read as the answer to the next RPC.
+        """
         while self.idle:
             found = self.idle.pop()
             if is_connection_open(found.stream.sock):
@@ -43,47 +53,54 @@
             found.stream.close()
         return None
 
-    def keep(self, upstream: Upstream) -> None:
-        if self.listed and not self.withdrawn and len(self.idle) < self.most_idle:
+    def keep_connection(self, upstream: Upstream) -> None:
+        """Keeps the connection for the next RPC, or closes it if there are enough or the server is out."""
+        if self.listed and not self.withdrawn and len(self.idle) < self.max_idle:
             upstream.rpc = None
-            upstream.since = upstream.stream.loop.clock.now()
+            upstream.idle_since = upstream.stream.loop.clock.now()
             self.idle.append(upstream)
         else:
             upstream.stream.close()
 
-    def drop_idle(self, since: int | None = None) -> None:
-        """Close what stands idle, all or what has since then: the server would close it soon, and a close
-        that crosses an RPC costs a try."""
-        while self.idle and (since is None or self.idle[0].since < since):
+    def drop_idle(self, unused_since: int | None = None) -> None:
+        """Closes all idle connections, or those that have been idle since before `unused_since`.
+
+        The server would close them soon, and a close that overlaps with an RPC costs an attempt.
+        """
+        while self.idle and (unused_since is None or self.idle[0].idle_since < unused_since):
             self.idle.pop(0).stream.close()
 
 
 class Upstream:
-    """One connection to a server, and the RPC that has it."""
+    """A connection to a server, and the RPC that uses it."""
 
-    __slots__ = ("server", "stream", "rpc", "since", "used")
+    __slots__ = ("server", "stream", "rpc", "idle_since", "has_served_rpc")
 
     def __init__(self, server: Server, rpc) -> None:
-        self.server, self.rpc, self.used, self.since = server, rpc, False, 0
+        self.server, self.rpc, self.has_served_rpc, self.idle_since = server, rpc, False, 0
         self.stream: Stream | None = None
 
-    # ---- what the stream tells
+    # ---- callbacks of the stream
 
     def on_connected(self, stream: Stream) -> None:
+        """Starts sending the RPC."""
         self.rpc.connected()
 
     def on_data(self, stream: Stream) -> None:
+        """Passes received data to the RPC; closes an idle connection that receives data."""
         if self.rpc is not None:
-            self.rpc.answer_came()
+            self.rpc.on_answer_data()
         else:
             self.on_closed(stream, "unasked")
             stream.close()
 
     def on_output_drained(self, stream: Stream) -> None:
+        """Lets the RPC send more of its request."""
         if self.rpc is not None:
-            self.rpc.upstream_drained()
+            self.rpc.on_upstream_output_drained()
 
     def on_closed(self, stream: Stream, why: str) -> None:
+        """Tells the RPC, or removes the connection from the idle ones."""
         if self.rpc is not None:
             self.rpc.upstream_closed(why)
         elif self in self.server.idle:
--- a/indigohitch/sidecar/service.py
+++ b/indigohitch/sidecar/service.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process."""
+"""The sidecar process."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 
 
 class Sidecar(UpgradableProcess):
+    """The process of a sidecar, which can be upgraded; `follows` says that it replaces a running process."""
+
     def __init__(self, source: str, text: Text, follows: bool = False) -> None:
         self.source, self.text, self.follows = source, text, follows
         super().__init__(text.single["name"], text.single, text.waits)
 
     def make_participant(self) -> HandoverParticipant:
+        """Creates the request path and the handover that covers it and the member of the fleet."""
         self.host = Host(self.loop, self.log, self.text)
         side = SidecarHandover(self.host, self.control_listener, self.take_over_control, self.reload)
         if self.text.fleet is None:
@@ -28,7 +31,7 @@
         from ..fleet.node.companion import add_node_companion
 
         side = add_node_companion(self, side, self.text.fleet, False, self.follows)
-        self.host.felt = self.companion.on_rpc_completed
+        self.host.on_rpc_completed = self.companion.on_rpc_completed
         if self.text.seats:
             from .seating import Seating
 
@@ -36,35 +39,41 @@
         return side
 
     def seat_allocator(self):
-        """That seats are asked of; None while this member takes no part."""
+        """Returns the allocator of seats, None while this member does not take part."""
         work = self.companion.work("seats")
         return work.allocator if work is not None else None
 
     def turn(self) -> None:
+        """Does the request path's work at the end of a turn of the loop."""
         self.host.turn()
 
     def extra_status(self) -> dict:
-        return self.host.figures()
+        """Returns the request path's part of the status answer."""
+        return self.host.status_fields()
 
     def discard_state(self) -> None:
+        """Replaces the request path by an empty one with the configuration as it is now."""
         self.host.close()
         self.text = self.read_operator_file()
         self.participant = self.predecessor_driver.side = self.make_participant()
 
     def read_operator_file(self) -> Text:
+        """Reads the configuration; raises OSError or ValueError."""
         return sidecar_file.load(self.source)
 
     def reload(self) -> None:
-        """Servers as the file names them now; all else in it waits for an upgrade.  A file with a mistake
-        changes nothing."""
+        """Applies the servers of the configuration; its other changes wait for an upgrade.
+
+        An invalid configuration is logged and changes nothing.
+        """
         try:
             text = self.read_operator_file()
             if text.pools.keys() != self.text.pools.keys():
                 raise InvalidRequestError(
-                    "other pools", self.source, "`indigohitch upgrade` puts them in force"
+                    "the pools have changed", self.source, "run `indigohitch upgrade` to apply them"
                 )
-        except (OSError, ValueError) as bad:
-            self.log.warning("reload_failed", **error_fields(bad))
+        except (OSError, ValueError) as error:
+            self.log.warning("reload_failed", **error_fields(error))
             return
         self.log.count("reloads")
         if self.host.access is not None:
@@ -72,16 +81,19 @@
         if self.companion is not None:
             self.companion.reread(text.fleet)
         for name, pool in self.host.pools.items():
-            self.log.event("reloaded", pool=name, **pool.relist(text.pools[name].servers))
+            self.log.event("reloaded", pool=name, **pool.update_servers(text.pools[name].servers))
 
     def start_shutdown(self) -> None:
-        self.host.accept_last()
+        """Accepts the connections that are waiting and closes the listener."""
+        self.host.accept_pending_connections()
         self.host.stop_listening()
 
     def is_done(self) -> bool:
-        return self.host.finish()
+        """Closes unused client connections; returns whether none is left."""
+        return self.host.close_unused_clients()
 
     def close(self) -> None:
+        """Closes the request path; logs the RPCs that exceeded the time limit of the shutdown."""
         for client in self.host.clients:
             if client.rpc is not None:
                 self.log.warning("rpc_outlived_the_bound", rpc=client.rpc.route.rpc.name)
@@ -89,9 +101,9 @@
 
 
 def main(source: str) -> int:
-    """Raises Mistakes, OSError."""
+    """Runs a sidecar and returns its exit code; raises ConfigError, OSError."""
     channel = process_launch.inherited_channel()
     text = sidecar_file.load(source)
-    os.set_blocking(1, False)  # a log that nobody reads must not hold up the service
-    raise_file_limit(2 * text.limits["clients"] + 256)  # each client may have a server's connection
+    os.set_blocking(1, False)  # a log pipe that nobody reads must not block the service
+    raise_file_limit(2 * text.limits["clients"] + 256)  # a client may use one server connection
     return Sidecar(source, text, channel is not None).run(channel)
--- a/tests/seam.py
+++ b/tests/seam.py
@@ -104,7 +104,7 @@
         self.pool = self.host.pools["nodes"]
         self.pool.start()
         self.host.start(ours)
-        self.host.go()
+        self.host.start_sweeps()
         self.socks = []
 
     def turn(self):
--- a/tests/test_access_log.py
+++ b/tests/test_access_log.py
@@ -13,7 +13,7 @@
 from indigohitch.config.lines import ConfigError
 from indigohitch.config.sidecar_file import read
 from indigohitch.load import trace
-from indigohitch.sidecar.access import QUEUE, AccessLog
+from indigohitch.sidecar.access import MAX_QUEUED_LINES, AccessLog
 from recorded import LOAD, ROOT
 from waiting import eventually
 
@@ -29,7 +29,7 @@
 
     log = AccessLog(str(tmp_path / "a"), "json", lambda: dropped.append(1), write)
     began = time.monotonic()
-    for n in range(QUEUE + 5000):
+    for n in range(MAX_QUEUED_LINES + 5000):
         log.add(n, n + 1, "c", "GET", "/x", "r", 200, 1, "")
     assert time.monotonic() - began < 1.0
     assert 4000 < len(dropped) <= 5000  # of those in hand some are out of the queue
@@ -37,12 +37,12 @@
     eventually(lambda: not log.queue)
     log.close()
     lines = (tmp_path / "a").read_bytes().splitlines()
-    assert len(lines) == QUEUE + 5000 - len(dropped) and json.loads(lines[-1])["method"] == "GET"
+    assert len(lines) == MAX_QUEUED_LINES + 5000 - len(dropped) and json.loads(lines[-1])["method"] == "GET"
     full[0] = True
     log = AccessLog(str(tmp_path / "b"), "combined", lambda: None, write)
     log.add(0, 1, "c", "GET", "/x", "r", 200, 1, "")
     log.close()
-    assert log.failed == 1
+    assert log.failed_line_count == 1
 
 
 def test_the_file_names_the_access_log():
--- a/tests/test_crossing_retries.py
+++ b/tests/test_crossing_retries.py
@@ -207,7 +207,7 @@
     old, seam.server = seam.server, socket.create_server(("127.0.0.1", 0))
     server = seam.socks[-1]  # of the kept connection
     found.withdrawn = withdrawn
-    seam.pool.relist({"n1": replace(seam.pool.text.servers["n1"], address=seam.server.getsockname())})
+    seam.pool.update_servers({"n1": replace(seam.pool.text.servers["n1"], address=seam.server.getsockname())})
     seam.asked(server)
     server.sendall(OK % (1, b"1"))
     assert seam.said(sock).endswith(b"\r\n\r\n1")
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -5,8 +5,8 @@
 import pytest
 
 from indigohitch.net.ring_buffer import BufferPool, RingBuffer
-from indigohitch.sidecar.framing import LAST_CHUNK, Body, Malformed, chunk
-from indigohitch.sidecar.heads import AnswerHead, Refused, RequestHead
+from indigohitch.sidecar.framing import LAST_CHUNK, Body, MalformedBodyError, chunk
+from indigohitch.sidecar.heads import AnswerHead, RefusedHeadError, RequestHead
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -43,7 +43,7 @@
 def test_chunks_that_two_could_read_differently_are_refused(wire):
     ring, body = RingBuffer(1 << 16, BufferPool(1 << 20)), Body(Body.CHUNKED)
     ring.push(wire)
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedBodyError):
         for _ in range(5):
             body.take(ring, 1 << 20)
 
@@ -73,7 +73,7 @@
     ],
 )
 def test_heads_that_two_could_read_differently_are_refused(fields, status):
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RefusedHeadError) as refused:
         RequestHead(GOOD % fields)
     assert refused.value.status == status
 
@@ -89,7 +89,7 @@
     ],
 )
 def test_requests_that_are_none(line, status):
-    with pytest.raises(Refused) as refused:
+    with pytest.raises(RefusedHeadError) as refused:
         RequestHead(line)
     assert refused.value.status in (status, 400)
 
@@ -102,16 +102,16 @@
             b"Upgrade: websocket\r\nVia: 1.0 fred\r\nX-Stays: 2\r\nContent-Length: 4\r\n"
         )
     )
-    onward = head.onward()
+    forwarded_head = head.forwarded_head()
     for gone in (b"X-Secret", b"Keep-Alive", b"TE:", b"Upgrade", b"Connection"):
-        assert gone not in onward
-    assert b"Via: 1.0 fred, 1.1 indigohitch\r\n" in onward and b"X-Stays: 2" in onward
-    assert onward.count(b"Content-Length: 4") == 1
+        assert gone not in forwarded_head
+    assert b"Via: 1.0 fred, 1.1 indigohitch\r\n" in forwarded_head and b"X-Stays: 2" in forwarded_head
+    assert forwarded_head.count(b"Content-Length: 4") == 1
 
 
 def test_answers():
     head = AnswerHead(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\n", "HEAD")
-    assert head.body.done and not head.keep and b"Content-Length: 5" in head.onward(False, False)
+    assert head.body.done and not head.keep and b"Content-Length: 5" in head.forwarded_head(False, False)
     assert AnswerHead(b"HTTP/1.1 204 No\r\n\r\n", "GET").body.done
     assert AnswerHead(b"HTTP/1.1 200 OK\r\n\r\n", "GET").body.kind == Body.TO_END
     for bad in (
@@ -119,5 +119,5 @@
         b"HTTP/1.1 101 S\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
     ):
-        with pytest.raises(Refused):
+        with pytest.raises(RefusedHeadError):
             AnswerHead(bad, "GET")
--- a/tests/test_planned_end.py
+++ b/tests/test_planned_end.py
@@ -112,18 +112,18 @@
     waits = socket.create_connection(seam.at, 10)  # in the accept queue
     waits.sendall(READ)
     seam.socks.append(waits)
-    seam.host.accept_last()
+    seam.host.accept_pending_connections()
     seam.host.stop_listening()
-    assert not seam.host.finish()
+    assert not seam.host.close_unused_clients()
     for of in (server, None):
         of, _ = seam.asked(of)
-        seam.host.finish()
+        seam.host.close_unused_clients()
         of.sendall(OK % (1, b"2"))
     for one in (sock, waits):
         found = seam.rest(one)
         assert found.count(b"200 OK") == 1 and b"Connection: close" in found and found.endswith(b"2")
         one.close()
-    seam.until(seam.host.finish)
+    seam.until(seam.host.close_unused_clients)
 
 
 @pytest.mark.parametrize("read", [True, False])
@@ -134,19 +134,19 @@
     server, _ = seam.asked()
     size = 150_000
     server.sendall(OK % (size, b"x" * size))
-    seam.until(lambda: client.rpc is None and client.idle and seam.idle)
+    seam.until(lambda: client.rpc is None and client.is_idle and seam.idle)
     sock.sendall(READ[:10])
     come(client.stream.sock)
     if read:
         seam.until(lambda: len(client.stream.incoming) == 10)
-    seam.host.finish()
+    seam.host.close_unused_clients()
     seam.turn()
-    seam.host.finish()
+    seam.host.close_unused_clients()
     sock.sendall(READ[10:])
     found = seam.rest(sock)
     assert found.startswith(b"HTTP/1.1 200 ") and found.endswith(b"\r\n\r\n" + b"x" * size)
     sock.close()
-    seam.until(seam.host.finish)
+    seam.until(seam.host.close_unused_clients)
 
 
 def test_more_while_the_last_answer_is_on_its_way_costs_it_nothing(seam):
@@ -154,8 +154,8 @@
     client.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 200_000)
     server, _ = seam.asked()
     server.sendall(OK % (150_000, b"x" * 150_000))
-    seam.until(lambda: client.rpc is None and client.idle)
-    seam.host.finish()
+    seam.until(lambda: client.rpc is None and client.is_idle)
+    seam.host.close_unused_clients()
     sock.sendall(READ)
     found = seam.rest(sock)
     assert found.endswith(b"\r\n\r\n" + b"x" * 150_000)
@@ -163,7 +163,7 @@
 
 def test_an_idle_client_is_closed_at_once(seam):
     sock, _, _ = seam.kept()
-    assert seam.host.finish() and not len(seam.host.clients)
+    assert seam.host.close_unused_clients() and not len(seam.host.clients)
     assert sock.recv(10) == b""
 
 
@@ -177,27 +177,27 @@
     server.sendall(OK % (1, b"1"))
     come(at)
     if first == "end":
-        seam.host.finish()
+        seam.host.close_unused_clients()
     seam.turn()
-    seam.host.finish()
+    seam.host.close_unused_clients()
     if behind and first == "answer":  # it had begun before the end
         seam.asked(server)
         server.sendall(OK % (1, b"2"))
     found = seam.rest(sock)
     assert found.count(b" 200 OK") == (2 if behind and first == "answer" else 1)
     sock.close()
-    seam.until(seam.host.finish)
+    seam.until(seam.host.close_unused_clients)
 
 
 def test_a_deadline_due_in_the_turn_of_the_end(seam):
     sock, _ = seam.client(READ)
     seam.asked()
     seam.clock.by += 100_000
-    assert not seam.host.finish()
+    assert not seam.host.close_unused_clients()
     seam.turn()
     assert seam.rest(sock).startswith(b"HTTP/1.1 504 ")
     sock.close()
-    seam.until(seam.host.finish)
+    seam.until(seam.host.close_unused_clients)
 
 
 def test_the_end_while_no_descriptor_was_left_to_accept(seam):
@@ -206,6 +206,6 @@
     seam.host.listener._paused = seam.loop.call_after(100_000, seam.host.listener._resume)
     waits = socket.create_connection(seam.at, 10)
     seam.socks.append(waits)
-    seam.host.accept_last()
+    seam.host.accept_pending_connections()
     seam.host.stop_listening()
-    assert seam.host.finish() and waits.recv(10) == b""
+    assert seam.host.close_unused_clients() and waits.recv(10) == b""
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -194,7 +194,7 @@
 
 @pytest.mark.parametrize("servers, probe", [(2, False), (4, False), (4, True)])
 def test_servers_that_are_dead_are_left(tmp_path, request, servers, probe):
-    """Refused connects prove that nothing ran: the client hears at once, with a time to return; the module's
+    """RefusedHeadError connects prove that nothing ran: the client hears at once, with a time to return; the module's
     weights fade and its planner moves the slices."""
     field = Field(tmp_path, servers=servers, probe=probe).start()
     request.addfinalizer(field.close)
