--- a/tests/field.py
+++ b/tests/field.py
@@ -1,4 +1,4 @@
-"""A sidecar as a program between stand-in servers and stand-in clients, on loopback."""
+"""A sidecar process between stand-in servers and stand-in clients, on loopback."""
 
 import http.client
 import json
@@ -29,6 +29,8 @@
 
 
 class Field:
+    """A sidecar process with its configuration and log, and its servers."""
+
     def __init__(
         self,
         path,
@@ -41,8 +43,11 @@
         report="200ms",
         deadlines=("4s", "3s"),
     ):
-        """`deadlines`: of RPCs to search and to reserve; `also`: so many further servers, all names for
-        further addresses of each stand-in's process."""
+        """Starts the servers and writes the configuration; `start` starts the sidecar.
+
+        `deadlines` are those of the RPCs search and place-reserve.  `also` is a number of further
+        servers, which are further addresses of the first stand-in process.
+        """
         self.path, self.listen = path, free_address()
         self.socket, self.file = str(path / "control"), path / "sidecar.conf"
         self.log_file, self.pids = open(path / "log", "wb"), set()
@@ -55,7 +60,7 @@
             for n, at in enumerate(self.servers)
         ]
         for process in self.standins:
-            process.stdout.readline()  # it listens
+            process.stdout.readline()  # the first line says that it listens
         port = int(self.servers[0].split(":")[1])
         self.more, self.slices = list(more), slices
         self.report, self.deadlines = report, dict(zip(("search", "reserve"), deadlines))
@@ -64,14 +69,14 @@
         self.write()
 
     def write(self, *lines, servers=None):
-        """The operator's file."""
-        some = self.servers if servers is None else servers
+        """Writes the configuration with further `lines`, for all servers or for those in `servers`."""
+        listed = self.servers if servers is None else servers
         self.file.write_text(
             "\n".join(
                 [
                     f"name field\nlisten {self.listen}\ncontrol {self.socket}\npidfile {self.path / 'pid'}",
                     RPCS.format(slices=self.slices, probe=self.probe, report=self.report, **self.deadlines),
-                    *(f"server s{self.servers.index(at)} {at} pool nodes" for at in some),
+                    *(f"server s{self.servers.index(at)} {at} pool nodes" for at in listed),
                     *self.more,
                     *lines,
                     "",
@@ -80,7 +85,7 @@
         )
 
     def fault(self, point, how):
-        """The next program has a fault; `\"\"`: none."""
+        """Makes the next program of an upgrade fail at `point` as `how` says; an empty point: no fault."""
         self.write(f"program {FAULTY} {point} {how} sidecar {self.file}" if point else "")
 
     def start(self, seconds=30.0):
@@ -100,7 +105,7 @@
         return control.send_command(self.socket, what, wait)
 
     def pid(self):
-        """Of the one that serves now."""
+        """Returns the process id of the serving process."""
         return self.ask("status")["pid"]
 
     @property
@@ -128,7 +133,7 @@
         return sock
 
     def acts(self):
-        """How often each id was acted on, by all servers."""
+        """Returns how often each request id was executed, by all servers together."""
         sums = {}
         for at in self.servers:
             host, port = at.split(":")
@@ -140,7 +145,7 @@
         return sums
 
     def load(self, rate, seconds, **words):
-        """An open loop in a thread of its own; `join` gives its figures."""
+        """Sends requests at a fixed rate in a thread of its own; `join` returns the figures."""
         return Running(self, rate, seconds, **words)
 
     def close(self):
@@ -159,11 +164,11 @@
         self.log_file.close()
 
     def one(self):
-        """The old process of the last upgrade has ended."""
+        """Returns whether only one process of this field is running."""
         return len([p for p in {e["pid"] for e in self.said("starts")} if self.mine(p)]) == 1
 
     def mine(self, pid):
-        """A process of this field: it names its file."""
+        """Returns whether the process is a sidecar of this field: its command line names the file."""
         try:
             return str(self.file).encode() in Path(f"/proc/{pid}/cmdline").read_bytes()
         except OSError:
@@ -183,9 +188,9 @@
 
 
 def answers(sock, count, timeout=10):
-    """So many whole answers off one connection, or what came until it ended."""
+    """Returns `count` complete answers from one connection, or fewer if it ended before."""
     sock.settimeout(timeout)
-    reader, found = sock.makefile("rb"), []
+    reader, received = sock.makefile("rb"), []
     for _ in range(count):
         status = reader.readline()
         if not status:
@@ -194,5 +199,5 @@
         while (line := reader.readline()) not in (b"\r\n", b""):
             if line.lower().startswith(b"content-length:"):
                 length = int(line.split(b":")[1])
-        found.append((int(status.split()[1]), reader.read(length)))
-    return found
+        received.append((int(status.split()[1]), reader.read(length)))
+    return received
--- a/tests/seam.py
+++ b/tests/seam.py
@@ -1,5 +1,7 @@
-"""Loops turned by hand between peers whose bytes the test writes: a client of net/http.py; a sidecar's
-host."""
+"""Event loops that the test turns step by step, with peers whose bytes the test writes.
+
+`Wire` has a client of net/http_client.py, `Seam` the host of a sidecar.
+"""
 
 import os
 import select
@@ -27,7 +29,7 @@
 
 
 class Shifted(Clock):
-    """A clock that the test puts forward."""
+    """A clock that the test can advance by `by` ticks."""
 
     by = 0
 
@@ -36,16 +38,19 @@
 
 
 def readable(*socks):
+    """Returns whether each socket has data or its end to read."""
     return len(select.select(socks, [], [], 0)[0]) == len(socks)
 
 
 def come(*socks):
-    """Bytes or the end have arrived in the kernel at each."""
+    """Waits until data or the end has arrived in the kernel at each socket."""
     for sock in socks:
         assert select.select([sock], [], [], 10)[0]
 
 
 class Wire:
+    """An HTTP client in a loop, and the server's sockets, which the test reads and writes."""
+
     def __init__(self, idle=SECOND):
         self.broken, self.answers = [], []
         self.loop = EventLoop(Shifted(), self.broken.append)
@@ -54,10 +59,11 @@
         self.peers = []
 
     def turn(self, until):
+        """Turns the loop until the condition holds."""
         for _ in range(2000):
             if until():
                 return
-            self.loop.call_after(10, lambda: None)  # a turn never waits for long
+            self.loop.call_after(10, lambda: None)  # limits the wait of a turn
             self.loop.turn()
         raise AssertionError("never came true")
 
@@ -65,7 +71,7 @@
         self.client.request(method, "/", span, self.answers.append, body, "text/plain")
 
     def accepted(self):
-        """The peer's side of the next connection, once all of a request has come."""
+        """Returns the server's side of the next connection after reading a request from it."""
         self.turn(lambda: readable(self.listener))
         self.peers.append(self.listener.accept()[0])
         return self.heard(self.peers[-1])
@@ -80,7 +86,7 @@
         return self.answers[-1]
 
     def come(self):
-        """What the peer did is in the kernel, unread."""
+        """Waits until the peer's data or end is in the kernel, unread."""
         assert select.select([self.client._idle.sock], [], [], 10)[0]
 
     def close(self):
@@ -92,23 +98,25 @@
 
 
 class Seam:
+    """The host of a sidecar in a loop, with one server, the clients and a clock controlled by the test."""
+
     def __init__(self):
         self.broken = []
         self.clock = Shifted()
         self.loop = EventLoop(self.clock, self.broken.append)
         self.server = socket.create_server(("127.0.0.1", 0))
-        ours = socket.create_server(("127.0.0.1", 0))
-        self.at = ours.getsockname()
+        listening = socket.create_server(("127.0.0.1", 0))
+        self.at = listening.getsockname()
         text = read(TEXT.format(*self.at, *self.server.getsockname()))
         self.host = Host(self.loop, Log(self.clock, "t", os.open(os.devnull, os.O_WRONLY)), text)
         self.pool = self.host.pools["nodes"]
         self.pool.start()
-        self.host.start(ours)
+        self.host.start(listening)
         self.host.start_sweeps()
         self.socks = []
 
     def turn(self):
-        self.loop.call_after(10, lambda: None)  # never waits for long
+        self.loop.call_after(10, lambda: None)  # limits the wait of a turn
         self.loop.turn()
         self.host.turn()
 
@@ -120,7 +128,7 @@
         raise AssertionError("never came true")
 
     def client(self, data=b"", buffer=0):
-        """A client's side, and ours, once the host has it."""
+        """Connects and sends `data`; returns the client's socket and the host's client object."""
         sock = socket.socket()
         if buffer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
@@ -133,7 +141,7 @@
         return sock, next(c for c in self.host.clients if c.serial == self.host.serial)
 
     def asked(self, sock=None):
-        """The server's side of a connection, new unless named, and the RPC that came there."""
+        """Returns the server's side of a connection, by default a new one, and the request received on it."""
         if sock is None:
             self.until(lambda: readable(self.server))
             sock, _ = self.server.accept()
@@ -142,19 +150,19 @@
         return sock, sock.recv(1 << 16)
 
     def said(self, sock):
-        """What the client has, at once all of what came."""
+        """Returns what the client can read at once, after waiting for data."""
         self.until(lambda: readable(sock))
         return sock.recv(1 << 16)
 
     def rest(self, sock):
-        """All up to the end; raises ConnectionResetError."""
-        found = b""
+        """Returns all data up to the end of the connection; raises ConnectionResetError."""
+        data = b""
         while part := self.said(sock):
-            found += part
-        return found
+            data += part
+        return data
 
     def kept(self):
-        """A client, and a server's connection that has served it once and stands idle."""
+        """Returns a client's socket and object, and an idle server connection that has served it once."""
         sock, client = self.client(READ)
         server, _ = self.asked()
         server.sendall(OK % (1, b"1"))
--- a/tests/test_heads.py
+++ b/tests/test_http_heads_and_framing.py
@@ -1,4 +1,4 @@
-"""Framing and heads without sockets."""
+"""Strict parsing and forwarding of heads, and framing of chunked bodies, without sockets."""
 
 import random
 
@@ -10,18 +10,18 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_chunks_come_out_whole_however_they_are_cut(seed):
+def test_a_chunked_body_is_decoded_however_its_bytes_are_split(seed):
     rng = random.Random(seed)
     parts = [rng.randbytes(rng.randint(1, 5000)) for _ in range(rng.randint(0, 8))]
     last = b"0\r\nX-T: 1\r\n\r\n" if rng.random() < 0.5 else LAST_CHUNK
     wire = b"".join(map(chunk, parts)) + last + b"NEXT"
-    ring, body, got = RingBuffer(1 << 16, BufferPool(1 << 20)), Body(Body.CHUNKED), b""
+    ring, body, data = RingBuffer(1 << 16, BufferPool(1 << 20)), Body(Body.CHUNKED), b""
     while not body.done:
         count = rng.randint(1, 900)
         assert ring.push(wire[:count])
         wire = wire[count:]
-        got += body.take(ring, rng.randint(1, 2000))
-    assert got == b"".join(parts) and ring.take() + wire == b"NEXT"
+        data += body.take(ring, rng.randint(1, 2000))
+    assert data == b"".join(parts) and ring.take() + wire == b"NEXT"
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
         b"0\r\n" + b"a: b\r\n" * 2000 + b"\r\n",
     ],
 )
-def test_chunks_that_two_could_read_differently_are_refused(wire):
+def test_ambiguous_chunks_are_refused(wire):
     ring, body = RingBuffer(1 << 16, BufferPool(1 << 20)), Body(Body.CHUNKED)
     ring.push(wire)
     with pytest.raises(MalformedBodyError):
@@ -72,7 +72,7 @@
         (b"Expect: wonders\r\n", 417),
     ],
 )
-def test_heads_that_two_could_read_differently_are_refused(fields, status):
+def test_ambiguous_heads_are_refused(fields, status):
     with pytest.raises(RefusedHeadError) as refused:
         RequestHead(GOOD % fields)
     assert refused.value.status == status
@@ -88,13 +88,13 @@
         (b"GET /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
     ],
 )
-def test_requests_that_are_none(line, status):
+def test_unsupported_requests_are_refused(line, status):
     with pytest.raises(RefusedHeadError) as refused:
         RequestHead(line)
     assert refused.value.status in (status, 400)
 
 
-def test_what_is_of_the_hop_does_not_go_on():
+def test_hop_by_hop_fields_are_not_forwarded():
     head = RequestHead(
         GOOD
         % (
@@ -102,22 +102,22 @@
             b"Upgrade: websocket\r\nVia: 1.0 fred\r\nX-Stays: 2\r\nContent-Length: 4\r\n"
         )
     )
-    forwarded_head = head.forwarded_head()
-    for gone in (b"X-Secret", b"Keep-Alive", b"TE:", b"Upgrade", b"Connection"):
-        assert gone not in forwarded_head
-    assert b"Via: 1.0 fred, 1.1 indigohitch\r\n" in forwarded_head and b"X-Stays: 2" in forwarded_head
-    assert forwarded_head.count(b"Content-Length: 4") == 1
+    forwarded = head.forwarded_head()
+    for field in (b"X-Secret", b"Keep-Alive", b"TE:", b"Upgrade", b"Connection"):
+        assert field not in forwarded
+    assert b"Via: 1.0 fred, 1.1 indigohitch\r\n" in forwarded and b"X-Stays: 2" in forwarded
+    assert forwarded.count(b"Content-Length: 4") == 1
 
 
-def test_answers():
+def test_the_body_of_an_answer_follows_its_method_status_and_framing():
     head = AnswerHead(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\n", "HEAD")
     assert head.body.done and not head.keep and b"Content-Length: 5" in head.forwarded_head(False, False)
     assert AnswerHead(b"HTTP/1.1 204 No\r\n\r\n", "GET").body.done
     assert AnswerHead(b"HTTP/1.1 200 OK\r\n\r\n", "GET").body.kind == Body.TO_END
-    for bad in (
+    for invalid in (
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
         b"HTTP/1.1 101 S\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
     ):
         with pytest.raises(RefusedHeadError):
-            AnswerHead(bad, "GET")
+            AnswerHead(invalid, "GET")
--- a/tests/test_crossing_idle.py
+++ b/tests/test_idle_connection_races.py
@@ -1,5 +1,7 @@
-"""A kept connection on which two things meet: the next request, its end, bytes that nobody asked for.  One
-loop in this process, turned by hand, against a peer whose every byte is written here."""
+"""Races on an idle client connection: the next request against its end or against unrequested bytes.
+
+One event loop in this process, turned step by step, with a peer whose bytes the test writes.
+"""
 
 import select
 import socket
@@ -11,12 +13,12 @@
 
 @pytest.fixture
 def wire():
-    found = Wire()
-    yield found
-    found.close()
+    wire = Wire()
+    yield wire
+    wire.close()
 
 
-def rested(wire):
+def idle_connection(wire):
     wire.ask()
     peer = wire.accepted()
     peer.sendall(OK % (1, b"1"))
@@ -25,40 +27,40 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-@pytest.mark.parametrize("meets", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"])
-def test_a_request_never_takes_a_connection_that_shows_its_end_or_an_answer(wire, method, meets):
-    peer = rested(wire)
-    if meets:
-        peer.sendall(meets)
+@pytest.mark.parametrize("arrives", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"])
+def test_a_request_never_uses_a_connection_with_unread_data_or_its_end(wire, method, arrives):
+    peer = idle_connection(wire)
+    if arrives:
+        peer.sendall(arrives)
     else:
         peer.shutdown(socket.SHUT_WR)
     wire.come()
-    wire.ask(method, b"x" if method == "POST" else b"")  # before the turn that would have shown it
+    wire.ask(method, b"x" if method == "POST" else b"")  # before the turn in which the loop would see it
     other = wire.accepted()
     other.sendall(OK % (1, b"2"))
     assert wire.answered(2).outcome == "answered" and wire.answers[1].body == b"2"
     assert len(wire.peers) == 2
 
 
-def test_a_kept_connection_serves_the_next(wire):
-    peer = rested(wire)
+def test_an_idle_connection_serves_the_next_request(wire):
+    peer = idle_connection(wire)
     wire.ask()
     wire.heard(peer).sendall(OK % (1, b"2"))
     assert wire.answered(2).body == b"2" and len(wire.peers) == 1
 
 
 @pytest.mark.parametrize("bytes_first", [0, 20, 40])
-def test_a_post_that_meets_the_end_is_not_written_again(wire, bytes_first):
-    """It stood when it was taken: what became of the request nobody knows."""
-    peer = rested(wire)
+def test_a_post_whose_connection_ends_is_not_sent_again(wire, bytes_first):
+    """The connection was open when the request was sent: the server may have executed it."""
+    peer = idle_connection(wire)
     wire.ask()
     wire.heard(peer).sendall((OK % (9, b"12345"))[:bytes_first])
     peer.close()
     assert wire.answered(2).outcome == "reset" and not readable(wire.listener)
 
 
-def test_a_get_that_meets_the_end_is_asked_again_but_not_after_a_byte(wire):
-    peer = rested(wire)
+def test_a_get_whose_connection_ends_is_repeated_unless_a_byte_was_received(wire):
+    peer = idle_connection(wire)
     wire.ask("GET", b"")
     wire.heard(peer).close()
     other = wire.accepted()
@@ -72,8 +74,8 @@
 
 @pytest.mark.parametrize("pieces", [1, 2])
 @pytest.mark.parametrize("behind", [b"junk\r\n\r\n", OK % (5, b"other"), b"\0"])
-def test_what_comes_behind_a_whole_answer_spoils_the_connection_alone(wire, behind, pieces):
-    """In one read or in two: the answer counts, and the next request goes elsewhere."""
+def test_bytes_after_a_complete_answer_only_end_the_connection(wire, behind, pieces):
+    """In the same read or later: the answer counts, and the next request uses a new connection."""
     wire.ask()
     peer = wire.accepted()
     if pieces == 1:
@@ -92,7 +94,7 @@
 
 @pytest.mark.parametrize("together", [True, False])
 def test_an_interim_answer_is_not_the_answer(wire, together):
-    """Taken for it, the true one would have come to the next request."""
+    """If it were taken as the answer, the final one would be read as the answer to the next request."""
     wire.ask()
     peer = wire.accepted()
     for status in (b"100 Continue", b"103 Early Hints"):
@@ -110,15 +112,15 @@
 
 
 @pytest.mark.parametrize("upgrade", [b"", b"Connection: upgrade\r\nUpgrade: x\r\n"])
-def test_a_switch_of_protocols_that_nobody_asked_for_is_no_answer(wire, upgrade):
-    """A status below 400 would count as done."""
+def test_an_unrequested_switch_of_protocols_is_no_answer(wire, upgrade):
+    """A status below 400 would count as success."""
     wire.ask()
     wire.accepted().sendall(b"HTTP/1.1 101 Switching Protocols\r\n%b\r\n" % upgrade)
     assert wire.answered(1).outcome == "unreadable" and wire.client._idle is None
 
 
 @pytest.mark.parametrize("head", [b"", b"HTTP/1.1 100 Continue\r\n\r\n"])
-def test_an_end_after_an_interim_answer_is_no_answer(wire, head):
+def test_an_end_before_the_final_answer_is_a_reset(wire, head):
     wire.ask()
     peer = wire.accepted()
     peer.sendall(head)
@@ -135,19 +137,19 @@
         (b"HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", True),
     ],
 )
-def test_only_a_connection_that_may_go_on_rests(wire, answer, keeps):
+def test_only_a_persistent_connection_is_kept(wire, answer, keeps):
     wire.ask("GET", b"")
     wire.accepted().sendall(answer)
     assert wire.answered(1).outcome == "answered" and (wire.client._idle is not None) == keeps
 
 
-def test_the_idle_close_of_our_own_meets_the_next_request(wire):
-    """Due in the turn of the request: whoever is first, no request is written to a closed connection."""
-    peer = rested(wire)
+def test_the_idle_timeout_never_closes_a_connection_under_a_request(wire):
+    """Both happen in one turn: in either order, no request is written to a closed connection."""
+    peer = idle_connection(wire)
     close = wire.client._deadline
     assert close.action is not None
     wire.ask()
-    assert close.action is None  # what is due in this turn closes nothing any more
+    assert close.action is None  # a close that is due in this turn is cancelled
     wire.heard(peer).sendall(OK % (1, b"2"))
     assert wire.answered(2).body == b"2"
     wire.client._deadline.action()
@@ -157,7 +159,7 @@
     assert wire.answered(3).body == b"3"
 
 
-def test_an_answer_before_the_request_is_out_ends_the_connection(wire):
+def test_an_answer_before_the_whole_request_was_sent_ends_the_connection(wire):
     wire.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     wire.ask(body=b"x" * 1_000_000)
     connection = next(iter(wire.client.exchanges)).connection
--- a/tests/test_crossing_retries.py
+++ b/tests/test_rpc_overlapping_failures.py
@@ -1,4 +1,4 @@
-"""An RPC on which two things meet: its answer, its deadline, the end of its connection, another's bytes."""
+"""Overlapping events of one RPC: its answer, its deadline, the end of its connection, unrequested bytes."""
 
 import socket
 from dataclasses import replace
@@ -11,13 +11,13 @@
 
 @pytest.fixture
 def seam():
-    found = Seam()
-    yield found
-    found.close()
+    seam = Seam()
+    yield seam
+    seam.close()
 
 
-def ends(sock, how):
-    """The server lets go of a connection."""
+def end_connection(sock, how):
+    """Ends a server connection by a reset, after part of an answer, or without a byte."""
     if how == "reset":
         reset(sock)
     else:
@@ -27,42 +27,42 @@
 
 @pytest.mark.parametrize("kept", [True, False])
 @pytest.mark.parametrize("how", ["end", "part", "reset"])
-def test_a_reservation_goes_out_once_whatever_its_connection_does(seam, kept, how):
-    """And the client hears in the turn that shows it."""
+def test_a_reservation_is_sent_once_however_its_connection_ends(seam, kept, how):
+    """The client gets its answer in the turn that sees the end of the connection."""
     sock, client, server = seam.kept() if kept else (*seam.client(), None)
-    seam.pool.tables[0].retry_level = 3  # whatever the orders say
+    seam.pool.tables[0].retry_level = 3  # even the highest retry level must not repeat it
     sock.sendall(RESERVE)
     server, _ = seam.asked(server)
-    at = client.rpc.upstream.stream.sock
-    ends(server, how)
-    come(at)
+    upstream_sock = client.rpc.upstream.stream.sock
+    end_connection(server, how)
+    come(upstream_sock)
     seam.turn()
-    seam.turn()  # after a part: the end is read in the next
+    seam.turn()  # after part of an answer, the end is read in the next turn
     assert readable(sock) and sock.recv(4096).startswith(b"HTTP/1.1 502 ")
     assert not readable(seam.server) and not seam.idle
 
 
 @pytest.mark.parametrize("how, again", [("end", True), ("reset", True), ("part", False)])
-def test_what_may_run_twice_goes_again_where_a_kept_connection_ended_without_a_byte(seam, how, again):
-    """By a reset too: the server closed with the RPC unread.  On a new connection it is the server's end."""
+def test_an_idempotent_rpc_is_repeated_if_an_idle_connection_ended_without_a_byte(seam, how, again):
+    """A reset too: the server closed with the RPC unread.  On a new connection the RPC may have run."""
     sock, _, server = seam.kept()
     sock.sendall(READ)
     for _ in range(2 if again else 1):
         server, _ = seam.asked(server)
-        ends(server, how)
+        end_connection(server, how)
         server = None
     assert seam.said(sock).startswith(b"HTTP/1.1 502 ") and not readable(seam.server)
 
 
-def test_a_new_connection_that_ends_has_ended_on_the_rpc(seam):
+def test_an_rpc_is_not_repeated_if_a_new_connection_ends(seam):
     sock, _ = seam.client(READ)
     server, _ = seam.asked()
     server.close()
     assert seam.said(sock).startswith(b"HTTP/1.1 502 ") and not readable(seam.server)
 
 
-def test_a_kept_connection_that_ends_later_has_ended_on_the_rpc(seam):
-    """The level of further tries is for proof only: it has run for a while, perhaps."""
+def test_an_rpc_is_not_repeated_if_a_reused_connection_ends_later(seam):
+    """Only an immediate close proves that nothing ran; after a while the RPC may have run."""
     sock, client, server = seam.kept()
     sock.sendall(READ)
     seam.asked(server)
@@ -71,10 +71,10 @@
     assert seam.said(sock).startswith(b"HTTP/1.1 502 ") and not readable(seam.server)
 
 
-def test_a_reservation_never_takes_a_connection_that_shows_its_end(seam):
+def test_a_reservation_never_uses_a_connection_that_has_ended(seam):
     sock, client, server = seam.kept()
     sock.sendall(RESERVE)
-    come(client.stream.sock)  # made ready first: it is met first
+    come(client.stream.sock)  # ready first, so the loop handles it first
     server.close()
     come(seam.idle[0].stream.sock)
     other, request = seam.asked()
@@ -83,23 +83,23 @@
     assert seam.said(sock).endswith(b"\r\n\r\n2")
 
 
-def test_bytes_that_nobody_asked_for_are_no_answer_to_the_next(seam):
-    """A second answer lies in the kernel as the next RPC takes the connection."""
+def test_unrequested_bytes_are_not_the_answer_to_the_next_rpc(seam):
+    """A second answer is in the kernel when the next RPC would use the connection."""
     sock, _ = seam.client(READ + READ)
     server, _ = seam.asked()
     first = OK.replace(b"%d", b"%04d") % (4096 - 41, b"x" * (4096 - 41))
-    assert len(first) == 4096  # as much as is read at once
+    assert len(first) == 4096  # the size of one read
     server.sendall(first + OK % (5, b"other"))
     other, _ = seam.asked()
     other.sendall(OK % (1, b"2"))
-    found = b""
-    while not found.endswith(b"\r\n\r\n2"):
-        found += seam.said(sock)
-    assert b"other" not in found
+    data = b""
+    while not data.endswith(b"\r\n\r\n2"):
+        data += seam.said(sock)
+    assert b"other" not in data
 
 
-def test_an_empty_body_in_chunks_is_whole_at_the_second_try_too(seam):
-    """The kept connection ends as the RPC goes out: it may go again, and with its last chunk."""
+def test_an_empty_chunked_body_is_complete_in_the_second_attempt(seam):
+    """The idle connection ends as the RPC is sent: the RPC is repeated, including its last chunk."""
     sock, _, server = seam.kept()
     sock.sendall(b"POST /a/1 HTTP/1.1\r\nHost: t\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
     _, first = seam.asked(server)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("request_", [READ, RESERVE])
-def test_an_answer_that_is_there_in_the_turn_of_the_deadline_counts(seam, request_):
+def test_an_answer_that_arrived_in_the_turn_of_the_deadline_counts(seam, request_):
     sock, client = seam.client(request_)
     server, _ = seam.asked()
     server.sendall(OK % (1, b"1"))
@@ -122,8 +122,8 @@
 
 
 @pytest.mark.parametrize("piece", [1_000_000, 1000])
-def test_an_early_answer_counts_though_the_rest_of_the_request_meets_a_reset(seam, piece):
-    """The server refuses the body and closes with some of it unread: its answer is there before the reset."""
+def test_an_early_answer_counts_although_the_rest_of_the_request_is_reset(seam, piece):
+    """The server refuses the body and closes with some of it unread: its answer arrives before the reset."""
     seam.server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock, client = seam.client(RESERVE.replace(b"Length: 0", b"Length: 40000000"))
     sock.setblocking(False)
@@ -132,18 +132,18 @@
     if piece > 1000:
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
 
-        def stuck():
-            """The body waits in the ring for the server to read."""
+        def is_blocked():
+            """Sends more of the body; returns whether some of it waits in the ring for the server."""
             try:
                 sock.send(b"x" * piece)
             except BlockingIOError:
                 pass
             return len(stream.outgoing)
 
-        seam.until(stuck)
+        seam.until(is_blocked)
     else:
         sock.send(b"x" * piece)
-        come(client.stream.sock)  # met first, and then the server's
+        come(client.stream.sock)  # handled before the server's socket
         seam.turn()
         sock.send(b"x" * piece)
         come(client.stream.sock)
@@ -153,7 +153,7 @@
     assert seam.said(sock).startswith(b"HTTP/1.1 413 ") and not readable(seam.server)
 
 
-def test_a_late_answer_is_never_another_rpcs(seam):
+def test_a_late_answer_is_never_read_as_that_of_another_rpc(seam):
     sock, client = seam.client(READ)
     server, _ = seam.asked()
     seam.clock.by += 100_000
@@ -169,8 +169,8 @@
     assert seam.said(sock).endswith(b"\r\n\r\n2")
 
 
-def test_a_repeat_of_the_client_is_an_rpc_of_its_own(seam):
-    """The first is still in flight: neither waits for the other, gets its answer or ends it."""
+def test_a_request_repeated_by_its_client_is_a_separate_rpc(seam):
+    """While the first is in flight, neither waits for the other, gets its answer or ends it."""
     (one, _), (two, _) = seam.client(RESERVE), seam.client(RESERVE)
     (first, _), (second, _) = seam.asked(), seam.asked()
     second.sendall(OK % (1, b"2"))
@@ -179,8 +179,8 @@
     assert seam.said(one).endswith(b"1")
 
 
-def test_who_spoke_while_the_process_stood_still_was_not_silent(seam):
-    """The sweep is due in the turn that reads it."""
+def test_a_client_that_sent_data_during_a_stall_is_not_too_slow(seam):
+    """The sweep is due in the turn that reads the data, after a stall of the process."""
     half, _ = seam.client(READ[:10])
     slow, client = seam.client(READ[:10])
     seam.until(lambda: len(client.stream.incoming) == 10)
@@ -198,20 +198,20 @@
 
 
 @pytest.mark.parametrize("withdrawn", [False, True])
-def test_a_server_that_moves_while_an_rpc_is_out_at_it(seam, withdrawn):
-    """The answer from the old address counts, and every next RPC goes to the new one, as the orders stand."""
+def test_a_server_may_change_its_address_while_an_rpc_is_in_flight(seam, withdrawn):
+    """The answer from the old address counts; later RPCs use the new one, if the server is not withdrawn."""
     sock, _, _ = seam.kept()
     sock.sendall(READ)
     seam.turn()
-    found = seam.pool.servers["n1"]
+    moved = seam.pool.servers["n1"]
     old, seam.server = seam.server, socket.create_server(("127.0.0.1", 0))
-    server = seam.socks[-1]  # of the kept connection
-    found.withdrawn = withdrawn
+    server = seam.socks[-1]  # its idle connection
+    moved.withdrawn = withdrawn
     seam.pool.update_servers({"n1": replace(seam.pool.text.servers["n1"], address=seam.server.getsockname())})
     seam.asked(server)
     server.sendall(OK % (1, b"1"))
     assert seam.said(sock).endswith(b"\r\n\r\n1")
-    assert not found.idle and all(found not in table.servers for table in seam.pool.tables)
+    assert not moved.idle and all(moved not in table.servers for table in seam.pool.tables)
     sock.sendall(READ)
     if withdrawn:
         assert seam.said(sock).startswith(b"HTTP/1.1 503 ")
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar as a program between clients and servers that misbehave, over sockets."""
+"""The sidecar process between misbehaving clients and servers, over sockets."""
 
 import os
 import re
@@ -14,11 +14,11 @@
 
 @pytest.fixture
 def field(tmp_path):
-    found = Field(
+    field = Field(
         tmp_path, more=["limit body 200MB", "wait head 700ms", "wait stream 1500ms", "wait idle 2s"]
     ).start()
-    yield found
-    found.close()
+    yield field
+    field.close()
 
 
 def memory(field):
@@ -30,7 +30,7 @@
     return field.ask("status")["counters"]
 
 
-def test_rpcs_of_all_kinds(field):
+def test_rpcs_of_all_methods_and_framings_are_proxied(field):
     assert field.get().content.endswith(b"acted 0")
     assert field.get(method="HEAD").headers["Content-Length"] and not field.get(method="HEAD").content
     assert field.get("/places/3/reserve", "POST", b"x" * 100).content.endswith(b"acted 100")
@@ -44,7 +44,7 @@
     assert "indigohitch" in field.get().headers["Via"]
 
 
-def test_old_clients_get_what_they_can_read(field):
+def test_an_http_1_0_client_gets_no_chunks(field):
     sock = field.raw(b"GET /vacancies/1 HTTP/1.0\r\nX-Act: size=5000,chunks\r\n\r\n")
     data = b""
     while part := sock.recv(65536):
@@ -59,7 +59,7 @@
     assert [status for status, _ in answers(sock, 3)] == [201, 202, 203]
 
 
-def test_a_key_stays_with_its_server(field):
+def test_a_key_always_goes_to_the_same_server(field):
     for key in range(12):
         assert len({field.get(f"/vacancies/{key}").headers["X-Server"] for _ in range(4)}) == 1
 
@@ -82,14 +82,14 @@
         (b"GET /" + b"v" * 9000 + b" HTTP/1.1\r\nHost: t\r\n\r\n", 414),
     ],
 )
-def test_what_is_refused_ends_the_connection(field, head, status):
+def test_a_refused_request_ends_the_connection(field, head, status):
     sock = field.raw(head)
     assert answers(sock, 2)[0][0] == status
     assert not field.acts()
 
 
-def test_a_large_body_never_takes_more_than_its_rings(field):
-    """100 MB to a server, and 100 MB back to a client that reads slowly."""
+def test_a_large_body_uses_no_more_memory_than_its_rings(field):
+    """100 MB go to a server, and 100 MB come back to a client that reads slowly."""
     before = memory(field)
     sent = iter([b"x" * 100_000] * 1000)
     assert field.get("/vacancies/1", "POST", sent, timeout=60).content.endswith(b"acted 100000000")
@@ -98,7 +98,7 @@
     for _ in range(20):
         got += len(sock.recv(200_000))
         time.sleep(0.02)
-    # Meanwhile others are served, and nothing piles up for the slow one.
+    # Meanwhile other clients are served, and the slow one's answer is not buffered beyond its ring.
     assert field.get("/vacancies/2").status == 200
     assert memory(field) < before + 4
     while got < 100_000_000 and (part := sock.recv(1 << 20)):
@@ -106,21 +106,21 @@
     assert got >= 100_000_000
 
 
-def test_clients_that_are_too_slow_are_ended(field):
-    drip, stuck = (
+def test_clients_that_are_too_slow_are_disconnected(field):
+    trickling, stalled = (
         field.raw(b"GET /vac"),
         field.raw(b"POST /vacancies/1 HTTP/1.1\r\nHost: t\r\nContent-Length: 10\r\n\r\nabc"),
     )
     ends = {}
     began = time.monotonic()
-    for sock in (drip, stuck):
+    for sock in (trickling, stalled):
         sock.settimeout(0.1)
     while len(ends) < 2 and time.monotonic() - began < 8:
         try:
-            drip.sendall(b"x")  # one byte now and then is not enough
+            trickling.sendall(b"x")  # a byte now and then must not extend the time limit
         except OSError:
             pass
-        for sock in (drip, stuck):
+        for sock in (trickling, stalled):
             try:
                 if sock not in ends and not sock.recv(100):
                     ends[sock] = time.monotonic() - began
@@ -128,11 +128,11 @@
                 pass
             except OSError:
                 ends[sock] = time.monotonic() - began
-    assert ends[drip] < 3 and ends[stuck] < 4
+    assert ends[trickling] < 3 and ends[stalled] < 4
     assert counters(field)["client_too_slow"] == 2
 
 
-def test_continue_is_passed_on_and_a_refusal_comes_at_once(field):
+def test_continue_and_an_early_refusal_are_forwarded_at_once(field):
     expecting = b"POST /vacancies/1 HTTP/1.1\r\nHost: t\r\nExpect: 100-continue\r\n"
     sock = field.raw(expecting + b"Content-Length: 4\r\n\r\n")
     reader = sock.makefile("rb")
@@ -158,7 +158,7 @@
     assert answers(sock, 1)[0][0] == 403
 
 
-def test_a_client_that_goes_ends_its_try(field):
+def test_a_client_that_disconnects_ends_its_attempt(field):
     sock = field.raw(b"GET /vacancies/1 HTTP/1.1\r\nHost: t\r\nX-Act: mute\r\n\r\n")
     eventually(lambda: field.ask("status")["in_hand"] == 1)
     sock.close()
@@ -174,7 +174,7 @@
     assert field.acts() == {"one": 1}
 
 
-def test_an_answer_that_breaks_off_is_cut_off(field):
+def test_a_truncated_answer_is_truncated_for_the_client(field):
     sock = field.raw(b"GET /vacancies/1 HTTP/1.1\r\nHost: t\r\nX-Act: reset_head,size=5000\r\n\r\n")
     data = b""
     try:
@@ -186,34 +186,36 @@
     assert counters(field)["rpc_cut_off"] == 1
 
 
-def test_a_deadline_ends_an_rpc_in_time(field):
+def test_an_rpc_is_answered_at_its_deadline(field):
     began = time.monotonic()
     assert field.get("/places/1/reserve", "POST", b"x", act="mute", id="one").status == 504
     assert 2.8 < time.monotonic() - began < 6 and field.acts() == {"one": 1}
 
 
 @pytest.mark.parametrize("servers, probe", [(2, False), (4, False), (4, True)])
-def test_servers_that_are_dead_are_left(tmp_path, request, servers, probe):
-    """RefusedHeadError connects prove that nothing ran: the client hears at once, with a time to return; the module's
-    weights fade and its planner moves the slices."""
+def test_dead_servers_lose_their_traffic(tmp_path, request, servers, probe):
+    """A refused connect proves that nothing ran: the client gets a 503 with Retry-After at once.
+
+    The decision module lowers the weights of the server and its planner moves the slices away.
+    """
     field = Field(tmp_path, servers=servers, probe=probe).start()
     request.addfinalizer(field.close)
     field.standins[0].kill()
     field.standins[0].wait()
-    seen, end = [], time.monotonic() + 60
-    while time.monotonic() < end and seen[-60:].count(200) < 54:
+    statuses, end = [], time.monotonic() + 60
+    while time.monotonic() < end and statuses[-60:].count(200) < 54:
         began = time.monotonic()
-        answer = field.get(f"/vacancies/{len(seen) % 40}")
-        seen.append(answer.status)
+        answer = field.get(f"/vacancies/{len(statuses) % 40}")
+        statuses.append(answer.status)
         assert time.monotonic() - began < 2
         if answer.status != 200:
             assert answer.status == 503 and answer.headers["Retry-After"] == "2"
         time.sleep(0.01)
-    # Not all: what has no tries gets its weight back, and a slice now and then with it.
-    assert 503 in seen and seen[-60:].count(200) >= 54
+    # Not all 60: a server without attempts regains its weight, and sometimes a slice with it.
+    assert 503 in statuses and statuses[-60:].count(200) >= 54
 
 
-def test_servers_come_and_go_with_the_file(field):
+def test_a_reload_adds_and_removes_servers(field):
     field.write(servers=field.servers[:1])
     os.kill(field.process.pid, signal.SIGHUP)
     eventually(lambda: field.said("reloaded"))
@@ -224,7 +226,7 @@
     assert "wiat" in field.said("reload_failed")[0]["why"] and field.get().status == 200
 
 
-def test_the_end_answers_what_is_in_hand(field):
+def test_shutdown_answers_the_rpcs_in_flight(field):
     sock = field.raw(b"GET /vacancies/1 HTTP/1.1\r\nHost: t\r\nX-Act: wait=500\r\n\r\n")
     idle = socket.create_connection(sock.getpeername())
     time.sleep(0.2)
--- a/tests/test_planned_end.py
+++ b/tests/test_sidecar_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned end of a sidecar: what comes after SIGTERM is answered, or its connection is closed at once."""
+"""Shutdown of a sidecar: a request after SIGTERM is answered, or its connection is closed at once."""
 
 import signal
 import socket
@@ -10,7 +10,7 @@
 from seam import OK, READ, Seam, come
 from waiting import eventually
 
-HELD = b"GET /vacancies/1 HTTP/1.1\r\nHost: x\r\nX-Act: wait=1500\r\n\r\n"
+SLOW = b"GET /vacancies/1 HTTP/1.1\r\nHost: x\r\nX-Act: wait=1500\r\n\r\n"
 PLAIN = b"GET /vacancies/2 HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -23,13 +23,13 @@
 
 @pytest.fixture
 def seam():
-    found = Seam()
-    yield found
-    found.close()
+    seam = Seam()
+    yield seam
+    seam.close()
 
 
-def over(sock):
-    """Closed or reset by the other side."""
+def is_closed(sock):
+    """Returns whether the other side closed or reset the connection without sending data."""
     sock.settimeout(5)
     try:
         return sock.recv(1 << 16) == b""
@@ -37,9 +37,9 @@
         return True
 
 
-def test_what_comes_after_the_signal_is_answered_or_closed(field):
-    """Found in the text: who connected while an answer was in hand waited for that, then was reset."""
-    idle, busy = field.raw(PLAIN), field.raw(HELD)
+def test_connections_after_the_signal_are_answered_or_closed_at_once(field):
+    """Clients that connected while an RPC was in flight used to wait for its answer and were then reset."""
+    idle, busy = field.raw(PLAIN), field.raw(SLOW)
     assert answers(idle, 1)[0][0] == 200
     eventually(
         lambda: (
@@ -52,31 +52,33 @@
     busy.sendall(PLAIN)
     began = time.monotonic()
     for _ in range(3):
-        with pytest.raises(OSError):  # refused, or reset if it was in the kernel just before
+        with pytest.raises(OSError):  # refused, or reset if the kernel had queued it just before
             late = field.raw(PLAIN)
-            assert not over(late)
-    assert over(idle) and time.monotonic() - began < 1.0 and field.process.poll() is None
+            assert not is_closed(late)
+    assert is_closed(idle) and time.monotonic() - began < 1.0 and field.process.poll() is None
     found = answers(busy, 2)
-    assert found[0][0] == 200 and (len(found) == 2 or over(busy))
+    assert found[0][0] == 200 and (len(found) == 2 or is_closed(busy))
     assert field.process.wait(10) == 0
 
 
-def test_one_that_waits_to_be_accepted_is_answered(field):
-    """It connected and sent its RPC before the signal; the process sees both at once."""
+def test_a_connection_in_the_accept_queue_is_answered(field):
+    """The client connected and sent its RPC before the signal; the process sees both at once."""
     host, port = field.listen.split(":")
     field.process.send_signal(signal.SIGSTOP)
-    held = socket.create_connection((host, int(port)), 5)
-    held.sendall(PLAIN)
+    waiting = socket.create_connection((host, int(port)), 5)
+    waiting.sendall(PLAIN)
     field.process.send_signal(signal.SIGTERM)
     field.process.send_signal(signal.SIGCONT)
-    held.settimeout(5)
-    assert held.makefile("rb").read().startswith(b"HTTP/1.1 200")
+    waiting.settimeout(5)
+    assert waiting.makefile("rb").read().startswith(b"HTTP/1.1 200")
     assert field.process.wait(10) == 0
 
 
-def test_all_that_clients_do_in_the_turn_of_the_signal(field):
-    """A request, half a head, half a body, two at once, a new connection; SIGHUP before, SIGTERM again: each
-    hears an answer or an end in order, never a reset."""
+def test_every_client_gets_an_answer_or_an_orderly_close_in_the_turn_of_the_signal(field):
+    """Whole and partial requests, two at once and a new connection, with SIGHUP before and SIGTERM twice.
+
+    Each client gets an answer or an orderly close, never a reset.
+    """
     whole, half, twice, quiet = [field.raw(PLAIN) for _ in range(4)]
     body = field.raw(b"POST /places/1/reserve HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nab")
     for sock in (whole, half, twice, quiet):
@@ -102,10 +104,10 @@
     assert [e["now"] for e in field.said("phase")] == ["serving", "ending", "ended"]
 
 
-# ---- turn by turn
+# ---- the host in a loop that the test turns
 
 
-def test_what_has_come_as_the_end_begins_is_answered(seam):
+def test_requests_received_before_the_shutdown_are_answered(seam):
     sock, _, server = seam.kept()
     sock.sendall(READ + READ)
     come(next(iter(seam.host.clients)).stream.sock)
@@ -115,10 +117,10 @@
     seam.host.accept_pending_connections()
     seam.host.stop_listening()
     assert not seam.host.close_unused_clients()
-    for of in (server, None):
-        of, _ = seam.asked(of)
+    for upstream in (server, None):
+        upstream, _ = seam.asked(upstream)
         seam.host.close_unused_clients()
-        of.sendall(OK % (1, b"2"))
+        upstream.sendall(OK % (1, b"2"))
     for one in (sock, waits):
         found = seam.rest(one)
         assert found.count(b"200 OK") == 1 and b"Connection: close" in found and found.endswith(b"2")
@@ -127,8 +129,8 @@
 
 
 @pytest.mark.parametrize("read", [True, False])
-def test_half_a_head_at_the_end_costs_no_answer_that_is_on_its_way(seam, read):
-    """Closed at once, the connection would be reset by what is unread or comes later."""
+def test_half_a_head_at_the_shutdown_does_not_destroy_an_answer_in_transit(seam, read):
+    """If closed at once, the connection would be reset by unread or later data, and the answer lost."""
     sock, client = seam.client(READ, buffer=4096)
     client.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 200_000)
     server, _ = seam.asked()
@@ -149,7 +151,7 @@
     seam.until(seam.host.close_unused_clients)
 
 
-def test_more_while_the_last_answer_is_on_its_way_costs_it_nothing(seam):
+def test_a_request_after_the_last_answer_does_not_destroy_it(seam):
     sock, client = seam.client(READ, buffer=4096)
     client.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 200_000)
     server, _ = seam.asked()
@@ -169,8 +171,8 @@
 
 @pytest.mark.parametrize("first", ["answer", "end"])
 @pytest.mark.parametrize("behind", [b"", READ])
-def test_a_servers_answer_in_the_turn_of_the_end(seam, first, behind):
-    """Whichever is met first, and with a second request behind: the answer, then an end in order."""
+def test_an_answer_in_the_turn_of_the_shutdown_is_forwarded(seam, first, behind):
+    """In either order, also with a second request queued: an answer, then an orderly close."""
     sock, client = seam.client(READ + behind)
     server, _ = seam.asked()
     at = client.rpc.upstream.stream.sock
@@ -180,7 +182,7 @@
         seam.host.close_unused_clients()
     seam.turn()
     seam.host.close_unused_clients()
-    if behind and first == "answer":  # it had begun before the end
+    if behind and first == "answer":  # it was started before the shutdown
         seam.asked(server)
         server.sendall(OK % (1, b"2"))
     found = seam.rest(sock)
@@ -189,7 +191,7 @@
     seam.until(seam.host.close_unused_clients)
 
 
-def test_a_deadline_due_in_the_turn_of_the_end(seam):
+def test_a_deadline_in_the_turn_of_the_shutdown_is_answered(seam):
     sock, _ = seam.client(READ)
     seam.asked()
     seam.clock.by += 100_000
@@ -200,8 +202,8 @@
     seam.until(seam.host.close_unused_clients)
 
 
-def test_the_end_while_no_descriptor_was_left_to_accept(seam):
-    """The listener rests then, unknown to the selector: the end goes its way."""
+def test_shutdown_succeeds_while_the_listener_is_paused_for_lack_of_descriptors(seam):
+    """The paused listener is not in the selector; the shutdown still closes the waiting client."""
     seam.loop.pause(seam.host.listener.sock)
     seam.host.listener._paused = seam.loop.call_after(100_000, seam.host.listener._resume)
     waits = socket.create_connection(seam.at, 10)
