--- a/indigohitch/sidecar/handover.py
+++ b/indigohitch/sidecar/handover.py
@@ -162,9 +162,9 @@
         return msgspec.msgpack.encode(rows)
 
     def take_idle_connections(self) -> list[PassedConnection]:
-        return [self.take_out(client) for client in list(self.host.clients) if client.is_idle]
+        return [self.detach_connection(client) for client in list(self.host.clients) if client.is_idle]
 
-    def take_out(self, client: Client) -> PassedConnection:
+    def detach_connection(self, client: Client) -> PassedConnection:
         self.host.forget(client)
         return ("client", *client.stream.detach())
 
@@ -175,7 +175,7 @@
         host = self.host
 
         def pass_client(client: Client) -> None:
-            connection = self.take_out(client)
+            connection = self.detach_connection(client)
             if not pass_on(connection):
                 connection[1].close()  # no process can continue reading it; the client has to reconnect
                 host.log.count("connections_not_passed")
--- a/tests/test_upgrade_wire_names.py
+++ b/tests/test_upgrade_wire_names.py
@@ -140,7 +140,7 @@
     """The first kind in the frame is that of a sidecar, the second that of a coordinator."""
     host = SimpleNamespace(forget=lambda client: None)
     client = SimpleNamespace(stream=SimpleNamespace(detach=lambda: (None, b"GET /a")))
-    client_connection = SidecarHandover.take_out(SimpleNamespace(host=host), client)
+    client_connection = SidecarHandover.detach_connection(SimpleNamespace(host=host), client)
     front = SimpleNamespace(inbound=SimpleNamespace(remove=lambda connection: None))
     caller = SimpleNamespace(
         zone="east", connected_at=1, last_line_at=20_000_000, line_started_at=None, invalid_line_count=False
