--- a/proofs/audit_stragglers.py
+++ b/proofs/audit_stragglers.py
@@ -10,7 +10,7 @@
 from audit_platform import Platforms
 from fleetkit import Fleet, until
 
-from indigohitch.fleet.membership.failure_detector import LAG
+from indigohitch.fleet.membership.failure_detector import MAX_LAG
 
 
 class Stragglers:
@@ -106,7 +106,7 @@
     def behind(self) -> None:
         """Two thousand entries are missed within a stop shorter than a lease, on a fleet that goes on."""
         name, fleet = self.follower(), self.fleet
-        entries = LAG + 200 if self.quick else 2000
+        entries = MAX_LAG + 200 if self.quick else 2000
 
         def hold(version: int) -> None:
             others = [n for n in fleet.voters if n != name]
