--- a/proofs/scalekit/hollow.py
+++ b/proofs/scalekit/hollow.py
@@ -145,7 +145,7 @@
         """It reads no more, and does nothing else either; its connection stays."""
         one = self.subscribers[number]
         one.muted = True
-        one.stepping.timer.cancel()
+        one.driver.timer.cancel()
         self.loop.pause(one.link.connection.sock)
         return {"distributor": one.link.name}
 
@@ -153,7 +153,7 @@
         one = self.subscribers[number]
         one.muted = False
         self.loop.resume(one.link.connection.sock, one.link.connection._number, READ)
-        one.stepping.timer.arm()
+        one.driver.timer.arm()
         return {}
 
     def judge(self, facts: str, out: str) -> dict:
