--- a/tests/test_upgrade_sidecar.py
+++ b/tests/test_upgrade_sidecar.py
@@ -108,6 +108,7 @@
     field.fault(point, "wait")
     threading.Thread(target=lambda: pytest.raises((OSError, ValueError), field.ask, "upgrade")).start()
     eventually(lambda: field.said("upgrade", now="restored" if restored else "offered"))
+    eventually(lambda: field.said("fault", point=point))  # the old process logs "offered" before it starts it
     os.kill(old_pid, signal.SIGKILL)
     field.process.wait()
     eventually(lambda: field.said("begun_as_orphan"))
