--- a/indigohitch/backend_subscription/__init__.py
+++ b/indigohitch/backend_subscription/__init__.py
@@ -1,1 +1,1 @@
-"""Backends read from a configuration subscription in place of the discovery service."""
+"""Backend lists from a configuration subscription, used in place of the discovery service."""
--- a/indigohitch/backend_subscription/errors.py
+++ b/indigohitch/backend_subscription/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the backends that a subscription delivers."""
+"""Errors in backends delivered by a subscription."""
 
 from __future__ import annotations
 
@@ -6,12 +6,14 @@
 
 
 class InvalidInstanceError(InvalidDataError):
-    """A resource is no valid backend; its last valid value stays in use."""
+    """A resource does not describe a valid backend; its last valid value stays in use."""
 
-    remedy = "set this resource anew, in discovery's form with the id of its key"
+    remedy = (
+        "set this resource again, in the format of discovery's entries and with the backend ID from its key"
+    )
 
 
 class NoInstancesError(UnavailableError):
-    """The subscribed services name no backend; the last list stays in use and no empty one is sent."""
+    """The subscribed services have no backends; the last list stays in use and no empty list is sent."""
 
-    remedy = "see the services after `subscribe` in this file, and their resources instance/ID"
+    remedy = "check the services listed after `subscribe` in this file, and their instance/ID resources"
--- a/indigohitch/backend_subscription/source.py
+++ b/indigohitch/backend_subscription/source.py
@@ -1,4 +1,4 @@
-"""The subscription as a `BackendSource`, in place of discovery."""
+"""Implements `BackendSource` on a configuration subscription instead of discovery."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class SubscribedBackends:
-    """Sends backend lists made from the resources of the subscribed services."""
+    """Sends backend lists that are built from the resources of the subscribed services."""
 
     def __init__(self, log: Log, resources: Resources, on_list: ListCallback) -> None:
-        """Keep `resources`, which returns a service's resources, and `on_list`, which receives the lists."""
+        """Create a source that reads services through `resources` and passes lists to `on_list`."""
         self.log = log
         self.resources = resources
         self.on_list = on_list
         self.instances = Instances()
-        self.version = 0  # the ledger entry of the current content
+        self.version = 0  # ledger entry that the current content is from
         self.watching = False
-        self.has_content = False  # whether any content was received
-        self.has_sent_full_list = False  # whether a complete list was sent
+        self.has_content = False  # content was received at least once
+        self.has_sent_full_list = False  # a complete list was sent at least once
 
-    # ---- from the subscription ---------------------------------------------------------------------
+    # ---- subscription callbacks ----------------------------------------------------------------------
 
     def on_update(self, version: int, scope: Collection[str]) -> None:
-        """Read the content of the services in `scope` and send what changed.
+        """Read the resources of the services in `scope` and send the changes.
 
-        All services are read, also the known ones outside `scope`: a subscription that was started again,
-        as after a failed upgrade, does not report what was removed in between.
+        Known services outside `scope` are removed: a subscription that is restarted, for example after a
+        failed upgrade, does not report removals that happened in between.
         """
         self.version = version
         self.has_content = True
@@ -42,12 +42,12 @@
             for error in self.instances.update(service, bodies):
                 self.warning("backend_unreadable", error)
         if self.instances.is_empty:
-            self.warning("no_backends", NoInstancesError("no service names a backend"))
+            self.warning("no_backends", NoInstancesError("no subscribed service has a backend"))
         if self.watching:
             self.send_update()
 
     def send_update(self) -> None:
-        """Send the changes, or the complete list where none was sent yet."""
+        """Send the changes, or the complete list if none was sent yet."""
         update = (
             self.instances.list_changes(self.version)
             if self.has_sent_full_list
@@ -56,35 +56,35 @@
         self.send_list(update)
 
     def send_list(self, update: ListUpdate | None) -> None:
-        """Pass a list to the callback; None is ignored."""
+        """Pass a list to the callback; does nothing for None."""
         if update is not None:
             self.has_sent_full_list = True
             self.log.count("subscription_lists")
             self.on_list(update.backend_list, update.addresses)
 
     def warning(self, event: str, error: DirectorError) -> None:
-        """Log an error as a warning with its fields."""
+        """Log a warning with the fields of an error."""
         self.log.warning(event, **error.log_fields())
 
-    # ---- a BackendSource ---------------------------------------------------------------------------
+    # ---- BackendSource interface ---------------------------------------------------------------------
 
-    def subscribe(self, on: bool) -> None:
-        """Start or stop sending lists; a start sends the complete list, as the receiver has none."""
-        self.watching = on
-        if on:
+    def subscribe(self, enabled: bool) -> None:
+        """Start or stop sending lists; a start sends the complete list because the receiver has none."""
+        self.watching = enabled
+        if enabled:
             self.fetch()
 
     def fetch(self) -> None:
-        """Send the complete list, where content was received."""
+        """Send the complete list if content was received."""
         if self.has_content:
             self.send_list(self.instances.full_list(self.version))
 
-    def move(self, to: tuple[str, int]) -> bool:
-        """Return False: a subscription has no discovery address to change."""
+    def move(self, address: tuple[str, int]) -> bool:
+        """Return False, because a subscription has no discovery address to change."""
         return False
 
     def restore(self, version: int) -> None:
-        """Take over the version of a previous process; the first content is sent as a complete list."""
+        """Continue from the version of a previous process; the first content is sent as a complete list."""
         self.version = version
         self.has_sent_full_list = False
 
--- a/indigohitch/benchlink/__init__.py
+++ b/indigohitch/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: its lines both ways and the host of the coordinators that speak over it."""
+"""Runs coordinators for the bench, a simulator that exchanges lines of JSON with them over a pipe."""
--- a/indigohitch/benchlink/__main__.py
+++ b/indigohitch/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""The bench's front, `python -m indigohitch.benchlink`: on standard input and output."""
+"""Entry point `python -m indigohitch.benchlink`: serves the bench on standard input and output."""
 
 import sys
 
--- a/indigohitch/encoding/__init__.py
+++ b/indigohitch/encoding/__init__.py
@@ -1,1 +1,1 @@
-"""Encodings for upgrades and the fleet: frames with checksums, rows, atomically written files."""
+"""Encoding for upgrades and the fleet: frames with checksums, rows, and atomically written files."""
--- a/indigohitch/encoding/files.py
+++ b/indigohitch/encoding/files.py
@@ -1,4 +1,4 @@
-"""Atomic replacement of files."""
+"""Replaces files atomically."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 
 def write_atomically(path: str, data: bytes) -> None:
-    """Replaces a file; the old content stays until all of the new one is on the disk.
+    """Replaces a file; the old content stays until all of the new content is on disk.
 
     Raises:
-        OSError: The file could not be written; the old one is unchanged.
+        OSError: The write failed and the old file is unchanged, or the folder could not be synced.
     """
-    part = f"{path}.{os.getpid()}.part"
+    temporary_path = f"{path}.{os.getpid()}.part"
     try:
-        descriptor = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            view = memoryview(data)
-            while view:
-                view = view[os.write(descriptor, view) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(descriptor, remaining) :]
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
-        os.rename(part, path)
+        os.rename(temporary_path, path)
     except OSError:
         with contextlib.suppress(OSError):
-            os.unlink(part)
+            os.unlink(temporary_path)
         raise
     sync_folder(os.path.dirname(os.path.abspath(path)))
 
 
 def sync_folder(path: str) -> None:
-    """Makes created and removed names in a folder durable.
+    """Syncs a folder, which makes created and removed names in it durable.
 
     Raises:
         OSError: The folder could not be synced.
     """
-    folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
+    descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(folder)
+        os.fsync(descriptor)
     finally:
-        os.close(folder)
+        os.close(descriptor)
--- a/indigohitch/encoding/frames.py
+++ b/indigohitch/encoding/frames.py
@@ -1,7 +1,7 @@
-"""Frames of a binary protocol.  No I/O.
+"""Encodes and decodes frames of a binary protocol.  No I/O.
 
-A frame is a header (magic, protocol version, kind, number of descriptors sent along, length and checksum of
-the body) and a body: msgpack of one of the rows of a `MessageTypes`.
+A frame consists of a header (magic, protocol version, message type, number of attached file descriptors,
+length and checksum of the body) and a body: a row of one of the types in a `MessageTypes`, as msgpack.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 class BrokenFrameError(InvalidDataError):
-    """Received bytes are no valid frame."""
+    """Received bytes are not a valid frame."""
 
 
 class MessageTypes:
-    """The messages of a protocol.
+    """Defines the message types of a protocol and encodes and decodes their frames.
 
-    `magic` is 4 bytes, `protocol` the version; `rows` are in the order of their numbers, and rows are only
-    ever added at the end.
+    `magic` has 4 bytes and `protocol` is the version. The position of a type in `rows` is its number on the
+    wire, so types are only ever added at the end.
     """
 
     def __init__(
@@ -38,19 +38,21 @@
         self.protocol = protocol
         self.rows = list(rows)
         self.max_frame_bytes = max_frame_bytes
-        self.numbers = {kind: number for number, kind in enumerate(rows)}
+        self.numbers = {row_type: number for number, row_type in enumerate(rows)}
 
     def frame(self, row: Row, descriptors: int = 0) -> bytes:
-        """Encodes a row.
+        """Encodes a row as a frame.
 
         Raises:
-            InvalidRequestError: The body is larger than a frame takes.
+            InvalidRequestError: The body exceeds `max_frame_bytes`.
         """
         body = msgspec.msgpack.encode(row)
         number = self.numbers[type(row)]
         if len(body) > self.max_frame_bytes:
             raise InvalidRequestError(
-                f"{type(row).__name__} of {len(body)} bytes", "", f"a frame takes {self.max_frame_bytes}"
+                f"{type(row).__name__} of {len(body)} bytes",
+                "",
+                f"a frame body holds at most {self.max_frame_bytes} bytes",
             )
         return (
             _HEADER.pack(
@@ -65,10 +67,10 @@
         )
 
     def head(self, data: bytes | bytearray, offset: int = 0) -> tuple[int, int, int, int, int]:
-        """Returns protocol, kind, descriptors, length and checksum of the frame at `offset`.
+        """Decodes the header at `offset` into protocol, type number, descriptors, length and checksum.
 
         Raises:
-            BrokenFrameError: The header is of another protocol, or invalid.
+            BrokenFrameError: The header is of another protocol or is invalid.
         """
         magic, protocol, number, descriptors, length, checksum = _HEADER.unpack_from(data, offset)
         if magic != self.magic or not self.protocol - 1 <= protocol <= self.protocol + 1:
@@ -81,10 +83,10 @@
         """Decodes the body of a frame.
 
         Raises:
-            BrokenFrameError: The checksum is wrong, or the body is not of its kind.
+            BrokenFrameError: The checksum does not match, or the body is not a valid row of its type.
         """
         if xxhash.xxh3_64_intdigest(data, protocol << 8 | number) != checksum:
-            raise BrokenFrameError("a frame has another checksum than its body")
+            raise BrokenFrameError("checksum of the frame body does not match its header")
         try:
             return msgspec.msgpack.decode(data, type=self.rows[number])
         except msgspec.MsgspecError as error:
@@ -92,17 +94,17 @@
 
 
 class FrameDecoder:
-    """Decodes frames from pieces of any size."""
+    """Decodes a stream of frames that is received in chunks of any size."""
 
     def __init__(self, kinds: MessageTypes) -> None:
         self.kinds = kinds
         self.rest = bytearray()
 
     def feed(self, data: bytes) -> Iterator[tuple[Row, int]]:
-        """Yields the rows that are complete, with the number of their descriptors.
+        """Yields each row that `data` completes, with the number of descriptors of its frame.
 
         Raises:
-            BrokenFrameError: The input is invalid; the decoder must not be used any more.
+            BrokenFrameError: The input is invalid; the decoder must not be used again.
         """
         self.rest += data
         while len(self.rest) >= HEADER_BYTES:
--- a/indigohitch/encoding/rows.py
+++ b/indigohitch/encoding/rows.py
@@ -1,4 +1,4 @@
-"""Rows: the base of all that is encoded into snapshots, records and messages.  No I/O."""
+"""Base class of all structs that are encoded into snapshots, records and messages.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 
 class Row(msgspec.Struct, array_like=True):
-    """A struct encoded as an array.
+    """A struct that is encoded as an array.
 
-    Fields are only ever added, at the end and with a default: a version older or newer by one reads it.
+    Fields are only ever added, at the end and with a default, so that the previous and the next version of
+    the program can decode a row.
     """
 
 
 def digest(body: bytes, salt: int = 0) -> bytes:
-    """Returns 16 bytes (blake2b); `salt` separates kinds or versions that must not be confused."""
+    """Returns a 16-byte BLAKE2b digest; `salt` keeps digests of types or versions apart."""
     return hashlib.blake2b(body, digest_size=16, salt=salt.to_bytes(2, "big")).digest()
--- a/indigohitch/settings.py
+++ b/indigohitch/settings.py
@@ -1,7 +1,7 @@
-"""Parses the start settings and load reports, for both fronts.
+"""Parses start settings and load reports, for the bench and for the platform.
 
-The settings are the object that the bench sends first and that the platform's configuration contains. Their
-names, their paths and which of them are times are defined here only.
+The settings are an object that the bench sends in `Configure` and that is part of the platform's
+configuration.  Only this module defines their names, their paths and which of them are durations.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 from collections.abc import Iterable
 from typing import Any
 
-from . import interface as face
+from . import interface
 from .errors import InvalidRequestError
 
-REMEDY = "mend `settings` in the configuration"
+REMEDY = "correct `settings` in the configuration"
 
 _RETRY_SAFETY = {"read_like": "idempotent", "idempotency_key": "tokened", "non_idempotent": "non_idempotent"}
 
-# Names in load reports: those of the settings' columns, and those that proxies and backends send.
+# Names in load reports, as columns in the settings and as sent by proxies and backends, to internal names.
 _LOAD_NAMES = {
     "busy_reqs": "held",
     "inflight": "held",
@@ -32,7 +32,7 @@
     "eps": "failure_rate",
 }
 
-# Settings: path on the wire, name here, and whether the value is in milliseconds.
+# Path on the wire, internal name, and whether the value is in milliseconds.
 _SETTINGS = [
     ("balancers", "coordinators", False),
     ("slot-no", "own_number", False),
@@ -105,24 +105,24 @@
 
 
 def ticks_from_ms(milliseconds: float) -> int:
-    """Convert milliseconds to ticks of a tenth of a millisecond, rounded."""
+    """Convert milliseconds to ticks (0.1 ms), rounded."""
     return round(milliseconds * 10)
 
 
-def _parse_method(given: dict) -> face.Method:
-    return face.Method(
-        given["name"],
-        ticks_from_ms(given["aim"]),
-        ticks_from_ms(given["deadline"]),
-        given["importance"],
-        _RETRY_SAFETY[given["repeat"]],
-        given.get("dedup-scope", "all"),
-        ticks_from_ms(given.get("memory-span", 0.0)),
+def _parse_method(fields: dict) -> interface.Method:
+    return interface.Method(
+        fields["name"],
+        ticks_from_ms(fields["aim"]),
+        ticks_from_ms(fields["deadline"]),
+        fields["importance"],
+        _RETRY_SAFETY[fields["repeat"]],
+        fields.get("dedup-scope", "all"),
+        ticks_from_ms(fields.get("memory-span", 0.0)),
     )
 
 
 def _check_usable(settings: dict) -> None:
-    """Raise InvalidRequestError for settings with which every decision round would fail."""
+    """Raise InvalidRequestError for settings that would make every decision round fail."""
     report_interval = settings.get("report_every")
     if not isinstance(report_interval, int):
         raise InvalidRequestError("family-info.report-every is missing", "settings", REMEDY)
@@ -131,18 +131,19 @@
             f"family-info.report-every is {report_interval / 10} ms", "settings", REMEDY
         )
     if not settings["methods"]:
-        raise InvalidRequestError("classes names no method", "settings", REMEDY)
+        raise InvalidRequestError("classes is empty; at least one method is needed", "settings", REMEDY)
     for method in settings["methods"]:
         if min(method.soft_deadline, method.deadline) <= 0:
             raise InvalidRequestError(
-                f"{method.name}: aim and deadline have to be above 0", "settings", REMEDY
+                f"{method.name}: aim and deadline must be greater than 0", "settings", REMEDY
             )
 
 
 def parse_settings(params: dict) -> tuple[dict, list[str]]:
-    """Return the start settings as a flat map, and the names of the load report's columns.
+    """Return the start settings as a flat dictionary, and the column names of load reports.
 
-    Raises InvalidRequestError, a ValueError, for settings that can't be parsed.
+    Raises:
+        InvalidRequestError: The settings are invalid (also a ValueError).
     """
     settings: dict[str, Any] = {}
     try:
@@ -160,7 +161,7 @@
 
 
 def parse_load_report(pairs: Iterable[tuple[str, Any]]) -> dict[str, float]:
-    """Parse a load report from (name, value) pairs; unknown names and missing values are left out."""
+    """Parse a load report from (name, value) pairs, ignoring unknown names and missing values."""
     return {
         _LOAD_NAMES[name]: ticks_from_ms(value) if _LOAD_NAMES[name] == "service_time" else value
         for name, value in pairs
