--- a/indigohitch/benchlink/host.py
+++ b/indigohitch/benchlink/host.py
@@ -27,10 +27,10 @@
     def _start(self, message: incoming.Configure) -> None:
         number = message.coordinator
         try:
-            settings, self.columns[number] = parse_settings(message.params)
+            settings, self.columns[number] = parse_settings(message.settings)
         except ValueError as error:
             raise incoming.WireError(f"bad Configure for coordinator {number}: {error}") from None
-        self.instances[number] = Coordinator(message.rng_seed, settings)
+        self.instances[number] = Coordinator(message.seed, settings)
 
     def _run(self, now: int, pending_events: dict[int, list], number: int) -> None:
         events = pending_events.pop(number, None)
@@ -51,7 +51,7 @@
         pending_events: dict[int, list] = {}
         for kind, message in messages:
             if kind == "List":
-                self.lists[message.buffer] = self._convert(kind, message.entries)
+                self.lists[message.number] = self._convert(kind, message.to_entries)
             elif kind == "PowerOff":
                 pending_events.pop(message.coordinator, None)
                 self.instances.pop(message.coordinator, None)
@@ -84,7 +84,7 @@
     for line in source:
         kind, message = incoming.decode(line)
         if kind == "Mark":
-            now = ticks_from_ms(message.at_time)
+            now = ticks_from_ms(message.time_ms)
             messages = []
         elif kind == "Flush":
             host.handle_batch(now, messages)
--- a/indigohitch/benchlink/incoming.py
+++ b/indigohitch/benchlink/incoming.py
@@ -6,24 +6,24 @@
 
 import msgspec
 
-from .backend_lists import List
+from .backend_lists import BackendList
 from .wire_messages import (
-    AssignedToMe,
+    BackendListUpdate,
+    BackendTraffic,
     BatchStart,
     Configure,
-    Connected,
-    Endpoints,
-    FromPeer,
-    Heat,
-    Installed,
-    Intake,
-    LostStream,
     MessageType,
-    PowerOff,
+    PeerMessage,
     ProbeResult,
-    StoredLine,
-    TickDue,
-    TrafficReport,
+    ProxyDemand,
+    ProxyJoined,
+    ProxyLeft,
+    SliceDemand,
+    SliceOwnership,
+    Stop,
+    StoredRoute,
+    TimerFired,
+    UpdateAcknowledged,
 )
 
 
@@ -31,25 +31,25 @@
     """A received line violates the protocol described in WIRE-indigohitch.md."""
 
 
-# By the message type on the wire.
+# By message type on the wire.
 _DECODERS: dict[str, msgspec.json.Decoder[Any]] = {
     "Mark": msgspec.json.Decoder(BatchStart),
     "Flush": msgspec.json.Decoder(MessageType),
     "Configure": msgspec.json.Decoder(Configure),
-    "PowerOff": msgspec.json.Decoder(PowerOff),
-    "List": msgspec.json.Decoder(List),
-    "Endpoints": msgspec.json.Decoder(Endpoints),
+    "PowerOff": msgspec.json.Decoder(Stop),
+    "List": msgspec.json.Decoder(BackendList),
+    "Endpoints": msgspec.json.Decoder(BackendListUpdate),
     "ProbeResult": msgspec.json.Decoder(ProbeResult),
-    "Heat": msgspec.json.Decoder(Heat),
-    "Intake": msgspec.json.Decoder(Intake),
-    "TrafficReport": msgspec.json.Decoder(TrafficReport),
-    "Connected": msgspec.json.Decoder(Connected),
-    "LostStream": msgspec.json.Decoder(LostStream),
-    "Installed": msgspec.json.Decoder(Installed),
-    "AssignedToMe": msgspec.json.Decoder(AssignedToMe),
-    "StoredLine": msgspec.json.Decoder(StoredLine),
-    "FromPeer": msgspec.json.Decoder(FromPeer),
-    "TickDue": msgspec.json.Decoder(TickDue),
+    "Heat": msgspec.json.Decoder(SliceDemand),
+    "Intake": msgspec.json.Decoder(ProxyDemand),
+    "TrafficReport": msgspec.json.Decoder(BackendTraffic),
+    "Connected": msgspec.json.Decoder(ProxyJoined),
+    "LostStream": msgspec.json.Decoder(ProxyLeft),
+    "Installed": msgspec.json.Decoder(UpdateAcknowledged),
+    "AssignedToMe": msgspec.json.Decoder(SliceOwnership),
+    "StoredLine": msgspec.json.Decoder(StoredRoute),
+    "FromPeer": msgspec.json.Decoder(PeerMessage),
+    "TickDue": msgspec.json.Decoder(TimerFired),
 }
 _TYPE_DECODER = msgspec.json.Decoder(MessageType)
 
